--- a/cmd/eventlog/main_test.go
+++ b/cmd/eventlog/main_test.go
@@ -23,7 +23,7 @@
 	main()
 }
 
-// freeAddress is an address on loopback that nobody listens on.
+// freeAddress returns an address on loopback that nobody listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -119,7 +119,7 @@
 	return layer{}, false
 }
 
-// nameOf is the name of a package in the folder; false if it is not below it.
+// nameOf returns the name of a package in the folder; false if it is not below it.
 func (f folder) nameOf(path string) (string, bool) {
 	if path == f.path {
 		return ".", true
@@ -138,7 +138,7 @@
 	Imports    []string
 }
 
-// listPackages are the packages of the module that have a layer, by their paths in the module.
+// listPackages returns the packages of the module that have a layer, by their paths in the module.
 func listPackages(t *testing.T) map[string]listedPackage {
 	t.Helper()
 	out, err := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", module+"...").Output()
--- a/internal/config/appfile/appfile.go
+++ b/internal/config/appfile/appfile.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/config/schema"
 )
 
-// Tables are all of them, in the order in which a file has them.
+// Tables returns all of them, in the order in which a file has them.
 func Tables() []*schema.Table {
 	return []*schema.Table{
 		SidecarTable.Table, DiscoveryTable.Table, LimitsTable.Table, AttemptsTable.Table, SlowStartTable.Table,
@@ -16,14 +16,14 @@
 	}
 }
 
-// PlatformTables are the names of the tables that a platform's own configuration replaces.
+// PlatformTables returns the names of the tables that a platform's own configuration replaces.
 func PlatformTables() []string {
 	return []string{
 		SidecarTable.Name, DiscoveryTable.Name, LimitsTable.Name, AttemptsTable.Name, SlowStartTable.Name, ClassTable.Name, TenantTable.Name,
 	}
 }
 
-// NameLayer is a layer below an application's own that says its name. What is missing from it is reported at the position given.
+// NameLayer returns a layer below an application's own that says its name. What is missing from it is reported at the position given.
 func NameLayer(application, file string, at finding.Pos) schema.Layer {
 	text := []byte("[sidecar]\napplication = " + doc.Quote(application) + "\n")
 	d := doc.ReadTOML(text, len(text), func(_ finding.Pos, format string, args ...any) { panic(fmt.Sprintf(format, args...)) })
--- a/internal/config/appfile/class.go
+++ b/internal/config/appfile/class.go
@@ -89,7 +89,7 @@
 		"Requests a second within its share, over all sidecars; what goes beyond is worth little."),
 ).CheckNames(nameFault)
 
-// unknownClass is the message on a class that a file does not serve.
+// unknownClass returns the message on a class that a file does not serve.
 func unknownClass(f *schema.File, class string) string {
 	var names []string
 	for _, c := range ClassTable.All(f) {
--- a/internal/config/appfile/lists.go
+++ b/internal/config/appfile/lists.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// SplitList is the parts of a value that are divided by commas, without the white space round them.
+// SplitList returns the parts of a value that are divided by commas, without the white space round them.
 func SplitList(text string) (all []string) {
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
--- a/internal/config/apps/address_graph.go
+++ b/internal/config/apps/address_graph.go
@@ -1,20 +1,21 @@
 package apps
 
-// addressOwner is an address that an application's file names, where it listens or dials.
+// addressOwner is an address that the file of an application names, to listen on or to dial.
 type addressOwner struct {
 	addressUse
 	node *node
 }
 
-// addressPlace is what two addresses share that can be one: the port on a host of apps.toml, or on an IP address.
+// addressPlace identifies what two addresses have in common that may be the same: a port of a host of apps.toml, or of an IP address.
 type addressPlace struct{ host, ip, network, port string }
 
-// addressIndex holds addresses by place. Those that only dial stand apart: thousands may dial one.
+// addressIndex holds addresses by place. Those that are only dialled are kept apart, since thousands of sidecars may dial one.
 type addressIndex struct {
 	listeners, dialers map[addressPlace][]addressOwner
 }
 
-// placesOf are where an address can meet another: at its machine or, where it is not only the machine's own, at the address itself.
+// placesOf returns the places at which an address can be the same as another: its machine and, unless it is local to the machine, the
+// address itself.
 func placesOf(n *node, u addressUse) []addressPlace {
 	all := []addressPlace{{host: n.sidecar.Host, network: u.network, port: u.port}}
 	if !u.local {
@@ -23,10 +24,10 @@
 	return all
 }
 
-// conflict is the first address that one of an application conflicts with, and why.
+// conflict returns the first address with which an address of an application conflicts, and the reason; "" if there is none.
 func (x *addressIndex) conflict(n *node, u addressUse) (other addressOwner, why string) {
 	for _, place := range placesOf(n, u) {
-		// Two that dial have nothing to conflict about.
+		// Two sidecars may dial one address.
 		candidates := [][]addressOwner{x.listeners[place]}
 		if !u.key.dials {
 			candidates = append(candidates, x.dialers[place])
@@ -42,7 +43,7 @@
 	return addressOwner{}, ""
 }
 
-// add takes up an address of an application.
+// add adds an address of an application.
 func (x *addressIndex) add(n *node, u addressUse) {
 	index := x.listeners
 	if u.key.dials {
@@ -53,8 +54,8 @@
 	}
 }
 
-// checkAddresses reports addresses that applications would take from one another, and those where one dials what only another one's
-// callers are served. Those of one file are checked with that file.
+// checkAddresses reports addresses on which two applications would listen, and those that one application dials and another one listens
+// on for its callers. Conflicts within one file are reported by CheckAddresses.
 func (g *graph) checkAddresses() {
 	index := addressIndex{listeners: map[addressPlace][]addressOwner{}, dialers: map[addressPlace][]addressOwner{}}
 	for _, n := range g.nodes {
--- a/internal/config/apps/addresses.go
+++ b/internal/config/apps/addresses.go
@@ -9,22 +9,22 @@
 	"quincegap/internal/config/schema"
 )
 
-// addressUse is one address that a file names: where a sidecar listens, or which it dials.
+// addressUse is one address that a file names, on which a sidecar listens or which it dials.
 type addressUse struct {
 	key     addressKey
 	text    string
 	network string // tcp, udp or unix
 	host    string // "*" for all of a machine; a path with unix
 	port    string
-	local   bool // it means the machine itself, and is no other machine's
+	local   bool // it is an address of the machine itself, such as a loopback address or a socket's path
 }
 
-// addressKey is a key of the product's file that holds addresses.
+// addressKey is a key of a sidecar's file that holds addresses.
 type addressKey struct {
 	table, name string
 	network     string
-	dials       bool   // the sidecar connects to it; else it listens there
-	list        bool   // it holds several, separated by commas
+	dials       bool   // the sidecar connects to the address; otherwise it listens there
+	list        bool   // the key holds several addresses, separated by commas
 	purpose     string // what a sidecar does there, in messages
 }
 
@@ -40,7 +40,7 @@
 	{table: "consul", name: "agents", network: "tcp", dials: true, list: true, purpose: "asks Consul"},
 }
 
-// addressesOf are the addresses of a file that can be compared: port 0 is any free one.
+// addressesOf returns the addresses of a file that can be compared: not those with port 0, which stands for any free port.
 func addressesOf(f *schema.File) (all []addressUse) {
 	for _, k := range addressKeys {
 		s := f.Setting(k.table, k.name)
@@ -74,7 +74,7 @@
 	switch {
 	case host == "" || parsed != nil && parsed.IsUnspecified():
 		if u.host = "*"; k.dials {
-			u.host = "127.0.0.1" // who asks there asks its own machine
+			u.host = "127.0.0.1" // the unspecified address, dialled, is the machine itself
 		}
 	case u.host == "localhost":
 		u.host = "127.0.0.1"
@@ -85,7 +85,7 @@
 	return u, true
 }
 
-// overlaps tells whether two addresses are one where both are used on one machine.
+// overlaps reports whether two addresses are the same if both are used on one machine.
 func (u addressUse) overlaps(o addressUse) bool {
 	if u.network != o.network || u.port != o.port {
 		return false
@@ -94,7 +94,7 @@
 		return true
 	}
 	switch {
-	case u.key.dials: // what listens on all addresses has it, if it is on this machine
+	case u.key.dials: // a listener on all addresses has this one, if that is local
 		return o.host == "*" && u.local
 	case o.key.dials:
 		return u.host == "*" && o.local
@@ -102,7 +102,8 @@
 	return u.host == "*" || o.host == "*"
 }
 
-// conflict tells why two addresses that meet cannot be meant; "" where they can. Two that ask one address are.
+// conflict returns why two uses of one address exclude each other, or "" if they do not: two may dial the same address. whose names the
+// sidecar of the second use.
 func conflict(u, o addressUse, whose string) string {
 	switch {
 	case u.key.dials && o.key.dials:
@@ -113,8 +114,8 @@
 	return fmt.Sprintf("is taken by %s, which listens on %s", whose, o.text)
 }
 
-// CheckAddresses reports what one application's file asks of one address twice: a listener in the place of another,
-// or discovery and Consul asked for at its own listeners.
+// CheckAddresses reports addresses that the file of one application uses twice: for two listeners, or for a listener and for discovery or
+// Consul.
 func CheckAddresses(f *schema.File, found *finding.List) {
 	all := addressesOf(f)
 	for i, u := range all {
--- a/internal/config/apps/adopt.go
+++ b/internal/config/apps/adopt.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// Adopt takes the edits of derived files back into apps.toml, and returns its new text. With findings that is not to be used.
+// Adopt applies the edits of derived files to apps.toml and returns its new text, which must not be used if there are findings.
 func (m *Model) Adopt(states []*FileState, found *finding.List) []byte {
 	d := m.Doc
 	for _, state := range states {
@@ -20,15 +20,15 @@
 	return d.Text
 }
 
-// inherited is the value of an edited key under [defaults], or nil.
+// inherited returns the value of an edited key under [defaults], or nil.
 func inherited(d *doc.Document, e Edit) *doc.Entry {
 	return d.Root.Lookup(append([]string{layerDefaults}, e.Path...)...)
 }
 
-// ownPath is the path of an edited key under the application's own table.
+// ownPath returns the path of an edited key under the application's own table.
 func ownPath(app *App, e Edit) []string { return append([]string{layerApps, app.Name}, e.Path...) }
 
-// isAdoptable reports an edit that cannot be adopted.
+// isAdoptable reports whether an edit can be adopted. If not it adds a finding.
 func (m *Model) isAdoptable(d *doc.Document, app *App, e Edit, found *finding.List) bool {
 	byDefault := inherited(d, e)
 	switch {
@@ -45,7 +45,7 @@
 	return false
 }
 
-// adopt is apps.toml with one edit. A key that is set to its default again is removed from the application's own table.
+// adopt returns apps.toml with one edit applied. A key that is set to the value of [defaults] is removed from the application's own table.
 func adopt(d *doc.Document, app *App, e Edit) *doc.Document {
 	path := ownPath(app, e)
 	byDefault := inherited(d, e)
@@ -56,5 +56,5 @@
 	return readAgain(d.Set(path, e.Raw))
 }
 
-// unquoted is the text of a TOML value without the quotes of a string.
+// unquoted returns the text of a TOML value without the quotes of a string.
 func unquoted(raw string) string { return strings.Trim(raw, `"'`) }
--- a/internal/config/apps/attempts.go
+++ b/internal/config/apps/attempts.go
@@ -9,10 +9,10 @@
 	"quincegap/internal/config/schema"
 )
 
-// maxWayTold bounds the applications of a chain of calls that a finding names.
-const maxWayTold = 8
+// maxPathNamed bounds the number of applications of a chain of calls that a finding names.
+const maxPathNamed = 8
 
-// classNode is a class of an application: what a call reaches.
+// classNode is a class of an application, at which a call arrives.
 type classNode struct {
 	node  *node
 	class string
@@ -21,21 +21,21 @@
 // worstCase is the most attempts that one request from outside can become at a class of an application.
 type worstCase struct {
 	attempts int        // at the application's endpoints
-	call     *edge      // the last on the way there; nil where the request comes from outside
-	previous *worstCase // where that call is made
+	call     *edge      // the last call of the chain; nil if the request comes from outside
+	previous *worstCase // the worst case of the class that makes that call
 }
 
 // attemptSearch follows the attempts that multiply along chains of calls.
 type attemptSearch struct {
 	*graph
-	maxAttempts int          // of the whole installation
-	frame       *schema.File // says where the bound is set; may be nil
-	worst       map[classNode]*worstCase
-	calls       map[classNode][]*edge
+	maxAttempts int                      // the bound of the installation
+	frame       *schema.File             // sets the bound; may be nil
+	worst       map[classNode]*worstCase // of the chains that have been followed so far
+	calls       map[classNode][]*edge    // by the class that makes them
 }
 
-// checkAttempts reports where the attempts of all tiers multiply past the bound. Components are taken callers first; within one, that
-// is within a ring, the depth bounds how often it is gone round.
+// checkAttempts reports chains of calls whose attempts multiply to more than the bound. Components are searched callers first. Within a
+// ring, mutual_depth bounds the length of a chain.
 func (g *graph) checkAttempts(chain *Chain, frame *schema.File) {
 	s := attemptSearch{
 		graph:       g,
@@ -51,17 +51,17 @@
 		start := s.startFromOutside(component)
 		passes, ok := passesThrough(component)
 		if !ok {
-			continue // reported; without a depth there is no worst case
+			continue // reported by checkComponent: without a depth there is no worst case
 		}
 		s.followWithin(start, passes)
 		s.followOut(component)
 	}
 }
 
-// ownAttempts is how often an application's sidecars send one call at most.
+// ownAttempts returns the most attempts that the sidecars of an application make for one call.
 func ownAttempts(n *node) int { return appfile.AttemptsTable.In(n.File).Max }
 
-// addNode reports an application that is above the bound by itself, and collects its calls by the class that makes them.
+// addNode collects the calls of an application, and reports it if its own attempts exceed the bound.
 func (s *attemptSearch) addNode(n *node) {
 	if own := ownAttempts(n); own > s.maxAttempts {
 		at := n.File.Location("attempts", "most_attempts")
@@ -73,7 +73,7 @@
 	}
 }
 
-// startFromOutside are all classes of a component. Those that no call has reached are called from outside.
+// startFromOutside returns all classes of a component, with a worst case each: those that no call has reached are called from outside.
 func (s *attemptSearch) startFromOutside(component []*node) (start []classNode) {
 	for _, n := range component {
 		for _, c := range appfile.ClassTable.All(n.File) {
@@ -87,8 +87,8 @@
 	return start
 }
 
-// passesThrough is how many calls a request may make one after another within a component. It is false for a ring that does not state
-// its depth everywhere.
+// passesThrough returns the most calls that a request may make one after another within a component; false for a ring in which a call does
+// not state its depth.
 func passesThrough(component []*node) (passes int, ok bool) {
 	if !component[0].cyclic {
 		return 1, true
@@ -100,14 +100,14 @@
 	return calls[0].call.MutualDepth*len(component) - 1, true
 }
 
-// followWithin follows calls that stay in a component. Each pass goes on from where the last one made it worse.
+// followWithin follows calls that stay in a component. Each pass continues from the classes whose worst case the pass before has changed.
 func (s *attemptSearch) followWithin(start []classNode, passes int) {
 	type step struct {
 		call *edge
 		from *worstCase
 	}
 	for range passes {
-		var steps []step // all are known before the first is taken: what a pass makes worse counts from the next one on
+		var steps []step // collected before the first is followed, so that changes by this pass count from the next one on
 		for _, at := range start {
 			for _, e := range s.calls[at] {
 				if e.staysInComponent() {
@@ -140,8 +140,8 @@
 	}
 }
 
-// follow follows a call from where it is made, and tells whether the worst case at its end has become worse. What goes past the bound
-// is reported and not followed.
+// follow follows a call from the class that makes it, and reports whether the worst case of the class that is called has become worse. A
+// chain that exceeds the bound is reported and not followed.
 func (s *attemptSearch) follow(e *edge, from *worstCase) (to classNode, worse bool) {
 	to = classNode{e.to, e.targetClassName}
 	attempts := from.attempts * e.call.PerRequest * ownAttempts(e.to) // each below 1e5, so no overflow
@@ -156,26 +156,26 @@
 	return to, true
 }
 
-// reportTooMany reports a chain of calls that becomes too many attempts, where its last call is made.
+// reportTooMany reports a chain of calls with too many attempts, at its last call.
 func (s *attemptSearch) reportTooMany(last *edge, from *worstCase, attempts int) {
-	way := []string{last.to.Name}
+	path := []string{last.to.Name}
 	factors := []string{describeFactor(last, last.to)}
 	call := last
 	for c := from; ; c = c.previous {
-		way = append(way, call.from.Name)
+		path = append(path, call.from.Name)
 		factors = append(factors, describeFactor(c.call, call.from))
 		call = c.call
-		if call == nil || len(way) >= maxWayTold {
+		if call == nil || len(path) >= maxPathNamed {
 			break
 		}
 	}
-	slices.Reverse(way)
+	slices.Reverse(path)
 	slices.Reverse(factors)
 	last.report(s.found, "to", "attempts multiply to %d (%s) on the way %s, above %s",
-		attempts, strings.Join(factors, " x "), strings.Join(way, " -> "), s.describeBound())
+		attempts, strings.Join(factors, " x "), strings.Join(path, " -> "), s.describeBound())
 }
 
-// describeFactor tells by how much a call multiplies attempts at an application; the call is nil for a request from outside.
+// describeFactor describes the factor by which a call multiplies attempts at an application; the call is nil for a request from outside.
 func describeFactor(call *edge, n *node) string {
 	if call != nil && call.call.PerRequest > 1 {
 		return fmt.Sprintf("%d calls of %d", call.call.PerRequest, ownAttempts(n))
@@ -183,7 +183,7 @@
 	return fmt.Sprint(ownAttempts(n))
 }
 
-// describeBound names the bound on attempts, and where it is set.
+// describeBound names the bound on attempts, and the line that sets it.
 func (s *attemptSearch) describeBound() string {
 	text := fmt.Sprintf("chain.most_attempts_in_chain, %d", s.maxAttempts)
 	if s.frame != nil {
--- a/internal/config/apps/check.go
+++ b/internal/config/apps/check.go
@@ -14,8 +14,8 @@
 	Check(m.Apps, ChainTable.In(m.Installation), HostTable.All(m.Installation), m.Installation, found)
 }
 
-// Check checks applications against one another. Each is expected to be sound by itself. frame is the file with the bounds and hosts, or
-// nil where files of single applications are checked. It takes time in proportion to the applications and their calls.
+// Check checks applications against one another; each must have passed its own checks. frame is the file that sets the bounds and hosts,
+// or nil if files of single applications are checked. The time is proportional to the number of applications and calls.
 func Check(apps []*App, chain *Chain, hosts []schema.Named[Host], frame *schema.File, found *finding.List) {
 	g := newGraph(apps, found)
 	g.checkAddresses()
@@ -26,7 +26,7 @@
 	g.checkHosts(hosts, frame)
 }
 
-// idempotencyRank orders idempotency by how little may be repeated.
+// idempotencyRank orders idempotency from what may be repeated to what must not.
 var idempotencyRank = map[balancer.Idempotency]int{balancer.Idempotent: 0, balancer.IdempotentWithKey: 1, balancer.NonIdempotent: 2}
 
 // checkCall checks one call against the classes that make and serve it.
@@ -58,10 +58,10 @@
 	}
 }
 
-// checkTiers reports chains of calls through more applications than are allowed, each counted once. A ring counts with all its
-// applications: a request can pass through all of it.
+// checkTiers reports chains of calls through more applications than chain.most_tiers, each counted once. A ring counts as all of its
+// applications, since a request can pass through all of them.
 func (g *graph) checkTiers(chain *Chain) {
-	before := make([]int, len(g.components)) // applications on the longest way to a component, without its own
+	before := make([]int, len(g.components)) // applications on the longest path to a component, without its own
 	for i, component := range g.components {
 		depth := before[i] + len(component)
 		for _, n := range component {
--- a/internal/config/apps/components.go
+++ b/internal/config/apps/components.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxCyclesSpelledOut bounds the rings of a component that are told step by step: each costs a search.
-	maxCyclesSpelledOut = 10
-	// maxStepsTold bounds the calls of a ring that are told; of a longer one the first three and the last two are.
-	maxStepsTold   = 6
-	firstStepsTold = 3
-	lastStepsTold  = 2
+	// maxCyclesDescribed bounds the rings of a component that are described step by step: each costs a search.
+	maxCyclesDescribed = 10
+	// maxStepsNamed bounds the calls of a ring that a finding names; of a longer ring it names the first three and the last two.
+	maxStepsNamed   = 6
+	firstStepsNamed = 3
+	lastStepsNamed  = 2
 )
 
-// findComponents finds applications that call each other, in one step or several, and checks that every call of such a ring says so.
+// findComponents finds the strongly connected components, and checks that each call of a ring states that it is part of one.
 func (g *graph) findComponents() {
 	search := componentSearch{index: map[*node]int{}, lowest: map[*node]int{}, onStack: map[*node]bool{}}
 	for _, n := range g.nodes {
@@ -112,7 +112,7 @@
 	c.components = append(c.components, component)
 }
 
-// internalCalls are the calls of a component that stay in it.
+// internalCalls returns the calls of a component that stay in it.
 func internalCalls(component []*node) (all []*edge) {
 	for _, n := range component {
 		for _, e := range n.calls {
@@ -127,19 +127,19 @@
 // checkComponent checks that the calls of a ring, and no others, state one and the same mutual_depth.
 func (g *graph) checkComponent(component []*node) {
 	calls := internalCalls(component)
-	var first *edge // that states a depth
+	var first *edge // the first call that states a depth
 	for _, e := range calls {
 		e.from.cyclic = true
 		if e.call.MutualDepth > 0 && first == nil {
 			first = e
 		}
 	}
-	spelledOut := 0
+	described := 0
 	for _, e := range calls {
 		switch {
 		case e.call.MutualDepth == 0:
 			cycle := "the two call each other in a ring"
-			if spelledOut++; spelledOut <= maxCyclesSpelledOut {
+			if described++; described <= maxCyclesDescribed {
 				cycle = describeCycle(e)
 			}
 			e.report(g.found, "to", "%s; if that is meant, every call of the ring states it with the same mutual_depth", cycle)
@@ -156,7 +156,7 @@
 	}
 }
 
-// describeCycle tells by which calls a call comes back to where it is made, on a shortest way.
+// describeCycle describes a shortest chain of calls that begins with the given one and returns to the application that makes it.
 func describeCycle(e *edge) string {
 	if e.to == e.from {
 		return fmt.Sprintf("%s calls itself", e.from.Name)
@@ -178,9 +178,9 @@
 		steps = append(steps, fmt.Sprintf("%s calls %s (%s)", reachedBy[n].from.Name, n.Name, reachedBy[n].location("to")))
 	}
 	slices.Reverse(steps)
-	if len(steps) > maxStepsTold {
-		left := fmt.Sprintf("... (%d more)", len(steps)-firstStepsTold-lastStepsTold)
-		steps = slices.Concat(steps[:firstStepsTold], []string{left}, steps[len(steps)-lastStepsTold:])
+	if len(steps) > maxStepsNamed {
+		left := fmt.Sprintf("... (%d more)", len(steps)-firstStepsNamed-lastStepsNamed)
+		steps = slices.Concat(steps[:firstStepsNamed], []string{left}, steps[len(steps)-lastStepsNamed:])
 	}
 	return fmt.Sprintf("%s calls %s, and %s", e.from.Name, e.to.Name, strings.Join(steps, ", "))
 }
--- a/internal/config/apps/edits.go
+++ b/internal/config/apps/edits.go
@@ -15,19 +15,19 @@
 	Path        []string
 	Location    schema.Location
 	Key         *schema.Key
-	Raw         string // as the file has it now; empty where it was removed
-	Previous    string // as apps.toml has it, where that is known to be what was written
-	Current     string // what apps.toml has now, empty where it has none
-	Conflicting bool   // apps.toml has changed it too, to another value
+	Raw         string // the value in the file; empty if the key was removed
+	Previous    string // the value before the edit; empty if it is not known
+	Current     string // the value in apps.toml now; empty if it has none
+	Conflicting bool   // apps.toml has changed since as well, to another value
 }
 
-// ID is the key's path as text.
+// ID returns the key's path as text.
 func (e Edit) ID() string { return doc.DottedPath(e.Path) }
 
-// String is the edit with its location.
+// String returns the edit with its location.
 func (e Edit) String() string { return fmt.Sprintf("%s: %s", e.Location, e.Describe()) }
 
-// Describe is the edit for people.
+// Describe returns the edit in words.
 func (e Edit) Describe() string {
 	switch now := cmp.Or(e.Current, "nothing"); {
 	case e.Conflicting && e.Raw == "":
@@ -42,14 +42,14 @@
 	return fmt.Sprintf("%s = %s was set by hand (it was %s)", e.ID(), e.Raw, e.Previous)
 }
 
-// fileStart is where findings on a file as a whole point to.
+// fileStart is the position of findings on a file as a whole.
 var fileStart = finding.Pos{Line: 1, Col: 1}
 
-// FileState is a derived file beside what would be written now.
+// FileState compares a derived file with what would be written now.
 type FileState struct {
 	App        *App   // as apps.toml has it
 	Path       string // of the file
-	Text       []byte // of the file; nil where there is none
+	Text       []byte // of the file; nil if there is none
 	Generated  []byte // what would be written
 	Provenance *Provenance
 	File       *schema.File // the file, decoded
@@ -57,8 +57,8 @@
 	Edits      []Edit
 }
 
-// Compare reads an application's file as it is and finds what stands against writing it: findings where it
-// cannot be read, and edits. A text of nil stands for no file.
+// Compare compares the present text of an application's file with what would be written. It adds a finding if the file must not be
+// overwritten or cannot be read, and otherwise finds the edits. The text is nil if there is no file.
 func Compare(s *schema.Schema, app *App, source, path string, text []byte, found *finding.List) *FileState {
 	state := &FileState{App: app, Path: path, Text: text, Generated: Generate(app, source)}
 	if text == nil || bytes.Equal(text, state.Generated) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// addEdit compares three states of a key, each by its short digest: what was written, what the file has (here, nil for nothing) and
-// what apps.toml has now.
+// addEdit adds an edit if a key was changed by hand. It compares the short digests of three values: the one that was written, the one that
+// the file has (here; nil for none) and the one that apps.toml has now.
 func (s *FileState) addEdit(path []string, key *schema.Key, here *schema.Setting) {
 	e := Edit{Path: path, Key: key, Location: s.File.Location(path...)}
 	hereDigest := ""
@@ -117,7 +117,7 @@
 	}
 	writtenDigest := s.Provenance.KeyDigests[e.ID()]
 	if hereDigest == writtenDigest || hereDigest == currentDigest {
-		return // not changed here, or to what is written anyhow
+		return // unchanged, or changed to the value that would be written
 	}
 	if currentDigest == writtenDigest {
 		e.Previous = e.Current
@@ -127,12 +127,12 @@
 	s.Edits = append(s.Edits, e)
 }
 
-// Edited tells whether the file was changed since it was written, be it in comments or spacing only.
+// Edited reports whether the file has changed since it was written, if only in comments or spacing.
 func (s *FileState) Edited() bool {
 	return s.Provenance != nil && (s.Provenance.Edited || s.Provenance.Truncated)
 }
 
-// Conflicts are the edits of keys that apps.toml has changed too, to another value.
+// Conflicts returns the edits of keys that apps.toml has changed as well, to another value.
 func (s *FileState) Conflicts() (conflicts []Edit) {
 	for _, e := range s.Edits {
 		if e.Conflicting {
@@ -142,11 +142,12 @@
 	return conflicts
 }
 
-// Merge is the file with all that write changes, and the edits kept. It starts from the edited text, so that comments by hand stay. The
-// header and trailer are those of the generated file, so that edits are known as such. There must be no conflict.
+// Merge returns the file with the changes of apps.toml applied and the edits kept. It changes the edited text, so that comments by hand
+// are kept, and sets the header and the trailer of the generated file, so that the edits are still recognized as such. There must be no
+// conflict.
 func (s *FileState) Merge() []byte {
 	if s.File == nil {
-		return s.Generated // it was not edited
+		return s.Generated // the file has no edits
 	}
 	kept := map[string]bool{}
 	for _, e := range s.Edits {
--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -41,7 +41,7 @@
 	return m
 }
 
-// compare compares a file with what an apps.toml says.
+// compare compares a file with an apps.toml.
 func compare(t interface{ Fatal(...any) }, apps, file string) *FileState {
 	var found finding.List
 	st := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
@@ -159,7 +159,7 @@
 	}
 }
 
-// Every cut of a written file is seen, whatever byte it falls on.
+// A written file that is truncated at any byte is recognized.
 func TestEveryCutIsSeen(t *testing.T) {
 	file := generate(t, base)
 	for n := range len(file) {
@@ -174,7 +174,7 @@
 	for _, c := range []struct {
 		name, apps string
 		here       [2]string
-		want       string // the lines of apps.toml that went and came, or the finding
+		want       string // the lines of apps.toml that are removed and added, or the finding
 		fault      bool
 	}{
 		{"set", base, [2]string{"cores = 1.0", "cores = 2"}, "-cores = 1.0 # one +cores = 2 # one", false},
@@ -198,14 +198,14 @@
 		if got := lines(c.apps, after); got != c.want || found.Len() > 0 {
 			t.Errorf("%s: got %q, want %q, %v", c.name, got, c.want, found.Err())
 		}
-		// What apps.toml now says is what the file says: no edit is left.
+		// apps.toml now has the values of the file: no edit is left.
 		if st := compare(t, after, edited); len(st.Edits) > 0 {
 			t.Errorf("%s: left over: %v", c.name, st.Edits)
 		}
 	}
 }
 
-// lines lists the lines that went and those that came.
+// lines lists the lines that were removed and those that were added.
 func lines(before, after string) string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	var out []string
@@ -340,7 +340,7 @@
 	}
 }
 
-// help is what stands above a key in a written file.
+// help returns the comment above a key in a written file.
 func help(path []string) string {
 	for _, k := range testSchema.Table(path[0]).Keys {
 		if k.Name == path[len(path)-1] {
--- a/internal/config/apps/golden_test.go
+++ b/internal/config/apps/golden_test.go
@@ -61,14 +61,14 @@
 	golden.Text(t, "edits.txt", []byte(all.String()))
 }
 
-// compareLoosely is compare for a file whose findings do not matter.
+// compareLoosely is like compare for a file whose findings do not matter.
 func compareLoosely(t *testing.T, apps, file string) *FileState {
 	t.Helper()
 	var found finding.List
 	return Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
 }
 
-// What stands against writing over a file that is there.
+// The findings on files that must not be overwritten.
 func TestGoldenFilesInTheWay(t *testing.T) {
 	written := generate(t, base)
 	var found finding.List
@@ -85,7 +85,7 @@
 	golden.Text(t, "in-the-way.txt", []byte(found.Err().Error()+"\n"))
 }
 
-// randomInstallation is an apps.toml whose calls, rings, attempts, hosts and addresses come from a seed. Each file is sound by
+// randomInstallation returns an apps.toml whose calls, rings, attempts, hosts and addresses come from a seed. Each file is sound by
 // itself, if not beside the others.
 func randomInstallation(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 50))
--- a/internal/config/apps/graph.go
+++ b/internal/config/apps/graph.go
@@ -9,15 +9,16 @@
 	"quincegap/internal/config/schema"
 )
 
-// maxNamesSearched bounds the names that are looked through for one that is near an unknown one, over all calls of an installation.
+// maxNamesSearched bounds the number of names, over all calls of an installation, that are searched for one that is similar to an unknown
+// name.
 const maxNamesSearched = 10000
 
-// graph is the applications with their calls.
+// graph has the applications as nodes and their calls as edges.
 type graph struct {
 	nodes      []*node
 	byName     map[string]*node
 	found      *finding.List
-	components [][]*node // strongly connected ones, callers first
+	components [][]*node // the strongly connected components, callers first
 }
 
 // node is an application.
@@ -26,7 +27,7 @@
 	sidecar   *appfile.Sidecar
 	calls     []*edge
 	component int  // index of its strongly connected component
-	cyclic    bool // its component has calls within it
+	cyclic    bool // its component has calls within itself
 }
 
 // edge is a call from a class of one application to a class of another.
@@ -39,7 +40,7 @@
 	targetClassName string
 }
 
-// location is where the call sets a key.
+// location returns the location of a key of the call.
 func (e *edge) location(key string) schema.Location {
 	return e.from.File.Location("calls", e.name, key)
 }
@@ -50,10 +51,10 @@
 	found.Add(at.File, at.Pos, "%s", fmt.Sprintf("calls.%s.%s: ", e.name, key)+fmt.Sprintf(format, args...))
 }
 
-// staysInComponent tells whether the call is part of a ring.
+// staysInComponent reports whether the call is part of a ring.
 func (e *edge) staysInComponent() bool { return e.to.component == e.from.component }
 
-// newGraph has the applications as nodes, without their calls. Of two with one name the second is reported and left out.
+// newGraph returns a graph of the applications without their calls. Of two with the same name the second is reported and left out.
 func newGraph(apps []*App, found *finding.List) *graph {
 	g := &graph{byName: map[string]*node{}, found: found}
 	for _, a := range apps {
@@ -68,7 +69,7 @@
 	return g
 }
 
-// linkCalls finds the calls, and checks each against the classes on both of its ends.
+// linkCalls adds the calls, and checks each against the class that makes it and the class that serves it.
 func (g *graph) linkCalls() {
 	names := make([]string, 0, len(g.nodes))
 	for _, n := range g.nodes {
@@ -94,7 +95,7 @@
 				continue
 			}
 			if e.callerClass == nil {
-				continue // reported with the application's own file
+				continue // reported when the application's own file is decoded
 			}
 			e.targetClass = appfile.ClassTable.Get(e.to.File, e.targetClassName)
 			if e.targetClass == nil {
--- a/internal/config/apps/hosts.go
+++ b/internal/config/apps/hosts.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/config/schema"
 )
 
-// maxAppsTold bounds the applications that a finding on a host names.
-const maxAppsTold = 4
+// maxAppsNamed bounds the number of applications that a finding on a host names.
+const maxAppsNamed = 4
 
-// roundingSlack is how far the sum of the sidecars' cores may be off by rounding, as a share.
+// roundingSlack is the relative error that rounding may add to the sum of the sidecars' cores.
 const roundingSlack = 1e-9
 
-// hostLoad is what all sidecars of a host may use together.
+// hostLoad is the sum of the limits of all sidecars of a host.
 type hostLoad struct {
 	cores   float64
 	memory  int64 // bytes
@@ -23,7 +23,8 @@
 	apps    []string
 }
 
-// checkHosts reports machines whose sidecars may use more than there is. Without a frame hosts are not declared, and none is unknown.
+// checkHosts reports hosts whose sidecars may use more than the host has, and unknown hosts. Without a frame no hosts are declared, and no
+// name is unknown.
 func (g *graph) checkHosts(hosts []schema.Named[Host], frame *schema.File) {
 	loads := map[string]*hostLoad{}
 	var names []string
@@ -49,7 +50,7 @@
 	}
 }
 
-// add adds what an application's sidecar may use.
+// add adds the limits of an application's sidecar.
 func (l *hostLoad) add(n *node) {
 	limits := appfile.LimitsTable.In(n.File)
 	l.cores += limits.Cores
@@ -60,14 +61,14 @@
 
 // describeApps names the applications whose sidecars run on a host.
 func (l *hostLoad) describeApps() string {
-	text := strings.Join(l.apps[:min(maxAppsTold, len(l.apps))], ", ")
-	if len(l.apps) > maxAppsTold {
-		text += fmt.Sprintf(" and %d more", len(l.apps)-maxAppsTold)
+	text := strings.Join(l.apps[:min(maxAppsNamed, len(l.apps))], ", ")
+	if len(l.apps) > maxAppsNamed {
+		text += fmt.Sprintf(" and %d more", len(l.apps)-maxAppsNamed)
 	}
 	return text
 }
 
-// checkHost reports where the sidecars of one host may use more than it has.
+// checkHost reports the resources of which the sidecars of one host may use more than it has.
 func (g *graph) checkHost(h schema.Named[Host], load *hostLoad, frame *schema.File) {
 	report := func(key, format string, args ...any) {
 		at := frame.Location("hosts", h.Name, key)
--- a/internal/config/apps/model.go
+++ b/internal/config/apps/model.go
@@ -16,10 +16,10 @@
 	MaxFileBytes = 1 << 20
 )
 
-// Chain bounds what a request may cost on its way through the tiers.
+// Chain bounds the attempts and the path of a request over all applications.
 type Chain struct {
-	MaxAttempts int // that one request may at worst become at any application
-	MaxTiers    int // applications that a request may pass one after another
+	MaxAttempts int // the attempts that one request may cause at any application
+	MaxTiers    int // the applications that a request may pass one after another
 }
 
 // ChainTable is [chain].
@@ -52,7 +52,7 @@
 		"Its file descriptors for sidecars."),
 )
 
-// InstallationSchema is the tables that apps.toml has beside [defaults] and [apps.NAME].
+// InstallationSchema has the tables of apps.toml other than [defaults] and [apps.NAME].
 var InstallationSchema = schema.New(ChainTable.Table, HostTable.Table)
 
 // The tables of apps.toml that hold tables of applications.
@@ -63,14 +63,14 @@
 
 var layerNames = []string{layerDefaults, layerApps}
 
-// App is one application of the installation, with what its file says.
+// App is one application of the installation, with its settings.
 type App struct {
 	Name     string
 	File     *schema.File
 	Location schema.Location
 }
 
-// Model is what apps.toml says.
+// Model is the content of apps.toml.
 type Model struct {
 	Schema       *schema.Schema
 	FileName     string // path of apps.toml
@@ -79,20 +79,20 @@
 	Apps         []*App
 }
 
-// IsInstallation tells whether a document is apps.toml, and not the file of one application.
+// IsInstallation reports whether a document is apps.toml, and not the file of one application.
 func IsInstallation(d *doc.Document) bool {
 	return slices.ContainsFunc(append(layerNames[:2:2], "chain", "hosts"), func(name string) bool { return d.Root.Get(name) != nil })
 }
 
-// Read reads apps.toml and checks each application by itself. It is nil where nothing could be read.
+// Read reads apps.toml and checks each application by itself. It returns nil if nothing could be read.
 func Read(s *schema.Schema, file string, text []byte, found *finding.List) *Model {
 	before := found.Len()
 	d := doc.ReadTOML(text, MaxBytes, found.ForFile(file))
 	return FromDocument(s, file, d, found.Len() == before, found)
 }
 
-// FromDocument is Read for a document that has been read, completely or in part. What is missing is looked for only in a complete one:
-// it may be in the lines that could not be read. It is nil for a document that is nil.
+// FromDocument is like Read for a document that has been read already. Missing keys are reported only if the document is complete: they may
+// be in the lines that could not be read. It returns nil if the document is nil.
 func FromDocument(s *schema.Schema, file string, d *doc.Document, complete bool, found *finding.List) *Model {
 	if d == nil {
 		return nil
@@ -127,7 +127,8 @@
 	return m
 }
 
-// isApplication reports an entry under [apps] that is none, or whose own name contradicts its table's.
+// isApplication reports whether an entry under [apps] is an application, and adds a finding if not. It also adds one if the key
+// sidecar.application contradicts the name of the table.
 func isApplication(e *doc.Entry, report finding.Reporter) bool {
 	if e.Value.Kind != doc.TableKind {
 		report(e.Pos, "an application is a table: write [apps.%s.sidecar] and its keys below", doc.QuoteKey(e.Name))
@@ -143,7 +144,7 @@
 	return true
 }
 
-// App is an application by its name, or nil.
+// App returns the application of a name, or nil.
 func (m *Model) App(name string) *App {
 	for _, a := range m.Apps {
 		if a.Name == name {
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// FromFiles are applications of files of single ones, for checking them together.
+// FromFiles returns the applications of files of single applications, to check them together.
 func FromFiles(files []*schema.File) []*App {
 	all := make([]*App, 0, len(files))
 	for _, f := range files {
--- a/internal/config/apps/provenance.go
+++ b/internal/config/apps/provenance.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/config/schema"
 )
 
-// The header and the trailer of a derived file. Their lines are comments to everybody else, and data: files that other versions have
-// written are read by them.
+// The header and the trailer of a derived file. Their lines are comments in TOML, and data here: this version reads files that others have
+// written.
 const (
 	headerBy     = "# Written by quincegapctl for "
 	headerFrom   = " from "
@@ -22,7 +22,7 @@
 	keyPrefix    = "#: "
 )
 
-// headerText tells people how to change the file.
+// headerText explains how to change the file.
 var headerText = []string{
 	"# Change it there and write again. An edit made here is never lost: quincegapctl diff shows it,",
 	"# write --keep-edits keeps it, and adopt takes it back.",
@@ -31,22 +31,22 @@
 // headerLines is the least number of lines of a header.
 const headerLines = 4
 
-// shortDigestLength is enough to tell two values of one key apart by mistake, not by malice. In hexadecimal digits.
+// shortDigestLength is the length of the digest of a value, in hexadecimal digits: enough against accidental collisions.
 const shortDigestLength = 12
 
-// Generate is an application's derived file: the keys that apps.toml sets for it, each with its help, between a header with a digest and
-// a trailer with a short digest of each key. The same model gives the same bytes.
+// Generate returns an application's derived file: the keys that apps.toml sets for it, each with its help, between a header with a digest
+// and a trailer with a short digest of each key. It is deterministic.
 func Generate(app *App, source string) []byte {
 	body := app.File.Text() + "\n" + trailerOf(app.File)
 	return []byte(header(app.Name, source, digest([]byte(body))) + body)
 }
 
-// header is the first lines of a derived file; source is the name of apps.toml.
+// header returns the first lines of a derived file; source is the name of apps.toml.
 func header(name, source, digest string) string {
 	return headerBy + name + headerFrom + source + ".\n" + strings.Join(headerText, "\n") + "\n" + headerDigest + digest + "\n"
 }
 
-// trailerOf is the last lines of a derived file: a short digest of each key.
+// trailerOf returns the last lines of a derived file: a short digest of each key.
 func trailerOf(f *schema.File) string {
 	var b strings.Builder
 	b.WriteString(trailer + "\n")
@@ -56,26 +56,26 @@
 	return b.String()
 }
 
-// digest is the SHA-256 of a text, in hexadecimal.
+// digest returns the SHA-256 of a text, in hexadecimal.
 func digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// shortDigest is the digest of a key's value in the trailer.
+// shortDigest returns the digest of a key's value in the trailer.
 func shortDigest(canonical string) string { return digest([]byte(canonical))[:shortDigestLength] }
 
-// Provenance is what a derived file says of how it was written.
+// Provenance is the information in a derived file on how it was written.
 type Provenance struct {
 	App        string
 	Source     string            // name of apps.toml
 	KeyDigests map[string]string // the short digest of each key that was written, by the key's ID
-	Keys       []string          // IDs of those keys, in order
+	Keys       []string          // the IDs of those keys, in order
 	Edited     bool              // the text has changed since, if only in comments
 	Truncated  bool              // its end is missing
 }
 
-// ParseProvenance reads the header and the trailer of a file; it is nil where the file has no header of quincegapctl's.
+// ParseProvenance reads the header and the trailer of a file. It returns nil if quincegapctl has not written the file.
 func ParseProvenance(text []byte) *Provenance {
 	lines := strings.Split(strings.ReplaceAll(string(text), "\r\n", "\n"), "\n")
 	if len(lines) < headerLines || !strings.HasPrefix(lines[0], headerBy) {
@@ -87,7 +87,7 @@
 	}
 	p := &Provenance{App: app, Source: strings.TrimSuffix(source, "."), KeyDigests: map[string]string{}, Truncated: true}
 	wantDigest := ""
-	linesAbove := 0 // up to the digest, which is that of the text below
+	linesAbove := 0 // the lines up to the digest, which does not cover them
 	for i, line := range lines {
 		switch {
 		case wantDigest == "" && strings.HasPrefix(line, headerDigest):
@@ -99,7 +99,7 @@
 			p.addKey(strings.TrimPrefix(line, keyPrefix))
 		}
 	}
-	// By the text itself, not by the lines above: a change of line ends is an edit too.
+	// The digest is that of the text itself and not of the lines above, so that a change of line ends is an edit too.
 	for range linesAbove {
 		_, text, _ = bytes.Cut(text, []byte("\n"))
 	}
@@ -107,7 +107,7 @@
 	return p
 }
 
-// addKey takes up a line of the trailer: a short digest and a key.
+// addKey adds a key from a line of the trailer, which has a short digest and the key's ID.
 func (p *Provenance) addKey(line string) {
 	if sum, key, ok := strings.Cut(line, " "); ok {
 		p.KeyDigests[key] = sum
@@ -115,7 +115,7 @@
 	}
 }
 
-// replaceProvenance gives an edited text the header and the trailer of a generated one, with the line ends of the edited.
+// replaceProvenance returns an edited text with the header and the trailer of a generated one, in the line ends of the edited text.
 func replaceProvenance(text, generated []byte) []byte {
 	newHeader := ""
 	newDigest := ""
@@ -150,8 +150,8 @@
 	return []byte(strings.Join(lines, doc.Newline(text)))
 }
 
-// CheckLostKeys reports keys that were written and that the file does not have any more. Such a key has fallen back to its default
-// without a word, which a changed one has not.
+// CheckLostKeys reports keys that were written and that the file no longer has. Unlike a key that was changed, such a key takes its default
+// without notice.
 func CheckLostKeys(p *Provenance, f *schema.File, path string, found *finding.List) {
 	for _, id := range p.Keys {
 		if key := splitID(id); key != nil && f.Setting(key...) == nil {
@@ -161,7 +161,7 @@
 	}
 }
 
-// splitID is the path that doc.DottedPath made the text of, or nil.
+// splitID returns the path of an ID, as doc.DottedPath has written it; nil if the text is no ID.
 func splitID(id string) (path []string) {
 	d := readAgain([]byte(id + " = 0\n"))
 	if d == nil {
@@ -173,7 +173,7 @@
 	return path
 }
 
-// readAgain reads a text that is known to be sound, or whose findings do not matter.
+// readAgain reads a text whose findings are known already, or do not matter.
 func readAgain(text []byte) *doc.Document {
 	return doc.ReadTOML(text, len(text), func(finding.Pos, string, ...any) {})
 }
--- a/internal/config/doc/doc.go
+++ b/internal/config/doc/doc.go
@@ -1,7 +1,7 @@
 // Package doc reads TOML and JSON text into trees in which each key and value knows its position, and edits TOML text without touching
 // any other line. It does no I/O, and knows nothing of what keys mean.
 //
-// ReadTOML reports all that cannot be read and not only the first fault: behind a line that is no TOML it goes on with the next one.
+// ReadTOML reports everything that cannot be read and not only the first fault: after a line that is not TOML it continues with the next.
 //
 //	text --> parser --> tree --> Lookup, Get, Entries
 //	           |                     |
--- a/internal/config/doc/doc_test.go
+++ b/internal/config/doc/doc_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// read reads TOML and gives the findings as line:column.
+// read reads TOML and returns the document and the positions of the findings, as line:column.
 func read(t *testing.T, text string) (*Document, []string) {
 	t.Helper()
 	var found finding.List
@@ -23,7 +23,7 @@
 	return d, at
 }
 
-// Each text is read to its end: all of its mistakes are found, each at its place, and nothing else.
+// Each text is read to its end: all of its faults are found, each at its position, and nothing else.
 func TestAllMistakesAreFound(t *testing.T) {
 	for text, want := range map[string]string{
 		"a = 1\nb = \"x\"\n[t]\nc = true # so\n": "",
@@ -52,7 +52,7 @@
 	}
 }
 
-// Behind a header that cannot be read nothing is taken for another table's key.
+// Keys after a header that cannot be read are not added to another table.
 func TestKeysBehindABrokenHeaderGoNowhere(t *testing.T) {
 	d, _ := read(t, "[t]\na = 1\n[u\na = 2\nb = 3\n[v]\nc = 4\n")
 	if d.Root.Subtable("t").Get("b") != nil || d.Root.Lookup("v", "c") == nil || d.Root.Subtable("t").Get("a").Value.Text != "1" {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Junk of any size is given up on soon.
+// Reading junk of any size stops early.
 func TestJunkIsBounded(t *testing.T) {
 	for _, line := range []string{"x = [\n", "%$ nonsense\n", "[[[\n", "\"\"\"\n", "= = =\n", "a = '''\n"} {
 		var found finding.List
@@ -99,7 +99,7 @@
 	for _, c := range []struct {
 		name string
 		edit func(d *Document) []byte
-		want string // of the lines that came and went
+		want string // the lines that are removed and added
 	}{
 		{"replace", func(d *Document) []byte { return d.Set([]string{"t", "a"}, "9") }, "-a = 1 # so +a = 9 # so"},
 		{"add to a table", func(d *Document) []byte { return d.Set([]string{"t", "new"}, "9", "help") }, "+# help +new = 9"},
@@ -134,7 +134,7 @@
 	}
 }
 
-// lineDiff lists the lines that went, then those that came.
+// lineDiff lists the lines that were removed, then those that were added.
 func lineDiff(before, after string) string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	for len(a) > 0 && len(b) > 0 && a[0] == b[0] {
@@ -153,7 +153,7 @@
 	return strings.Join(out, " ")
 }
 
-// Random edits against a map: the text always says what the map does, and all comments stay.
+// Random edits of a text and a map: the text always has the values of the map, and all comments are kept.
 func TestEditsFollowAMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(rt, "nl")
@@ -198,7 +198,7 @@
 	}
 	value := fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
 	if path[1] == "k" {
-		delete(model, id) // a value stands there
+		delete(model, id) // a.k has a value, and can have no keys
 		return text
 	}
 	model[id] = value
@@ -215,7 +215,7 @@
 	}
 }
 
-// Whatever a file holds, reading ends, places are inside it, and what an edit wrote is read back.
+// For any text, reading ends, positions are within the text, and a value that was set is read back.
 func FuzzTOML(f *testing.F) {
 	for _, s := range []string{"[t]\na = 1\n", "a = [1, {b = 2}]\n", "[[x]]\ny = 1\n[x.z]\n", "a.b.c = \"\"\"\n\"\"\"\n", "\xef\xbb\xbfa=1", "a = '''", "[a]\r\nb=1\r\n[a.c]\r\n"} {
 		f.Add([]byte(s))
@@ -223,7 +223,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var found finding.List
 		d := ReadTOML(text, 1<<16, found.ForFile("f"))
-		checkPlaces(t, text, &found)
+		checkPositions(t, text, &found)
 		for _, x := range found.All() {
 			if strings.Contains(x.Message, "\n") {
 				t.Errorf("finding %q is not one line", x)
@@ -241,8 +241,8 @@
 	})
 }
 
-// checkPlaces holds findings to lines that a text has.
-func checkPlaces(t *testing.T, text []byte, found *finding.List) {
+// checkPositions checks that each finding has a message and a line that the text has.
+func checkPositions(t *testing.T, text []byte, found *finding.List) {
 	t.Helper()
 	lines := strings.Count(string(text), "\n") + 1
 	for _, x := range found.All() {
@@ -252,7 +252,7 @@
 	}
 }
 
-// editable tells whether a key can be set as a scalar in a table with lines of its own.
+// editable reports whether a key can be set as a scalar in a table with lines of its own.
 func editable(d *Document, path []string) bool {
 	if e := d.Root.Get(path[0]); e != nil && (e.Value.Kind != TableKind || e.Value.Start > 0) {
 		return false // no table with lines of its own
@@ -271,6 +271,6 @@
 		if d == nil && found.Len() == 0 {
 			t.Errorf("%q: neither read nor refused", text)
 		}
-		checkPlaces(t, text, &found)
+		checkPositions(t, text, &found)
 	})
 }
--- a/internal/config/doc/document.go
+++ b/internal/config/doc/document.go
@@ -16,7 +16,7 @@
 	lines []int // offset of each line's first byte
 }
 
-// newDocument is a text that has not been read, with an empty root.
+// newDocument returns a document whose text has not been read, with an empty root.
 func newDocument(text []byte) *Document {
 	d := &Document{Text: text, Root: &Table{Pos: finding.Pos{Line: 1, Col: 1}}, lines: []int{0}}
 	for i, b := range text {
@@ -27,17 +27,17 @@
 	return d
 }
 
-// Pos is the position of an offset. A byte that is no part of a character counts as one.
+// Pos returns the position of an offset. A byte that is not valid UTF-8 counts as one character.
 func (d *Document) Pos(offset int) finding.Pos {
 	offset = min(max(offset, 0), len(d.Text))
 	line := d.line(offset)
 	return finding.Pos{Line: line + 1, Col: utf8.RuneCount(d.Text[d.lines[line]:offset]) + 1}
 }
 
-// line is the number, from 0, of the line that an offset is in.
+// line returns the number of the line of an offset, from 0.
 func (d *Document) line(offset int) int { return sort.SearchInts(d.lines, offset+1) - 1 }
 
-// lineEnd is the offset of the line behind the one that an offset is in.
+// lineEnd returns the offset of the first byte after the line of an offset.
 func (d *Document) lineEnd(offset int) int {
 	if n := d.line(offset) + 1; n < len(d.lines) {
 		return d.lines[n]
@@ -45,7 +45,7 @@
 	return len(d.Text)
 }
 
-// checkReadable reports what makes a text useless as a whole, and whether it can be read.
+// checkReadable reports whether a text can be read at all, and adds a finding if not.
 func (d *Document) checkReadable(maxBytes int, report finding.Reporter) bool {
 	text := d.Text
 	start := finding.Pos{Line: 1, Col: 1}
@@ -67,7 +67,7 @@
 	return false
 }
 
-// firstInvalidByte is the offset of the first byte that is not UTF-8, in a text that has one.
+// firstInvalidByte returns the offset of the first byte that is not UTF-8, in a text that has one.
 func firstInvalidByte(text []byte) int {
 	at := 0
 	for {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Newline is the line end that a text uses: CR LF if it has one, else LF.
+// Newline returns the line end that a text uses: CR LF if it has one, else LF.
 func Newline(text []byte) string {
 	if bytes.Contains(text, []byte("\r\n")) {
 		return "\r\n"
--- a/internal/config/doc/edit.go
+++ b/internal/config/doc/edit.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Set returns the text with a key's value replaced, or with the key added: behind the last key of its table, or in a new table behind
-// the one nearest to it. The value is TOML; comment lines go above a key that is added. All other lines stay as they are. Set must not
-// be used on a document with findings.
+// Set returns the text with a key's value replaced, or with the key added: after the last key of its table, or in a new table after the
+// one whose path is most similar. The value is TOML; comment lines go above a key that is added. All other lines stay as they are. The
+// document must not have findings.
 func (d *Document) Set(path []string, value string, comment ...string) []byte {
 	if e := d.Root.Lookup(path...); e != nil {
 		return d.splice(e.Value.Start, e.Value.End, value)
@@ -29,7 +29,7 @@
 		}
 		return d.insert(at, comments+assignment)
 	case table != nil && table.dotted && len(table.Entries) > 0 && table.lastEntry().Start != generatedStart:
-		// A header must not define it again: the key goes beside its dotted ones.
+		// TOML does not allow a header for this table: the key goes after its dotted keys.
 		last := table.lastEntry()
 		return d.insert(last.End, comments+last.prefix+assignment)
 	}
@@ -37,10 +37,10 @@
 	return d.insert(d.tableInsertion(parent), header+comments+assignment)
 }
 
-// lastEntry is the last key of a table that has one.
+// lastEntry returns the last key of a table, which must not be empty.
 func (t *Table) lastEntry() *Entry { return t.Entries[len(t.Entries)-1] }
 
-// table is the table of a path, or nil.
+// table returns the table with a path, or nil.
 func (d *Document) table(path []string) *Table {
 	t := d.Root
 	for _, name := range path {
@@ -51,7 +51,8 @@
 	return t
 }
 
-// tableInsertion is the offset at which a new table goes: behind the last table that shares the most of its path, or at the end.
+// tableInsertion returns the offset at which a new table is inserted: after the tables that share the longest part of its path, or at the
+// end.
 func (d *Document) tableInsertion(path []string) int {
 	for n := len(path) - 1; n > 0; n-- {
 		if t := d.table(path[:n]); t != nil {
@@ -63,7 +64,7 @@
 	return len(d.Text)
 }
 
-// endWithSubtables is the offset behind the last line of a table and those within it.
+// endWithSubtables returns the offset of the first byte after a table and the tables within it.
 func (t *Table) endWithSubtables() int {
 	end := t.bodyEnd
 	for _, e := range t.Entries {
@@ -75,8 +76,8 @@
 	return end
 }
 
-// Delete returns the text without a key, and without the given comment lines where they are directly above it. A table that is left
-// empty goes too, with one empty line above its header.
+// Delete returns the text without a key, and without the given comment lines if they are directly above it. It also deletes a table that
+// becomes empty, with one empty line above its header.
 func (d *Document) Delete(path []string, comment ...string) []byte {
 	e := d.Root.Lookup(path...)
 	if e == nil {
@@ -93,7 +94,7 @@
 	return d.splice(start, e.End, "")
 }
 
-// commentStart is where the given comment lines begin that are directly above a line, or the line itself.
+// commentStart returns the offset of the given comment lines if they are directly above a line, or else that of the line.
 func (d *Document) commentStart(start int, comment []string) int {
 	for _, c := range slices.Backward(comment) {
 		line := d.line(start)
@@ -105,10 +106,10 @@
 	return start
 }
 
-// isBlank tells whether there is only white space from start to end.
+// isBlank reports whether there is only white space from start to end.
 func (d *Document) isBlank(start, end int) bool { return len(bytes.TrimSpace(d.Text[start:end])) == 0 }
 
-// insert puts lines in front of the line that begins at an offset. A last line without a line end gets one.
+// insert inserts lines before the line that begins at an offset. It adds a missing line end to the line above.
 func (d *Document) insert(at int, lines string) []byte {
 	if at > 0 && d.Text[at-1] != '\n' {
 		lines = Newline(d.Text) + lines
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -9,8 +9,8 @@
 	"quincegap/internal/config/finding"
 )
 
-// ReadJSON reads a text of at most maxBytes bytes that holds one object. It is nil where the text cannot be read, which is reported:
-// JSON has no place to go on from.
+// ReadJSON reads a text of at most maxBytes bytes that holds one object. If the text cannot be read it reports the first fault and returns
+// nil: unlike TOML, JSON has no lines at which reading could continue.
 func ReadJSON(text []byte, maxBytes int, report finding.Reporter) *Document {
 	d := newDocument(text)
 	if !d.checkReadable(maxBytes, report) {
@@ -32,24 +32,24 @@
 	return d
 }
 
-// Errors of a text beside the decoder's. Their texts are parts of findings.
+// Errors that the decoder does not detect. Their texts are parts of findings.
 var (
 	errTrailingText = errors.New("more text behind the end of the object")
 	errTooDeep      = errors.New("too many lists and objects within one another")
 )
 
-// endedEarly is the message on a text that ends within its object.
+// endedEarly is the message for a text that ends within its object.
 const endedEarly = "it ends before the object does"
 
-// jsonReader reads one document. The decoder gives tokens; where each begins is found in the text.
+// jsonReader reads one document. The decoder returns tokens; the offset of each is found in the text.
 type jsonReader struct {
 	*Document
 	report     finding.Reporter
 	decoder    *json.Decoder
-	tokenStart int // offset of the token that is read
+	tokenStart int // offset of the current token
 }
 
-// document reads the only value of the text, and that nothing is behind an object.
+// document reads the only value of the text, and checks that nothing follows an object.
 func (j *jsonReader) document() (*Value, error) {
 	root, err := j.value(nil, 0)
 	if err != nil || root.Kind != TableKind {
@@ -62,7 +62,7 @@
 	return root, nil
 }
 
-// locate is the offset of an error of the decoder, and its message.
+// locate returns the offset of an error, and its message.
 func (j *jsonReader) locate(err error) (at int, message string) {
 	var syntax *json.SyntaxError
 	switch {
@@ -83,13 +83,13 @@
 	}
 }
 
-// token reads the next token; tokenStart is its offset then.
+// token reads the next token and sets tokenStart to its offset.
 func (j *jsonReader) token() (json.Token, error) {
 	j.skipToToken()
 	return j.decoder.Token()
 }
 
-// value reads one value. depth is how many lists and objects it is within.
+// value reads one value. depth is the number of lists and objects around it.
 func (j *jsonReader) value(path []string, depth int) (*Value, error) {
 	token, err := j.token()
 	if err != nil {
@@ -136,7 +136,7 @@
 	return err
 }
 
-// object reads the keys of an object and its end. Of a key that stands twice the first counts.
+// object reads the keys of an object and its end. The first of two equal keys counts.
 func (j *jsonReader) object(v *Value, path []string, depth int) error {
 	v.Kind = TableKind
 	v.Table = &Table{Path: path, Pos: v.Pos}
--- a/internal/config/doc/toml.go
+++ b/internal/config/doc/toml.go
@@ -15,12 +15,12 @@
 	maxUnreadableLines = 100
 	// maxParserRestarts bounds the lines that are skipped, reported or not: each costs a start of the parser.
 	maxParserRestarts = 1000
-	// maxDepth bounds tables and lists within one another, and so recursion here and in whoever walks the tree.
+	// maxDepth bounds the nesting of tables and lists, and with it the recursion here and in code that walks the tree.
 	maxDepth = 16
 )
 
-// ReadTOML reads a text of at most maxBytes bytes. It reports all that cannot be read, and returns the tree of the rest: with findings
-// it is not to be used, but more faults may be found in it. It is nil only where nothing could be read.
+// ReadTOML reads a text of at most maxBytes bytes. It reports everything that cannot be read, and returns the tree of the rest. With
+// findings the tree must only be used to look for further faults. It is nil if nothing could be read.
 func ReadTOML(text []byte, maxBytes int, report finding.Reporter) *Document {
 	d := newDocument(text)
 	if !d.checkReadable(maxBytes, report) {
@@ -34,21 +34,21 @@
 // noLine is a line number that is not next to any line of a text.
 const noLine = -2
 
-// tomlReader reads one document. The parser stops at its first error, so it is started again behind the line of each.
+// tomlReader reads one document. The parser stops at its first error, so it is started again after the line of each error.
 type tomlReader struct {
 	*Document
 	report      finding.Reporter
 	parser      unstable.Parser
 	parserStart int    // offset of the parser's text in the document's
-	table       *Table // which keys go into; nil behind a header that cannot be read
-	readEnd     int    // offset behind the last line that could be read, except the end of a list
+	table       *Table // that keys are added to; nil after a header that cannot be read
+	readEnd     int    // offset of the first byte after the last line that could be read, except the end of a list
 
 	unreadable  int // lines reported as unreadable
 	restarts    int // of the parser
 	lastSkipped int // number of the line that was skipped last
 }
 
-// read reads all expressions, and goes on behind each line that cannot be read.
+// read reads all expressions, and continues after each line that cannot be read.
 func (r *tomlReader) read() {
 	for r.parserStart < len(r.Text) {
 		r.parser.Reset(r.Text[r.parserStart:len(r.Text):len(r.Text)])
@@ -65,13 +65,13 @@
 	}
 }
 
-// skipUnreadable reports the parser's error and moves behind its line. It is false where too much could not be read to go on.
+// skipUnreadable adds a finding for the parser's error and skips its line. It returns false if too much cannot be read to continue.
 func (r *tomlReader) skipUnreadable(err error) bool {
 	at, message := r.locate(err)
 	line := r.line(at)
 	statement := r.trimmedLine(line)
-	// Behind a list or a string that is not closed, its other lines cannot be read either: they are part of that finding, unless they
-	// look like statements of their own.
+	// If a list or a string is not closed its other lines cannot be read either. They are part of that finding, unless they look like
+	// statements.
 	if line != r.lastSkipped+1 || looksLikeStatement(statement) {
 		r.unreadable++
 		r.report(r.Pos(at), "cannot be read: %s", message)
@@ -89,7 +89,7 @@
 	return true
 }
 
-// locate is the offset of a parser's error, and its message for people.
+// locate returns the offset of a parser's error, and a message for it.
 func (r *tomlReader) locate(err error) (at int, message string) {
 	at = r.parserStart
 	var parserError *unstable.ParserError
@@ -99,16 +99,16 @@
 	at = min(at, len(r.Text)-1)
 	start := r.expressionStart(at)
 	if r.line(start) < r.line(at) {
-		// A list or string over several lines. Where it begins says more than where the parser noticed, and the lines from there on are
-		// looked at one by one.
+		// A list or string over several lines is not closed. Its beginning tells more than the offset at which the parser noticed, and
+		// the lines after it are read one by one.
 		return start, "what begins here is not closed (" + err.Error() + ")"
 	}
 	lineStart := r.lines[r.line(at)]
 	return at, explainSyntaxError(err.Error(), r.Text[lineStart:r.lineEnd(at)], at-lineStart)
 }
 
-// expressionStart is where the expression begins that cannot be read at an offset: the first line behind the last one that could be,
-// if it looks like the start of one, else the offset itself.
+// expressionStart returns the offset of the expression that the parser could not read at an offset: the first line after readEnd that looks
+// like a statement, or else the given offset.
 func (r *tomlReader) expressionStart(at int) int {
 	for line := r.line(min(max(r.readEnd, r.parserStart), at)); line < r.line(at); line++ {
 		if r.lines[line] >= r.readEnd && looksLikeStatement(r.trimmedLine(line)) {
@@ -119,12 +119,12 @@
 	return at
 }
 
-// trimmedLine is a line by its number, without the white space around it.
+// trimmedLine returns the line with a number, without the white space around it.
 func (r *tomlReader) trimmedLine(line int) string {
 	return strings.TrimSpace(string(r.Text[r.lines[line]:r.lineEnd(r.lines[line])]))
 }
 
-// looksLikeStatement tells whether a line looks like a header or a key with a value, and not like the inside of a list.
+// looksLikeStatement reports whether a line looks like a header or a key with a value, and not like the inside of a list.
 func looksLikeStatement(line string) bool {
 	return strings.HasPrefix(line, "[") || !strings.HasPrefix(line, "#") && strings.Contains(line, "=")
 }
--- a/internal/config/doc/toml_tree.go
+++ b/internal/config/doc/toml_tree.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// expression takes up a header, or a key with its value.
+// expression adds a header, or a key with its value, to the tree.
 func (r *tomlReader) expression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table, unstable.ArrayTable:
@@ -18,10 +18,10 @@
 	}
 }
 
-// offset is where a node that the parser knows the place of begins in the document.
+// offset returns the offset of a node in the document. The node must be one whose offset the parser records.
 func (r *tomlReader) offset(n *unstable.Node) int { return r.parserStart + int(n.Raw.Offset) }
 
-// keyParts are the parts of a dotted key with the offset of each, and the offset behind the last.
+// keyParts returns the parts of a dotted key with the offset of each, and the offset of the byte after the last one.
 func (r *tomlReader) keyParts(it unstable.Iterator) (parts []string, starts []int, end int) {
 	for it.Next() {
 		n := it.Node()
@@ -32,8 +32,8 @@
 	return parts, starts, end
 }
 
-// header finds or makes the table that the next keys go into; list is set for an element of an array of tables. Where the header
-// contradicts the text above it, they go nowhere.
+// header finds or makes the table that the next keys are added to; list is set for an element of an array of tables. If the header
+// contradicts the text above it, it is reported and the keys are ignored.
 func (r *tomlReader) header(n *unstable.Node, list bool) {
 	parts, starts, _ := r.keyParts(n.Key())
 	pos := r.Pos(starts[0])
@@ -50,7 +50,7 @@
 	}
 	if t.hasHeader || t.dotted {
 		r.report(pos, "the table [%s] stands twice: first in line %d", DottedPath(parts), t.Pos.Line)
-		// Its keys are looked at all the same, as another table's: each would be a duplicate otherwise.
+		// Its keys are checked nevertheless, as those of another table: in the same one each would be a duplicate.
 		r.table = &Table{Path: t.Path, Pos: pos}
 		return
 	}
@@ -62,8 +62,8 @@
 	r.table = t
 }
 
-// headerStep follows part i of a header at an offset from a table to the one within it. It reports what contradicts the header, and
-// returns nil then.
+// headerStep returns the table that part i of a header names within another table, and makes it if there is none. If the header contradicts
+// the text above it, headerStep adds a finding and returns nil. start is the offset of the header.
 func (r *tomlReader) headerStep(t *Table, parts []string, i int, list bool, start int) *Table {
 	pos := r.Pos(start)
 	last := i == len(parts)-1
@@ -91,7 +91,7 @@
 	return e.Value.Table
 }
 
-// keyValue puts a key with its value into a table. depth is how many tables and lists the table is within.
+// keyValue adds a key with its value to a table. depth is the number of tables and lists around the table.
 func (r *tomlReader) keyValue(t *Table, n *unstable.Node, depth int) {
 	parts, starts, end := r.keyParts(n.Key())
 	pos := r.Pos(starts[0])
@@ -118,7 +118,7 @@
 		return
 	}
 	for end < len(r.Text) && (r.Text[end] == ' ' || r.Text[end] == '\t' || r.Text[end] == '=') {
-		end++ // to the value
+		end++ // up to the value
 	}
 	value := r.value(t.pathOf(name), n.Value(), end, depth+len(parts))
 	e := &Entry{
@@ -134,7 +134,7 @@
 	r.readEnd = max(r.readEnd, e.End)
 }
 
-// addSubtable adds a table that a header or a dotted key implies, or, with list, an array of tables with it as its first element.
+// addSubtable adds a table that a header or a dotted key implies. With list it adds an array of tables with one element.
 func (t *Table) addSubtable(name string, pos finding.Pos, list bool) *Table {
 	sub := &Table{Path: t.pathOf(name), Pos: pos, arrayElement: list}
 	v := &Value{Kind: TableKind, Pos: pos, Table: sub}
@@ -145,7 +145,7 @@
 	return sub
 }
 
-// isTableArray tells whether a value is an array of tables that headers made, and not one written inline.
+// isTableArray reports whether a value is an array of tables that headers define, and not an inline array.
 func isTableArray(v *Value) bool {
 	if v.Kind != Array || len(v.Items) == 0 {
 		return false
@@ -154,14 +154,14 @@
 	return first.Kind == TableKind && first.Table.arrayElement
 }
 
-// kindOfNode translates the parser's kinds of values.
+// kindOfNode maps the parser's kinds of values to those of this package.
 var kindOfNode = map[unstable.Kind]Kind{
 	unstable.String: String, unstable.Integer: Integer, unstable.Float: Float, unstable.Bool: Bool,
 	unstable.LocalDate: Time, unstable.LocalTime: Time, unstable.LocalDateTime: Time, unstable.DateTime: Time,
 	unstable.Array: Array, unstable.InlineTable: TableKind,
 }
 
-// value reads the value that begins at an offset. depth is how many tables and lists it is within.
+// value reads the value that begins at an offset. depth is the number of tables and lists around it.
 func (r *tomlReader) value(path []string, n *unstable.Node, start, depth int) *Value {
 	v := &Value{Kind: kindOfNode[n.Kind], Pos: r.Pos(start), Start: start, End: start + 1}
 	if v.Kind != Array && v.Kind != TableKind {
@@ -198,8 +198,8 @@
 	return v
 }
 
-// childStart is where an item of a list begins. The parser does not say it of lists and tables, which count as beginning where the
-// outer one does.
+// childStart returns the offset of an item of a list. The parser does not record that of lists and tables, which take the offset of the
+// list that has them.
 func (r *tomlReader) childStart(n *unstable.Node, outer int) int {
 	if n.Raw.Length > 0 {
 		return r.offset(n)
--- a/internal/config/doc/tree.go
+++ b/internal/config/doc/tree.go
@@ -19,21 +19,21 @@
 
 var kindNames = [...]string{"a string", "a whole number", "a number", "true or false", "a date or time", "a list", "a table", "null"}
 
-// String names the kind in messages for people.
+// String returns the name of the kind, for messages.
 func (k Kind) String() string { return kindNames[k] }
 
 // Value is a value in a document.
 type Value struct {
 	Kind Kind
 	Pos  finding.Pos
-	// Start and End are the offsets of a scalar in the text; End is behind its last byte.
+	// Start and End are the offsets of the first byte of a scalar in the text and of the byte after it.
 	Start, End int
-	Text       string   // of a String its content, of another scalar what is written
+	Text       string   // the content of a String; the text of another scalar
 	Items      []*Value // of an Array
 	Table      *Table   // of a TableKind
 }
 
-// generatedStart is the Start of an entry that has no line of its own: a table that a header or a dotted key implies.
+// generatedStart is the Start of an entry without a line, that is a table that a header or a dotted key implies.
 const generatedStart = -1
 
 // Entry is a key with its value.
@@ -41,9 +41,9 @@
 	Name   string
 	Pos    finding.Pos
 	Value  *Value
-	Start  int    // offset of its line's first byte; generatedStart where it has no line of its own
-	End    int    // offset behind its last line, line end included
-	prefix string // of a dotted key, the text before its last part
+	Start  int    // offset of the first byte of its line; generatedStart if it has no line
+	End    int    // offset of the first byte after its last line
+	prefix string // the text of a dotted key before its last part
 }
 
 // Table is a set of keys, in the order of the text.
@@ -57,10 +57,10 @@
 	dotted       bool // a dotted key or an inline table defines it
 	arrayElement bool // it is an element of an array of tables
 	headerStart  int  // offset of the header line's first byte
-	bodyEnd      int  // offset behind the last line that belongs to the header
+	bodyEnd      int  // offset of the first byte after the last line that belongs to the header
 }
 
-// Get is the entry of a name, or nil.
+// Get returns the entry with a name, or nil.
 func (t *Table) Get(name string) *Entry {
 	if t == nil {
 		return nil
@@ -68,7 +68,7 @@
 	return t.index[name]
 }
 
-// Subtable is the table of a name, or nil where there is none or another value in its place.
+// Subtable returns the table with a name, or nil if there is none or the name has another value.
 func (t *Table) Subtable(name string) *Table {
 	if e := t.Get(name); e != nil && e.Value.Kind == TableKind {
 		return e.Value.Table
@@ -95,7 +95,7 @@
 	t.Entries = append(t.Entries, e)
 }
 
-// pathOf is the path of a table or value of that name in this one.
+// pathOf returns the path of the entry with a name.
 func (t *Table) pathOf(name string) []string {
 	return append(t.Path[:len(t.Path):len(t.Path)], name)
 }
--- a/internal/config/finding/finding.go
+++ b/internal/config/finding/finding.go
@@ -15,7 +15,7 @@
 	Message string `json:"message"`          // one line, without the position
 }
 
-// String is the form FILE:LINE:COLUMN: message that editors jump to.
+// String returns the form FILE:LINE:COLUMN: message that editors jump to.
 func (f Finding) String() string {
 	if f.Line == 0 {
 		return f.File + ": " + f.Message
@@ -26,5 +26,5 @@
 // Error is the text of all findings of a List, one per line.
 type Error string
 
-// Error is one line per finding.
+// Error returns one line per finding.
 func (e Error) Error() string { return string(e) }
--- a/internal/config/finding/list.go
+++ b/internal/config/finding/list.go
@@ -39,12 +39,12 @@
 	}
 }
 
-// ForFile is a Reporter that adds findings of one file to the list.
+// ForFile returns a Reporter that adds findings of one file to the list.
 func (l *List) ForFile(file string) Reporter {
 	return func(at Pos, format string, args ...any) { l.Add(file, at, format, args...) }
 }
 
-// Len is the number of findings, including those beyond MaxFindings.
+// Len returns the number of findings, including those beyond MaxFindings.
 func (l *List) Len() int { return len(l.findings) + l.omitted }
 
 // All sorts the findings by file, line, column and message, and returns them. Files keep the order in which they were first named.
@@ -72,7 +72,7 @@
 	return err
 }
 
-// text is what Print writes.
+// text returns what Print writes.
 func (l *List) text() string {
 	var text strings.Builder
 	for _, f := range l.All() {
@@ -99,7 +99,7 @@
 	}{all, l.omitted})
 }
 
-// Err is nil for an empty list, or an Error with all findings.
+// Err returns nil for an empty list, or an Error with all findings.
 func (l *List) Err() error {
 	if l.Len() == 0 {
 		return nil
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -12,7 +12,7 @@
 	maxNamesListed = 8
 )
 
-// Nearest is the candidate that a misspelt name most likely means, or "" if none is near: up to a third of its letters may differ, and
+// Nearest returns the candidate that a misspelt name most likely means, or "" if none is near: up to a third of its letters may differ, and
 // at least one. Case does not count. Among equals the first wins.
 func Nearest(name string, candidates []string) string {
 	if len(name) > maxNameBytes {
@@ -35,7 +35,7 @@
 	return nearest
 }
 
-// UnknownName is the message on a name that is not among the candidates. It proposes the nearest, or lists all where these are few.
+// UnknownName returns the message on a name that is not among the candidates. It proposes the nearest, or lists all where these are few.
 func UnknownName(what, name string, candidates []string) string {
 	text := fmt.Sprintf("unknown %s %q", what, truncate(name))
 	if nearest := Nearest(name, candidates); nearest != "" {
@@ -55,7 +55,7 @@
 	return strings.ToValidUTF8(s[:maxNameBytes], "") + "..."
 }
 
-// editDistance is the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
+// editDistance returns the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
 // (optimal string alignment distance).
 func editDistance(from, to string) int {
 	a := []rune(from)
--- a/internal/config/schema/address.go
+++ b/internal/config/schema/address.go
@@ -12,7 +12,7 @@
 	maxHostBytes = 255
 )
 
-// Address is a key whose value is host:port with a numeric port. listen is set for an address to listen at, whose host may be left out
+// Address declares a key whose value is host:port with a numeric port. listen is set for an address to listen on, whose host may be empty
 // and whose port may be 0.
 func Address[T any](name string, field func(*T) *string, s StringOptions, listen bool, change Change, help string) KeyOf[T] {
 	s.Type = "address"
@@ -21,7 +21,7 @@
 	return String(name, field, s, change, help)
 }
 
-// addressFault says what is wrong with an address, or "".
+// addressFault returns what is wrong with an address, or "".
 func addressFault(text string, listen bool) string {
 	host, port, err := net.SplitHostPort(text)
 	switch {
--- a/internal/config/schema/decode.go
+++ b/internal/config/schema/decode.go
@@ -8,15 +8,16 @@
 	"quincegap/internal/config/finding"
 )
 
-// Layer is a document's table that holds tables of the schema. Where several are decoded together the later ones win, key by key.
+// Layer is a table of a document that has tables of the schema. If several layers are decoded together the later ones take precedence, key
+// by key.
 type Layer struct {
 	Doc   *doc.Document
 	Table *doc.Table
 	File  string
-	Pos   *finding.Pos // the position of all that it holds, for a layer that is in no file
+	Pos   *finding.Pos // replaces the positions in a layer that is not in a file; may be nil
 }
 
-// location is that of something in the layer.
+// location returns the location of a position in the layer.
 func (l Layer) location(pos finding.Pos) Location {
 	if l.Pos != nil {
 		pos = *l.Pos
@@ -26,11 +27,11 @@
 
 // Options of Decode.
 type Options struct {
-	// Partial leaves out that keys are missing, and the checks over several keys: for a layer by itself.
+	// Partial omits the checks for missing keys and over several keys, for a layer by itself.
 	Partial bool
-	// RequiredElsewhere are names of tables whose missing keys come from somewhere else.
+	// RequiredElsewhere are the names of tables whose missing keys come from another source.
 	RequiredElsewhere []string
-	// OtherTables are names of tables that are beside the schema's.
+	// OtherTables are the names of tables that are allowed and not of the schema.
 	OtherTables []string
 }
 
@@ -41,9 +42,9 @@
 	found   *finding.List
 }
 
-// Decode reads layers, the lowest first, and reports all that is wrong with them. With findings the file is not to be used, but more
-// faults may be found in it. Layers without a table are ignored.
-func (s *Schema) Decode(found *finding.List, o Options, layers ...Layer) *File {
+// Decode reads layers, the lowest first, and reports all faults. With findings the file must only be used to look for further faults.
+// Layers without a table are ignored.
+func (s *Schema) Decode(found *finding.List, options Options, layers ...Layer) *File {
 	d := decoding{
 		File: &File{
 			schema:   s,
@@ -52,7 +53,7 @@
 			settings: map[string]*Setting{},
 			tables:   map[string]Location{},
 		},
-		options: o,
+		options: options,
 		found:   found,
 	}
 	before := found.Len()
@@ -62,11 +63,11 @@
 			d.layer(l)
 		}
 	}
-	if o.Partial {
+	if options.Partial {
 		return d.File
 	}
 	for _, t := range s.Tables {
-		if !slices.Contains(o.RequiredElsewhere, t.Name) {
+		if !slices.Contains(options.RequiredElsewhere, t.Name) {
 			d.reportMissing(t)
 		}
 	}
@@ -100,7 +101,7 @@
 	}
 }
 
-// reportUnknown reports an entry at the top of a layer that is none of the schema's tables.
+// reportUnknown reports a top-level entry of a layer that is not a table of the schema.
 func (d *decoding) reportUnknown(e *doc.Entry, report finding.Reporter) {
 	if slices.Contains(d.options.OtherTables, e.Name) {
 		return
@@ -160,7 +161,7 @@
 		if e.Value.End > e.Value.Start {
 			setting.Raw = string(l.Doc.Text[e.Value.Start:e.Value.End])
 		}
-		// Kept with a fault too: the key is not missing.
+		// A key with a fault is kept, so that it is not reported as missing.
 		d.settings[setting.ID()] = setting
 	}
 }
@@ -188,7 +189,7 @@
 	}
 }
 
-// isMissing tells whether no layer has a key that is required.
+// isMissing reports whether a key is required and no layer has it.
 func (d *decoding) isMissing(table []string, k *Key) bool {
 	if !k.Required || d.settings[keyID(table, k)] != nil {
 		return false
@@ -196,7 +197,7 @@
 	return k.optionalWhen == nil || !k.optionalWhen(d.File)
 }
 
-// reportMissingKey reports a missing key at its table's header, or at the file where that is missing too.
+// reportMissingKey reports a missing key at the header of its table, or at the file if there is no header.
 func (d *decoding) reportMissingKey(table string, k *Key) {
 	location, ok := d.tables[table]
 	if !ok {
@@ -206,7 +207,7 @@
 	d.found.Add(location.File, location.Pos, "[%s] lacks the key %s, like %s = %s", table, k.Name, k.Name, k.Example)
 }
 
-// check runs the check over several keys of a table, also of one that the file does not have.
+// check runs the check over several keys of a table, even if the file does not have the table.
 func (d *decoding) check(t *Table) {
 	if !t.Named {
 		value, ok := d.values[valueID(t.Name)]
@@ -222,7 +223,7 @@
 	}
 }
 
-// keyReporter is a Reporter for the keys of the table at a path.
+// keyReporter returns a Reporter for the keys of the table at a path.
 func (d *decoding) keyReporter(table []string) Reporter {
 	return func(key, format string, args ...any) {
 		path := keyPath(table, key)
@@ -231,8 +232,8 @@
 	}
 }
 
-// messagePrefix names a setting at the head of a message.
+// messagePrefix returns the beginning of a message on a setting.
 func messagePrefix(path []string) string { return doc.DottedPath(path) + ": " }
 
-// tableHeader is a table's header as it is written.
+// tableHeader returns the header of a table.
 func tableHeader(path []string) string { return "[" + doc.DottedPath(path) + "]" }
--- a/internal/config/schema/doc.go
+++ b/internal/config/schema/doc.go
@@ -11,7 +11,7 @@
 //			schema.Bounds[time.Duration]{Default: 30 * time.Second, Min: time.Second, Max: time.Hour},
 //			schema.AtStart, "How long a connection may stand idle."))
 //
-// and after file := s.Decode(...) reads it with CallersTable.In(file). A file comes in layers, of which the later win key by key:
+// and after file := s.Decode(...) reads it with CallersTable.In(file). A file has layers; later ones take precedence, key by key:
 //
 //	documents --> Decode: each layer's keys --> missing keys --> checks over several keys --> File
 //	                         |                      |                     |
--- a/internal/config/schema/duration.go
+++ b/internal/config/schema/duration.go
@@ -8,14 +8,14 @@
 	"quincegap/internal/config/doc"
 )
 
-// Duration is a key whose value is a time with its unit.
+// Duration declares a key whose value is a time with its unit.
 func Duration[T any](name string, field func(*T) *time.Duration, b Bounds[time.Duration], change Change, help string) KeyOf[T] {
 	return numberKey(name, "duration", field, b, change, help, readDuration, func(d time.Duration) string {
 		return doc.Quote(FormatDuration(d))
 	})
 }
 
-// FormatDuration writes a duration without the units that are 0: "1m", not "1m0s".
+// FormatDuration returns a duration without the units that are 0: "1m", not "1m0s".
 func FormatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -27,7 +27,7 @@
 	return text
 }
 
-// misspeltDurationUnits maps units that people write to those that are read.
+// misspeltDurationUnits maps frequent misspellings of units to the units.
 var misspeltDurationUnits = map[string]string{
 	"usec": "us", "micros": "us",
 	"msec": "ms", "millis": "ms", "MS": "ms",
@@ -36,7 +36,7 @@
 	"hour": "h", "hours": "h",
 }
 
-// readDuration reads a duration, or says what is wrong with it.
+// readDuration returns a duration, or what is wrong with the text.
 func readDuration(v *doc.Value) (time.Duration, string) {
 	const want = `a time with its unit (like "2500ms" or "2.5s")`
 	switch v.Kind {
@@ -69,7 +69,7 @@
 	return 0, fmt.Sprintf("%s is no time; units are us, ms, s, m, h, as in \"2500ms\"", quoteValue(v))
 }
 
-// looksLikeDuration tells whether a text is numbers with known units, even if they are too large.
+// looksLikeDuration reports whether a text has numbers with known units, even if they are too large.
 func looksLikeDuration(text string) bool {
 	shortened := "" // one digit of each number is enough
 	for _, r := range text {
--- a/internal/config/schema/file.go
+++ b/internal/config/schema/file.go
@@ -8,32 +8,32 @@
 	"quincegap/internal/config/finding"
 )
 
-// Location is where something is set.
+// Location is a position in a file.
 type Location struct {
 	File string
 	finding.Pos
 }
 
-// String is FILE:LINE.
+// String returns FILE:LINE.
 func (l Location) String() string { return fmt.Sprintf("%s:%d", l.File, l.Line) }
 
 // Setting is a key that a file sets.
 type Setting struct {
-	Path      []string // table, name where there are several of it, key
+	Path      []string // table, name if it is a named one, key
 	Key       *Key
 	Location  Location
-	Raw       string // as it is written; empty where it has no text of its own
-	Canonical string // as TOML, the same for all ways to write a value; empty where it could not be read
+	Raw       string // the value as it is written; empty if it is in no text
+	Canonical string // the value as TOML, the same for all ways to write it; empty if it cannot be read
 }
 
-// ID is the setting's path as text.
+// ID returns the setting's path as text.
 func (s Setting) ID() string { return doc.DottedPath(s.Path) }
 
-// File is what the layers of a configuration file say.
+// File has the settings of a configuration file, from all of its layers.
 type File struct {
 	schema   *Schema
 	values   map[string]any      // a pointer to the struct of each table, by valueID
-	names    map[string][]string // of tables of which there are several, in the order of the file, by the table's name
+	names    map[string][]string // of named tables, in the order of the file, by the table's name
 	settings map[string]*Setting // by ID
 	tables   map[string]Location // of the tables that are there, by dotted path
 	root     Location
@@ -42,7 +42,7 @@
 // valueID identifies the value of a table by its path. No name has a NUL byte.
 func valueID(path ...string) string { return strings.Join(path, "\x00") }
 
-// Location is where a key is set, or else its table, or else the file.
+// Location returns the location of a key, or else of its table, or else of the file.
 func (f *File) Location(path ...string) Location {
 	if s := f.settings[doc.DottedPath(path)]; s != nil {
 		return s.Location
@@ -55,10 +55,10 @@
 	return f.root
 }
 
-// Setting is what a file says of a key, or nil where it says nothing.
+// Setting returns the setting of a key, or nil if the file does not set it.
 func (f *File) Setting(path ...string) *Setting { return f.settings[doc.DottedPath(path)] }
 
-// Settings are all keys that a file sets, in the schema's order and, of tables of which there are several, in the file's.
+// Settings returns all settings, in the order of the schema; those of named tables in the order of the file.
 func (f *File) Settings() []*Setting {
 	var all []*Setting
 	for _, t := range f.schema.Tables {
@@ -73,7 +73,7 @@
 	return all
 }
 
-// pathsOf are the paths of a table: its own, or one for each name that the file has of it.
+// pathsOf returns the path of a table, or those of the named tables that the file has.
 func (f *File) pathsOf(t *Table) [][]string {
 	if !t.Named {
 		return [][]string{t.path("")}
@@ -85,14 +85,14 @@
 	return paths
 }
 
-// keyPath is the path of a key of the table at a path.
+// keyPath returns the path of a key of the table at a path.
 func keyPath(table []string, key string) []string { return append(table[:len(table):len(table)], key) }
 
-// keyID is the ID of a setting of the table at a path.
+// keyID returns the ID of a setting of the table at a path.
 func keyID(table []string, k *Key) string { return doc.DottedPath(keyPath(table, k.Name)) }
 
-// Changed lists the settings in which a file differs from the one before: those of the new file where it sets them, and those of the
-// old one where the new one does not set them any more. A setting of the default is the same as none.
+// Changed returns the settings in which a file differs from the one before: those that the new file sets, and those of the old file that
+// the new one no longer sets. Setting a key to its default is no difference.
 func Changed(before, after *File) []*Setting {
 	var changed []*Setting
 	for _, s := range after.Settings() {
--- a/internal/config/schema/number.go
+++ b/internal/config/schema/number.go
@@ -10,16 +10,16 @@
 	"quincegap/internal/config/doc"
 )
 
-// Bounds are a number's default and range. A key without a default may be left out, and is 0 then, unless it is Required.
+// Bounds is the default and the range of a number. A key without a default that is not Required is 0 if it is missing.
 type Bounds[N cmp.Ordered] struct {
 	Default  N
-	Min, Max N    // both included
+	Min, Max N    // inclusive
 	Optional bool // there is no default
 	Required bool
 	Example  string // as TOML, for an optional or required key
 }
 
-// numberKey builds a key over an ordered type.
+// numberKey declares a key of an ordered type.
 func numberKey[T any, N cmp.Ordered](name, typeName string, field func(*T) *N, b Bounds[N], change Change, help string,
 	read func(*doc.Value) (N, string), write func(N) string,
 ) KeyOf[T] {
@@ -47,7 +47,7 @@
 	return KeyOf[T]{k}
 }
 
-// Int is a whole number.
+// Int declares a key whose value is a whole number.
 func Int[T any](name string, field func(*T) *int, b Bounds[int], change Change, help string) KeyOf[T] {
 	return numberKey(name, "whole number", field, b, change, help, func(v *doc.Value) (int, string) {
 		switch v.Kind {
@@ -65,7 +65,7 @@
 	}, strconv.Itoa)
 }
 
-// Float is a number; not a number and infinity are refused.
+// Float declares a key whose value is a number; NaN and infinity are rejected.
 func Float[T any](name string, field func(*T) *float64, b Bounds[float64], change Change, help string) KeyOf[T] {
 	return numberKey(name, "number", field, b, change, help, func(v *doc.Value) (float64, string) {
 		if v.Kind != doc.Float && v.Kind != doc.Integer {
@@ -75,7 +75,7 @@
 		n, err := strconv.ParseFloat(text, 64)
 		if v.Kind == doc.Integer && err != nil {
 			var i int64
-			i, err = strconv.ParseInt(v.Text, 0, 64) // hexadecimal and the like
+			i, err = strconv.ParseInt(v.Text, 0, 64) // hexadecimal, octal and binary too
 			n = float64(i)
 		}
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
--- a/internal/config/schema/render.go
+++ b/internal/config/schema/render.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/config/doc"
 )
 
-// Reference is the reference page of all tables, in Markdown.
+// Reference returns the reference page of all tables, in Markdown.
 func (s *Schema) Reference() string {
 	var b strings.Builder
 	for _, t := range s.Tables {
@@ -36,8 +36,8 @@
 	return b.String()
 }
 
-// Sample is a file with all keys: those that are needed with an example, the others as comments, with their
-// default or an example. It decodes cleanly.
+// Sample returns a file with all keys: those that are required with an example, the others as comments with their default or an example. It
+// decodes without findings.
 func (s *Schema) Sample() string {
 	var b strings.Builder
 	for _, t := range s.Tables {
@@ -69,7 +69,7 @@
 	return b.String()
 }
 
-// Text writes the keys that a file sets, in the schema's order, each below its help.
+// Text returns the settings of a file as TOML, in the order of the schema, each with its help above.
 func (f *File) Text() string {
 	var b strings.Builder
 	lastHeader := ""
@@ -83,7 +83,7 @@
 	return b.String()
 }
 
-// OneLine is the setting's value as TOML: as it is written, or its canonical form where that takes several lines.
+// OneLine returns the value as TOML: as it is written, or its canonical form if that takes several lines.
 func (s *Setting) OneLine() string {
 	if s.Raw == "" || strings.ContainsAny(s.Raw, "\r\n") {
 		return s.Canonical
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/config/doc"
 )
 
-// Change tells when a key's value takes effect.
+// Change is when a new value of a key takes effect.
 type Change int
 
 // The times of a change.
@@ -16,7 +16,7 @@
 	OnReload               // at a start, and on SIGHUP
 )
 
-// String is how the reference page names it.
+// String returns the name on the reference page.
 func (c Change) String() string { return [...]string{"start", "SIGHUP"}[c] }
 
 // Key is one key of a table.
@@ -25,13 +25,13 @@
 	Help     string // one sentence
 	Type     string // in words, as the reference has it
 	Bounds   string // in words; may be empty
-	Default  string // as TOML; empty where there is none
+	Default  string // as TOML; empty if there is none
 	Example  string // as TOML, of a key that has no default
 	Required bool
-	Secret   Secret // what the file holds that the value is the path of
+	Secret   Secret // the content of the file whose path is the value
 	Change   Change
 
-	optionalWhen func(f *File) bool // where it is not required after all; may be nil
+	optionalWhen func(f *File) bool // reports whether a required key may be missing; may be nil
 	decode       func(target any, v *doc.Value) (canonical, fault string)
 	setDefault   func(target any)
 }
@@ -44,10 +44,10 @@
 	Name        string
 	Help        string
 	Keys        []*Key
-	Named       bool   // [name.ANY], any number
-	NameKind    string // of a named one, what its names are, "class"
-	Required    bool   // of a named one, whether at least one is needed
-	ExampleName string // an example of a name
+	Named       bool   // there may be any number of tables [name.ANY]
+	NameKind    string // what ANY is, such as "class"
+	Required    bool   // at least one table [name.ANY] is needed
+	ExampleName string // an example of ANY
 
 	byName    map[string]*Key
 	newValue  func() any
@@ -66,14 +66,16 @@
 	return TypedTable[T]{newTable[T](name, help, keys)}
 }
 
-// NewNamed declares [name.ANY]; sorts says what ANY is, and example gives one.
-func NewNamed[T any](name, sorts, example, help string, keys ...KeyOf[T]) TypedTable[T] {
+// NewNamed declares tables [name.ANY]; kind is what ANY is, and example is one.
+func NewNamed[T any](name, kind, example, help string, keys ...KeyOf[T]) TypedTable[T] {
 	t := newTable[T](name, help, keys)
-	t.Named, t.NameKind, t.ExampleName = true, sorts, example
+	t.Named = true
+	t.NameKind = kind
+	t.ExampleName = example
 	return TypedTable[T]{t}
 }
 
-// newTable panics for keys of one name: it runs at the start of a program.
+// newTable panics if two keys have the same name. It runs at the start of a program.
 func newTable[T any](name, help string, keys []KeyOf[T]) *Table {
 	t := &Table{Name: name, Help: help, byName: map[string]*Key{}}
 	t.newValue = func() any {
@@ -93,69 +95,69 @@
 	return t
 }
 
-// RequireOne says that at least one table of this sort must be there.
-func (o TypedTable[T]) RequireOne() TypedTable[T] {
-	o.Required = true
-	return o
+// RequireOne declares that a file needs at least one of the named tables.
+func (t TypedTable[T]) RequireOne() TypedTable[T] {
+	t.Required = true
+	return t
 }
 
-// Check adds a check over several keys of a table, run once all could be read. A finding is put where its
-// key is set, or at the table's header.
-func (o TypedTable[T]) Check(check func(f *File, name string, value *T, report Reporter)) TypedTable[T] {
-	o.check = func(f *File, name string, value any, report Reporter) { check(f, name, value.(*T), report) }
-	return o
+// Check adds a check over several keys of a table, which runs if all keys could be read. A finding gets the position of its key, or of the
+// table's header.
+func (t TypedTable[T]) Check(check func(f *File, name string, value *T, report Reporter)) TypedTable[T] {
+	t.check = func(f *File, name string, value any, report Reporter) { check(f, name, value.(*T), report) }
+	return t
 }
 
-// OptionalWhen says of a required key where it may be left out all the same.
-func (o TypedTable[T]) OptionalWhen(key string, spared func(f *File) bool) TypedTable[T] {
-	o.byName[key].optionalWhen = spared
-	return o
+// OptionalWhen declares when a required key may be missing.
+func (t TypedTable[T]) OptionalWhen(key string, optional func(f *File) bool) TypedTable[T] {
+	t.byName[key].optionalWhen = optional
+	return t
 }
 
-// CheckNames checks the names of a named table: what is wrong with one, or "".
-func (o TypedTable[T]) CheckNames(bad func(name string) string) TypedTable[T] {
-	o.nameFault = bad
-	return o
+// CheckNames adds a check of the names of named tables. fault returns what is wrong with a name, or "".
+func (t TypedTable[T]) CheckNames(fault func(name string) string) TypedTable[T] {
+	t.nameFault = fault
+	return t
 }
 
-// In is the table's value in a file: its defaults where the file does not have it.
-func (o TypedTable[T]) In(f *File) *T {
-	if v, ok := f.values[o.Name]; ok {
+// In returns the table's value in a file; its defaults if the file does not have it.
+func (t TypedTable[T]) In(f *File) *T {
+	if v, ok := f.values[t.Name]; ok {
 		return v.(*T)
 	}
-	return o.Default()
+	return t.Default()
 }
 
-// Default is the table's value where nothing is set.
-func (o TypedTable[T]) Default() *T { return o.newValue().(*T) }
+// Default returns the table's value if no key is set.
+func (t TypedTable[T]) Default() *T { return t.newValue().(*T) }
 
-// Named is one of several tables of a sort.
+// Named is one of the tables [name.ANY], with ANY as its Name.
 type Named[T any] struct {
 	Name  string
 	Value *T
 }
 
-// All are the tables of a sort in a file, in its order.
-func (o TypedTable[T]) All(f *File) []Named[T] {
+// All returns the named tables of a file, in the order of the file.
+func (t TypedTable[T]) All(f *File) []Named[T] {
 	var all []Named[T]
-	for _, name := range f.names[o.Name] {
-		all = append(all, Named[T]{name, f.values[valueID(o.Name, name)].(*T)})
+	for _, name := range f.names[t.Name] {
+		all = append(all, Named[T]{name, f.values[valueID(t.Name, name)].(*T)})
 	}
 	return all
 }
 
-// First is the first of several tables of a sort in a file, or nil, and how many there are.
-func (o TypedTable[T]) First(f *File) (first *T, all int) {
-	names := f.names[o.Name]
+// First returns the first of the named tables of a file, or nil, and their number.
+func (t TypedTable[T]) First(f *File) (first *T, all int) {
+	names := f.names[t.Name]
 	if len(names) == 0 {
 		return nil, 0
 	}
-	return o.Get(f, names[0]), len(names)
+	return t.Get(f, names[0]), len(names)
 }
 
-// Get is one of several tables of a sort, or nil.
-func (o TypedTable[T]) Get(f *File, name string) *T {
-	v, _ := f.values[valueID(o.Name, name)].(*T)
+// Get returns the table with a name, or nil.
+func (t TypedTable[T]) Get(f *File, name string) *T {
+	v, _ := f.values[valueID(t.Name, name)].(*T)
 	return v
 }
 
@@ -165,8 +167,8 @@
 	byName map[string]*Table
 }
 
-// New lists tables. No two may have a key of one name: where a header is lost, its keys fall to the table
-// above, and must not be known there. It panics if two do, at the start of any program that has them.
+// New returns a schema of some tables. It panics if two of them have a key of the same name: if a header is deleted by mistake its keys
+// become those of the table above, which must not know them.
 func New(tables ...*Table) *Schema {
 	s := &Schema{Tables: tables, byName: map[string]*Table{}}
 	owner := map[string]string{}
@@ -185,10 +187,10 @@
 	return s
 }
 
-// Table is a table of the schema by its name, or nil.
+// Table returns the table of the schema with a name, or nil.
 func (s *Schema) Table(name string) *Table { return s.byName[name] }
 
-// path is the path of the table, or of that of a name where there are several.
+// path returns the path of the table; of a named one, that of the table with the given name.
 func (t *Table) path(name string) []string {
 	if t.Named {
 		return []string{t.Name, name}
@@ -196,7 +198,7 @@
 	return []string{t.Name}
 }
 
-// headerName is the name in a header: "sidecar", or "class.CLASS" for a table of which there are several.
+// headerName returns the name in a header: "sidecar", or "class.CLASS" for a named table.
 func (t *Table) headerName() string {
 	if t.Named {
 		return t.Name + "." + strings.ToUpper(t.NameKind)
@@ -204,7 +206,7 @@
 	return t.Name
 }
 
-// keyNames are the names of the table's keys, in order.
+// keyNames returns the names of the table's keys, in order.
 func (t *Table) keyNames() []string {
 	names := make([]string, len(t.Keys))
 	for i, k := range t.Keys {
@@ -213,7 +215,7 @@
 	return names
 }
 
-// tableNames are the names of all tables, in order.
+// tableNames returns the names of all tables, in order.
 func (s *Schema) tableNames() []string {
 	names := make([]string, len(s.Tables))
 	for i, t := range s.Tables {
@@ -222,7 +224,7 @@
 	return names
 }
 
-// keyNames are the names of the keys of all tables, in order.
+// keyNames returns the names of the keys of all tables, in order.
 func (s *Schema) keyNames() (names []string) {
 	for _, t := range s.Tables {
 		names = append(names, t.keyNames()...)
@@ -230,7 +232,7 @@
 	return names
 }
 
-// tableOfKey is the table that has a key of a name, or "".
+// tableOfKey returns the header name of the table that has a key, or "".
 func (s *Schema) tableOfKey(key string) string {
 	for _, t := range s.Tables {
 		if t.byName[key] != nil {
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Each value is refused with words that say what would do.
+// Each bad value is rejected with a message that tells which values are valid.
 func TestRefusals(t *testing.T) {
 	for line, want := range map[string]string{
 		"wait = 5":                    `5 has no unit; write "5ms" or "5s"`,
@@ -134,7 +134,7 @@
 	}
 }
 
-// Later layers win, key by key, and each setting knows the line that set it.
+// Later layers take precedence, key by key, and each setting has the line that sets it.
 func TestLayers(t *testing.T) {
 	var found finding.List
 	var layers []Layer
@@ -183,7 +183,7 @@
 	}
 }
 
-// The sample and a file's own text decode to what they came from.
+// The sample and the text of a file decode to the same settings.
 func TestTextsDecode(t *testing.T) {
 	if _, fault := decode(testSchema.Sample(), Options{}); fault != "" {
 		t.Error(fault)
--- a/internal/config/schema/secret.go
+++ b/internal/config/schema/secret.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Secret is the kind of secret that a file holds which a setting names.
+// Secret is the kind of secret in a file whose path is a setting.
 type Secret int
 
 // The kinds.
@@ -12,14 +12,15 @@
 	PrivateKey        // PEM (RFC 7468)
 )
 
-// SecretFile is a key whose value is the path of a file with a secret. Whoever opens the file checks its content and permissions.
+// SecretFile declares a key whose value is the path of a file with a secret. The content and the permissions of the file are checked when
+// it is opened.
 func SecretFile[T any](name string, field func(*T) *string, secret Secret, example string, change Change, help string) KeyOf[T] {
 	k := String(name, field, StringOptions{Type: "path of a secret", Example: example}, change, help)
 	k.Secret = secret
 	return k
 }
 
-// Secrets are the settings of a file that name files with secrets.
+// Secrets returns the settings whose values are paths of files with secrets.
 func (f *File) Secrets() (all []*Setting) {
 	for _, s := range f.Settings() {
 		if s.Key.Secret != NoSecret {
@@ -29,8 +30,8 @@
 	return all
 }
 
-// Unquoted is the text of a setting that is a string, or "" where it is none. Strings have no control characters, so that quotes of
-// TOML and of Go mean the same.
+// Unquoted returns the value of a setting that is a string, or "" if it is not one. Strings have no control characters, so that they are
+// quoted in TOML as in Go.
 func (s *Setting) Unquoted() string {
 	text, err := strconv.Unquote(s.Canonical)
 	if err != nil {
--- a/internal/config/schema/size.go
+++ b/internal/config/schema/size.go
@@ -15,7 +15,7 @@
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// Size is a key whose value is a number of bytes with its unit.
+// Size declares a key whose value is a number of bytes with its unit.
 func Size[T any](name string, field func(*T) *int64, b Bounds[int64], change Change, help string) KeyOf[T] {
 	return numberKey(name, "size", field, b, change, help, readSize, func(n int64) string {
 		for _, s := range sizeUnits {
@@ -27,7 +27,7 @@
 	})
 }
 
-// misspeltSizeUnits maps units that people write to those that are read.
+// misspeltSizeUnits maps frequent misspellings of units to the units.
 var misspeltSizeUnits = map[string]string{
 	"b": "B",
 	"K": "KiB", "KB": "KiB", "k": "KiB", "kB": "KiB", "kb": "KiB", "kib": "KiB",
@@ -35,7 +35,7 @@
 	"G": "GiB", "GB": "GiB", "g": "GiB", "gb": "GiB", "gib": "GiB",
 }
 
-// readSize reads a number of bytes, or says what is wrong with it.
+// readSize returns a number of bytes, or what is wrong with the text.
 func readSize(v *doc.Value) (int64, string) {
 	const want = `a size with its unit (like "64KiB" or "32MiB")`
 	switch v.Kind {
--- a/internal/config/schema/text.go
+++ b/internal/config/schema/text.go
@@ -9,21 +9,21 @@
 	"quincegap/internal/config/finding"
 )
 
-// StringOptions is a string's default and what it may be.
+// StringOptions has the default of a string and the values that it may have.
 type StringOptions struct {
 	Default  string
 	Required bool
-	Example  string // as it is, without quotes
+	Example  string // without quotes
 	Type     string // in words; "string" if empty
 	Bounds   string // in words
-	// Fault says what is wrong with a value, or "". It may be nil.
+	// Fault returns what is wrong with a value, or "". It may be nil.
 	Fault func(string) string
 }
 
 // MaxStringBytes bounds a string, in bytes.
 const MaxStringBytes = 4096
 
-// String is a key whose value is a string that is not empty and has no control characters.
+// String declares a key whose value is a string that is not empty and has no control characters.
 func String[T any](name string, field func(*T) *string, s StringOptions, change Change, help string) KeyOf[T] {
 	k := &Key{Name: name, Type: cmp.Or(s.Type, "string"), Bounds: s.Bounds, Help: help, Change: change, Required: s.Required}
 	if s.Example != "" {
@@ -54,7 +54,7 @@
 	return KeyOf[T]{k}
 }
 
-// Choice is a key whose value is one of several words. required makes it one that has to be set.
+// Choice declares a key whose value is one of several words. With required it has to be set.
 func Choice[T any, S ~string](name string, field func(*T) *S, words []S, preset S, required bool, change Change, help string) KeyOf[T] {
 	names := make([]string, len(words))
 	for i, w := range words {
--- a/internal/config/schema/value.go
+++ b/internal/config/schema/value.go
@@ -8,10 +8,10 @@
 	"quincegap/internal/config/doc"
 )
 
-// maxQuotedBytes bounds what a message quotes of a value.
+// maxQuotedBytes bounds the part of a value that a message quotes.
 const maxQuotedBytes = 40
 
-// quoteValue is a value as a message quotes it.
+// quoteValue returns a value, or its beginning, as messages quote it.
 func quoteValue(v *doc.Value) string {
 	text := v.Text
 	if len(text) > maxQuotedBytes {
@@ -23,7 +23,7 @@
 	return text
 }
 
-// wrongKind is the message on a value of another type than the key has.
+// wrongKind returns the message on a value that is not of the key's type.
 func wrongKind(v *doc.Value, want string) string {
 	if v.Kind == doc.Array || v.Kind == doc.TableKind {
 		return fmt.Sprintf("%s, not %s, is wanted", want, v.Kind)
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%s is %s; %s is wanted", quoteValue(v), v.Kind, want)
 }
 
-// Bool is true or false.
+// Bool declares a key whose value is true or false.
 func Bool[T any](name string, field func(*T) *bool, preset bool, change Change, help string) KeyOf[T] {
 	return KeyOf[T]{&Key{
 		Name: name, Type: "true or false", Help: help, Change: change, Default: strconv.FormatBool(preset),
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -139,7 +139,7 @@
 	}, unknown, nil
 }
 
-// balancerSettings is the part of the object that the Balancer is started with.
+// balancerSettings returns the part of the object that the Balancer is started with.
 func (c *config) balancerSettings() balancer.Settings {
 	s := balancer.Settings{
 		Instances:           c.Instances,
@@ -196,5 +196,5 @@
 	return T(word)
 }
 
-// Microseconds is a duration of n microseconds, the unit of all times in the settings.
+// Microseconds returns a duration of n microseconds, the unit of all times in the settings.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/doctest/names_test.go
+++ b/internal/doctest/names_test.go
@@ -18,7 +18,7 @@
 	inside   map[string]bool            // package.Type.Member
 }
 
-// sources are the project's Go files but for tests and generated ones.
+// sources returns the project's Go files but for tests and generated ones.
 func sources(t *testing.T, folders ...string) []string {
 	t.Helper()
 	return files(t, func(path string) bool {
@@ -114,7 +114,7 @@
 	d.inside[pkg+"."+typeName+"."+name.Name] = true
 }
 
-// receiver is the name of a method's type.
+// receiver returns the name of a method's type.
 func receiver(of ast.Expr) string {
 	switch x := of.(type) {
 	case *ast.StarExpr:
@@ -135,7 +135,7 @@
 	notGo = regexp.MustCompile(`\.(?:go|md|toml|json|sh|yml|mod|txt|seg|morning|csv|html)$`)
 )
 
-// has tells whether pkg.Name, Type.Member or pkg.Type.Member is declared.
+// has reports whether pkg.Name, Type.Member or pkg.Type.Member is declared.
 func (d *declared) has(name string) bool {
 	parts := strings.Split(name, ".")
 	if len(parts) == 3 {
@@ -147,7 +147,7 @@
 // foreign are packages of the library and of others, and their types, that pages name.
 var foreign = []string{"http", "httputil", "unstable", "errors", "t", "MetaData", "Weights"}
 
-// namedInCode are the Go names in code font in a page, without those of files, tests and other projects.
+// namedInCode returns the Go names in code font in a page, without those of files, tests and other projects.
 func namedInCode(page string) (names []string) {
 	for _, found := range inline.FindAllStringSubmatch(prose(page), -1) {
 		name, _, _ := strings.Cut(found[1], "(")
--- a/internal/doctest/pages_test.go
+++ b/internal/doctest/pages_test.go
@@ -16,7 +16,7 @@
 // skipped are folders whose files are not the project's own: version control, and what builds write.
 var skipped = []string{".git", "bin", "target", "out"}
 
-// files are the paths of all files under root, relative to it, that keep says yes to.
+// files returns the paths of all files under root, relative to it, that keep says yes to.
 func files(t *testing.T, keep func(path string) bool) []string {
 	t.Helper()
 	var found []string
@@ -69,7 +69,7 @@
 	anchorDropped = regexp.MustCompile(`[^\p{L}\p{N}\s_-]`)
 )
 
-// prose is a page without its fenced blocks, whose text is no Markdown.
+// prose returns a page without its fenced blocks, whose text is no Markdown.
 func prose(page string) string {
 	var kept strings.Builder
 	fenced := false
@@ -85,7 +85,7 @@
 	return kept.String()
 }
 
-// anchors are those of a page's headings.
+// anchors returns those of a page's headings.
 func anchors(page string) []string {
 	var all []string
 	for _, found := range heading.FindAllStringSubmatch(prose(page), -1) {
@@ -95,7 +95,7 @@
 	return all
 }
 
-// brokenLinks are the relative links of a page that lead nowhere.
+// brokenLinks returns the relative links of a page that lead nowhere.
 func brokenLinks(t *testing.T, path string) []string {
 	t.Helper()
 	var broken []string
@@ -145,7 +145,7 @@
 	}
 }
 
-// checkedPages are all pages but those that tell of the past: what they name in code font is looked up.
+// checkedPages returns all pages but those that tell of the past: what they name in code font is looked up.
 func checkedPages(t *testing.T) []string {
 	t.Helper()
 	return files(t, func(path string) bool {
@@ -161,7 +161,7 @@
 	folder = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|rehearsals|tools)/[\w./-]*$`)
 )
 
-// namedPaths are the Go files and folders of this repository that a page names in code font.
+// namedPaths returns the Go files and folders of this repository that a page names in code font.
 func namedPaths(page string) (goFiles, folders []string) {
 	for _, found := range inline.FindAllStringSubmatch(prose(page), -1) {
 		for word := range strings.FieldsSeq(found[1]) {
--- a/internal/doctest/runbook_test.go
+++ b/internal/doctest/runbook_test.go
@@ -40,7 +40,7 @@
 	message string // its constant text, up to the first part that is none; empty if it has none
 }
 
-// logLines are the calls in a file that log a fault, and with plain those that print any line to the log.
+// logLines returns the calls in a file that log a fault, and with plain those that print any line to the log.
 func logLines(t *testing.T, path string, plain bool) []logLine {
 	t.Helper()
 	set := token.NewFileSet()
@@ -59,7 +59,7 @@
 	return found
 }
 
-// loggedText is the argument that a call logs; nil for a call that logs nothing.
+// loggedText returns the argument that a call logs; nil for a call that logs nothing.
 func loggedText(call *ast.CallExpr, plain bool) ast.Expr {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -80,7 +80,7 @@
 	return call.Args[at]
 }
 
-// constantText is the literal that an expression begins with, or the format that it is made by.
+// constantText returns the literal that an expression begins with, or the format that it is made by.
 func constantText(x ast.Expr) string {
 	switch e := x.(type) {
 	case *ast.BasicLit:
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// allLogLines are those of all programs.
+// allLogLines returns those of all programs.
 func allLogLines(t *testing.T) (found []logLine) {
 	t.Helper()
 	for _, path := range sources(t, levelFolders...) {
@@ -111,7 +111,7 @@
 	return found
 }
 
-// wordsOf is a text of the page or of a message in a form in which both compare: without escapes, quotes and breaks.
+// wordsOf returns a text of the page or of a message in a form in which both compare: without escapes, quotes and breaks.
 func wordsOf(text string) string {
 	text = strings.NewReplacer(`\`, "", `"`, "").Replace(text)
 	return strings.Join(strings.Fields(text), " ")
@@ -120,7 +120,7 @@
 // messageOnPage is a message in a heading, or in the first cell of a row.
 var messageOnPage = regexp.MustCompile("^(?:###|\\|) `([^`]+)`")
 
-// runbookMessages are the messages that the page explains.
+// runbookMessages returns the messages that the page explains.
 func runbookMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	messages := map[string]bool{}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Hex is like Text for bytes that are not text. The file holds them in hexadecimal, 32 bytes on a line.
+// Hex returns like Text for bytes that are not text. The file holds them in hexadecimal, 32 bytes on a line.
 func Hex(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	var text strings.Builder
--- a/internal/product/load.go
+++ b/internal/product/load.go
@@ -74,7 +74,7 @@
 	return f
 }
 
-// Decode is Load for a document that has been read, without its secrets. What is missing is looked for only where the document could be
+// Decode returns Load for a document that has been read, without its secrets. What is missing is looked for only where the document could be
 // read completely: it may be in the lines that could not.
 func Decode(path string, d *doc.Document, overlay, complete bool, found *finding.List) *schema.File {
 	o := schema.Options{Partial: !complete}
@@ -86,7 +86,7 @@
 	return f
 }
 
-// Resolve is a path that a file names, relative to that file's folder.
+// Resolve returns a path that a file names, relative to that file's folder.
 func Resolve(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -49,7 +49,7 @@
 	"tipMultiple": "rules.tipMultiple", "askEvery": "rules.askEvery", "goalWhole": "goal.whole", "goalWorstClass": "goal.worstClass",
 }
 
-// locate is the position of the key that an error of the programs names at its head: the deepest that is there.
+// locate returns the position of the key that an error of the programs names at its head: the deepest that is there.
 func locate(d *doc.Document, message string) finding.Pos {
 	walk := keyWalk{table: d.Root, pos: d.Root.Pos}
 	for part := range strings.SplitSeq(message, ": ") {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// platformPath is the platform's path for a name of the programs.
+// platformPath returns the platform's path for a name of the programs.
 func platformPath(name string) string {
 	if path := platformPaths[name]; path != "" {
 		return path
--- a/internal/product/platform_shape.go
+++ b/internal/product/platform_shape.go
@@ -28,12 +28,12 @@
 func boolShape() *shape            { return &shape{kind: doc.Bool} }
 func listShape(item *shape) *shape { return &shape{kind: doc.Array, item: item} }
 
-// objectShape is the shape of an object, with the names of the keys that it must have.
+// objectShape returns the shape of an object, with the names of the keys that it must have.
 func objectShape(keys map[string]*shape, needed ...string) *shape {
 	return &shape{kind: doc.TableKind, keys: keys, required: needed}
 }
 
-// numberShapes are keys whose values are numbers.
+// numberShapes returns keys whose values are numbers.
 func numberShapes(names ...string) map[string]*shape {
 	m := map[string]*shape{}
 	for _, n := range names {
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -21,7 +21,7 @@
 // versionDigits is how much of a commit's hash a version has.
 const versionDigits = 12
 
-// Version is the program's: the commit that it was built of, or "" where the build does not say.
+// Version returns the program's: the commit that it was built of, or "" where the build does not say.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/product/secrets.go
+++ b/internal/product/secrets.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// checkCertificate is what is wrong with a certificate whose key can be read; a key that cannot is reported as a secret.
+// checkCertificate returns what is wrong with a certificate whose key can be read; a key that cannot is reported as a secret.
 func checkCertificate(certificate, key string, now time.Time) error {
 	if _, err := secretfile.ReadPrivateKey(key); err != nil {
 		return nil // reported already
@@ -57,7 +57,7 @@
 	return err
 }
 
-// checkSecretLength is what is wrong with a secret that can be read; one that cannot is reported as a secret.
+// checkSecretLength returns what is wrong with a secret that can be read; one that cannot is reported as a secret.
 func checkSecretLength(path string) error {
 	text, err := secretfile.ReadToken(path)
 	if err == nil && len(text) < http3.MinSecretChars {
--- a/internal/product/sidecar.go
+++ b/internal/product/sidecar.go
@@ -13,7 +13,7 @@
 	"quincegap/internal/standalone"
 )
 
-// SidecarConfig is a standalone sidecar's configuration: the product's file at a path, if one is given, under what a platform's
+// SidecarConfig returns a standalone sidecar's configuration: the product's file at a path, if one is given, under what a platform's
 // configuration says. getenv looks up environment variables, as os.Getenv does.
 func SidecarConfig(path string, getenv func(string) string) (*standalone.Config, error) {
 	if path == "" {
