--- a/internal/config/appfile/appfile.go
+++ b/internal/config/appfile/appfile.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/config/schema"
 )
 
-// Tables returns all of them, in the order in which a file has them.
+// Tables returns the tables of this package, in the order in which a file has them.
 func Tables() []*schema.Table {
 	return []*schema.Table{
 		SidecarTable.Table, DiscoveryTable.Table, LimitsTable.Table, AttemptsTable.Table, SlowStartTable.Table,
@@ -23,7 +23,7 @@
 	}
 }
 
-// NameLayer returns a layer below an application's own that says its name. What is missing from it is reported at the position given.
+// NameLayer returns a layer that sets the name of an application. Everything in it has the given position.
 func NameLayer(application, file string, at finding.Pos) schema.Layer {
 	text := []byte("[sidecar]\napplication = " + doc.Quote(application) + "\n")
 	d := doc.ReadTOML(text, len(text), func(_ finding.Pos, format string, args ...any) { panic(fmt.Sprintf(format, args...)) })
--- a/internal/config/appfile/attempts.go
+++ b/internal/config/appfile/attempts.go
@@ -6,14 +6,14 @@
 	"quincegap/internal/config/schema"
 )
 
-// Attempts say how often and how a call goes out.
+// Attempts has the limits of attempts of a call, and what is allowed for them.
 type Attempts struct {
-	Max            int // of one call, the first attempt included
+	Max            int // attempts of one call, the first included
 	ConnectTimeout time.Duration
-	Cancel         bool // attempts may be cancelled by closing their connection
-	HealthChecks   bool
-	HedgedRequests bool          // two attempts of one call may be out at once
-	MaxRetryAfter  time.Duration // 0 for no Retry-After
+	Cancel         bool          // attempts may be cancelled by closing their connection
+	HealthChecks   bool          // endpoints may be sent GET /health
+	HedgedRequests bool          // two attempts of one call may be in flight at once
+	MaxRetryAfter  time.Duration // the longest Retry-After of a rejection; 0 for none
 }
 
 // AttemptsTable is [attempts].
@@ -35,12 +35,12 @@
 		"The longest Retry-After of a refusal; 0s for none."),
 )
 
-// SlowStart says how endpoints behave after their start.
+// SlowStart describes the capacity of endpoints after their start.
 type SlowStart struct {
-	MinShare         float64       // of the capacity, at the start
-	Window           time.Duration // until all of the capacity is there
-	OverloadMultiple float64       // of the present capacity, under which an endpoint fails
-	OverloadDuration time.Duration // for so long
+	MinShare         float64       // the share of the capacity at the start
+	Window           time.Duration // the time until an endpoint has its full capacity
+	OverloadMultiple float64       // the load, as a multiple of the present capacity, at which an endpoint fails
+	OverloadDuration time.Duration // the time for which it has to last
 }
 
 // SlowStartTable is [warmup].
--- a/internal/config/appfile/calls.go
+++ b/internal/config/appfile/calls.go
@@ -6,18 +6,19 @@
 	"quincegap/internal/config/schema"
 )
 
-// Call is what the application's endpoints call while they serve a class.
+// Call is a call that the application's endpoints make while they serve a class.
 type Call struct {
-	To          string // the application that is called
-	Class       string // of this application, which makes the call
-	AsClass     string // of the called application; empty for the same name
-	PerRequest  int    // calls that one request makes, one after another
-	Timeout     time.Duration
-	MutualDepth int // how often one application may be in a chain of calls; 0 where it is in no ring
+	To          string        // the application that is called
+	Class       string        // the class of this application that makes the call
+	AsClass     string        // the class of the called application; empty for the same name
+	PerRequest  int           // calls that one request makes, one after another
+	Timeout     time.Duration // of one call
+	MutualDepth int           // how often an application may occur in a chain of calls; 0 for a call that is not part of a ring
 }
 
 // CallsTable is [calls.NAME].
-var CallsTable = schema.NewNamed("calls", "call", "take-slot", "A call that the application's endpoints make to another application while they serve a class.",
+var CallsTable = schema.NewNamed("calls", "call", "take-slot",
+	"A call that the application's endpoints make to another application while they serve a class.",
 	schema.String("to", func(c *Call) *string { return &c.To },
 		schema.StringOptions{Required: true, Example: "slot-keeper.example.org", Type: "host name", Fault: HostNameFault}, schema.OnReload,
 		"The application that is called."),
--- a/internal/config/appfile/class.go
+++ b/internal/config/appfile/class.go
@@ -10,23 +10,23 @@
 
 // Class is a class of request that the application serves.
 type Class struct {
-	LatencyTarget   time.Duration
-	Deadline        time.Duration // of the client, over all its attempts
-	Value           float64       // of an answer in time, beside those of other classes
-	LateValueShare  float64       // of the value, after the latency target
-	Idempotency     balancer.Idempotency
-	KeyScope        balancer.KeyScope
-	KeyWindow       time.Duration // how long repeats of a key are dropped, from the first attempt
-	OnMemoryFailure MemoryFailurePolicy
+	LatencyTarget   time.Duration        // a response within this time has the full value
+	Deadline        time.Duration        // of the client, over all its attempts
+	Value           float64              // of a response within the latency target, relative to other classes
+	LateValueShare  float64              // the share of the value that a later response has
+	Idempotency     balancer.Idempotency // whether a call may be executed more than once
+	KeyScope        balancer.KeyScope    // the endpoints that drop repeats of a key; empty if the class has no keys
+	KeyWindow       time.Duration        // how long they drop repeats, from the first attempt
+	OnMemoryFailure MemoryFailurePolicy  // for calls that are not idempotent
 }
 
-// MemoryFailurePolicy says what happens to requests of a class that cannot be recorded on disk.
+// MemoryFailurePolicy decides what happens to requests of a class that cannot be recorded on disk.
 type MemoryFailurePolicy string
 
-// The choices.
+// The policies.
 const (
-	ContinueWithoutMemory MemoryFailurePolicy = "go-on"
-	RejectWithoutMemory   MemoryFailurePolicy = "refuse"
+	ContinueWithoutMemory MemoryFailurePolicy = "go-on"  // serve them, with a warning
+	RejectWithoutMemory   MemoryFailurePolicy = "refuse" // reject them until the disk works again
 )
 
 // ClassTable is [class.NAME].
@@ -52,11 +52,13 @@
 	schema.Float("late_worth", func(c *Class) *float64 { return &c.LateValueShare },
 		schema.Bounds[float64]{Default: 0, Min: 0, Max: 1}, schema.AtStart,
 		"The share of that which an answer after the aim still has."),
-	schema.Choice("without_memory", func(c *Class) *MemoryFailurePolicy { return &c.OnMemoryFailure }, []MemoryFailurePolicy{ContinueWithoutMemory, RejectWithoutMemory}, ContinueWithoutMemory, false, schema.AtStart,
-		"Of a class that is not safe, where memory.memory_dir is set and the disk does not take what has to be remembered: go-on: its attempts go out all the same, and the log says so; refuse: it is refused until the disk is well."),
+	schema.Choice("without_memory", func(c *Class) *MemoryFailurePolicy { return &c.OnMemoryFailure },
+		[]MemoryFailurePolicy{ContinueWithoutMemory, RejectWithoutMemory}, ContinueWithoutMemory, false, schema.AtStart,
+		"Of a class that is not safe, where memory.memory_dir is set and the disk does not take what has to be remembered: "+
+			"go-on: its attempts go out all the same, and the log says so; refuse: it is refused until the disk is well."),
 ).RequireOne().CheckNames(nameFault).Check(checkClass)
 
-// checkClass checks the keys of one class beside one another.
+// checkClass checks the keys of one class against one another.
 func checkClass(f *schema.File, name string, c *Class, report schema.Reporter) {
 	isSet := func(key string) bool { return f.Setting("class", name, key) != nil }
 	keyed := c.Idempotency == balancer.IdempotentWithKey
@@ -79,17 +81,18 @@
 
 // Tenant is one of several customers that share the application.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second, over all sidecars
+	QuotaPerSecond float64 // requests a second within its share, over all sidecars
 }
 
 // TenantTable is [tenant.NAME].
-var TenantTable = schema.NewNamed("tenant", "tenant", "north-clinics", "A customer that shares the application with others, by the name in X-Org.",
+var TenantTable = schema.NewNamed("tenant", "tenant", "north-clinics",
+	"A customer that shares the application with others, by the name in X-Org.",
 	schema.Float("quota_per_s", func(t *Tenant) *float64 { return &t.QuotaPerSecond },
 		schema.Bounds[float64]{Min: 0, Max: 1e9, Required: true, Example: "50"}, schema.AtStart,
 		"Requests a second within its share, over all sidecars; what goes beyond is worth little."),
 ).CheckNames(nameFault)
 
-// unknownClass returns the message on a class that a file does not serve.
+// unknownClass returns the message on a class that a file does not declare.
 func unknownClass(f *schema.File, class string) string {
 	var names []string
 	for _, c := range ClassTable.All(f) {
--- a/internal/config/appfile/discovery.go
+++ b/internal/config/appfile/discovery.go
@@ -6,21 +6,21 @@
 	"quincegap/internal/config/schema"
 )
 
-// Mode is how discovery is followed.
+// Mode is how a sidecar gets changes of the list of endpoints.
 type Mode string
 
 // The modes of discovery.
 const (
-	ModePush Mode = "push"
-	ModePoll Mode = "ask"
+	ModePush Mode = "push" // discovery sends them
+	ModePoll Mode = "ask"  // the sidecar polls
 )
 
-// Discovery says where the list of endpoints comes from.
+// Discovery has the source of the list of endpoints.
 type Discovery struct {
 	Address      string // host:port
 	Mode         Mode
 	PollInterval time.Duration // with ModePoll
-	TokenFile    string        // path; may be empty
+	TokenFile    string        // the path of a file with a bearer token; may be empty
 }
 
 // DiscoveryTable is [discovery].
@@ -33,9 +33,10 @@
 	schema.Duration("ask_every", func(d *Discovery) *time.Duration { return &d.PollInterval },
 		schema.Bounds[time.Duration]{Default: 10 * time.Second, Min: time.Second, Max: time.Hour}, schema.AtStart,
 		"With mode ask: how long the list may be left unasked for."),
-	schema.SecretFile("token_file", func(d *Discovery) *string { return &d.TokenFile }, schema.Token, "/etc/quincegap/discovery.token", schema.OnReload,
+	schema.SecretFile("token_file", func(d *Discovery) *string { return &d.TokenFile },
+		schema.Token, "/etc/quincegap/discovery.token", schema.OnReload,
 		"A file with a token that goes to discovery as Authorization: Bearer (RFC 6750); it is read again on SIGHUP."),
 ).OptionalWhen("address", func(f *schema.File) bool {
-	s := f.Setting("membership", "source") // Consul may be all there is
+	s := f.Setting("membership", "source") // with Consul as the only source there is no discovery
 	return s != nil && s.Unquoted() == "consul"
 })
--- a/internal/config/appfile/doc.go
+++ b/internal/config/appfile/doc.go
@@ -1,6 +1,6 @@
-// Package appfile declares the tables of the product's file that say what a sidecar is: whose calls it takes, where its endpoints come
-// from, its limits, the classes it serves and the calls its endpoints make. Tables of the programs' parts are declared with those. The
-// package does no I/O.
+// Package appfile declares the tables of a sidecar's file that describe its application: its name, the source of its endpoints, its
+// limits, the classes that it serves and the calls that its endpoints make. The tables of a program's parts are declared in the packages of
+// these parts. The package does no I/O.
 //
-// Keys and help are data: they keep the words of the users' pages, where the Go names have the field's terms.
+// Keys and help texts are data: they keep the words of the users' pages, while Go names are the standard terms.
 package appfile
--- a/internal/config/appfile/limits.go
+++ b/internal/config/appfile/limits.go
@@ -4,17 +4,17 @@
 	"quincegap/internal/config/schema"
 )
 
-// Limits are those of the machine a sidecar runs on.
+// Limits bounds what a sidecar may use of its machine.
 type Limits struct {
 	Cores   float64 // may be a fraction
 	Memory  int64   // bytes
 	Sockets int     // file descriptors
 }
 
-// MinSockets is the least number of file descriptors: it leaves room for some connections beside those that are reserved.
+// MinSockets is the least number of file descriptors: some more than the reserved ones, for connections.
 const MinSockets = 64
 
-// bytesPerSocket is the memory in bytes that a connection takes with its buffers and its goroutine.
+// bytesPerSocket is the memory of a connection, with its buffers and its goroutine, in bytes.
 const bytesPerSocket = 16 << 10
 
 // LimitsTable is [limits].
@@ -30,6 +30,7 @@
 		"File descriptors; 32 are reserved, the rest is shared out between callers and endpoints."),
 ).Check(func(_ *schema.File, _ string, l *Limits, report schema.Reporter) {
 	if need := int64(l.Sockets) * bytesPerSocket; need > l.Memory/2 {
-		report("sockets", "%d connections of %d KiB each take more than half of limits.memory (%d MiB)", l.Sockets, bytesPerSocket>>10, l.Memory>>20)
+		report("sockets", "%d connections of %d KiB each take more than half of limits.memory (%d MiB)",
+			l.Sockets, bytesPerSocket>>10, l.Memory>>20)
 	}
 })
--- a/internal/config/appfile/lists.go
+++ b/internal/config/appfile/lists.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// SplitList returns the parts of a value that are divided by commas, without the white space round them.
+// SplitList returns the parts of a value that commas separate, without the white space around them. Empty parts are omitted.
 func SplitList(text string) (all []string) {
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
@@ -16,7 +16,7 @@
 	return all
 }
 
-// AddressListFault says why a text is no list of one to so many host:port, or "".
+// AddressListFault returns a function that returns why a text is no list of one to maxAddresses host:port, or "".
 func AddressListFault(maxAddresses int) func(text string) string {
 	return func(text string) string {
 		all := SplitList(text)
@@ -32,7 +32,7 @@
 	}
 }
 
-// ServiceNameFault says why a text is no name of a service in a catalogue, or "".
+// ServiceNameFault returns why a text is no name of a service in Consul, or "".
 func ServiceNameFault(text string) string {
 	if strings.ContainsAny(text, "/?#% \"`\\") || len(text) > maxNameBytes {
 		return "is no name of a service"
--- a/internal/config/appfile/sidecar.go
+++ b/internal/config/appfile/sidecar.go
@@ -4,15 +4,15 @@
 	"quincegap/internal/config/schema"
 )
 
-// Sidecar says who a sidecar is.
+// Sidecar identifies a sidecar.
 type Sidecar struct {
 	Application string // a host name
 	Instance    string // empty for the application's name
 	Listen      string // host:port
 	Host        string // the machine, by its name in apps.toml; may be empty
 	Instances   int    // sidecars of the application
-	Ordinal     int    // this one's number among them, from 0
-	Seed        string // hexadecimal, up to 64 bits; empty for a new one at each start
+	Ordinal     int    // its number among them, from 0
+	Seed        string // of random numbers, hexadecimal, up to 64 bits; empty for a new one at each start
 }
 
 // SidecarTable is [sidecar].
--- a/internal/config/finding/golden_test.go
+++ b/internal/config/finding/golden_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/golden"
 )
 
-// goldenList has findings with and without a place, one that stands twice, and more than are kept.
+// goldenList returns findings with and without a position, and two equal ones.
 func goldenList() *List {
 	var l List
 	l.Add("b.toml", Pos{Line: 2, Col: 7}, "sidecar.listen: %q has no port", "8080")
@@ -18,7 +18,7 @@
 	return &l
 }
 
-// What programs and editors match on: FILE:LINE:COLUMN: message, and the keys of the JSON object.
+// Other programs depend on FILE:LINE:COLUMN: message and on the keys of the JSON object.
 func TestGoldenForms(t *testing.T) {
 	l := goldenList()
 	var text, object strings.Builder
@@ -54,7 +54,7 @@
 	}
 }
 
-// The object of no findings, and the counts of those that were too many to keep.
+// The JSON object without findings, and with more than are kept.
 func TestGoldenBounds(t *testing.T) {
 	var none, bounded strings.Builder
 	if err := (&List{}).PrintJSON(&none); err != nil {
@@ -70,12 +70,12 @@
 	}
 	lines := strings.SplitAfter(bounded.String(), "\n")
 	golden.Text(t, "bounded.txt", []byte(strings.Join(lines[len(lines)-4:], "")))
-	if len(lines) != 1000+2 { // the line on the rest, and what is behind the last line end
+	if len(lines) != 1000+2 { // the line with the number of further findings, and the text after the last line end
 		t.Errorf("%d lines", len(lines))
 	}
 }
 
-// How unknown names are worded.
+// The messages on unknown names.
 func TestGoldenUnknown(t *testing.T) {
 	var all strings.Builder
 	for _, name := range []string{"idel", "zz", strings.Repeat("y", 100)} {
--- a/internal/config/finding/list.go
+++ b/internal/config/finding/list.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// MaxFindings bounds the findings that one List keeps, so that a file of junk costs bounded memory. Those beyond are counted.
+// MaxFindings bounds the findings that one List keeps, so that the memory for a file of junk is bounded. Further ones are counted.
 const MaxFindings = 1000
 
-// List collects findings. Equal findings are kept once, because a value that many applications inherit is wrong in one place only.
+// List collects findings. Equal findings are kept once: many applications may inherit one wrong value.
 // The zero List is empty and ready for use. It is not safe for concurrent use.
 type List struct {
 	findings []Finding
@@ -66,7 +66,7 @@
 	return l.findings
 }
 
-// Print writes one line per finding, and the number of those beyond MaxFindings. Its error is the writer's.
+// Print writes one line per finding, and the number of those beyond MaxFindings. The error is that of the writer.
 func (l *List) Print(w io.Writer) error {
 	_, err := io.WriteString(w, l.text())
 	return err
@@ -84,8 +84,8 @@
 	return text.String()
 }
 
-// PrintJSON writes one object {"findings":[...],"more":N} for other programs; N counts the findings beyond MaxFindings. Its error is
-// the writer's.
+// PrintJSON writes one object {"findings":[...],"more":N} for other programs; N counts the findings beyond MaxFindings. The error
+// is that of the writer.
 func (l *List) PrintJSON(w io.Writer) error {
 	all := l.All()
 	if all == nil {
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// maxNameBytes bounds the names that are compared, since the cost grows with the square of their length, and what a message quotes.
+	// maxNameBytes bounds the names that are compared, since the cost grows with the square of their length, and the part of a name that a
+	// message quotes.
 	maxNameBytes = 64
-	// maxNamesListed bounds the candidates that a message lists.
+	// maxNamesListed bounds the number of candidates that a message lists.
 	maxNamesListed = 8
 )
 
-// Nearest returns the candidate that a misspelt name most likely means, or "" if none is near: up to a third of its letters may differ, and
-// at least one. Case does not count. Among equals the first wins.
+// Nearest returns the candidate that a misspelt name most likely means, or "" if none is similar: at most a third of the letters may differ,
+// and always one. Case does not count. The first of equally similar candidates is returned.
 func Nearest(name string, candidates []string) string {
 	if len(name) > maxNameBytes {
 		return ""
@@ -35,7 +36,7 @@
 	return nearest
 }
 
-// UnknownName returns the message on a name that is not among the candidates. It proposes the nearest, or lists all where these are few.
+// UnknownName returns the message on a name that is not among the candidates. It proposes the nearest one, or lists all if there are few.
 func UnknownName(what, name string, candidates []string) string {
 	text := fmt.Sprintf("unknown %s %q", what, truncate(name))
 	if nearest := Nearest(name, candidates); nearest != "" {
@@ -47,7 +48,7 @@
 	return text
 }
 
-// truncate keeps a message short enough to read.
+// truncate returns a name, or its beginning, as messages quote it.
 func truncate(s string) string {
 	if len(s) <= maxNameBytes {
 		return s
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings decodes the JSON object that starts an instance of the load balancer, and load reports of endpoints. The
 // simulator's adapter and the standalone sidecar share it.
 //
-// Times in the object are whole microseconds. Keys keep the words of the users' pages; Settings has the field's terms for them.
+// Times in the object are whole microseconds. Keys keep the words of the users' pages; the Go names are the standard terms.
 package settings
 
 import (
@@ -14,8 +14,8 @@
 	"quincegap/internal/balancer"
 )
 
-// config mirrors the JSON object. Its keys, and its name and those of its fields in errors of encoding/json, are data. Keys that
-// are not listed here are ignored.
+// config mirrors the JSON object. Its keys are data, and so are the names of the type and the fields, which errors of encoding/json have.
+// Keys that are not listed here are ignored.
 type config struct {
 	Allowed struct {
 		Cancel         bool  `json:"cancel"`
@@ -74,7 +74,7 @@
 	} `json:"tenants"`
 }
 
-// knownKeys are the top-level keys that config reads or that need no reading.
+// knownKeys are the top-level keys that config reads, and those that are ignored without a warning.
 var knownKeys = map[string]bool{
 	"allowed": true, "clientHabits": true, "discovery": true, "family": true, "familyInfo": true,
 	"feedback": true, "goal": true, "instances": true, "models": true, "myZone": true, "ordinal": true,
@@ -82,15 +82,15 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// The words of the object that choose between ways to work.
+// Values of the keys discovery and worthBy.
 const (
-	discoveryPush = "push" // the endpoint list comes by itself
-	discoveryAsk  = "ask"  // the endpoint list has to be asked for
-	worthByWork   = "work" // an answer's value grows with its work units
+	discoveryPush = "push" // discovery sends the list of endpoints
+	discoveryAsk  = "ask"  // the list has to be polled
+	worthByWork   = "work" // the value of a response is proportional to its work units
 )
 
-// idempotencyByWord and keyScopeByWord translate the object's words. An unknown word is passed on as it is, for the Balancer to reject
-// by name.
+// idempotencyByWord and keyScopeByWord map values of effect and keyScope. An unknown value is passed on unchanged, and the Balancer rejects
+// it by name.
 var (
 	idempotencyByWord = map[string]balancer.Idempotency{
 		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NonIdempotent,
@@ -100,18 +100,18 @@
 	}
 )
 
-// Settings is what a Balancer is started with, and what only the program around it needs.
+// Settings has the settings of a Balancer, and those that only the program around it needs.
 type Settings struct {
 	balancer.Settings
-	Zones         []string      // names; the Balancer knows their indexes
+	Zones         []string      // the names of the zones, by the Balancer's indexes
 	Models        []string      // names of the endpoints' models
-	ConnIdle      time.Duration // an endpoint closes a connection that was idle for so long; 0 if unknown
-	GraceToAnswer time.Duration // how long after the client's deadline an answer still counts
-	OpenCap       int           // requests that may be open at once; 0 for no limit
+	ConnIdle      time.Duration // the time after which an endpoint closes an idle connection; 0 if unknown
+	GraceToAnswer time.Duration // the time after the client's deadline in which a response still counts
+	OpenCap       int           // the most requests in flight; 0 for no limit
 }
 
-// Parse reads the object and lists the top-level keys that it ignored, sorted. It fails where the text is no such object, or names an
-// unknown way of discovery; all else is for the Balancer to judge.
+// Parse reads the object and returns the top-level keys that it ignored, sorted. It fails if the text is no such object, or has an unknown
+// value of discovery. The Balancer checks everything else.
 func Parse(text []byte) (s Settings, unknown []string, err error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what a test produced with a file under the testdata/golden folder of the package under test. The files
-// hold what other versions of the programs have written or sent: frames, records, answers, settings. A file is written anew only
-// by `go test PACKAGE -update-golden`, and a change of one is a change of a format.
+// Package golden compares the output of a test with a file under testdata/golden of the package under test. The files have what other
+// versions of the programs have written or sent: frames, records, responses, settings. `go test PACKAGE -update-golden` writes them anew; a
+// change of one is a change of a format.
 package golden
 
 import (
@@ -14,15 +14,15 @@
 	"testing"
 )
 
-// folder is where golden files live, relative to the package under test.
+// folder is the directory of golden files, relative to the package under test.
 const folder = "testdata/golden"
 
-// hexBytesPerLine is how many bytes a line of a file in hexadecimal holds.
+// hexBytesPerLine is the number of bytes on a line of a file in hexadecimal.
 const hexBytesPerLine = 32
 
 var update = flag.Bool("update-golden", false, "write the files under "+folder+" anew")
 
-// Text fails the test unless got is the content of the golden file of that name.
+// Text fails the test unless got equals the golden file with a name.
 func Text(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	path := filepath.Join(folder, filepath.FromSlash(name))
@@ -38,7 +38,7 @@
 	}
 }
 
-// Hex returns like Text for bytes that are not text. The file holds them in hexadecimal, 32 bytes on a line.
+// Hex is like Text for bytes that are not text. The file holds them in hexadecimal, 32 bytes on a line.
 func Hex(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	var text strings.Builder
--- a/internal/golden/values.go
+++ b/internal/golden/values.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Values writes what a value holds as text: numbers, texts and lists in the order of their fields, without the names of types
-// and fields, which may change. Pointers are followed, maps are sorted by key, and functions, channels and interfaces are left
-// out. Each element of a list of structs stands on a line of its own. A value must not refer to itself.
+// Values returns the content of a value as text: the values of its fields in order, without the names of types and fields, which may
+// change. Pointers are followed, maps are sorted by key, and functions, channels and interfaces are written as "-". Each element of a list
+// of structs is on a line of its own. The value must not refer to itself.
 func Values(v any) []byte {
 	var text strings.Builder
 	writeValue(&text, reflect.ValueOf(v))
@@ -18,6 +18,7 @@
 	return []byte(text.String())
 }
 
+// writeValue writes one value, of any kind.
 func writeValue(text *strings.Builder, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -47,6 +48,7 @@
 	}
 }
 
+// writeFields writes the fields of a struct.
 func writeFields(text *strings.Builder, v reflect.Value) {
 	text.WriteByte('{')
 	for i := range v.NumField() {
@@ -58,6 +60,7 @@
 	text.WriteByte('}')
 }
 
+// writeElements writes the elements of a list.
 func writeElements(text *strings.Builder, v reflect.Value) {
 	element := v.Type().Elem()
 	if element.Kind() == reflect.Pointer {
@@ -77,6 +80,7 @@
 	text.WriteByte(']')
 }
 
+// writeEntries writes the entries of a map, sorted by their text.
 func writeEntries(text *strings.Builder, v reflect.Value) {
 	var entries []string
 	for _, key := range v.MapKeys() {
--- a/internal/product/golden_test.go
+++ b/internal/product/golden_test.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/golden"
 )
 
-// deploy/sidecar.toml loads with no findings, and sets what it has always set. (TestGeneratedPagesDoNotDrift holds its text and that of
-// docs/reference.md to the declarations.)
+// deploy/sidecar.toml loads without findings, and its settings do not change. (TestGeneratedPagesDoNotDrift compares its text and that of
+// docs/reference.md with the declarations.)
 func TestGoldenSampleLoads(t *testing.T) {
 	var found finding.List
 	f := Load(filepath.Join("..", "..", "deploy", "sidecar.toml"), false, &found)
@@ -38,8 +38,7 @@
 	golden.Text(t, "keys.txt", []byte(all.String()))
 }
 
-// Findings of bad files as programs read them: file, line, column and message. (Some 180 more as people read them:
-// internal/tool, TestMistakes.)
+// The findings on bad files: file, line, column and message. (TestMistakes of internal/tool has some 180 more.)
 func TestGoldenFindings(t *testing.T) {
 	dir := t.TempDir()
 	var found finding.List
--- a/internal/product/load.go
+++ b/internal/product/load.go
@@ -15,11 +15,11 @@
 	"quincegap/internal/config/schema"
 )
 
-// errNotRegular refuses folders, pipes and devices.
+// errNotRegular is the error for directories, pipes and devices.
 var errNotRegular = errors.New("is no regular file")
 
-// Read reads a file of at most maxBytes bytes. Anything but a regular file is refused: a pipe would hold its reader up for good. Its
-// errors leave the path out, for findings that name it already.
+// Read reads a file of at most maxBytes bytes. Only regular files are read: reading a pipe could block forever. Errors do not have the
+// path, since findings name it already.
 func Read(path string, maxBytes int64) (text []byte, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return text, nil
 }
 
-// withoutPath leaves the path out of an error that is printed behind it.
+// withoutPath removes the path from an error that is printed after it.
 func withoutPath(err error) error {
 	var path *fs.PathError
 	if errors.As(err, &path) {
@@ -52,8 +52,8 @@
 	return err
 }
 
-// Load reads the file of one application and checks the secrets that it names. With overlay, what a platform's configuration says may be
-// missing. It is nil where the file could not be read; with findings it is not to be used.
+// Load reads the file of one application and checks the secrets that it names. With overlay, keys that a platform's configuration sets may
+// be missing. It returns nil if the file cannot be read. With findings the result must not be used.
 func Load(path string, overlay bool, found *finding.List) *schema.File {
 	text, err := Read(path, apps.MaxFileBytes)
 	if err != nil {
@@ -74,19 +74,19 @@
 	return f
 }
 
-// Decode returns Load for a document that has been read, without its secrets. What is missing is looked for only where the document could be
-// read completely: it may be in the lines that could not.
+// Decode is like Load for a document that has been read already, and does not check secrets. Missing keys are reported only if the document
+// is complete: they may be in the lines that could not be read.
 func Decode(path string, d *doc.Document, overlay, complete bool, found *finding.List) *schema.File {
-	o := schema.Options{Partial: !complete}
+	options := schema.Options{Partial: !complete}
 	if overlay {
-		o.RequiredElsewhere = appfile.PlatformTables()
+		options.RequiredElsewhere = appfile.PlatformTables()
 	}
-	f := Schema.Decode(found, o, schema.Layer{Doc: d, Table: d.Root, File: path})
+	f := Schema.Decode(found, options, schema.Layer{Doc: d, Table: d.Root, File: path})
 	apps.CheckAddresses(f, found)
 	return f
 }
 
-// Resolve returns a path that a file names, relative to that file's folder.
+// Resolve returns a path that a file names; a relative one is relative to the directory of the file.
 func Resolve(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/product/peer_group.go
+++ b/internal/product/peer_group.go
@@ -12,7 +12,8 @@
 	"quincegap/internal/standalone"
 )
 
-// peersOpener opens the group of the other sidecars that a file asks for; it is nil for none. It fails for settings that cannot work.
+// peersOpener returns a function that joins the group of sidecars that a file configures; nil if it configures none. It fails if the
+// settings contradict one another or the keys cannot be read.
 func peersOpener(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
 	settings := *gossip.Table.In(f)
 	if settings.Listen == "" {
@@ -30,7 +31,7 @@
 	if _, err := readKeys(); err != nil {
 		return nil, err
 	}
-	return func(in standalone.PeersConfig) (standalone.Peers, error) {
+	return func(config standalone.PeersConfig) (standalone.Peers, error) {
 		keys, err := readKeys()
 		if err != nil {
 			return nil, err
@@ -44,16 +45,16 @@
 		group, err := gossip.Open(gossip.Config{
 			Settings:        settings,
 			FindAddresses:   findAddresses,
-			Name:            in.Name,
+			Name:            config.Name,
 			Application:     application,
 			Version:         Version(),
-			ExpectedMembers: in.Instances,
+			ExpectedMembers: config.Instances,
 			Keys:            keys,
-			SettledNames:    in.Names,
-			KnownAddresses:  in.Addresses,
-			Ready:           in.Ready,
-			OnShare:         in.Changed,
-			OnSettled:       in.Save,
+			SettledNames:    config.Names,
+			KnownAddresses:  config.Addresses,
+			Ready:           config.Ready,
+			OnShare:         config.Changed,
+			OnSettled:       config.Save,
 		})
 		if err != nil {
 			return nil, err
@@ -62,7 +63,7 @@
 	}, nil
 }
 
-// readPeerKeys reads the keys of the group from the file that the settings name; without a file there are none.
+// readPeerKeys reads the keys of the group from the file that the settings name. Without a file there are no keys.
 func readPeerKeys(f *schema.File, keyFile string, resolve func(string) string) ([][]byte, error) {
 	if keyFile == "" {
 		return nil, nil
@@ -78,13 +79,13 @@
 	return keys, nil
 }
 
-// reloadableGroup is a group whose keys are in a file.
+// reloadableGroup is a group whose keys are read again from their file.
 type reloadableGroup struct {
 	*gossip.Group
 	readKeys func() ([][]byte, error)
 }
 
-// Reload reads the keys again. Without a file of keys it does nothing.
+// Reload reads the keys again. It does nothing if there is no file.
 func (r *reloadableGroup) Reload() error {
 	keys, err := r.readKeys()
 	if err != nil || keys == nil {
--- a/internal/product/peers_test.go
+++ b/internal/product/peers_test.go
@@ -22,7 +22,7 @@
 [peers]
 `
 
-// What cannot work is found at load, with its line.
+// Settings that cannot work are found at load, with their line.
 func TestPeersAreChecked(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"good": base64.StdEncoding.EncodeToString(make([]byte, 32)), "short": base64.StdEncoding.EncodeToString(make([]byte, 8)), "odd": "not-base64"} {
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -13,7 +13,7 @@
 // MaxPlatformBytes bounds the platform's JSON configuration, its list of endpoints included.
 const MaxPlatformBytes = 16 << 20
 
-// CheckPlatform reports what is wrong with a platform's JSON configuration, as the sidecar would refuse it.
+// CheckPlatform reports the faults of a platform's JSON configuration for which the sidecar would not start.
 func CheckPlatform(path string, found *finding.List) {
 	text, err := Read(path, MaxPlatformBytes)
 	if err != nil {
@@ -30,26 +30,27 @@
 	if found.Len() > before {
 		return
 	}
-	// What only the programs judge: they name a key, whose line is looked up.
+	// The sidecar checks the rest. Its errors name a key, whose position is looked up.
 	if err := standalone.CheckPlatform(text); err != nil {
 		report(locate(d, err.Error()), "%s", platformNames.Replace(err.Error()))
 	}
 }
 
-// platformNames replaces names of keys in messages of the programs by the platform's.
+// platformNames replaces the sidecar's names of keys in messages by the platform's.
 var platformNames = strings.NewReplacer("classes", "services", "].scope:", "].keyScope:")
 
-// keyPath is a path of keys, with indexes of lists, as errors of the programs name one.
+// keyPath matches a path of keys, with indexes of lists, as the sidecar's errors have it.
 var keyPath = regexp.MustCompile(`[A-Za-z_]+(\[\d+\])?(\.[A-Za-z_]+(\[\d+\])?)*`)
 
-// platformPaths are the platform's paths for names of the programs.
+// platformPaths maps the sidecar's names of keys to the platform's paths.
 var platformPaths = map[string]string{
 	"classes": "services", "scope": "keyScope", "maxRetryAfter": "allowed.maxRetryAfter",
 	"connectTimeout": "allowed.connectTimeout", "cold": "rules.cold", "coldFrom": "rules.coldFrom", "fall": "rules.fall",
 	"tipMultiple": "rules.tipMultiple", "askEvery": "rules.askEvery", "goalWhole": "goal.whole", "goalWorstClass": "goal.worstClass",
 }
 
-// locate returns the position of the key that an error of the programs names at its head: the deepest that is there.
+// locate returns the position of the key with which an error of the sidecar begins, or of the deepest part of its path that the document
+// has.
 func locate(d *doc.Document, message string) finding.Pos {
 	walk := keyWalk{table: d.Root, pos: d.Root.Pos}
 	for part := range strings.SplitSeq(message, ": ") {
@@ -71,7 +72,7 @@
 	pos   finding.Pos
 }
 
-// step follows one key, maybe with an index, by the programs' names. It is false where the document has no such key.
+// step follows one key, with or without an index, by the sidecar's name of it. It returns false if the document has no such key.
 func (w *keyWalk) step(name string) bool {
 	key, index, isIndexed := strings.Cut(strings.TrimSuffix(name, "]"), "[")
 	for key := range strings.SplitSeq(platformPath(key), ".") {
@@ -90,7 +91,7 @@
 	return true
 }
 
-// platformPath returns the platform's path for a name of the programs.
+// platformPath returns the platform's path of a key, by the sidecar's name of it.
 func platformPath(name string) string {
 	if path := platformPaths[name]; path != "" {
 		return path
--- a/internal/product/platform_shape.go
+++ b/internal/product/platform_shape.go
@@ -8,17 +8,17 @@
 	"quincegap/internal/config/finding"
 )
 
-// maxNumber bounds the numbers of the platform's JSON, on both sides of 0.
+// maxNumber bounds the magnitude of numbers in the platform's JSON.
 const maxNumber = 1e18
 
-// shape is what a value of the platform's JSON may be. The platform may add keys, so unknown ones pass, unless one is near a known one
-// that is missing.
+// shape describes the valid values of a part of the platform's JSON. Unknown keys are allowed, since the platform may add some, unless one
+// is similar to a known key that is missing.
 type shape struct {
-	kind     doc.Kind // of the value
-	number   bool     // any number
-	keys     map[string]*shape
-	item     *shape // of a list
-	required []string
+	kind     doc.Kind          // of the value
+	number   bool              // any number is valid, whole or not
+	keys     map[string]*shape // of an object
+	item     *shape            // of a list
+	required []string          // the keys that an object must have
 }
 
 // The shapes of values.
@@ -28,26 +28,22 @@
 func boolShape() *shape            { return &shape{kind: doc.Bool} }
 func listShape(item *shape) *shape { return &shape{kind: doc.Array, item: item} }
 
-// objectShape returns the shape of an object, with the names of the keys that it must have.
-func objectShape(keys map[string]*shape, needed ...string) *shape {
-	return &shape{kind: doc.TableKind, keys: keys, required: needed}
+// objectShape returns the shape of an object with the given keys, of which some are required.
+func objectShape(keys map[string]*shape, required ...string) *shape {
+	return &shape{kind: doc.TableKind, keys: keys, required: required}
 }
 
-// numberShapes returns keys whose values are numbers.
+// numberShapes returns shapes for keys whose values are numbers.
 func numberShapes(names ...string) map[string]*shape {
-	m := map[string]*shape{}
-	for _, n := range names {
-		m[n] = numberShape()
-	}
-	return m
+	return withShapes(map[string]*shape{}, numberShape, names...)
 }
 
-// withShapes adds keys of one shape to others, and returns all.
-func withShapes(m map[string]*shape, sort func() *shape, names ...string) map[string]*shape {
-	for _, n := range names {
-		m[n] = sort()
+// withShapes adds keys of the same shape to a map, and returns the map.
+func withShapes(keys map[string]*shape, newShape func() *shape, names ...string) map[string]*shape {
+	for _, name := range names {
+		keys[name] = newShape()
 	}
-	return m
+	return keys
 }
 
 var platformShape = objectShape(map[string]*shape{
@@ -124,7 +120,7 @@
 	}
 }
 
-// pathPrefix names a value at the head of a message; the object as a whole has no name.
+// pathPrefix returns the beginning of a message on a value; "" for the object as a whole.
 func pathPrefix(path string) string {
 	if path == "" {
 		return ""
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -14,14 +14,14 @@
 	"quincegap/internal/standalone"
 )
 
-// Schema is the product's file: the tables that say what a sidecar is, and those of its parts.
+// Schema has the tables of a sidecar's file: those of the application and those of the sidecar's parts.
 var Schema = schema.New(slices.Concat(appfile.Tables(), standalone.Tables(),
 	[]*schema.Table{endpointsource.SettingsTable.Table, route.Rules.Table, consul.Table.Table, gossip.Table.Table, admin.Table.Table})...)
 
-// versionDigits is how much of a commit's hash a version has.
+// versionDigits is the length of a version, in hexadecimal digits of the commit's hash.
 const versionDigits = 12
 
-// Version returns the program's: the commit that it was built of, or "" where the build does not say.
+// Version returns the commit from which the program was built, or "" if the build does not record it.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// The generated pages are what the declarations say: go generate ./docs writes them anew.
+// The generated pages are those of the declarations; go generate ./docs writes them.
 func TestGeneratedPagesDoNotDrift(t *testing.T) {
 	for path, want := range map[string]string{"docs/reference.md": Reference(), "deploy/sidecar.toml": Sample()} {
 		got, err := os.ReadFile(filepath.Join("..", "..", path))
@@ -21,7 +21,7 @@
 	}
 }
 
-// Every key has what the reference page needs.
+// Each key has what the reference page needs.
 func TestDeclarations(t *testing.T) {
 	for _, table := range Schema.Tables {
 		for _, k := range table.Keys {
@@ -35,7 +35,7 @@
 	}
 }
 
-// All keys at once, each with its default or example: each is in the sample, and within its own bounds.
+// The sample has all keys, and the default or the example of each is valid.
 func TestSampleHasAllKeys(t *testing.T) {
 	text := strings.NewReplacer("\n# ", "\n").Replace(Sample())
 	var lines []string
@@ -50,7 +50,7 @@
 	}
 	var found finding.List
 	f := Load(path, false, &found)
-	// The sample's safe class has the keys of a keyed one, its call names another class, and its secret is not here.
+	// In the sample a safe class has the keys of a keyed one, a call names another class, and the files of secrets are missing.
 	expected := []string{"means nothing", "for_class", "_file", "settings for TLS", "second_copies is false"}
 	for _, x := range found.All() {
 		if !slices.ContainsFunc(expected, func(part string) bool { return strings.Contains(x.Message, part) }) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// A secret is looked for beside the file that names it, and must be fit to be one.
+// The path of a secret is relative to the file that names it, and the secret must be valid.
 func TestSecrets(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sidecar.toml")
--- a/internal/product/secrets.go
+++ b/internal/product/secrets.go
@@ -11,8 +11,8 @@
 	"quincegap/internal/network/http3"
 )
 
-// CheckSecrets reports files with secrets and certificates that cannot be used. Paths are taken from the folder of the file that
-// names them.
+// CheckSecrets reports files with secrets and certificates that cannot be used. Relative paths are relative to the directory of the file
+// that names them.
 func CheckSecrets(f *schema.File, path string, found *finding.List) {
 	for _, s := range f.Secrets() {
 		secret := Resolve(path, s.Unquoted())
@@ -27,7 +27,7 @@
 	checkCertificates(f, path, time.Now(), found)
 }
 
-// checkCertificates reports certificates that HTTP/3 could not start with: files that are missing, a key of another certificate, one that
+// checkCertificates reports certificates with which HTTP/3 could not start: files that are missing, a key of another certificate, one that
 // is not valid now.
 func checkCertificates(f *schema.File, path string, now time.Time, found *finding.List) {
 	report := func(table, key string, err error) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// checkCertificate returns what is wrong with a certificate whose key can be read; a key that cannot is reported as a secret.
+// checkCertificate returns what is wrong with a certificate and its key. A key that cannot be read is reported with the secrets.
 func checkCertificate(certificate, key string, now time.Time) error {
 	if _, err := secretfile.ReadPrivateKey(key); err != nil {
 		return nil // reported already
@@ -57,7 +57,7 @@
 	return err
 }
 
-// checkSecretLength returns what is wrong with a secret that can be read; one that cannot is reported as a secret.
+// checkSecretLength returns an error if a secret is too short. One that cannot be read is reported with the secrets.
 func checkSecretLength(path string) error {
 	text, err := secretfile.ReadToken(path)
 	if err == nil && len(text) < http3.MinSecretChars {
