--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -1,6 +1,5 @@
-// Command consul-standin is a stand-in for a Consul agent, for trying
-// quincegap with Consul as its source without one. It serves one service's
-// instances on loopback and takes orders on standard input.
+// Command consul-standin is a stand-in for a Consul agent, to try quincegap with Consul as its source without one. It serves the
+// instances of one service on loopback and reads commands from standard input.
 package main
 
 import (
@@ -17,7 +16,7 @@
 	"quincegap/internal/standin/consul"
 )
 
-// help lists the orders.
+// help lists the commands.
 const help = `orders, one a line:
   add ID HOST:PORT       register an instance, passing
   remove ID              deregister it
@@ -26,7 +25,7 @@
   quit
 `
 
-// errNoSuchFault answers an order that names none of faults.
+// errNoSuchFault is the error for a command with an unknown fault.
 var errNoSuchFault = errors.New("no such fault")
 
 func main() {
@@ -43,17 +42,17 @@
 	}
 	defer s.Close()
 	fmt.Printf("a stand-in for Consul serves on %s\n%s", s.Address(), help)
-	takeOrders(s, bufio.NewScanner(os.Stdin))
+	runCommands(s, bufio.NewScanner(os.Stdin))
 }
 
-// takeOrders carries out orders until quit or the end of input.
-func takeOrders(s *consul.Server, lines *bufio.Scanner) {
+// runCommands runs the commands of the input until quit or the end of the input.
+func runCommands(s *consul.Server, lines *bufio.Scanner) {
 	for lines.Scan() {
 		words := strings.Fields(lines.Text())
 		if len(words) == 1 && words[0] == "quit" {
 			return
 		}
-		if err := order(s, words); err != nil {
+		if err := runCommand(s, words); err != nil {
 			fmt.Println(err)
 		}
 	}
@@ -62,7 +61,7 @@
 	}
 }
 
-// faults are those that an order names.
+// faults maps the names of faults in commands.
 var faults = map[string]consul.Fault{
 	"none":     {},
 	"hang":     {Hang: true},
@@ -78,8 +77,8 @@
 	"cut":      {Truncate: true},
 }
 
-// order carries out one order; an empty line is none.
-func order(s *consul.Server, words []string) error {
+// runCommand runs one command. An empty line is no command.
+func runCommand(s *consul.Server, words []string) error {
 	switch {
 	case len(words) == 0:
 	case words[0] == "add" && len(words) == 3 && strings.Contains(words[2], ":"):
@@ -93,11 +92,11 @@
 	case words[0] == "status" && len(words) == 3:
 		s.SetStatus(words[1], words[2])
 	case words[0] == "fault" && len(words) == 2:
-		f, ok := faults[words[1]]
+		fault, ok := faults[words[1]]
 		if !ok {
 			return errNoSuchFault
 		}
-		s.SetFault(f)
+		s.SetFault(fault)
 	default:
 		return fmt.Errorf("not understood at %s\n%s", time.Now().Format(time.TimeOnly), help)
 	}
--- a/cmd/eventlog/golden_test.go
+++ b/cmd/eventlog/golden_test.go
@@ -9,15 +9,15 @@
 	"quincegap/internal/golden"
 )
 
-// The flags, and what they are if they are left out.
+// The flags and their defaults.
 func TestGoldenUsage(t *testing.T) {
 	t.Setenv("COLUMNS", "80") // the width that kong writes for
-	var l options
+	var flags options
 	var usage strings.Builder
-	k, err := kong.New(&l, kong.Name("eventlog"), kong.Writers(&usage, &usage), kong.Exit(func(int) {}))
+	parser, err := kong.New(&flags, kong.Name("eventlog"), kong.Writers(&usage, &usage), kong.Exit(func(int) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = k.Parse([]string{"--help"}) // what is missing is not asked for
+	_, _ = parser.Parse([]string{"--help"}) // help does not check for missing flags
 	golden.Text(t, "usage.txt", []byte(usage.String()))
 }
--- a/cmd/eventlog/main.go
+++ b/cmd/eventlog/main.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	shutdownTimeout   = 3 * time.Second // to answer the calls that were read
-	readHeaderTimeout = 5 * time.Second
-	maxHeaderBytes    = 32 << 10
+	shutdownTimeout   = 3 * time.Second // to answer the calls that have been read
+	readHeaderTimeout = 5 * time.Second // of a call
+	maxHeaderBytes    = 32 << 10        // of a call
 )
 
-// options is the command line, as kong parses it.
+// options has the command line, as kong parses it.
 type options struct {
 	Core   []string `help:"Control addresses of core processes, the first one first." required:"" sep:","`
 	Listen string   `help:"Where tools read: GET /events?after=CURSOR&follow=1." default:"127.0.0.1:8170"`
@@ -35,18 +35,18 @@
 	Keep   uint64   `help:"How many events are kept." default:"100000"`
 }
 
-// Run follows and serves events until the process is to end.
+// Run follows and serves events until a signal ends the process.
 func (o *options) Run(signals lifecycle.Signals) error {
 	store, err := storage.Open(o.Folder)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", o.Folder)
 	}
 	defer func() {
-		if err := store.Close(); err != nil { // what counts was written through
+		if err := store.Close(); err != nil { // what has to be kept has been synced before
 			logrus.WithError(err).Warn("eventlog: the folder can't be closed")
 		}
 	}()
-	newIncarnation := rand.Uint64() | 1 // never 0
+	newIncarnation := rand.Uint64() | 1 // 0 is no incarnation
 	log, err := eventlog.OpenLog(store, o.Keep, newIncarnation)
 	if err != nil {
 		return trace.Wrap(err, "folder %s", o.Folder)
@@ -70,11 +70,11 @@
 	case err = <-failed:
 	}
 	stop()
-	following.Wait() // it writes to the store, which is closed after it
+	following.Wait() // it writes to the store, which must be closed after it
 	return trace.NewAggregate(err, shutDown(server))
 }
 
-// checkCores names the first core process whose address can't be used.
+// checkCores returns an error that names the first core process whose address can't be used.
 func (o *options) checkCores() error {
 	for _, core := range o.Core {
 		if _, _, err := net.SplitHostPort(core); err != nil {
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// newServer serves a log to tools. Streams end with ctx, as nothing else ends them.
+// newServer returns a server of a log to tools. ctx ends the streams, which Shutdown would wait for.
 func newServer(ctx context.Context, log *eventlog.Log) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle("/events", lifecycle.CancelRequestsOnDone(ctx, eventfeed.Handler(log)))
 	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// shutDown answers the calls that were read, for shutdownTimeout at most.
+// shutDown answers the calls that have been read, within shutdownTimeout.
 func shutDown(server *http.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/cmd/eventlog/main_test.go
+++ b/cmd/eventlog/main_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The test program is also the program that it tests.
+// TestMain runs the test binary as the program if the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("EVENTLOG_TEST") == "" {
 		os.Exit(m.Run())
@@ -38,7 +38,7 @@
 	program := exec.CommandContext(context.Background(), os.Args[0], "--core", "127.0.0.1:1", "--listen", address, "--folder", t.TempDir())
 	program.Env = append(os.Environ(), "EVENTLOG_TEST=1")
 	qt.Assert(t, program.Start(), qt.IsNil)
-	t.Cleanup(func() { _ = program.Process.Kill() }) // one that has ended is not there
+	t.Cleanup(func() { _ = program.Process.Kill() }) // it may have ended already
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", address)
 		if err == nil {
@@ -66,8 +66,8 @@
 	return response.Body.Close()
 }
 
-// A reader follows the log as its process gets signals: a change of settings is nothing to it, and after SIGTERM, which comes twice and
-// with others, the stream ends complete and the process in order.
+// A reader follows the log while the process gets signals. SIGHUP is ignored; after SIGTERM, which comes twice and with other signals, the
+// stream ends completely and the process ends with status 0.
 func TestSignals(t *testing.T) {
 	c := qt.New(t)
 	address := freeAddress(t)
@@ -76,9 +76,9 @@
 	sent, answered := make(chan struct{}), make(chan error, 1)
 	go func() { answered <- follow(t.Context(), address, sent) }()
 	<-sent
-	time.Sleep(500 * time.Millisecond) // it is read, also on a busy machine
+	time.Sleep(500 * time.Millisecond) // until the request has been read, also on a busy machine
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
-		_ = program.Process.Signal(s) // one that has ended is found by Wait
+		_ = program.Process.Signal(s) // it may have ended already
 	}
 	c.Assert(<-answered, qt.IsNil)
 	c.Assert(program.Wait(), qt.IsNil)
--- a/cmd/quincegap/main.go
+++ b/cmd/quincegap/main.go
@@ -1,9 +1,9 @@
 // Command quincegap is the standalone sidecar: it balances the calls of one application, or of its clients, over the endpoints of
 // the next tier, without a control plane.
 //
-// Settings come from the product's file (-config FILE, TOML), from the platform's (BALANCER_CONFIG) or both; see package
-// standalone. SIGHUP makes it read them again, SIGTERM shuts it down. It exits with 1 when it cannot start or serve, and with 2
-// for arguments that it does not know.
+// Settings come from a settings file (-config FILE, TOML), from the platform's configuration (BALANCER_CONFIG) or from both; see package
+// standalone. On SIGHUP it reads them again, on SIGTERM it shuts down. It exits with 1 if it cannot start or serve, and with 2 for unknown
+// arguments.
 package main
 
 import (
--- a/cmd/quincegapctl/main.go
+++ b/cmd/quincegapctl/main.go
@@ -1,5 +1,4 @@
-// Command quincegapctl writes and checks the configuration of the standalone
-// sidecars; see package tool.
+// Command quincegapctl writes and checks the configuration of the standalone sidecars; see package tool.
 package main
 
 import (
--- a/internal/config/apps/check_test.go
+++ b/internal/config/apps/check_test.go
@@ -21,16 +21,18 @@
 	calls    []call
 }
 
+// call is a call of an application in a test's apps.toml.
 type call struct {
 	to     string
-	per    int
-	mutual int
+	per    int // per_request; 0 for 1
+	mutual int // mutual_depth; 0 for none
 }
 
-// text writes apps.toml. All classes and times fit, so that only what a test is about is found.
-func text(most, tiers int, all ...app) string {
+// text returns an apps.toml with some applications and bounds. Its classes and times are valid, so that a test gets only the findings that
+// it is about.
+func text(maxAttempts, maxTiers int, all ...app) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[chain]\nmost_attempts_in_chain = %d\nmost_tiers = %d\n", most, tiers)
+	fmt.Fprintf(&b, "[chain]\nmost_attempts_in_chain = %d\nmost_tiers = %d\n", maxAttempts, maxTiers)
 	for i, a := range all {
 		fmt.Fprintf(&b, "[apps.%s.sidecar]\nlisten = \"127.0.0.1:%d\"\n", a.name, 10000+i)
 		fmt.Fprintf(&b, "[apps.%s.discovery]\naddress = \"127.0.0.1:8500\"\n", a.name)
@@ -46,6 +48,7 @@
 	return b.String()
 }
 
+// checked reads and checks an apps.toml, and returns the findings of the check.
 func checked(t interface{ Fatal(...any) }, text string) []finding.Finding {
 	var found finding.List
 	m := Read(testSchema, "apps.toml", []byte(text), &found)
@@ -56,6 +59,7 @@
 	return found.All()
 }
 
+// messages returns findings as text, one a line.
 func messages(all []finding.Finding) string {
 	var lines []string
 	for _, f := range all {
@@ -64,6 +68,7 @@
 	return strings.Join(lines, "\n")
 }
 
+// to returns calls to some applications.
 func to(names ...string) (calls []call) {
 	for _, n := range names {
 		calls = append(calls, call{to: n})
@@ -71,12 +76,13 @@
 	return calls
 }
 
+// Calls of a ring have to state the same depth, and no others may state one.
 func TestRings(t *testing.T) {
 	mutual := func(name string, depth int) []call { return []call{{to: name, mutual: depth}} }
 	for _, c := range []struct {
 		name string
 		all  []app
-		want []string // what each finding has to say
+		want []string // a part of each finding
 	}{
 		{"a chain", []app{{"a", 1, to("b")}, {"b", 1, to("c")}, {"c", 1, nil}}, nil},
 		{"a diamond", []app{{"a", 1, to("b", "c")}, {"b", 1, to("d")}, {"c", 1, to("d")}, {"d", 1, nil}}, nil},
@@ -119,11 +125,12 @@
 	}
 }
 
+// The attempts of all applications of a chain multiply.
 func TestAttemptsMultiply(t *testing.T) {
 	for _, c := range []struct {
-		most int
-		all  []app
-		want string
+		maxAttempts int
+		all         []app
+		want        string
 	}{
 		{27, []app{{"a", 3, to("b")}, {"b", 3, to("c")}, {"c", 3, nil}}, ""},
 		{
@@ -132,13 +139,13 @@
 			"attempts multiply to 27 (3 x 3 x 3) on the way a -> b -> c, above chain.most_attempts_in_chain, 26 (apps.toml:2)",
 		},
 		{5, []app{{"a", 1, []call{{to: "b", per: 4}}}, {"b", 2, nil}}, "attempts multiply to 8 (1 x 4 calls of 2) on the way a -> b"},
-		// The longest way is not the worst one.
+		// The longest chain is not the worst one.
 		{
 			11,
 			[]app{{"a", 2, to("b", "d")}, {"b", 1, to("c")}, {"c", 1, to("d")}, {"d", 6, nil}},
 			"attempts multiply to 12 (2 x 6) on the way a -> d",
 		},
-		// A ring once round at depth 1, twice at depth 2.
+		// A chain goes through a ring once at depth 1, twice at depth 2.
 		{4, []app{{"a", 2, []call{{to: "b", mutual: 1}}}, {"b", 2, []call{{to: "a", mutual: 1}}}}, ""},
 		{
 			15,
@@ -147,35 +154,35 @@
 		},
 		{16, []app{{"a", 2, []call{{to: "b", mutual: 2}}}, {"b", 2, []call{{to: "a", mutual: 2}}}}, ""},
 	} {
-		all := checked(t, text(c.most, 100, c.all...))
+		all := checked(t, text(c.maxAttempts, 100, c.all...))
 		if c.want == "" && len(all) > 0 || c.want != "" && (len(all) == 0 || !strings.Contains(all[0].Message, c.want)) {
 			t.Errorf("got\n%s\nwant %q", messages(all), c.want)
 		}
 	}
 }
 
-// worst walks every chain of calls, within the depth of rings, and gives the most attempts at any application.
+// worst returns the most attempts at any application by following each chain of calls. There must be no rings.
 func worst(all []app) int {
 	byName := map[string]app{}
 	for _, a := range all {
 		byName[a.name] = a
 	}
 	most := 0
-	var walk func(a app, factor int, seen map[string]int)
-	walk = func(a app, factor int, seen map[string]int) {
+	var walk func(a app, factor int)
+	walk = func(a app, factor int) {
 		factor *= max(1, a.attempts)
 		most = max(most, factor)
 		for _, c := range a.calls {
-			walk(byName[c.to], factor*max(1, c.per), seen)
+			walk(byName[c.to], factor*max(1, c.per))
 		}
 	}
 	for _, a := range all {
-		walk(a, 1, nil)
+		walk(a, 1)
 	}
 	return most
 }
 
-// Of random applications without rings the check knows the worst as a walk over all chains does.
+// For random applications without rings the check finds the same worst case as following each chain.
 func TestAttemptsAgainstAWalk(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(rt, "apps")
@@ -200,6 +207,7 @@
 	})
 }
 
+// A chain of calls may pass only some applications.
 func TestTiers(t *testing.T) {
 	all := []app{{"a", 1, to("b")}, {"b", 1, to("c")}, {"c", 1, to("d")}, {"d", 1, nil}}
 	if got := checked(t, text(100, 4, all...)); len(got) > 0 {
@@ -211,10 +219,11 @@
 	}
 }
 
+// Two applications may not listen on one address of one machine.
 func TestAddresses(t *testing.T) {
 	for _, c := range []struct {
 		a, b, hostA, hostB string
-		clash              bool
+		conflict           bool
 	}{
 		{"127.0.0.1:1", "127.0.0.1:1", "", "", true},
 		{"127.0.0.1:1", "127.0.0.1:2", "", "", false},
@@ -241,14 +250,14 @@
 		for _, h := range []string{"x", "y"} {
 			s += "[hosts." + h + "]\nhost_cores = 99\nhost_memory = \"99GiB\"\nhost_sockets = 99999\n"
 		}
-		if got := checked(t, s); (len(got) > 0) != c.clash {
+		if got := checked(t, s); (len(got) > 0) != c.conflict {
 			t.Errorf("%+v: %s", c, messages(got))
 		}
 	}
 }
 
-// Many applications in one ring, in a chain, and around one hub: time in proportion to their number. The
-// bound is loose; docs/figures/configuration.md has the figures.
+// Many applications in one ring and around one hub are checked within the time of a test, which is proportional to their number;
+// docs/figures/configuration.md has the figures.
 func TestManyApplications(t *testing.T) {
 	for _, n := range []int{1, 2000} {
 		var all []app
--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -13,6 +13,7 @@
 	"quincegap/internal/config/finding"
 )
 
+// base is an apps.toml with one application.
 const base = `# ours
 [apps.a.sidecar]
 listen = "127.0.0.1:8080"
@@ -32,6 +33,7 @@
 effect = "safe"
 `
 
+// model reads an apps.toml without findings.
 func model(t interface{ Fatal(...any) }, text string) *Model {
 	var found finding.List
 	m := Read(testSchema, "apps.toml", []byte(text), &found)
@@ -44,28 +46,30 @@
 // compare compares a file with an apps.toml.
 func compare(t interface{ Fatal(...any) }, apps, file string) *FileState {
 	var found finding.List
-	st := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
+	state := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
 	if found.Len() > 0 {
 		t.Fatal(found.Err(), file)
 	}
-	return st
+	return state
 }
 
+// generate returns the derived file of the first application.
 func generate(t interface{ Fatal(...any) }, apps string) string {
 	return string(Generate(model(t, apps).Apps[0], "apps.toml"))
 }
 
+// Generating is deterministic, and the generated file is read as unedited.
 func TestGenerateIsTheSameEveryTime(t *testing.T) {
 	file := generate(t, base)
 	if file != generate(t, base) {
-		t.Error("two texts")
+		t.Error("two texts of one model")
 	}
-	w := ParseProvenance([]byte(file))
-	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Truncated || len(w.KeyDigests) != 10 {
-		t.Errorf("got %+v", w)
+	p := ParseProvenance([]byte(file))
+	if p == nil || p.App != "a" || p.Source != "apps.toml" || p.Edited || p.Truncated || len(p.KeyDigests) != 10 {
+		t.Errorf("got %+v", p)
 	}
-	if st := compare(t, base, file); st.Edited() || len(st.Edits) > 0 {
-		t.Errorf("got %+v", st.Edits)
+	if state := compare(t, base, file); state.Edited() || len(state.Edits) > 0 {
+		t.Errorf("got %+v", state.Edits)
 	}
 }
 
@@ -185,6 +189,7 @@
 	}
 }
 
+// checkMerge checks a case in files with the given line ends.
 func checkMerge(t *testing.T, c mergeCase, newline string) {
 	t.Helper()
 	written := generate(t, base)
@@ -210,26 +215,27 @@
 			t.Errorf("%q is missing in\n%s", want, plain)
 		}
 	}
-	// Merging again changes nothing, and the edits are still known as such.
+	// Merging again changes nothing, and the edits are still recognized.
 	again := compare(t, apps, merged)
 	if got := string(again.Merge()); got != merged {
 		t.Errorf("no fixed point:\n%s", got)
 	}
 	for _, edit := range state.Edits {
 		if !slices.ContainsFunc(again.Edits, func(other Edit) bool { return other.ID() == edit.ID() }) {
-			t.Errorf("the edit of %s is forgotten", edit.ID())
+			t.Errorf("the edit of %s is lost", edit.ID())
 		}
 	}
 }
 
+// Files that must not be overwritten, or cannot be read, have a finding.
 func TestFilesThatAreNotOurs(t *testing.T) {
 	file := generate(t, base)
 	for name, c := range map[string][2]string{
 		"no header":   {"[sidecar]\n", "was not written by quincegapctl"},
 		"another app": {strings.Replace(file, " for a from", " for b from", 1), "was written for b, not for a"},
-		"cut":         {file[:len(file)/2], "its end is missing"},
+		"truncated":   {file[:len(file)/2], "its end is missing"},
 		"unreadable":  {strings.Replace(file, "cores = 1.0", "cores = 1.0x", 1), "cannot be read"},
-		"unsound":     {strings.Replace(file, "cores = 1.0", "cores = -1.0", 1), "is below"},
+		"invalid":     {strings.Replace(file, "cores = 1.0", "cores = -1.0", 1), "is below"},
 	} {
 		var found finding.List
 		Compare(testSchema, model(t, base).Apps[0], "apps.toml", "a.toml", []byte(c[0]), &found)
@@ -243,12 +249,13 @@
 func TestEveryCutIsSeen(t *testing.T) {
 	file := generate(t, base)
 	for n := range len(file) {
-		if w := ParseProvenance([]byte(file[:n])); w != nil && !w.Edited && !w.Truncated {
-			t.Fatalf("cut at %d: passes as it was written", n)
+		if p := ParseProvenance([]byte(file[:n])); p != nil && !p.Edited && !p.Truncated {
+			t.Fatalf("truncated at %d: read as unedited", n)
 		}
 	}
 }
 
+// Adopting an edit changes just the lines of apps.toml that it has to, and leaves no edit.
 func TestAdopt(t *testing.T) {
 	withDefaults := "[defaults.attempts]\nmost_attempts = 3 # all\n\n" + base
 	for _, c := range []struct {
@@ -266,9 +273,9 @@
 		{"rename", base, [2]string{`application = "a"`, `application = "b"`}, "cannot be adopted", true},
 	} {
 		edited := strings.Replace(generate(t, c.apps), c.here[0], c.here[1], 1)
-		st := compare(t, c.apps, edited)
+		state := compare(t, c.apps, edited)
 		var found finding.List
-		after := string(model(t, c.apps).Adopt([]*FileState{st}, &found))
+		after := string(model(t, c.apps).Adopt([]*FileState{state}, &found))
 		if c.fault {
 			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, c.want) {
 				t.Errorf("%s: %v", c.name, found.Err())
@@ -279,8 +286,8 @@
 			t.Errorf("%s: got %q, want %q, %v", c.name, got, c.want, found.Err())
 		}
 		// apps.toml now has the values of the file: no edit is left.
-		if st := compare(t, after, edited); len(st.Edits) > 0 {
-			t.Errorf("%s: left over: %v", c.name, st.Edits)
+		if state := compare(t, after, edited); len(state.Edits) > 0 {
+			t.Errorf("%s: left over: %v", c.name, state.Edits)
 		}
 	}
 }
@@ -329,7 +336,7 @@
 	return to
 }
 
-// applyChanges makes a text say what a map does.
+// applyChanges changes a text so that it has the values of a map.
 func applyChanges(text string, prefix []string, from, to map[string]string) string {
 	for _, key := range mergedKeys {
 		id := doc.DottedPath(key)
@@ -347,7 +354,7 @@
 	return text
 }
 
-// mergeMaps merges as Merge should, and gives the keys that conflict.
+// mergeMaps returns the result that Merge should have, and the keys that conflict.
 func mergeMaps(first, here, there map[string]string) (want map[string]string, conflicts map[string]bool) {
 	want = maps.Clone(there)
 	conflicts = map[string]bool{}
@@ -364,8 +371,8 @@
 	return want, conflicts
 }
 
-// Random edits on both sides, against maps: merging takes each key from the side that changed it, refuses
-// just where both did otherwise, loses no comment, and adopting leaves no edit.
+// Random edits on both sides are compared with maps: a merge takes each key from the side that has changed it, and conflicts only if both
+// sides have set it to different values. It loses no comment, and adopting leaves no edit.
 func TestMergeFollowsMaps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := strings.Replace(strings.Replace(base, "instances = 3\n", "", 1), "sockets = 1024\n", "", 1)
@@ -395,12 +402,12 @@
 	})
 }
 
-// checkMerged holds a merged file to the values that it should have.
+// checkMerged checks that a merged file has the wanted values and the comments.
 func checkMerged(rt *rapid.T, appsText, merged string, want map[string]string) {
-	says := compare(rt, appsText, merged)
+	state := compare(rt, appsText, merged)
 	for _, key := range mergedKeys {
 		value := ""
-		if s := says.File.Setting(key...); s != nil {
+		if s := state.File.Setting(key...); s != nil {
 			value = s.Canonical
 		}
 		if id := doc.DottedPath(key); value != want[id] {
@@ -412,7 +419,7 @@
 	}
 }
 
-// checkAdopted adopts edits, after which a merged file has none.
+// checkAdopted checks that adopting the edits keeps the comments, and that the merged file then has no edits.
 func checkAdopted(rt *rapid.T, appsText, merged string, state *FileState) {
 	var found finding.List
 	after := string(model(rt, appsText).Adopt([]*FileState{state}, &found))
@@ -442,9 +449,9 @@
 	f.Add([]byte(headerBy + "a" + headerFrom + "b.\n\n\n" + trailer + "\n#: x y\n"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		var found finding.List
-		st := Compare(testSchema, m.Apps[0], "apps.toml", "a.toml", text, &found)
-		if found.Len() == 0 && st.File != nil && len(st.Conflicts()) == 0 {
-			st.Merge()
+		state := Compare(testSchema, m.Apps[0], "apps.toml", "a.toml", text, &found)
+		if found.Len() == 0 && state.File != nil && len(state.Conflicts()) == 0 {
+			state.Merge()
 		}
 	})
 }
--- a/internal/config/apps/golden_test.go
+++ b/internal/config/apps/golden_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/golden"
 )
 
-// A derived file as today's programs write it, and as all later ones must read it: header, digests, help, trailer.
+// A derived file with header, digests, help and trailer: other versions must read it.
 func TestGoldenDerivedFile(t *testing.T) {
 	golden.Text(t, "derived.toml", []byte(generate(t, base)))
 
@@ -22,40 +22,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := ParseProvenance(text)
-	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Truncated {
-		t.Fatalf("read back as %+v", w)
+	p := ParseProvenance(text)
+	if p == nil || p.App != "a" || p.Source != "apps.toml" || p.Edited || p.Truncated {
+		t.Fatalf("read back as %+v", p)
 	}
 	wantKeys := []string{
 		"sidecar.application", "sidecar.listen", "sidecar.instances", "discovery.address", "limits.cores", "limits.memory", "limits.sockets",
 		"class.c.aim", "class.c.deadline", "class.c.effect",
 	}
-	if !slices.Equal(w.Keys, wantKeys) {
-		t.Errorf("keys %v", w.Keys)
+	if !slices.Equal(p.Keys, wantKeys) {
+		t.Errorf("keys %v", p.Keys)
 	}
-	if st := compare(t, base, string(text)); st.Edited() || len(st.Edits) > 0 {
-		t.Errorf("edits %v", st.Edits)
+	if state := compare(t, base, string(text)); state.Edited() || len(state.Edits) > 0 {
+		t.Errorf("edits %v", state.Edits)
 	}
 }
 
-// How edits by hand are worded, merged and adopted, in both line ends.
+// The descriptions of edits by hand, and the results of merging and adopting them, with both line ends.
 func TestGoldenEdits(t *testing.T) {
 	now := strings.NewReplacer(`"192MiB"`, `"256MiB"`, "instances = 3\n", "", "cores = 1.0 # one", "cores = 4").Replace(base)
 	hand := strings.NewReplacer("sockets = 1024\n", "", `aim = "1s"`, "# why\naim = \"1500ms\" # so",
 		"[discovery]", "[tenant.\"x y\"]\nquota_per_s = 5\n\n[discovery]").Replace(generate(t, base))
-	clashing := strings.NewReplacer("cores = 1.0", "cores = 3", "memory = \"192MiB\"\n", "").Replace(hand)
+	conflicting := strings.NewReplacer("cores = 1.0", "cores = 3", "memory = \"192MiB\"\n", "").Replace(hand)
 
 	var all strings.Builder
-	for _, text := range []string{hand, strings.ReplaceAll(hand, "\n", "\r\n"), clashing} {
-		st := compareLoosely(t, now, text)
-		for _, e := range st.Edits {
+	for _, text := range []string{hand, strings.ReplaceAll(hand, "\n", "\r\n"), conflicting} {
+		state := compareLoosely(t, now, text)
+		for _, e := range state.Edits {
 			fmt.Fprintln(&all, e)
 		}
-		if len(st.Conflicts()) == 0 {
-			fmt.Fprintf(&all, "-- merged --\n%s", strings.ReplaceAll(string(st.Merge()), "\r", "<CR>"))
+		if len(state.Conflicts()) == 0 {
+			fmt.Fprintf(&all, "-- merged --\n%s", strings.ReplaceAll(string(state.Merge()), "\r", "<CR>"))
 		}
 		var found finding.List
-		adopted := model(t, now).Adopt([]*FileState{st}, &found)
+		adopted := model(t, now).Adopt([]*FileState{state}, &found)
 		fmt.Fprintf(&all, "-- adopted: %v --\n%s", found.Err(), adopted)
 	}
 	golden.Text(t, "edits.txt", []byte(all.String()))
@@ -85,8 +85,8 @@
 	golden.Text(t, "in-the-way.txt", []byte(found.Err().Error()+"\n"))
 }
 
-// randomInstallation returns an apps.toml whose calls, rings, attempts, hosts and addresses come from a seed. Each file is sound by
-// itself, if not beside the others.
+// randomInstallation returns an apps.toml whose calls, rings, attempts, hosts and addresses come from a seed. Each application is valid by
+// itself.
 func randomInstallation(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 50))
 	n := 2 + random.IntN(7)
@@ -122,7 +122,7 @@
 	return file
 }
 
-// The findings across applications and their order: of the first installations in full, of the others a digest.
+// The findings across applications, in order: in full for the first installations, as a digest for the others.
 func TestGoldenFindingsAcrossApplications(t *testing.T) {
 	const inFull, installations = 12, 600
 	var all strings.Builder
--- a/internal/config/finding/finding_test.go
+++ b/internal/config/finding/finding_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// A misspelt name has a nearest candidate only if it is similar enough.
 func TestNearest(t *testing.T) {
 	names := []string{"idle_timeout", "request_timeout", "max_body", "cores", "to"}
 	for name, want := range map[string]string{
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -10,6 +10,7 @@
 	"quincegap/internal/config/finding"
 )
 
+// things is filled by a table of the test.
 type things struct {
 	Wait  time.Duration
 	Count int
@@ -37,6 +38,7 @@
 	}
 })
 
+// part is filled by named tables of the test.
 type part struct{ Size int }
 
 var partTable = NewNamed("part", "part", "p", "Parts.",
@@ -44,19 +46,21 @@
 
 var testSchema = New(thingsTable.Table, partTable.Table)
 
-func decode(text string, o Options) (*File, string) {
+// decode decodes a text, and returns the file and the findings as text.
+func decode(text string, options Options) (*File, string) {
 	var found finding.List
 	d := doc.ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
 	if d == nil {
 		return nil, found.Err().Error()
 	}
-	f := testSchema.Decode(&found, o, Layer{Doc: d, Table: d.Root, File: "f"})
+	f := testSchema.Decode(&found, options, Layer{Doc: d, Table: d.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		return f, err.Error()
 	}
 	return f, ""
 }
 
+// Values of each type are read in each way to write them, and defaults are set.
 func TestValues(t *testing.T) {
 	f, fault := decode(`[things]
 who = "w"
@@ -161,14 +165,15 @@
 	if got := thingsTable.In(f); found.Err() != nil || got.Who != "low" || got.Count != 2 || len(partTable.All(f)) != 2 {
 		t.Errorf("got %+v, %v", got, found.Err())
 	}
-	if at := f.Location("things", "count"); at.String() != "layer1:2" {
-		t.Errorf("got %v", at)
+	if location := f.Location("things", "count"); location.String() != "layer1:2" {
+		t.Errorf("got %v", location)
 	}
-	if at := f.Location("things", "who"); at.String() != "layer0:2" {
-		t.Errorf("got %v", at)
+	if location := f.Location("things", "who"); location.String() != "layer0:2" {
+		t.Errorf("got %v", location)
 	}
 }
 
+// Only changes of values are changes, and those of order, comments and notation are not.
 func TestChanged(t *testing.T) {
 	base := "[things]\nwho = \"w\"\nwait = \"90s\"\n[part.a]\nsize = 1\n"
 	for text, want := range map[string]string{
@@ -214,6 +219,7 @@
 	}
 }
 
+// Declarations with a name twice panic.
 func TestDeclarationsThatClash(t *testing.T) {
 	for name, declare := range map[string]func(){
 		"table twice": func() { New(thingsTable.Table, thingsTable.Table) },
@@ -228,7 +234,7 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s: passes", name)
+					t.Errorf("%s: does not panic", name)
 				}
 			}()
 			declare()
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -59,17 +59,18 @@
 	}
 	for _, table := range Schema.Tables {
 		for _, k := range table.Keys {
-			at := []string{table.Name, k.Name}
+			path := []string{table.Name, k.Name}
 			if table.Named {
-				at = []string{table.Name, table.ExampleName, k.Name}
+				path = []string{table.Name, table.ExampleName, k.Name}
 			}
-			if f.Setting(at...) == nil {
-				t.Errorf("%v is not in the sample", at)
+			if f.Setting(path...) == nil {
+				t.Errorf("%v is not in the sample", path)
 			}
 		}
 	}
 }
 
+// Only regular files up to a bound are read, and errors do not have the path.
 func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	pipe := filepath.Join(dir, "pipe")
