--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -78,25 +78,25 @@
 }
 
 // runCommand runs one command. An empty line is no command.
-func runCommand(s *consul.Server, words []string) error {
+func runCommand(server *consul.Server, words []string) error {
 	switch {
 	case len(words) == 0:
 	case words[0] == "add" && len(words) == 3 && strings.Contains(words[2], ":"):
-		s.Update(func(all []consul.Instance) []consul.Instance {
+		server.Update(func(all []consul.Instance) []consul.Instance {
 			return append(all, consul.Instance{Node: "node", ID: words[1], PassingWeight: 1, WarningWeight: 1}.WithAddress(words[2]))
 		})
 	case words[0] == "remove" && len(words) == 2:
-		s.Update(func(all []consul.Instance) []consul.Instance {
+		server.Update(func(all []consul.Instance) []consul.Instance {
 			return slices.DeleteFunc(all, func(i consul.Instance) bool { return i.ID == words[1] })
 		})
 	case words[0] == "status" && len(words) == 3:
-		s.SetStatus(words[1], words[2])
+		server.SetStatus(words[1], words[2])
 	case words[0] == "fault" && len(words) == 2:
 		fault, ok := faults[words[1]]
 		if !ok {
 			return errNoSuchFault
 		}
-		s.SetFault(fault)
+		server.SetFault(fault)
 	default:
 		return fmt.Errorf("not understood at %s\n%s", time.Now().Format(time.TimeOnly), help)
 	}
--- a/cmd/quincegap/config_file_test.go
+++ b/cmd/quincegap/config_file_test.go
@@ -94,14 +94,14 @@
 	}
 	discovery := startSite(t, 3)
 	good := fmt.Sprintf(sidecarFile, discovery.Address())
-	p := launch(t, good)
+	sidecar := launch(t, good)
 
 	var served atomic.Int64
-	stop := p.startCallers(4, &served)
+	stop := sidecar.startCallers(4, &served)
 	checkRejected := func(what string, wants ...string) {
 		t.Helper()
-		p.signal(syscall.SIGHUP)
-		log := p.awaitLog("the old configuration stays")
+		sidecar.signal(syscall.SIGHUP)
+		log := sidecar.awaitLog("the old configuration stays")
 		for _, want := range wants {
 			if !strings.Contains(log, want) {
 				t.Errorf("%s: logged\n%s\nwant %q", what, log, want)
@@ -113,28 +113,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.writeFile(string(text))
-		checkRejected(path, p.file+":")
+		sidecar.writeFile(string(text))
+		checkRejected(path, sidecar.file+":")
 	}
-	if err := os.Remove(p.file); err != nil {
+	if err := os.Remove(sidecar.file); err != nil {
 		t.Fatal(err)
 	}
 	checkRejected("no file", "no such file")
-	p.writeFile(good + "[limits]\nsockets = 999\n[callers]\nmax_body = \"2KiB\"\n")
-	checkRejected("sockets", fmt.Sprintf("%s:20:1: limits.sockets has changed, which takes effect at a start only", p.file))
-	p.writeFile(strings.Replace(good, "[class.find-trip]\naim = \"2s\"\ndeadline = \"6s\"\neffect = \"safe\"\n", "", 1))
+	sidecar.writeFile(good + "[limits]\nsockets = 999\n[callers]\nmax_body = \"2KiB\"\n")
+	checkRejected("sockets", fmt.Sprintf("%s:20:1: limits.sockets has changed, which takes effect at a start only", sidecar.file))
+	sidecar.writeFile(strings.Replace(good, "[class.find-trip]\naim = \"2s\"\ndeadline = \"6s\"\neffect = \"safe\"\n", "", 1))
 	checkRejected("a class removed", "class.find-trip.aim has changed")
 
 	// None of these took effect: a body of 3 KiB is still accepted.
-	if status, err := p.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusOK {
+	if status, err := sidecar.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusOK {
 		t.Errorf("status %d, %v", status, err)
 	}
 	// A good file takes effect completely: the bound, and another discovery.
 	other := startSite(t, 2)
-	p.writeFile(strings.Replace(good, discovery.Address(), other.Address(), 1) + "[callers]\nmax_body = \"2KiB\"\n")
-	p.signal(syscall.SIGHUP)
-	p.awaitLog("reload: discovery is " + other.Address())
-	if status, err := p.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusRequestEntityTooLarge {
+	sidecar.writeFile(strings.Replace(good, discovery.Address(), other.Address(), 1) + "[callers]\nmax_body = \"2KiB\"\n")
+	sidecar.signal(syscall.SIGHUP)
+	sidecar.awaitLog("reload: discovery is " + other.Address())
+	if status, err := sidecar.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d, %v", status, err)
 	}
 	before := served.Load()
--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -48,16 +48,16 @@
 }
 
 // measureFlood measures a sidecar with n instances, without changes and in a flood of them.
-func measureFlood(b *testing.B, program string, n int) {
+func measureFlood(b *testing.B, program string, instances int) {
 	b.Helper()
 	// Each instance has a loopback address of its own; one server listens on all of them.
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { write(w, "ok") })}
 	defer closeNow(server)
-	c, err := consul.Start("", floodInstances(b, server, n)...)
+	agent, err := consul.Start("", floodInstances(b, server, instances)...)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
+	defer agent.Close()
 	address := freePort(b)
 	file := filepath.Join(b.TempDir(), "sidecar.toml")
 	writeFile(b, file, strings.Replace(fmt.Sprintf(sidecarFile, "127.0.0.1:1"), "127.0.0.1:0", address, 1)+fmt.Sprintf(`
@@ -66,7 +66,7 @@
 [consul]
 agents = %q
 service = "slot-keeper"
-`, c.Address()))
+`, agent.Address()))
 	sidecar := &process{tb: b, cmd: command(program, "-config", file), url: "http://" + address}
 	sidecar.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=")
 	if err := sidecar.cmd.Start(); err != nil {
@@ -74,9 +74,9 @@
 	}
 	defer killNow(sidecar.cmd)
 	awaitReady(b, http.DefaultClient, sidecar.url, 5*time.Millisecond)
-	f := &floodRun{b, c, sidecar}
+	f := &floodRun{b, agent, sidecar}
 	f.measure("quiet", func() { time.Sleep(floodTime) })
-	f.measure("flood", func() { f.change(n) })
+	f.measure("flood", func() { f.change(instances) })
 	status := processStatus(b, sidecar.cmd.Process.Pid)
 	b.ReportMetric(kilobytes(status, "VmHWM:")/1024, "MiB-peak")
 	b.ReportMetric(kilobytes(status, "VmRSS:")/1024, "MiB-rss")
--- a/cmd/quincegap/consul_restart_test.go
+++ b/cmd/quincegap/consul_restart_test.go
@@ -103,24 +103,24 @@
 
 // A sidecar that is killed and starts again comes to the same view as before, whatever Consul and the platform list.
 func TestConsulRestartAmidst(t *testing.T) {
-	for _, c := range restartCases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, tc := range restartCases {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			rig := startConsulRig(t, 3)
-			discovery := c.discovery(t, rig)
-			rig.startSidecar(rig.config(discovery, c.source))
+			discovery := tc.discovery(t, rig)
+			rig.startSidecar(rig.config(discovery, tc.source))
 			rig.awaitServed(30)
-			rig.consul.Update(func(all []consul.Instance) []consul.Instance { return c.change(rig, all) })
-			rig.awaitReady(c.want...)
+			rig.consul.Update(func(all []consul.Instance) []consul.Instance { return tc.change(rig, all) })
+			rig.awaitReady(tc.want...)
 			rig.awaitServed(30)
 			for range 2 {
 				rig.stopCallers()
 				rig.sidecar.kill()
-				rig.startSidecar(rig.config(discovery, c.source))
-				rig.awaitReady(c.want...)
+				rig.startSidecar(rig.config(discovery, tc.source))
+				rig.awaitReady(tc.want...)
 				rig.awaitServed(30)
 			}
-			c.checkIdle(t, rig)
+			tc.checkIdle(t, rig)
 			rig.stopCallers()
 		})
 	}
--- a/cmd/quincegap/consul_tls_test.go
+++ b/cmd/quincegap/consul_tls_test.go
@@ -27,21 +27,21 @@
 // startTLSFront serves the Consul of a rig over TLS.
 func startTLSFront(t *testing.T, rig *consulRig) *tlsFront {
 	t.Helper()
-	f := &tlsFront{t: t, ca: newAuthority(t), dir: t.TempDir(), queries: map[string]int{}}
-	own, err := f.ca.Pair("consul.example.org")
+	front := &tlsFront{t: t, ca: newAuthority(t), dir: t.TempDir(), queries: map[string]int{}}
+	own, err := front.ca.Pair("consul.example.org")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.mu.Lock()
-		f.queries[r.TLS.PeerCertificates[0].Subject.CommonName]++
-		f.mu.Unlock()
+	front.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		front.mu.Lock()
+		front.queries[r.TLS.PeerCertificates[0].Subject.CommonName]++
+		front.mu.Unlock()
 		rig.consul.ServeHTTP(w, r)
 	}))
-	f.TLS = &tls.Config{Certificates: []tls.Certificate{*own}, ClientCAs: f.ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
-	f.StartTLS()
-	t.Cleanup(f.Close)
-	return f
+	front.TLS = &tls.Config{Certificates: []tls.Certificate{*own}, ClientCAs: front.ca.Pool(), ClientAuth: tls.RequireAndVerifyClientCert}
+	front.StartTLS()
+	t.Cleanup(front.Close)
+	return front
 }
 
 // queryCount returns the number of queries with a client certificate of a name.
--- a/cmd/quincegap/crowd_bench_test.go
+++ b/cmd/quincegap/crowd_bench_test.go
@@ -78,22 +78,22 @@
 	for _, target := range targets {
 		hosts = append(hosts, target.Address)
 	}
-	p := &process{tb: b, cmd: command(os.Args[0])}
-	p.cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "BE_PROXY="+strings.Join(hosts, ","))
-	out, err := p.cmd.StdoutPipe()
+	proxy := &process{tb: b, cmd: command(os.Args[0])}
+	proxy.cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "BE_PROXY="+strings.Join(hosts, ","))
+	out, err := proxy.cmd.StdoutPipe()
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := proxy.cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { killNow(p.cmd) })
+	b.Cleanup(func() { killNow(proxy.cmd) })
 	var address string
 	if _, err := fmt.Fscanln(out, &address); err != nil {
 		b.Fatal(err)
 	}
-	p.url = "http://" + address
-	return p
+	proxy.url = "http://" + address
+	return proxy
 }
 
 // crowdFigures counts bookings by their outcome.
@@ -124,7 +124,7 @@
 }
 
 // measureCrowd has callers book in step for crowdTime, each on a connection of its own, and reports the metrics.
-func measureCrowd(b *testing.B, p *process, callers int) {
+func measureCrowd(b *testing.B, target *process, callers int) {
 	b.Helper()
 	var figures crowdFigures
 	var running sync.WaitGroup
@@ -132,9 +132,9 @@
 	done := make(chan struct{}, callers)
 	for i := range step {
 		step[i] = make(chan struct{}, 1)
-		running.Go(func() { figures.book(b, p, step[i], done) })
+		running.Go(func() { figures.book(b, target, step[i], done) })
 	}
-	before := cpuSeconds(b, p.cmd.Process.Pid)
+	before := cpuSeconds(b, target.cmd.Process.Pid)
 	for end := time.Now().Add(crowdTime); time.Now().Before(end); {
 		for _, s := range step {
 			s <- struct{}{}
@@ -143,7 +143,7 @@
 			<-done
 		}
 	}
-	cpu := cpuSeconds(b, p.cmd.Process.Pid) - before
+	cpu := cpuSeconds(b, target.cmd.Process.Pid) - before
 	for _, s := range step {
 		close(s)
 	}
--- a/cmd/quincegap/http3_shutdown_test.go
+++ b/cmd/quincegap/http3_shutdown_test.go
@@ -140,8 +140,8 @@
 	t.Cleanup(e.Close)
 	discovery := startDiscovery(t, e.Target())
 	rig := newHTTP3Rig(t)
-	p := launch(t, rig.text(discovery.Address(), "127.0.0.1:0")+"\n[stop]\nstop_longest = \"2s\"\n")
-	address := udpAddressOf(p)
+	sidecar := launch(t, rig.text(discovery.Address(), "127.0.0.1:0")+"\n[stop]\nstop_longest = \"2s\"\n")
+	address := udpAddressOf(sidecar)
 	relay, err := udp.Start(address, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -150,18 +150,18 @@
 	relay.SetFault(udp.Fault{DropReplies: true})
 	dialUnfinished(t, relay.Address(), address)
 	answered := make(chan string, 1)
-	out := p.over(rig.caller(nil), address)
+	out := sidecar.over(rig.caller(nil), address)
 	go func() {
 		status, err := out.book(nil, "trip")
 		answered <- fmt.Sprint(status, err)
 	}()
 	<-arrived
-	p.signal(syscall.SIGTERM)
+	sidecar.signal(syscall.SIGTERM)
 	time.AfterFunc(300*time.Millisecond, func() { close(serve) })
 	if got := <-answered; got != "200<nil>" && got != "200 <nil>" {
 		t.Errorf("the request in flight: %s", got)
 	}
-	p.checkEnds(5 * time.Second)
+	sidecar.checkEnds(5 * time.Second)
 }
 
 // dialUnfinished makes three connections that do not finish a request: one to unresponsive, where the handshake does not finish, one
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -21,11 +21,11 @@
 	t.Parallel()
 	rig := newHTTP3Rig(t)
 	site := startSite(t, 3)
-	p := launch(t, rig.text(site.Address(), "127.0.0.1:0"))
-	address := udpAddressOf(p)
+	sidecar := launch(t, rig.text(site.Address(), "127.0.0.1:0"))
+	address := udpAddressOf(sidecar)
 	var overHTTP3, overHTTP1 atomic.Int64
-	stop := p.over(rig.caller(nil), address).startCallers(4, &overHTTP3)
-	stopHTTP1 := p.startCallers(2, &overHTTP1)
+	stop := sidecar.over(rig.caller(nil), address).startCallers(4, &overHTTP3)
+	stopHTTP1 := sidecar.startCallers(2, &overHTTP1)
 	awaitMore := func(n *atomic.Int64, more int64) {
 		t.Helper()
 		want := n.Load() + more
@@ -37,7 +37,7 @@
 	}
 	awaitMore(&overHTTP3, 100)
 	awaitMore(&overHTTP1, 100)
-	status, header, err := get(http.DefaultClient, p.url+"/nothing")
+	status, header, err := get(http.DefaultClient, sidecar.url+"/nothing")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,20 +48,20 @@
 	rig.renew("second.example.org")
 	time.Sleep(1100 * time.Millisecond) // the sidecar looks at the files once a second
 	for end := time.Now().Add(testTimeout); !rig.shown("second.example.org"); {
-		if status, err := p.over(rig.caller(nil), address).book(nil, "trip"); err != nil || status != 200 {
+		if status, err := sidecar.over(rig.caller(nil), address).book(nil, "trip"); err != nil || status != 200 {
 			t.Fatalf("a new caller: %d, %v", status, err)
 		}
 		if time.Now().After(end) {
 			t.Fatal("the old certificate is still in use")
 		}
 	}
-	p.signal(syscall.SIGHUP)
-	p.awaitLog("reload: discovery is")
+	sidecar.signal(syscall.SIGHUP)
+	sidecar.awaitLog("reload: discovery is")
 	awaitMore(&overHTTP3, 100)
 	// A change of a setting that takes effect only at a start is rejected.
-	p.writeFile(strings.Replace(rig.text(site.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
-	p.signal(syscall.SIGHUP)
-	p.awaitLog("reload: refused")
+	sidecar.writeFile(strings.Replace(rig.text(site.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
+	sidecar.signal(syscall.SIGHUP)
+	sidecar.awaitLog("reload: refused")
 	awaitMore(&overHTTP3, 100)
 	stop()
 	stopHTTP1()
@@ -96,7 +96,7 @@
 	}
 }
 
-// UDP to an endpoint is blocked while callers book: attempts go over HTTP/1.1, and HTTP/3 is not tried again for a while.
+// UDP to an endpoint is blocked: attempts go over HTTP/1.1, HTTP/3 is not tried again for a while, and what was sent over it never arrives.
 func TestHTTP3BlockedToEndpoint(t *testing.T) {
 	t.Parallel()
 	ca := newAuthority(t)
@@ -104,7 +104,7 @@
 	discovery := startDiscovery(t, endpoint.overHTTP1.Target())
 	file := filepath.Join(t.TempDir(), "ca.pem")
 	writeFile(t, file, string(ca.PEM()))
-	p := launch(t, fmt.Sprintf(sidecarFile, discovery.Address())+fmt.Sprintf(`
+	sidecar := launch(t, fmt.Sprintf(sidecarFile, discovery.Address())+fmt.Sprintf(`
 [http3-endpoints]
 http3_to_endpoints = "prefer"
 http3_ca_file = %q
@@ -115,7 +115,7 @@
 	defer client.CloseIdleConnections()
 	book := func() {
 		t.Helper()
-		if status, err := p.book(client, "trip"); err != nil || status != 200 {
+		if status, err := sidecar.book(client, "trip"); err != nil || status != 200 {
 			t.Fatalf("%d %v", status, err)
 		}
 	}
@@ -129,12 +129,12 @@
 	// Whether the next bookings were executed is unknown; their class allows a repeat with the key at the same endpoint.
 	before := endpoint.http1Requests.Load()
 	for end := time.Now().Add(testTimeout); endpoint.http1Requests.Load() == before; {
-		_, _ = p.book(client, "trip") // it may fail, at first
+		_, _ = sidecar.book(client, "trip") // it may fail, at first
 		if time.Now().After(end) {
 			t.Fatal("nothing comes over HTTP/1.1")
 		}
 	}
-	p.awaitLog("HTTP/1.1 for 1m0s")
+	sidecar.awaitLog("HTTP/1.1 for 1m0s")
 	began := time.Now()
 	for range 50 {
 		book()
--- a/cmd/quincegap/memory_test.go
+++ b/cmd/quincegap/memory_test.go
@@ -67,26 +67,26 @@
 // executed. It returns the number of bookings that happened more than once, and of all that happened.
 func bookThroughKills(t *testing.T, kills int, memory string) (duplicates, all int) {
 	t.Helper()
-	l := newLedger()
-	d := startDiscovery(t, startCells(t, l, 2, 2)...)
+	ledger := newLedger()
+	d := startDiscovery(t, startCells(t, ledger, 2, 2)...)
 	text := fmt.Sprintf(sidecarFile, d.Address()) + unsafeClass + memory
-	var r restartedSidecar
-	r.current.Store(launch(t, text))
+	var sidecar restartedSidecar
+	sidecar.current.Store(launch(t, text))
 	var callers sync.WaitGroup
 	for c := range 8 {
-		callers.Go(func() { r.book(c) })
+		callers.Go(func() { sidecar.book(c) })
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range kills {
-		for before := r.served.Load(); r.served.Load() < before+int64(20+rng.IntN(40)); {
+		for before := sidecar.served.Load(); sidecar.served.Load() < before+int64(20+rng.IntN(40)); {
 			time.Sleep(time.Millisecond)
 		}
-		r.current.Load().crash()
-		r.current.Store(launch(t, text))
+		sidecar.current.Load().crash()
+		sidecar.current.Store(launch(t, text))
 	}
-	r.done.Store(true)
+	sidecar.done.Store(true)
 	callers.Wait()
-	return l.duplicates()
+	return ledger.duplicates()
 }
 
 // A sidecar that is killed again and again during bookings never executes one twice. Without its memory it does, which shows that the
@@ -131,38 +131,38 @@
 
 // When the store is full, a class is served without it or rejected, as its settings say.
 func TestMemoryIsFull(t *testing.T) {
-	l := newLedger()
-	d := startDiscovery(t, startCells(t, l, 2, 2)...)
+	ledger := newLedger()
+	d := startDiscovery(t, startCells(t, ledger, 2, 2)...)
 	dir := t.TempDir()
 	text := fmt.Sprintf(sidecarFile, d.Address()) + unsafeClass + fmt.Sprintf("[memory]\nmemory_dir = %q\nremembered_requests = 100\n", dir)
-	p := launch(t, text)
-	if status, err := send(p.url, "pay-trip", "paid", ""); err != nil || status != http.StatusOK {
+	sidecar := launch(t, text)
+	if status, err := send(sidecar.url, "pay-trip", "paid", ""); err != nil || status != http.StatusOK {
 		t.Fatal(status, err)
 	}
 	for i := range 99 { // until the store is full
-		if status, err := send(p.url, "book-trip", fmt.Sprint("k", i), fmt.Sprint("k", i)); err != nil || status != http.StatusOK {
+		if status, err := send(sidecar.url, "book-trip", fmt.Sprint("k", i), fmt.Sprint("k", i)); err != nil || status != http.StatusOK {
 			t.Fatal(status, err)
 		}
 	}
-	if status, err := send(p.url, "book-trip", "more", "more"); err != nil || status != http.StatusOK {
+	if status, err := send(sidecar.url, "book-trip", "more", "more"); err != nil || status != http.StatusOK {
 		t.Errorf("it is not served: %d, %v", status, err)
 	}
-	p.awaitLog("NOT REMEMBERED")
-	if status, err := send(p.url, "pay-trip", "pay", ""); err != nil || status != http.StatusServiceUnavailable {
+	sidecar.awaitLog("NOT REMEMBERED")
+	if status, err := send(sidecar.url, "pay-trip", "pay", ""); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("it is not rejected: %d, %v", status, err)
 	}
-	if l.runs["pay"] != 0 {
+	if ledger.runs["pay"] != 0 {
 		t.Error("what was rejected was executed")
 	}
 	// A call that was executed is never rejected, whatever the disk does: that would promise that a repeat is safe.
-	p.crash()
-	p = launch(t, text)
-	if status, err := send(p.url, "book-trip", "again", "again"); err != nil || status != http.StatusOK {
+	sidecar.crash()
+	sidecar = launch(t, text)
+	if status, err := send(sidecar.url, "book-trip", "again", "again"); err != nil || status != http.StatusOK {
 		t.Errorf("it is not served: %d, %v", status, err)
 	}
-	p.awaitLog("NOT REMEMBERED")
-	if status, err := send(p.url, "pay-trip", "paid", ""); err != nil || status != http.StatusBadGateway || l.runs["paid"] != 1 {
-		t.Errorf("a repeat of what was executed: %d, %v; it was executed %d times", status, err, l.runs["paid"])
+	sidecar.awaitLog("NOT REMEMBERED")
+	if status, err := send(sidecar.url, "pay-trip", "paid", ""); err != nil || status != http.StatusBadGateway || ledger.runs["paid"] != 1 {
+		t.Errorf("a repeat of what was executed: %d, %v; it was executed %d times", status, err, ledger.runs["paid"])
 	}
 }
 
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -146,11 +146,11 @@
 //
 //	go test ./cmd/quincegap -run '^$' -bench Peers -benchtime 1x
 func BenchmarkPeers(b *testing.B) {
-	for _, n := range []int{3, 10, 20} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, members := range []int{3, 10, 20} {
+		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			for range b.N {
-				rig := newPeersRig(b, n, 1, "")
-				all, names := firstMembers(n)
+				rig := newPeersRig(b, members, 1, "")
+				all, names := firstMembers(members)
 				pause := func() { time.Sleep(25 * time.Second) } // longer than DampFor, so that nobody counts as flapping
 				measure := func(what string, confidence peers.Confidence, of, ask []int) {
 					began := time.Now()
@@ -170,21 +170,21 @@
 					used += cpuSeconds(b, m.cmd.Process.Pid)
 					resident = max(resident, kilobytes(processStatus(b, m.cmd.Process.Pid), "VmRSS:"))
 				}
-				b.ReportMetric(1000*used/float64(n)/quiet.Seconds(), "cpu-ms/s")
+				b.ReportMetric(1000*used/float64(members)/quiet.Seconds(), "cpu-ms/s")
 				b.ReportMetric(resident/1024, "rss-MiB")
-				rig.kill(n - 1)
-				measure("death", peers.Settled, all[:n-1], all[:n-1])
-				rig.start(n - 1)
+				rig.kill(members - 1)
+				measure("death", peers.Settled, all[:members-1], all[:members-1])
+				rig.start(members - 1)
 				measure("join", peers.Settled, all, all)
 				pause()
-				rig.net.Partition(names[:n/2], names[n/2:], true)
-				rig.net.Partition(names[n/2:], names[:n/2], true)
+				rig.net.Partition(names[:members/2], names[members/2:], true)
+				rig.net.Partition(names[members/2:], names[:members/2], true)
 				larger := peers.Settled
-				if n%2 == 0 {
+				if members%2 == 0 {
 					larger = peers.Partitioned
 				}
-				measure("cut", larger, all[n/2:], all[n/2:])
-				rig.awaitViews("the other side", peers.Partitioned, all[:n/2], all[:n/2]...)
+				measure("cut", larger, all[members/2:], all[members/2:])
+				rig.awaitViews("the other side", peers.Partitioned, all[:members/2], all[:members/2]...)
 				pause()
 				rig.net.Heal()
 				measure("healed", peers.Settled, all, all)
--- a/cmd/quincegap/peers_helpers_test.go
+++ b/cmd/quincegap/peers_helpers_test.go
@@ -74,14 +74,14 @@
 }
 
 // newPeersRig prepares a group of n members; start starts them. The seed is for the faults of the relays, settings for [peers].
-func newPeersRig(tb testing.TB, n int, seed uint64, settings string) *peersRig {
+func newPeersRig(tb testing.TB, size int, seed uint64, settings string) *peersRig {
 	tb.Helper()
 	rig := &peersRig{
 		tb:      tb,
 		dir:     tb.TempDir(),
 		net:     relay.New(seed),
-		members: make([]*process, n),
-		urls:    make([]atomic.Pointer[string], n),
+		members: make([]*process, size),
+		urls:    make([]atomic.Pointer[string], size),
 		ledger:  newLedger(),
 		began:   time.Now(),
 	}
@@ -90,7 +90,7 @@
 	key := filepath.Join(rig.dir, "key")
 	writeFile(tb, key, base64.StdEncoding.EncodeToString([]byte("0123456789abcdef")))
 	var own, fronts []string
-	for i := range n {
+	for i := range size {
 		own = append(own, freePortAt(tb, fmt.Sprintf("127.0.7.%d", i+1)))
 		front, err := rig.net.AddMember(memberName(i), fmt.Sprintf("127.0.8.%d:0", i+1), own[i])
 		if err != nil {
@@ -98,9 +98,9 @@
 		}
 		fronts = append(fronts, front)
 	}
-	for i := range n {
+	for i := range size {
 		join := slices.DeleteFunc([]string{fronts[0], fronts[1]}, func(a string) bool { return a == fronts[i] })
-		identity := fmt.Sprintf("instance = %q\ninstances = %d\nordinal = %d\n\n[discovery]", memberName(i), n, i)
+		identity := fmt.Sprintf("instance = %q\ninstances = %d\nordinal = %d\n\n[discovery]", memberName(i), size, i)
 		text := strings.Replace(fmt.Sprintf(sidecarFile, discovery.Address()), "[discovery]", identity, 1) + unsafeClass
 		memory := filepath.Join(rig.dir, fmt.Sprint("m", i))
 		text += fmt.Sprintf(peersFile, rig.admin(i), memory, own[i], fronts[i], strings.Join(join, ","), key, settings)
@@ -189,20 +189,20 @@
 	done := make(chan struct{})
 	var callers sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
-	for c := range n {
+	for caller := range n {
 		callers.Go(func() {
-			rng := rand.New(rand.NewPCG(uint64(c), 1))
+			rng := rand.New(rand.NewPCG(uint64(caller), 1))
 			for k := 0; ; k++ {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				class, key := "book-trip", fmt.Sprintf("g-%d-%d", c, k)
-				if c%2 == 1 {
+				class, key := "book-trip", fmt.Sprintf("g-%d-%d", caller, k)
+				if caller%2 == 1 {
 					class, key = "pay-trip", ""
 				}
-				p.bookUntilAnswered(client, rng, counts, class, fmt.Sprintf("t-%d-%d", c, k), key)
+				p.bookUntilAnswered(client, rng, counts, class, fmt.Sprintf("t-%d-%d", caller, k), key)
 			}
 		})
 	}
--- a/cmd/quincegap/process_helpers_test.go
+++ b/cmd/quincegap/process_helpers_test.go
@@ -59,34 +59,34 @@
 // launch starts the program with a settings file of the given text, and waits until it is ready.
 func launch(tb testing.TB, text string, env ...string) *process {
 	tb.Helper()
-	p := &process{
+	sidecar := &process{
 		tb:       tb,
 		file:     filepath.Join(tb.TempDir(), "sidecar.toml"),
 		log:      make(chan string, 10000),
 		logEnded: make(chan struct{}),
 	}
-	p.writeFile(text)
-	p.cmd = command(os.Args[0], "-config", p.file)
-	p.cmd.Env = append(append(os.Environ(), "BE_QUINCEGAP=1"), env...)
-	stderr, err := p.cmd.StderrPipe()
+	sidecar.writeFile(text)
+	sidecar.cmd = command(os.Args[0], "-config", sidecar.file)
+	sidecar.cmd.Env = append(append(os.Environ(), "BE_QUINCEGAP=1"), env...)
+	stderr, err := sidecar.cmd.StderrPipe()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := sidecar.cmd.Start(); err != nil {
 		tb.Fatal(err)
 	}
 	go func() {
-		defer close(p.logEnded)
+		defer close(sidecar.logEnded)
 		for lines := bufio.NewScanner(stderr); lines.Scan(); {
-			p.log <- lines.Text()
+			sidecar.log <- lines.Text()
 		}
-		close(p.log)
+		close(sidecar.log)
 	}()
-	tb.Cleanup(p.kill)
-	p.startLog = p.awaitLog("serving on")
-	p.url = "http://" + regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`).FindStringSubmatch(p.startLog)[1]
-	awaitReady(tb, http.DefaultClient, p.url, 2*time.Millisecond)
-	return p
+	tb.Cleanup(sidecar.kill)
+	sidecar.startLog = sidecar.awaitLog("serving on")
+	sidecar.url = "http://" + regexp.MustCompile(`serving on (127\.0\.0\.1:\d+)`).FindStringSubmatch(sidecar.startLog)[1]
+	awaitReady(tb, http.DefaultClient, sidecar.url, 2*time.Millisecond)
+	return sidecar
 }
 
 // writeFile replaces the program's settings file atomically.
--- a/cmd/quincegap/route_test.go
+++ b/cmd/quincegap/route_test.go
@@ -57,32 +57,32 @@
 // whose routes are ambiguous changes nothing.
 func TestRoutesBySIGHUP(t *testing.T) {
 	good := fmt.Sprintf(sidecarFile, startSite(t, 3).Address())
-	p := launch(t, good)
+	sidecar := launch(t, good)
 	book := func(want int) {
 		t.Helper()
-		if status, err := p.book(http.DefaultClient, "trip"); err != nil || status != want {
+		if status, err := sidecar.book(http.DefaultClient, "trip"); err != nil || status != want {
 			t.Errorf("%d, %v, wanted %d", status, err, want)
 		}
 	}
 	book(http.StatusOK)
-	p.reload(good+tripsOff, "reload: discovery is")
+	sidecar.reload(good+tripsOff, "reload: discovery is")
 	book(http.StatusServiceUnavailable)
-	log := p.reload(good+tripsOff+"[route.books]\nmatch_classes = \"book-trip\"\n", "the old configuration stays")
+	log := sidecar.reload(good+tripsOff+"[route.books]\nmatch_classes = \"book-trip\"\n", "the old configuration stays")
 	if !strings.Contains(log, "overlaps with [route.trips]") {
 		t.Errorf("logged %s", log)
 	}
 	book(http.StatusServiceUnavailable)
-	p.reload(good+"[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"3s\"\nmost_open = 100\n", "reload: discovery is")
+	sidecar.reload(good+"[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"3s\"\nmost_open = 100\n", "reload: discovery is")
 	book(http.StatusOK)
 
-	callers := &routedCallers{t: t, p: p}
+	callers := &routedCallers{t: t, p: sidecar}
 	for range 4 {
 		callers.running.Go(callers.book)
 	}
 	for range 10 {
-		p.reload(good+tripsOff, "reload: discovery is")
+		sidecar.reload(good+tripsOff, "reload: discovery is")
 		callers.awaitMore(&callers.rejected)
-		p.reload(good, "reload: discovery is")
+		sidecar.reload(good, "reload: discovery is")
 		callers.awaitMore(&callers.served)
 	}
 	callers.done.Store(true)
--- a/cmd/quincegap/start_bench_test.go
+++ b/cmd/quincegap/start_bench_test.go
@@ -32,7 +32,7 @@
 		"tiers":["front"],"zones":["z"],"models":["m"]}}`, address, discovery.Address()))
 	writeFile(b, file, strings.Replace(fmt.Sprintf(sidecarFile, discovery.Address()), "127.0.0.1:0", address, 1))
 	writeFile(b, overlay, "[callers]\nmax_body = \"32KiB\"\n")
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name string
 		args []string
 		env  string
@@ -41,11 +41,11 @@
 		{"platform+file", []string{"-config", overlay}, "BALANCER_CONFIG=" + platform},
 		{"file", []string{"-config", file}, "BALANCER_CONFIG="},
 	} {
-		b.Run(c.name, func(b *testing.B) {
+		b.Run(tc.name, func(b *testing.B) {
 			var rss, peak float64
 			for range b.N {
-				cmd := command(program, c.args...)
-				cmd.Env = append(os.Environ(), c.env)
+				cmd := command(program, tc.args...)
+				cmd.Env = append(os.Environ(), tc.env)
 				if err := cmd.Start(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/config/appfile/class.go
+++ b/internal/config/appfile/class.go
@@ -59,23 +59,23 @@
 ).RequireOne().CheckNames(nameFault).Check(checkClass)
 
 // checkClass checks the keys of one class against one another.
-func checkClass(f *schema.File, name string, c *Class, report schema.Reporter) {
+func checkClass(f *schema.File, name string, class *Class, report schema.Reporter) {
 	isSet := func(key string) bool { return f.Setting("class", name, key) != nil }
-	keyed := c.Idempotency == balancer.IdempotentWithKey
+	keyed := class.Idempotency == balancer.IdempotentWithKey
 	switch {
-	case c.LatencyTarget > c.Deadline:
-		report("aim", "%s is longer than the deadline of %s", schema.FormatDuration(c.LatencyTarget), schema.FormatDuration(c.Deadline))
-	case keyed && c.KeyScope == "":
+	case class.LatencyTarget > class.Deadline:
+		report("aim", "%s is longer than the deadline of %s", schema.FormatDuration(class.LatencyTarget), schema.FormatDuration(class.Deadline))
+	case keyed && class.KeyScope == "":
 		report("key_scope", "missing: a keyed class has to say which endpoints drop repeats, cell, zone or all")
 	case keyed && !isSet("key_window"):
 		report("key_window", "missing: a keyed class has to say how long repeats are dropped")
 	case !keyed && isSet("key_scope"):
-		report("key_scope", "means nothing: the effect is %s, not keyed", c.Idempotency)
+		report("key_scope", "means nothing: the effect is %s, not keyed", class.Idempotency)
 	case !keyed && isSet("key_window"):
-		report("key_window", "means nothing: the effect is %s, not keyed", c.Idempotency)
-	case keyed && c.KeyWindow < c.Deadline:
+		report("key_window", "means nothing: the effect is %s, not keyed", class.Idempotency)
+	case keyed && class.KeyWindow < class.Deadline:
 		report("key_window", "%s is shorter than the %s in which attempts may go out (the deadline): a late one would run twice",
-			schema.FormatDuration(c.KeyWindow), schema.FormatDuration(c.Deadline))
+			schema.FormatDuration(class.KeyWindow), schema.FormatDuration(class.Deadline))
 	}
 }
 
--- a/internal/config/apps/addresses.go
+++ b/internal/config/apps/addresses.go
@@ -69,37 +69,37 @@
 	if err != nil || port == "0" {
 		return addressUse{}, false
 	}
-	u := addressUse{key: k, text: text, network: k.network, host: strings.ToLower(strings.TrimSuffix(host, ".")), port: port}
+	use := addressUse{key: k, text: text, network: k.network, host: strings.ToLower(strings.TrimSuffix(host, ".")), port: port}
 	parsed := net.ParseIP(host)
 	switch {
 	case host == "" || parsed != nil && parsed.IsUnspecified():
-		if u.host = "*"; k.dials {
-			u.host = "127.0.0.1" // the unspecified address, dialled, is the machine itself
+		if use.host = "*"; k.dials {
+			use.host = "127.0.0.1" // the unspecified address, dialled, is the machine itself
 		}
-	case u.host == "localhost":
-		u.host = "127.0.0.1"
+	case use.host == "localhost":
+		use.host = "127.0.0.1"
 	case parsed != nil:
-		u.host = parsed.String() // ::ffff:127.0.0.1 is 127.0.0.1
+		use.host = parsed.String() // ::ffff:127.0.0.1 is 127.0.0.1
 	}
-	u.local = u.host == "*" || u.host == "::1" || strings.HasPrefix(u.host, "127.") && net.ParseIP(u.host) != nil
-	return u, true
+	use.local = use.host == "*" || use.host == "::1" || strings.HasPrefix(use.host, "127.") && net.ParseIP(use.host) != nil
+	return use, true
 }
 
 // overlaps reports whether two addresses are the same if both are used on one machine.
-func (u addressUse) overlaps(o addressUse) bool {
-	if u.network != o.network || u.port != o.port {
+func (u addressUse) overlaps(other addressUse) bool {
+	if u.network != other.network || u.port != other.port {
 		return false
 	}
-	if u.host == o.host {
+	if u.host == other.host {
 		return true
 	}
 	switch {
 	case u.key.dials: // a listener on all addresses has this one, if that is local
-		return o.host == "*" && u.local
-	case o.key.dials:
-		return u.host == "*" && o.local
+		return other.host == "*" && u.local
+	case other.key.dials:
+		return u.host == "*" && other.local
 	}
-	return u.host == "*" || o.host == "*"
+	return u.host == "*" || other.host == "*"
 }
 
 // conflict returns why two uses of one address exclude each other, or "" if they do not: two may dial the same address. whose names the
--- a/internal/config/apps/addresses_test.go
+++ b/internal/config/apps/addresses_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(table)
 		return addressKey{}
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		keyA, addressA string // of the first use
 		keyB, addressB string // of the second use
 		conflict       bool
@@ -39,12 +39,12 @@
 		{"discovery", "127.0.0.1:80", "consul", "127.0.0.1:80", false}, // one agent may serve both
 		{"sidecar", "front.example.org:80", "discovery", "Front.example.org.:80", true},
 	} {
-		a, okA := newAddressUse(key(c.keyA), c.addressA)
-		b, okB := newAddressUse(key(c.keyB), c.addressB)
+		a, okA := newAddressUse(key(tc.keyA), tc.addressA)
+		b, okB := newAddressUse(key(tc.keyB), tc.addressB)
 		got := okA && okB && a.overlaps(b) && conflict(a, b, "") != ""
 		mirrored := okA && okB && b.overlaps(a) && conflict(b, a, "") != ""
-		if got != c.conflict || mirrored != c.conflict {
-			t.Errorf("%s %s and %s %s: %v, %v", c.keyA, c.addressA, c.keyB, c.addressB, got, mirrored)
+		if got != tc.conflict || mirrored != tc.conflict {
+			t.Errorf("%s %s and %s %s: %v, %v", tc.keyA, tc.addressA, tc.keyB, tc.addressB, got, mirrored)
 		}
 	}
 }
--- a/internal/config/apps/attempts.go
+++ b/internal/config/apps/attempts.go
@@ -37,7 +37,7 @@
 // checkAttempts reports chains of calls whose attempts multiply to more than the bound. Components are searched callers first. Within a
 // ring, mutual_depth bounds the length of a chain.
 func (g *graph) checkAttempts(chain *Chain, frame *schema.File) {
-	s := attemptSearch{
+	search := attemptSearch{
 		graph:       g,
 		maxAttempts: chain.MaxAttempts,
 		frame:       frame,
@@ -45,16 +45,16 @@
 		calls:       map[classNode][]*edge{},
 	}
 	for _, n := range g.nodes {
-		s.addNode(n)
+		search.addNode(n)
 	}
 	for _, component := range g.components {
-		start := s.startFromOutside(component)
+		start := search.startFromOutside(component)
 		passes, ok := passesThrough(component)
 		if !ok {
 			continue // reported by checkComponent: without a depth there is no worst case
 		}
-		s.followWithin(start, passes)
-		s.followOut(component)
+		search.followWithin(start, passes)
+		search.followOut(component)
 	}
 }
 
--- a/internal/config/apps/check.go
+++ b/internal/config/apps/check.go
@@ -30,35 +30,35 @@
 var idempotencyRank = map[balancer.Idempotency]int{balancer.Idempotent: 0, balancer.IdempotentWithKey: 1, balancer.NonIdempotent: 2}
 
 // checkCall checks one call against the classes that make and serve it.
-func (g *graph) checkCall(e *edge) {
-	caller := e.callerClass
-	target := e.targetClass
-	atCaller := func(key string) schema.Location { return e.from.File.Location("class", e.call.Class, key) }
-	atTarget := func(key string) schema.Location { return e.to.File.Location("class", e.targetClassName, key) }
+func (g *graph) checkCall(edge *edge) {
+	caller := edge.callerClass
+	target := edge.targetClass
+	atCaller := func(key string) schema.Location { return edge.from.File.Location("class", edge.call.Class, key) }
+	atTarget := func(key string) schema.Location { return edge.to.File.Location("class", edge.targetClassName, key) }
 	format := schema.FormatDuration
-	if target.Deadline > e.call.Timeout {
-		e.report(g.found, "timeout", "%s does not cover the deadline of class %s at %s, %s (%s): it would work on for a caller that has gone",
-			format(e.call.Timeout), e.targetClassName, e.to.Name, format(target.Deadline), atTarget("deadline"))
+	if target.Deadline > edge.call.Timeout {
+		edge.report(g.found, "timeout", "%s does not cover the deadline of class %s at %s, %s (%s): it would work on for a caller that has gone",
+			format(edge.call.Timeout), edge.targetClassName, edge.to.Name, format(target.Deadline), atTarget("deadline"))
 	}
-	if n := e.call.PerRequest; n > 1 && int64(n) > int64(caller.Deadline)/max(1, int64(target.LatencyTarget)) {
-		e.report(g.found, "per_request",
+	if n := edge.call.PerRequest; n > 1 && int64(n) > int64(caller.Deadline)/max(1, int64(target.LatencyTarget)) {
+		edge.report(g.found, "per_request",
 			"%d calls one after another, of %s each when all goes well (%s), do not fit into the deadline of class %s, %s (%s)",
-			n, format(target.LatencyTarget), atTarget("aim"), e.call.Class, format(caller.Deadline), atCaller("deadline"))
+			n, format(target.LatencyTarget), atTarget("aim"), edge.call.Class, format(caller.Deadline), atCaller("deadline"))
 	}
 	bothKeyed := target.Idempotency == balancer.IdempotentWithKey && caller.Idempotency == balancer.IdempotentWithKey
 	switch {
 	case idempotencyRank[target.Idempotency] > idempotencyRank[caller.Idempotency]:
-		e.report(g.found, "for_class",
+		edge.report(g.found, "for_class",
 			"class %s is %s (%s) and may go out again, but class %s at %s is %s (%s): it would be called again with it",
-			e.call.Class, caller.Idempotency, atCaller("effect"), e.targetClassName, e.to.Name, target.Idempotency, atTarget("effect"))
-	case e.targetClassName == e.call.Class && target.Idempotency != caller.Idempotency:
-		e.report(g.found, "for_class", "class %s is %s here (%s) but %s at %s (%s): one name, two effects",
-			e.targetClassName, caller.Idempotency, atCaller("effect"), target.Idempotency, e.to.Name, atTarget("effect"))
+			edge.call.Class, caller.Idempotency, atCaller("effect"), edge.targetClassName, edge.to.Name, target.Idempotency, atTarget("effect"))
+	case edge.targetClassName == edge.call.Class && target.Idempotency != caller.Idempotency:
+		edge.report(g.found, "for_class", "class %s is %s here (%s) but %s at %s (%s): one name, two effects",
+			edge.targetClassName, caller.Idempotency, atCaller("effect"), target.Idempotency, edge.to.Name, atTarget("effect"))
 	case bothKeyed && target.KeyWindow < caller.Deadline:
-		e.report(g.found, "timeout",
+		edge.report(g.found, "timeout",
 			"class %s at %s drops repeats for %s (%s), but class %s here goes out again for up to %s (%s): a late one would run twice",
-			e.targetClassName, e.to.Name, format(target.KeyWindow), atTarget("key_window"),
-			e.call.Class, format(caller.Deadline), atCaller("deadline"))
+			edge.targetClassName, edge.to.Name, format(target.KeyWindow), atTarget("key_window"),
+			edge.call.Class, format(caller.Deadline), atCaller("deadline"))
 	}
 }
 
--- a/internal/config/apps/check_test.go
+++ b/internal/config/apps/check_test.go
@@ -79,7 +79,7 @@
 // Calls of a ring have to state the same depth, and no others may state one.
 func TestRings(t *testing.T) {
 	mutual := func(name string, depth int) []call { return []call{{to: name, mutual: depth}} }
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name string
 		all  []app
 		want []string // a part of each finding
@@ -114,20 +114,20 @@
 			nil,
 		},
 	} {
-		all := checked(t, text(1000, 100, c.all...))
-		ok := len(all) == len(c.want)
-		for i := range min(len(all), len(c.want)) {
-			ok = ok && strings.Contains(all[i].Message, c.want[i])
+		all := checked(t, text(1000, 100, tc.all...))
+		ok := len(all) == len(tc.want)
+		for i := range min(len(all), len(tc.want)) {
+			ok = ok && strings.Contains(all[i].Message, tc.want[i])
 		}
 		if !ok {
-			t.Errorf("%s: got\n%s\nwant %q", c.name, messages(all), c.want)
+			t.Errorf("%s: got\n%s\nwant %q", tc.name, messages(all), tc.want)
 		}
 	}
 }
 
 // The attempts of all applications of a chain multiply.
 func TestAttemptsMultiply(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		maxAttempts int
 		all         []app
 		want        string
@@ -154,9 +154,9 @@
 		},
 		{16, []app{{"a", 2, []call{{to: "b", mutual: 2}}}, {"b", 2, []call{{to: "a", mutual: 2}}}}, ""},
 	} {
-		all := checked(t, text(c.maxAttempts, 100, c.all...))
-		if c.want == "" && len(all) > 0 || c.want != "" && (len(all) == 0 || !strings.Contains(all[0].Message, c.want)) {
-			t.Errorf("got\n%s\nwant %q", messages(all), c.want)
+		all := checked(t, text(tc.maxAttempts, 100, tc.all...))
+		if tc.want == "" && len(all) > 0 || tc.want != "" && (len(all) == 0 || !strings.Contains(all[0].Message, tc.want)) {
+			t.Errorf("got\n%s\nwant %q", messages(all), tc.want)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 
 // Two applications may not listen on one address of one machine.
 func TestAddresses(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		a, b, hostA, hostB string
 		conflict           bool
 	}{
@@ -245,13 +245,13 @@
 			}
 			return "\nhost = \"" + h + "\""
 		}
-		s = strings.Replace(s, `"127.0.0.1:10000"`, `"`+c.a+`"`+host(c.hostA), 1)
-		s = strings.Replace(s, `"127.0.0.1:10001"`, `"`+c.b+`"`+host(c.hostB), 1)
+		s = strings.Replace(s, `"127.0.0.1:10000"`, `"`+tc.a+`"`+host(tc.hostA), 1)
+		s = strings.Replace(s, `"127.0.0.1:10001"`, `"`+tc.b+`"`+host(tc.hostB), 1)
 		for _, h := range []string{"x", "y"} {
 			s += "[hosts." + h + "]\nhost_cores = 99\nhost_memory = \"99GiB\"\nhost_sockets = 99999\n"
 		}
-		if got := checked(t, s); (len(got) > 0) != c.conflict {
-			t.Errorf("%+v: %s", c, messages(got))
+		if got := checked(t, s); (len(got) > 0) != tc.conflict {
+			t.Errorf("%+v: %s", tc, messages(got))
 		}
 	}
 }
--- a/internal/config/apps/components.go
+++ b/internal/config/apps/components.go
@@ -158,24 +158,24 @@
 }
 
 // describeCycle describes a shortest chain of calls that begins with the given one and returns to the application that makes it.
-func describeCycle(e *edge) string {
-	if e.to == e.from {
-		return fmt.Sprintf("%s calls itself", e.from.Name)
+func describeCycle(call *edge) string {
+	if call.to == call.from {
+		return fmt.Sprintf("%s calls itself", call.from.Name)
 	}
-	reachedBy := map[*node]*edge{e.to: nil}
-	queue := []*node{e.to}
-	for len(queue) > 0 && reachedBy[e.from] == nil {
+	reachedBy := map[*node]*edge{call.to: nil}
+	queue := []*node{call.to}
+	for len(queue) > 0 && reachedBy[call.from] == nil {
 		n := queue[0]
 		queue = queue[1:]
 		for _, next := range n.calls {
-			if _, seen := reachedBy[next.to]; !seen && next.to.component == e.from.component {
+			if _, seen := reachedBy[next.to]; !seen && next.to.component == call.from.component {
 				reachedBy[next.to] = next
 				queue = append(queue, next.to)
 			}
 		}
 	}
 	var steps []string
-	for n := e.from; reachedBy[n] != nil; n = reachedBy[n].from {
+	for n := call.from; reachedBy[n] != nil; n = reachedBy[n].from {
 		steps = append(steps, fmt.Sprintf("%s calls %s (%s)", reachedBy[n].from.Name, n.Name, reachedBy[n].location("to")))
 	}
 	slices.Reverse(steps)
@@ -183,5 +183,5 @@
 		left := fmt.Sprintf("... (%d more)", len(steps)-firstStepsNamed-lastStepsNamed)
 		steps = slices.Concat(steps[:firstStepsNamed], []string{left}, steps[len(steps)-lastStepsNamed:])
 	}
-	return fmt.Sprintf("%s calls %s, and %s", e.from.Name, e.to.Name, strings.Join(steps, ", "))
+	return fmt.Sprintf("%s calls %s, and %s", call.from.Name, call.to.Name, strings.Join(steps, ", "))
 }
--- a/internal/config/apps/edits.go
+++ b/internal/config/apps/edits.go
@@ -59,7 +59,7 @@
 
 // Compare compares the present text of an application's file with what would be written. It adds a finding if the file must not be
 // overwritten or cannot be read, and otherwise finds the edits. The text is nil if there is no file.
-func Compare(s *schema.Schema, app *App, source, path string, text []byte, found *finding.List) *FileState {
+func Compare(tables *schema.Schema, app *App, source, path string, text []byte, found *finding.List) *FileState {
 	state := &FileState{App: app, Path: path, Text: text, Generated: Generate(app, source)}
 	if text == nil || bytes.Equal(text, state.Generated) {
 		return state
@@ -83,7 +83,7 @@
 	if state.Doc == nil || found.Len() > before {
 		return state
 	}
-	state.File = s.Decode(found, schema.Options{}, schema.Layer{Doc: state.Doc, Table: state.Doc.Root, File: path})
+	state.File = tables.Decode(found, schema.Options{}, schema.Layer{Doc: state.Doc, Table: state.Doc.Root, File: path})
 	state.findEdits()
 	return state
 }
@@ -103,28 +103,28 @@
 // addEdit adds an edit if a key was changed by hand. It compares the short digests of three values: the one that was written, the one that
 // the file has (here; nil for none) and the one that apps.toml has now.
 func (s *FileState) addEdit(path []string, key *schema.Key, here *schema.Setting) {
-	e := Edit{Path: path, Key: key, Location: s.File.Location(path...)}
+	edit := Edit{Path: path, Key: key, Location: s.File.Location(path...)}
 	hereDigest := ""
 	if here != nil {
-		e.Raw = here.Raw
-		e.Location = here.Location
+		edit.Raw = here.Raw
+		edit.Location = here.Location
 		hereDigest = shortDigest(here.Canonical)
 	}
 	currentDigest := ""
 	if current := s.App.File.Setting(path...); current != nil {
-		e.Current = cmp.Or(current.Raw, current.Canonical)
+		edit.Current = cmp.Or(current.Raw, current.Canonical)
 		currentDigest = shortDigest(current.Canonical)
 	}
-	writtenDigest := s.Provenance.KeyDigests[e.ID()]
+	writtenDigest := s.Provenance.KeyDigests[edit.ID()]
 	if hereDigest == writtenDigest || hereDigest == currentDigest {
 		return // unchanged, or changed to the value that would be written
 	}
 	if currentDigest == writtenDigest {
-		e.Previous = e.Current
+		edit.Previous = edit.Current
 	} else {
-		e.Conflicting = true
+		edit.Conflicting = true
 	}
-	s.Edits = append(s.Edits, e)
+	s.Edits = append(s.Edits, edit)
 }
 
 // Edited reports whether the file has changed since it was written, if only in comments or spacing.
@@ -153,19 +153,19 @@
 	for _, e := range s.Edits {
 		kept[e.ID()] = true
 	}
-	d := s.Doc
+	merged := s.Doc
 	for _, setting := range s.App.File.Settings() {
 		if kept[setting.ID()] {
 			continue
 		}
 		if here := s.File.Setting(setting.Path...); here == nil || here.Canonical != setting.Canonical {
-			d = readAgain(d.Set(setting.Path, setting.OneLine(), setting.Key.Help))
+			merged = readAgain(merged.Set(setting.Path, setting.OneLine(), setting.Key.Help))
 		}
 	}
 	for _, setting := range s.File.Settings() {
 		if !kept[setting.ID()] && s.App.File.Setting(setting.Path...) == nil {
-			d = readAgain(d.Delete(setting.Path, setting.Key.Help))
+			merged = readAgain(merged.Delete(setting.Path, setting.Key.Help))
 		}
 	}
-	return replaceProvenance(d.Text, s.Generated)
+	return replaceProvenance(merged.Text, s.Generated)
 }
--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -190,19 +190,19 @@
 }
 
 // checkMerge checks a case in files with the given line ends.
-func checkMerge(t *testing.T, c mergeCase, newline string) {
+func checkMerge(t *testing.T, tc mergeCase, newline string) {
 	t.Helper()
 	written := generate(t, base)
-	edited := strings.Replace(written, c.here[0], c.here[1], 1)
-	apps := strings.Replace(base, c.apps[0], c.apps[1], 1)
+	edited := strings.Replace(written, tc.here[0], tc.here[1], 1)
+	apps := strings.Replace(base, tc.apps[0], tc.apps[1], 1)
 	if edited == written || apps == base {
 		t.Fatal("replaces nothing")
 	}
 	state := compare(t, apps, strings.ReplaceAll(edited, "\n", newline))
-	if !state.Edited() || (len(state.Conflicts()) > 0) != c.conflict {
+	if !state.Edited() || (len(state.Conflicts()) > 0) != tc.conflict {
 		t.Fatalf("edits %v", state.Edits)
 	}
-	if c.conflict {
+	if tc.conflict {
 		return
 	}
 	merged := string(state.Merge())
@@ -210,7 +210,7 @@
 		t.Error("line ends are mixed")
 	}
 	plain := strings.ReplaceAll(merged, "\r", "")
-	for _, want := range c.want {
+	for _, want := range tc.want {
 		if !strings.Contains(plain, want) {
 			t.Errorf("%q is missing in\n%s", want, plain)
 		}
@@ -258,7 +258,7 @@
 // Adopting an edit changes just the lines of apps.toml that it has to, and leaves no edit.
 func TestAdopt(t *testing.T) {
 	withDefaults := "[defaults.attempts]\nmost_attempts = 3 # all\n\n" + base
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name, apps string
 		here       [2]string
 		want       string // the lines of apps.toml that are removed and added, or the finding
@@ -272,22 +272,22 @@
 		{"take a default away", withDefaults, [2]string{"most_attempts = 3\n", ""}, "comes from [defaults] in line 2", true},
 		{"rename", base, [2]string{`application = "a"`, `application = "b"`}, "cannot be adopted", true},
 	} {
-		edited := strings.Replace(generate(t, c.apps), c.here[0], c.here[1], 1)
-		state := compare(t, c.apps, edited)
+		edited := strings.Replace(generate(t, tc.apps), tc.here[0], tc.here[1], 1)
+		state := compare(t, tc.apps, edited)
 		var found finding.List
-		after := string(model(t, c.apps).Adopt([]*FileState{state}, &found))
-		if c.fault {
-			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, c.want) {
-				t.Errorf("%s: %v", c.name, found.Err())
+		after := string(model(t, tc.apps).Adopt([]*FileState{state}, &found))
+		if tc.fault {
+			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, tc.want) {
+				t.Errorf("%s: %v", tc.name, found.Err())
 			}
 			continue
 		}
-		if got := lines(c.apps, after); got != c.want || found.Len() > 0 {
-			t.Errorf("%s: got %q, want %q, %v", c.name, got, c.want, found.Err())
+		if got := lines(tc.apps, after); got != tc.want || found.Len() > 0 {
+			t.Errorf("%s: got %q, want %q, %v", tc.name, got, tc.want, found.Err())
 		}
 		// apps.toml now has the values of the file: no edit is left.
 		if state := compare(t, after, edited); len(state.Edits) > 0 {
-			t.Errorf("%s: left over: %v", c.name, state.Edits)
+			t.Errorf("%s: left over: %v", tc.name, state.Edits)
 		}
 	}
 }
--- a/internal/config/apps/golden_test.go
+++ b/internal/config/apps/golden_test.go
@@ -89,12 +89,12 @@
 // itself.
 func randomInstallation(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 50))
-	n := 2 + random.IntN(7)
+	size := 2 + random.IntN(7)
 	var all []app
-	for i := range n {
-		a := app{name: fmt.Sprintf("n%d", i), attempts: 1 + random.IntN(3)}
-		for j := range n {
-			if random.IntN(n) > 1 {
+	for i := range size {
+		drawn := app{name: fmt.Sprintf("n%d", i), attempts: 1 + random.IntN(3)}
+		for j := range size {
+			if random.IntN(size) > 1 {
 				continue
 			}
 			c := call{to: fmt.Sprintf("n%d", j), per: 1 + random.IntN(2)}
@@ -104,15 +104,15 @@
 			if random.IntN(20) == 0 {
 				c.to = fmt.Sprintf("m%d", j)
 			}
-			a.calls = append(a.calls, c)
+			drawn.calls = append(drawn.calls, c)
 		}
-		all = append(all, a)
+		all = append(all, drawn)
 	}
 	file := text(4+random.IntN(30), 2+random.IntN(5), all...)
-	for i := range n {
+	for i := range size {
 		listen := fmt.Sprintf("[apps.n%d.sidecar]\nlisten = \"127.0.0.1:%d\"\n", i, 10000+i)
 		now := fmt.Sprintf("[apps.n%d.sidecar]\nlisten = \"%s:%d\"\nhost = \"h%d\"\n",
-			i, []string{"", "127.0.0.1", "10.0.0.1"}[random.IntN(3)], 10000+random.IntN(2*n), random.IntN(4))
+			i, []string{"", "127.0.0.1", "10.0.0.1"}[random.IntN(3)], 10000+random.IntN(2*size), random.IntN(4))
 		file = strings.Replace(file, listen, now, 1)
 	}
 	for h := range 3 {
--- a/internal/config/apps/graph.go
+++ b/internal/config/apps/graph.go
@@ -76,34 +76,34 @@
 		names = append(names, n.Name)
 	}
 	searched := 0
-	for _, n := range g.nodes {
-		for _, c := range appfile.CallsTable.All(n.File) {
-			e := &edge{
-				from:            n,
-				to:              g.byName[c.Value.To],
-				name:            c.Name,
-				call:            c.Value,
-				callerClass:     appfile.ClassTable.Get(n.File, c.Value.Class),
-				targetClassName: cmp.Or(c.Value.AsClass, c.Value.Class),
+	for _, caller := range g.nodes {
+		for _, call := range appfile.CallsTable.All(caller.File) {
+			link := &edge{
+				from:            caller,
+				to:              g.byName[call.Value.To],
+				name:            call.Name,
+				call:            call.Value,
+				callerClass:     appfile.ClassTable.Get(caller.File, call.Value.Class),
+				targetClassName: cmp.Or(call.Value.AsClass, call.Value.Class),
 			}
-			if e.to == nil {
+			if link.to == nil {
 				var candidates []string
 				if searched += len(names); searched <= max(maxNamesSearched, len(names)) {
 					candidates = names
 				}
-				e.report(g.found, "to", "%s", finding.UnknownName("application", c.Value.To, candidates))
+				link.report(g.found, "to", "%s", finding.UnknownName("application", call.Value.To, candidates))
 				continue
 			}
-			if e.callerClass == nil {
+			if link.callerClass == nil {
 				continue // reported when the application's own file is decoded
 			}
-			e.targetClass = appfile.ClassTable.Get(e.to.File, e.targetClassName)
-			if e.targetClass == nil {
-				g.reportUnknownClass(e)
+			link.targetClass = appfile.ClassTable.Get(link.to.File, link.targetClassName)
+			if link.targetClass == nil {
+				g.reportUnknownClass(link)
 				continue
 			}
-			n.calls = append(n.calls, e)
-			g.checkCall(e)
+			caller.calls = append(caller.calls, link)
+			g.checkCall(link)
 		}
 	}
 }
--- a/internal/config/apps/model.go
+++ b/internal/config/apps/model.go
@@ -93,38 +93,38 @@
 
 // FromDocument is like Read for a document that has been read already. Missing keys are reported only if the document is complete: they may
 // be in the lines that could not be read. It returns nil if the document is nil.
-func FromDocument(s *schema.Schema, file string, d *doc.Document, complete bool, found *finding.List) *Model {
-	if d == nil {
+func FromDocument(tables *schema.Schema, file string, document *doc.Document, complete bool, found *finding.List) *Model {
+	if document == nil {
 		return nil
 	}
-	m := &Model{Schema: s, FileName: file, Doc: d}
-	m.Installation = InstallationSchema.Decode(found, schema.Options{OtherTables: layerNames, Partial: !complete},
-		schema.Layer{Doc: d, Table: d.Root, File: file})
+	model := &Model{Schema: tables, FileName: file, Doc: document}
+	model.Installation = InstallationSchema.Decode(found, schema.Options{OtherTables: layerNames, Partial: !complete},
+		schema.Layer{Doc: document, Table: document.Root, File: file})
 	report := found.ForFile(file)
 	for _, name := range layerNames {
-		if e := d.Root.Get(name); e != nil && e.Value.Kind != doc.TableKind {
+		if e := document.Root.Get(name); e != nil && e.Value.Kind != doc.TableKind {
 			report(e.Pos, "%s is a table", name)
 		}
 	}
-	defaults := schema.Layer{Doc: d, Table: d.Root.Subtable(layerDefaults), File: file}
-	s.Decode(found, schema.Options{Partial: true}, defaults)
-	all := d.Root.Subtable(layerApps)
+	defaults := schema.Layer{Doc: document, Table: document.Root.Subtable(layerDefaults), File: file}
+	tables.Decode(found, schema.Options{Partial: true}, defaults)
+	all := document.Root.Subtable(layerApps)
 	if all == nil || len(all.Entries) == 0 {
-		report(d.Root.Pos, "there is no application: at least one [apps.\"NAME\"] is needed")
-		return m
+		report(document.Root.Pos, "there is no application: at least one [apps.\"NAME\"] is needed")
+		return model
 	}
 	for _, e := range all.Entries {
 		if !isApplication(e, report) {
 			continue
 		}
-		own := schema.Layer{Doc: d, Table: e.Value.Table, File: file}
-		m.Apps = append(m.Apps, &App{
+		own := schema.Layer{Doc: document, Table: e.Value.Table, File: file}
+		model.Apps = append(model.Apps, &App{
 			Name:     e.Name,
 			Location: schema.Location{File: file, Pos: e.Pos},
-			File:     s.Decode(found, schema.Options{Partial: !complete}, appfile.NameLayer(e.Name, file, e.Pos), defaults, own),
+			File:     tables.Decode(found, schema.Options{Partial: !complete}, appfile.NameLayer(e.Name, file, e.Pos), defaults, own),
 		})
 	}
-	return m
+	return model
 }
 
 // isApplication reports whether an entry under [apps] is an application, and adds a finding if not. It also adds one if the key
--- a/internal/config/apps/provenance.go
+++ b/internal/config/apps/provenance.go
@@ -85,7 +85,7 @@
 	if !ok {
 		return nil
 	}
-	p := &Provenance{App: app, Source: strings.TrimSuffix(source, "."), KeyDigests: map[string]string{}, Truncated: true}
+	provenance := &Provenance{App: app, Source: strings.TrimSuffix(source, "."), KeyDigests: map[string]string{}, Truncated: true}
 	wantDigest := ""
 	linesAbove := 0 // the lines up to the digest, which does not cover them
 	for i, line := range lines {
@@ -94,17 +94,17 @@
 			wantDigest = strings.TrimPrefix(line, headerDigest)
 			linesAbove = i + 1
 		case line == trailer:
-			p.Truncated = false
-		case !p.Truncated && strings.HasPrefix(line, keyPrefix):
-			p.addKey(strings.TrimPrefix(line, keyPrefix))
+			provenance.Truncated = false
+		case !provenance.Truncated && strings.HasPrefix(line, keyPrefix):
+			provenance.addKey(strings.TrimPrefix(line, keyPrefix))
 		}
 	}
 	// The digest is that of the text itself and not of the lines above, so that a change of line ends is an edit too.
 	for range linesAbove {
 		_, text, _ = bytes.Cut(text, []byte("\n"))
 	}
-	p.Edited = wantDigest == "" || digest(text) != wantDigest
-	return p
+	provenance.Edited = wantDigest == "" || digest(text) != wantDigest
+	return provenance
 }
 
 // addKey adds a key from a line of the trailer, which has a short digest and the key's ID.
--- a/internal/config/doc/doc_test.go
+++ b/internal/config/doc/doc_test.go
@@ -101,7 +101,7 @@
 // Each edit changes just the lines that it has to, with both line ends.
 func TestEdits(t *testing.T) {
 	const text = "# head\ntop = 1\n\n[t] # the table\n# about a\na = 1 # so\nb = 2\n\n[t.u]\nc = 3\n\n[z]\nd = 4\nx.y = 5\n"
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name string
 		edit func(d *Document) []byte
 		want string // the lines that are removed and added
@@ -121,15 +121,15 @@
 		for _, nl := range []string{"\n", "\r\n"} {
 			before := strings.ReplaceAll(text, "\n", nl)
 			d, _ := read(t, before)
-			after := string(c.edit(d))
+			after := string(tc.edit(d))
 			if _, at := read(t, after); len(at) > 0 {
-				t.Errorf("%s: cannot be read at %v:\n%s", c.name, at, after)
+				t.Errorf("%s: cannot be read at %v:\n%s", tc.name, at, after)
 			}
 			if nl == "\r\n" && strings.Count(after, "\n") != strings.Count(after, "\r\n") {
-				t.Errorf("%s: line ends are mixed: %q", c.name, after)
+				t.Errorf("%s: line ends are mixed: %q", tc.name, after)
 			}
-			if got := lineDiff(strings.ReplaceAll(before, "\r", ""), strings.ReplaceAll(after, "\r", "")); got != c.want {
-				t.Errorf("%s: got %q, want %q", c.name, got, c.want)
+			if got := lineDiff(strings.ReplaceAll(before, "\r", ""), strings.ReplaceAll(after, "\r", "")); got != tc.want {
+				t.Errorf("%s: got %q, want %q", tc.name, got, tc.want)
 			}
 		}
 	}
@@ -194,12 +194,12 @@
 func randomEdit(t *testing.T, rt *rapid.T, text string, model map[string]string) string {
 	t.Helper()
 	name := rapid.SampledFrom([]string{"a", "b", "k", "with space", "q\"uote", "d.ot"})
-	d := mustRead(t, rt, text)
+	document := mustRead(t, rt, text)
 	path := []string{"a", name.Draw(rt, "table"), "key" + name.Draw(rt, "key")}
 	id := DottedPath(path)
 	if !rapid.Bool().Draw(rt, "set") {
 		delete(model, id)
-		return string(d.Delete(path))
+		return string(document.Delete(path))
 	}
 	value := fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
 	if path[1] == "k" {
@@ -207,7 +207,7 @@
 		return text
 	}
 	model[id] = value
-	return string(d.Set(path, value))
+	return string(document.Set(path, value))
 }
 
 // leaves adds all keys of a table and its tables to a map.
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -12,24 +12,24 @@
 // ReadJSON reads a text of at most maxBytes bytes that holds one object. If the text cannot be read it reports the first fault and returns
 // nil: unlike TOML, JSON has no lines at which reading could continue.
 func ReadJSON(text []byte, maxBytes int, report finding.Reporter) *Document {
-	d := newDocument(text)
-	if !d.checkReadable(maxBytes, report) {
+	document := newDocument(text)
+	if !document.checkReadable(maxBytes, report) {
 		return nil
 	}
-	r := jsonReader{Document: d, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
+	r := jsonReader{Document: document, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
 	r.decoder.UseNumber()
 	root, err := r.document()
 	if err != nil {
 		at, message := r.locate(err)
-		report(d.Pos(at), "cannot be read: %s", message)
+		report(document.Pos(at), "cannot be read: %s", message)
 		return nil
 	}
 	if root.Kind != TableKind {
 		report(root.Pos, "holds %s, not an object", root.Kind)
 		return nil
 	}
-	d.Root = root.Table
-	return d
+	document.Root = root.Table
+	return document
 }
 
 // Errors that the decoder does not detect. Their texts are parts of findings.
@@ -95,31 +95,31 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Value{Pos: j.Pos(j.tokenStart), Start: j.tokenStart, End: int(j.decoder.InputOffset())}
-	v.Text = string(j.Text[v.Start:v.End])
+	value := &Value{Pos: j.Pos(j.tokenStart), Start: j.tokenStart, End: int(j.decoder.InputOffset())}
+	value.Text = string(j.Text[value.Start:value.End])
 	switch token := token.(type) {
 	case json.Delim:
 		if depth >= maxDepth {
 			return nil, errTooDeep
 		}
 		if token == '{' {
-			return v, j.object(v, path, depth)
+			return value, j.object(value, path, depth)
 		}
-		return v, j.array(v, path, depth)
+		return value, j.array(value, path, depth)
 	case string:
-		v.Kind = String
-		v.Text = token
+		value.Kind = String
+		value.Text = token
 	case json.Number:
-		v.Kind = Integer
+		value.Kind = Integer
 		if bytes.ContainsAny([]byte(token), ".eE") {
-			v.Kind = Float
+			value.Kind = Float
 		}
 	case bool:
-		v.Kind = Bool
+		value.Kind = Bool
 	case nil:
-		v.Kind = Null
+		value.Kind = Null
 	}
-	return v, nil
+	return value, nil
 }
 
 // array reads the items of a list and its end.
@@ -137,9 +137,9 @@
 }
 
 // object reads the keys of an object and its end. The first of two equal keys counts.
-func (j *jsonReader) object(v *Value, path []string, depth int) error {
-	v.Kind = TableKind
-	v.Table = &Table{Path: path, Pos: v.Pos}
+func (j *jsonReader) object(object *Value, path []string, depth int) error {
+	object.Kind = TableKind
+	object.Table = &Table{Path: path, Pos: object.Pos}
 	for j.decoder.More() {
 		token, err := j.token()
 		if err != nil {
@@ -147,15 +147,15 @@
 		}
 		name, _ := token.(string)
 		pos := j.Pos(j.tokenStart)
-		inner, err := j.value(v.Table.pathOf(name), depth+1)
+		inner, err := j.value(object.Table.pathOf(name), depth+1)
 		if err != nil {
 			return err
 		}
-		if e := v.Table.Get(name); e != nil {
+		if e := object.Table.Get(name); e != nil {
 			j.report(pos, "%q stands twice: first in line %d", name, e.Pos.Line)
 			continue
 		}
-		v.Table.add(&Entry{Name: name, Pos: pos, Value: inner})
+		object.Table.add(&Entry{Name: name, Pos: pos, Value: inner})
 	}
 	_, err := j.token()
 	return err
--- a/internal/config/doc/quote.go
+++ b/internal/config/doc/quote.go
@@ -38,23 +38,23 @@
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
 	b.WriteByte('"')
-	for _, r := range s {
+	for _, char := range s {
 		switch {
-		case r == '"' || r == '\\':
+		case char == '"' || char == '\\':
 			b.WriteByte('\\')
-			b.WriteRune(r)
-		case r == '\t':
+			b.WriteRune(char)
+		case char == '\t':
 			b.WriteString(`\t`)
-		case r == '\n':
+		case char == '\n':
 			b.WriteString(`\n`)
-		case r == '\r':
+		case char == '\r':
 			b.WriteString(`\r`)
-		case r < 0x20 || r == 0x7f:
+		case char < 0x20 || char == 0x7f:
 			b.WriteString(`\u00`)
-			b.WriteByte(hex[r>>4])
-			b.WriteByte(hex[r&15])
+			b.WriteByte(hex[char>>4])
+			b.WriteByte(hex[char&15])
 		default:
-			b.WriteRune(r)
+			b.WriteRune(char)
 		}
 	}
 	b.WriteByte('"')
--- a/internal/config/doc/toml_tree.go
+++ b/internal/config/doc/toml_tree.go
@@ -62,38 +62,38 @@
 	r.table = t
 }
 
-// headerStep returns the table that part i of a header names within another table, and makes it if there is none. If the header contradicts
-// the text above it, headerStep adds a finding and returns nil. start is the offset of the header.
-func (r *tomlReader) headerStep(t *Table, parts []string, i int, list bool, start int) *Table {
+// headerStep returns the table within another one that a part of a header names, and makes it if there is none. index is that of the part,
+// start the offset of the header. If the header contradicts the text above it, headerStep adds a finding and returns nil.
+func (r *tomlReader) headerStep(t *Table, parts []string, index int, list bool, start int) *Table {
 	pos := r.Pos(start)
-	last := i == len(parts)-1
-	e := t.Get(parts[i])
-	if e == nil {
-		return t.addSubtable(parts[i], pos, last && list)
+	last := index == len(parts)-1
+	entry := t.Get(parts[index])
+	if entry == nil {
+		return t.addSubtable(parts[index], pos, last && list)
 	}
 	switch {
-	case isTableArray(e.Value) && last && list:
-		sub := &Table{Path: t.pathOf(parts[i]), Pos: pos, arrayElement: true}
-		e.Value.Items = append(e.Value.Items, &Value{Kind: TableKind, Pos: pos, Table: sub})
+	case isTableArray(entry.Value) && last && list:
+		sub := &Table{Path: t.pathOf(parts[index]), Pos: pos, arrayElement: true}
+		entry.Value.Items = append(entry.Value.Items, &Value{Kind: TableKind, Pos: pos, Table: sub})
 		return sub
-	case isTableArray(e.Value) && last:
-		r.report(pos, "[%s] is a list of tables since line %d", DottedPath(parts), e.Pos.Line)
+	case isTableArray(entry.Value) && last:
+		r.report(pos, "[%s] is a list of tables since line %d", DottedPath(parts), entry.Pos.Line)
 		return nil
-	case isTableArray(e.Value):
-		return e.Value.Items[len(e.Value.Items)-1].Table
-	case e.Value.Kind != TableKind:
-		r.report(pos, "[%s] is a table, but %s has a value in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
+	case isTableArray(entry.Value):
+		return entry.Value.Items[len(entry.Value.Items)-1].Table
+	case entry.Value.Kind != TableKind:
+		r.report(pos, "[%s] is a table, but %s has a value in line %d", DottedPath(parts), DottedPath(parts[:index+1]), entry.Pos.Line)
 		return nil
 	case last && list:
-		r.report(pos, "[[%s]] is a list of tables, but a table since line %d", DottedPath(parts), e.Pos.Line)
+		r.report(pos, "[[%s]] is a list of tables, but a table since line %d", DottedPath(parts), entry.Pos.Line)
 		return nil
 	}
-	return e.Value.Table
+	return entry.Value.Table
 }
 
 // keyValue adds a key with its value to a table. depth is the number of tables and lists around the table.
-func (r *tomlReader) keyValue(t *Table, n *unstable.Node, depth int) {
-	parts, starts, end := r.keyParts(n.Key())
+func (r *tomlReader) keyValue(t *Table, node *unstable.Node, depth int) {
+	parts, starts, end := r.keyParts(node.Key())
 	pos := r.Pos(starts[0])
 	if depth+len(parts) > maxDepth {
 		r.report(pos, "more than %d tables within one another", maxDepth)
@@ -120,7 +120,7 @@
 	for end < len(r.Text) && (r.Text[end] == ' ' || r.Text[end] == '\t' || r.Text[end] == '=') {
 		end++ // up to the value
 	}
-	value := r.value(t.pathOf(name), n.Value(), end, depth+len(parts))
+	value := r.value(t.pathOf(name), node.Value(), end, depth+len(parts))
 	e := &Entry{
 		Name:   name,
 		Pos:    pos,
@@ -162,40 +162,40 @@
 }
 
 // value reads the value that begins at an offset. depth is the number of tables and lists around it.
-func (r *tomlReader) value(path []string, n *unstable.Node, start, depth int) *Value {
-	v := &Value{Kind: kindOfNode[n.Kind], Pos: r.Pos(start), Start: start, End: start + 1}
-	if v.Kind != Array && v.Kind != TableKind {
-		v.Start = r.offset(n)
-		v.End = v.Start + int(n.Raw.Length)
-		v.Pos = r.Pos(v.Start)
-		v.Text = string(n.Data)
-		return v
+func (r *tomlReader) value(path []string, node *unstable.Node, start, depth int) *Value {
+	value := &Value{Kind: kindOfNode[node.Kind], Pos: r.Pos(start), Start: start, End: start + 1}
+	if value.Kind != Array && value.Kind != TableKind {
+		value.Start = r.offset(node)
+		value.End = value.Start + int(node.Raw.Length)
+		value.Pos = r.Pos(value.Start)
+		value.Text = string(node.Data)
+		return value
 	}
 	if depth >= maxDepth {
-		r.report(v.Pos, "more than %d lists and tables within one another", maxDepth)
-		return v
+		r.report(value.Pos, "more than %d lists and tables within one another", maxDepth)
+		return value
 	}
-	if v.Kind == TableKind {
-		v.Table = &Table{Path: path, Pos: v.Pos, dotted: true}
+	if value.Kind == TableKind {
+		value.Table = &Table{Path: path, Pos: value.Pos, dotted: true}
 	}
-	for it := n.Children(); it.Next(); {
+	for it := node.Children(); it.Next(); {
 		child := it.Node()
 		switch {
 		case child.Kind == unstable.Comment:
-		case v.Kind == TableKind:
-			r.keyValue(v.Table, child, depth)
+		case value.Kind == TableKind:
+			r.keyValue(value.Table, child, depth)
 		default:
 			item := r.value(path, child, r.childStart(child, start), depth+1)
-			v.Items = append(v.Items, item)
-			v.End = max(v.End, item.End)
+			value.Items = append(value.Items, item)
+			value.End = max(value.End, item.End)
 		}
 	}
-	if v.Table != nil {
-		for _, e := range v.Table.Entries {
-			v.End = max(v.End, e.Value.End)
+	if value.Table != nil {
+		for _, e := range value.Table.Entries {
+			value.End = max(value.End, e.Value.End)
 		}
 	}
-	return v
+	return value
 }
 
 // childStart returns the offset of an item of a list. The parser does not record that of lists and tables, which take the offset of the
--- a/internal/config/finding/finding_test.go
+++ b/internal/config/finding/finding_test.go
@@ -34,23 +34,23 @@
 
 // Findings are ordered by position, each is kept once, and their number is bounded; those beyond are counted.
 func TestList(t *testing.T) {
-	var l List
-	l.Add("b", Pos{2, 1}, "late")
-	l.Add("b", Pos{1, 9}, "early")
-	l.Add("b", Pos{2, 1}, "late")
-	l.Add("a", Pos{}, "whole")
+	var list List
+	list.Add("b", Pos{2, 1}, "late")
+	list.Add("b", Pos{1, 9}, "early")
+	list.Add("b", Pos{2, 1}, "late")
+	list.Add("a", Pos{}, "whole")
 	var out bytes.Buffer
-	if err := l.Print(&out); err != nil {
+	if err := list.Print(&out); err != nil {
 		t.Fatal(err)
 	}
 	if want := "b:1:9: early\nb:2:1: late\na: whole\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
 	for i := range 2 * MaxFindings {
-		l.Add("c", Pos{i + 1, 1}, "x")
+		list.Add("c", Pos{i + 1, 1}, "x")
 	}
 	out.Reset()
-	if err := l.PrintJSON(&out); err != nil {
+	if err := list.PrintJSON(&out); err != nil {
 		t.Fatal(err)
 	}
 	var got struct {
@@ -58,10 +58,10 @@
 		More     int
 	}
 	err := json.Unmarshal(out.Bytes(), &got)
-	if err != nil || len(got.Findings) != MaxFindings || got.More != MaxFindings+3 || l.Len() != 2*MaxFindings+3 {
-		t.Error(err, len(got.Findings), got.More, l.Len())
+	if err != nil || len(got.Findings) != MaxFindings || got.More != MaxFindings+3 || list.Len() != 2*MaxFindings+3 {
+		t.Error(err, len(got.Findings), got.More, list.Len())
 	}
-	if !strings.HasSuffix(l.Err().Error(), fmt.Sprintf("and %d more findings", MaxFindings+3)) {
+	if !strings.HasSuffix(list.Err().Error(), fmt.Sprintf("and %d more findings", MaxFindings+3)) {
 		t.Error("the number of those beyond is missing")
 	}
 	if (&List{}).Err() != nil {
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -59,28 +59,28 @@
 // editDistance returns the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
 // (optimal string alignment distance).
 func editDistance(from, to string) int {
-	a := []rune(from)
-	b := []rune(to)
+	source := []rune(from)
+	target := []rune(to)
 	// Three rows of the table of distances between prefixes are enough.
-	beforeLast := make([]int, len(b)+1)
-	last := make([]int, len(b)+1)
-	row := make([]int, len(b)+1)
+	beforeLast := make([]int, len(target)+1)
+	last := make([]int, len(target)+1)
+	row := make([]int, len(target)+1)
 	for j := range last {
 		last[j] = j
 	}
-	for i := range a {
+	for i := range source {
 		row[0] = i + 1
-		for j := range b {
+		for j := range target {
 			cost := 1
-			if a[i] == b[j] {
+			if source[i] == target[j] {
 				cost = 0
 			}
 			row[j+1] = min(last[j+1]+1, row[j]+1, last[j]+cost)
-			if i > 0 && j > 0 && a[i] == b[j-1] && a[i-1] == b[j] {
+			if i > 0 && j > 0 && source[i] == target[j-1] && source[i-1] == target[j] {
 				row[j+1] = min(row[j+1], beforeLast[j-1]+1)
 			}
 		}
 		beforeLast, last, row = last, row, beforeLast
 	}
-	return last[len(b)]
+	return last[len(target)]
 }
--- a/internal/config/schema/decode.go
+++ b/internal/config/schema/decode.go
@@ -45,7 +45,7 @@
 // Decode reads layers, the lowest first, and reports all faults. With findings the file must only be used to look for further faults.
 // Layers without a table are ignored.
 func (s *Schema) Decode(found *finding.List, options Options, layers ...Layer) *File {
-	d := decoding{
+	run := decoding{
 		File: &File{
 			schema:   s,
 			values:   map[string]any{},
@@ -59,33 +59,33 @@
 	before := found.Len()
 	for _, l := range layers {
 		if l.Table != nil {
-			d.root = l.location(l.Table.Pos)
-			d.layer(l)
+			run.root = l.location(l.Table.Pos)
+			run.layer(l)
 		}
 	}
 	if options.Partial {
-		return d.File
+		return run.File
 	}
 	for _, t := range s.Tables {
 		if !slices.Contains(options.RequiredElsewhere, t.Name) {
-			d.reportMissing(t)
+			run.reportMissing(t)
 		}
 	}
 	if found.Len() > before {
-		return d.File // a check over keys that could not be read would mislead
+		return run.File // a check over keys that could not be read would mislead
 	}
 	for _, t := range s.Tables {
 		if t.check != nil {
-			d.check(t)
+			run.check(t)
 		}
 	}
-	return d.File
+	return run.File
 }
 
 // layer reads the tables of one layer.
-func (d *decoding) layer(l Layer) {
-	report := d.found.ForFile(l.File)
-	for _, e := range l.Table.Entries {
+func (d *decoding) layer(layer Layer) {
+	report := d.found.ForFile(layer.File)
+	for _, e := range layer.Table.Entries {
 		t := d.schema.byName[e.Name]
 		switch {
 		case t == nil:
@@ -93,10 +93,10 @@
 		case e.Value.Kind != doc.TableKind:
 			report(e.Pos, "%s is a table: write [%s] and each of its keys in a line below", e.Name, t.headerName())
 		case t.Named:
-			d.tables[t.Name] = l.location(e.Pos)
-			d.namedTables(l, t, e.Value.Table, report)
+			d.tables[t.Name] = layer.location(e.Pos)
+			d.namedTables(layer, t, e.Value.Table, report)
 		default:
-			d.table(l, t, t.path(""), e.Value.Table, report)
+			d.table(layer, t, t.path(""), e.Value.Table, report)
 		}
 	}
 }
@@ -118,48 +118,48 @@
 }
 
 // namedTables reads the tables [NAME.ANY] of one layer.
-func (d *decoding) namedTables(l Layer, t *Table, all *doc.Table, report finding.Reporter) {
-	for _, e := range all.Entries {
-		if e.Value.Kind != doc.TableKind {
-			report(e.Pos, "%s is to stand in a table of its own, [%s]", e.Name, t.headerName())
+func (d *decoding) namedTables(layer Layer, t *Table, all *doc.Table, report finding.Reporter) {
+	for _, entry := range all.Entries {
+		if entry.Value.Kind != doc.TableKind {
+			report(entry.Pos, "%s is to stand in a table of its own, [%s]", entry.Name, t.headerName())
 			continue
 		}
-		path := t.path(e.Name)
+		path := t.path(entry.Name)
 		if t.nameFault != nil {
-			if fault := t.nameFault(e.Name); fault != "" {
-				report(e.Pos, "%s%s", messagePrefix(path), fault)
+			if fault := t.nameFault(entry.Name); fault != "" {
+				report(entry.Pos, "%s%s", messagePrefix(path), fault)
 			}
 		}
-		if !slices.Contains(d.names[t.Name], e.Name) {
-			d.names[t.Name] = append(d.names[t.Name], e.Name)
+		if !slices.Contains(d.names[t.Name], entry.Name) {
+			d.names[t.Name] = append(d.names[t.Name], entry.Name)
 		}
-		d.table(l, t, path, e.Value.Table, report)
+		d.table(layer, t, path, entry.Value.Table, report)
 	}
 }
 
 // table fills the value of one table.
-func (d *decoding) table(l Layer, t *Table, path []string, table *doc.Table, report finding.Reporter) {
+func (d *decoding) table(layer Layer, t *Table, path []string, table *doc.Table, report finding.Reporter) {
 	id := valueID(path...)
 	value := d.values[id]
 	if value == nil {
 		value = t.newValue()
 		d.values[id] = value
 	}
-	d.tables[doc.DottedPath(path)] = l.location(table.Pos)
-	for _, e := range table.Entries {
-		k := t.byName[e.Name]
+	d.tables[doc.DottedPath(path)] = layer.location(table.Pos)
+	for _, entry := range table.Entries {
+		k := t.byName[entry.Name]
 		if k == nil {
-			d.reportUnknownKey(t, path, e, report)
+			d.reportUnknownKey(t, path, entry, report)
 			continue
 		}
-		setting := &Setting{Path: keyPath(path, e.Name), Key: k, Location: l.location(e.Pos)}
+		setting := &Setting{Path: keyPath(path, entry.Name), Key: k, Location: layer.location(entry.Pos)}
 		var fault string
-		setting.Canonical, fault = k.decode(value, e.Value)
+		setting.Canonical, fault = k.decode(value, entry.Value)
 		if fault != "" {
-			report(e.Value.Pos, "%s%s", messagePrefix(setting.Path), fault)
+			report(entry.Value.Pos, "%s%s", messagePrefix(setting.Path), fault)
 		}
-		if e.Value.End > e.Value.Start {
-			setting.Raw = string(l.Doc.Text[e.Value.Start:e.Value.End])
+		if entry.Value.End > entry.Value.Start {
+			setting.Raw = string(layer.Doc.Text[entry.Value.Start:entry.Value.End])
 		}
 		// A key with a fault is kept, so that it is not reported as missing.
 		d.settings[setting.ID()] = setting
--- a/internal/config/schema/duration.go
+++ b/internal/config/schema/duration.go
@@ -37,36 +37,36 @@
 }
 
 // readDuration returns a duration, or what is wrong with the text.
-func readDuration(v *doc.Value) (time.Duration, string) {
+func readDuration(value *doc.Value) (time.Duration, string) {
 	const want = `a time with its unit (like "2500ms" or "2.5s")`
-	switch v.Kind {
+	switch value.Kind {
 	case doc.Integer, doc.Float:
-		return 0, fmt.Sprintf("%s has no unit; write \"%sms\" or \"%ss\"", quoteValue(v), v.Text, v.Text)
+		return 0, fmt.Sprintf("%s has no unit; write \"%sms\" or \"%ss\"", quoteValue(value), value.Text, value.Text)
 	case doc.String:
 	default:
-		return 0, wrongKind(v, want)
+		return 0, wrongKind(value, want)
 	}
-	d, err := time.ParseDuration(v.Text)
+	d, err := time.ParseDuration(value.Text)
 	if err == nil {
 		return d, ""
 	}
-	text := strings.TrimSpace(v.Text)
+	text := strings.TrimSpace(value.Text)
 	unit := strings.TrimLeft(text, "+-0123456789._ ")
 	switch {
 	case text == "":
 		return 0, "is empty; " + want + " is wanted"
 	case unit == "":
-		return 0, fmt.Sprintf("%s has no unit; write \"%sms\" or \"%ss\"", quoteValue(v), text, text)
+		return 0, fmt.Sprintf("%s has no unit; write \"%sms\" or \"%ss\"", quoteValue(value), text, text)
 	case strings.ContainsAny(text, " ") && looksLikeDuration(strings.ReplaceAll(text, " ", "")):
-		return 0, fmt.Sprintf("%s has a space in it; write %q", quoteValue(v), strings.ReplaceAll(text, " ", ""))
+		return 0, fmt.Sprintf("%s has a space in it; write %q", quoteValue(value), strings.ReplaceAll(text, " ", ""))
 	}
 	if meant := misspeltDurationUnits[unit]; meant != "" {
-		return 0, fmt.Sprintf("%s has the unknown unit %q; did you mean %q?", quoteValue(v), unit, meant)
+		return 0, fmt.Sprintf("%s has the unknown unit %q; did you mean %q?", quoteValue(value), unit, meant)
 	}
 	if looksLikeDuration(text) {
-		return 0, quoteValue(v) + " is too long to be a time"
+		return 0, quoteValue(value) + " is too long to be a time"
 	}
-	return 0, fmt.Sprintf("%s is no time; units are us, ms, s, m, h, as in \"2500ms\"", quoteValue(v))
+	return 0, fmt.Sprintf("%s is no time; units are us, ms, s, m, h, as in \"2500ms\"", quoteValue(value))
 }
 
 // looksLikeDuration reports whether a text has numbers with known units, even if they are too large.
--- a/internal/config/schema/number.go
+++ b/internal/config/schema/number.go
@@ -23,15 +23,15 @@
 func numberKey[T any, N cmp.Ordered](name, typeName string, field func(*T) *N, b Bounds[N], change Change, help string,
 	read func(*doc.Value) (N, string), write func(N) string,
 ) KeyOf[T] {
-	k := &Key{
+	key := &Key{
 		Name: name, Type: typeName, Help: help, Change: change, Required: b.Required, Example: b.Example,
 		Bounds: write(b.Min) + " to " + write(b.Max),
 	}
 	if !b.Optional && !b.Required {
-		k.Default = write(b.Default)
+		key.Default = write(b.Default)
 	}
-	k.setDefault = func(target any) { *field(target.(*T)) = b.Default }
-	k.decode = func(target any, v *doc.Value) (string, string) {
+	key.setDefault = func(target any) { *field(target.(*T)) = b.Default }
+	key.decode = func(target any, v *doc.Value) (string, string) {
 		n, fault := read(v)
 		switch {
 		case fault != "":
@@ -44,7 +44,7 @@
 		*field(target.(*T)) = n
 		return write(n), ""
 	}
-	return KeyOf[T]{k}
+	return KeyOf[T]{key}
 }
 
 // Int declares a key whose value is a whole number.
--- a/internal/config/schema/render.go
+++ b/internal/config/schema/render.go
@@ -9,37 +9,37 @@
 
 // Reference returns the reference page of all tables, in Markdown.
 func (s *Schema) Reference() string {
-	var b strings.Builder
+	var page strings.Builder
 	for _, t := range s.Tables {
-		fmt.Fprintf(&b, "\n## [%s]\n\n%s", t.headerName(), t.Help)
+		fmt.Fprintf(&page, "\n## [%s]\n\n%s", t.headerName(), t.Help)
 		if t.Required {
-			b.WriteString(" At least one is needed.")
+			page.WriteString(" At least one is needed.")
 		}
-		b.WriteString("\n\n| key | type | default | changes at | meaning |\n| --- | --- | --- | --- | --- |\n")
-		for _, k := range t.Keys {
-			typeName := k.Type
-			if k.Bounds != "" {
-				typeName += ", " + strings.ReplaceAll(k.Bounds, `"`, "")
+		page.WriteString("\n\n| key | type | default | changes at | meaning |\n| --- | --- | --- | --- | --- |\n")
+		for _, key := range t.Keys {
+			typeName := key.Type
+			if key.Bounds != "" {
+				typeName += ", " + strings.ReplaceAll(key.Bounds, `"`, "")
 			}
-			defaultText := "`" + k.Default + "`"
+			defaultText := "`" + key.Default + "`"
 			switch {
-			case k.Required:
-				defaultText = "needed, like `" + k.Example + "`"
-			case k.Default == "" && k.Example != "":
-				defaultText = "none; like `" + k.Example + "`"
-			case k.Default == "":
+			case key.Required:
+				defaultText = "needed, like `" + key.Example + "`"
+			case key.Default == "" && key.Example != "":
+				defaultText = "none; like `" + key.Example + "`"
+			case key.Default == "":
 				defaultText = "none"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.Name, typeName, defaultText, k.Change, k.Help)
+			fmt.Fprintf(&page, "| `%s` | %s | %s | %s | %s |\n", key.Name, typeName, defaultText, key.Change, key.Help)
 		}
 	}
-	return b.String()
+	return page.String()
 }
 
 // Sample returns a file with all keys: those that are required with an example, the others as comments with their default or an example. It
 // decodes without findings.
 func (s *Schema) Sample() string {
-	var b strings.Builder
+	var file strings.Builder
 	for _, t := range s.Tables {
 		required := t.Required
 		for _, k := range t.Keys {
@@ -53,20 +53,20 @@
 		if required {
 			comment = ""
 		}
-		fmt.Fprintf(&b, "\n# %s\n%s[%s]\n", t.Help, comment, doc.DottedPath(path))
+		fmt.Fprintf(&file, "\n# %s\n%s[%s]\n", t.Help, comment, doc.DottedPath(path))
 		for _, k := range t.Keys {
-			fmt.Fprintf(&b, "# %s\n", k.Help)
+			fmt.Fprintf(&file, "# %s\n", k.Help)
 			switch {
 			case k.Required && required:
-				fmt.Fprintf(&b, "%s = %s\n", k.Name, k.Example)
+				fmt.Fprintf(&file, "%s = %s\n", k.Name, k.Example)
 			case k.Required || k.Default == "":
-				fmt.Fprintf(&b, "# %s = %s\n", k.Name, k.Example)
+				fmt.Fprintf(&file, "# %s = %s\n", k.Name, k.Example)
 			default:
-				fmt.Fprintf(&b, "# %s = %s\n", k.Name, k.Default)
+				fmt.Fprintf(&file, "# %s = %s\n", k.Name, k.Default)
 			}
 		}
 	}
-	return b.String()
+	return file.String()
 }
 
 // Text returns the settings of a file as TOML, in the order of the schema, each with its help above.
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -170,13 +170,13 @@
 // New returns a schema of some tables. It panics if two of them have a key of the same name: if a header is deleted by mistake its keys
 // become those of the table above, which must not know them.
 func New(tables ...*Table) *Schema {
-	s := &Schema{Tables: tables, byName: map[string]*Table{}}
+	schema := &Schema{Tables: tables, byName: map[string]*Table{}}
 	owner := map[string]string{}
 	for _, t := range tables {
-		if s.byName[t.Name] != nil {
+		if schema.byName[t.Name] != nil {
 			panic("schema: [" + t.Name + "] is declared twice")
 		}
-		s.byName[t.Name] = t
+		schema.byName[t.Name] = t
 		for _, k := range t.Keys {
 			if other := owner[k.Name]; other != "" {
 				panic(fmt.Sprintf("schema: both [%s] and [%s] have a key %s", other, t.Name, k.Name))
@@ -184,7 +184,7 @@
 			owner[k.Name] = t.Name
 		}
 	}
-	return s
+	return schema
 }
 
 // Table returns the table of the schema with a name, or nil.
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -62,7 +62,7 @@
 
 // Values of each type are read in each way to write them, and defaults are set.
 func TestValues(t *testing.T) {
-	f, fault := decode(`[things]
+	file, fault := decode(`[things]
 who = "w"
 wait = '1m30s'
 count = 0x10
@@ -79,15 +79,15 @@
 	if fault != "" {
 		t.Fatal(fault)
 	}
-	if got := *thingsTable.In(f); got != (things{90 * time.Second, 16, 1, 3 << 10, false, "green", "w", "[::1]:80"}) {
+	if got := *thingsTable.In(file); got != (things{90 * time.Second, 16, 1, 3 << 10, false, "green", "w", "[::1]:80"}) {
 		t.Errorf("got %+v", got)
 	}
-	all := partTable.All(f)
-	if len(all) != 2 || all[0].Name != "x" || all[1].Name != "y z" || all[1].Value.Size != 3 || partTable.Get(f, "no") != nil {
+	all := partTable.All(file)
+	if len(all) != 2 || all[0].Name != "x" || all[1].Name != "y z" || all[1].Value.Size != 3 || partTable.Get(file, "no") != nil {
 		t.Errorf("got %+v", all)
 	}
-	f, fault = decode("[things]\nwho = \"w\"\n", Options{})
-	if got := *thingsTable.In(f); fault != "" || got != (things{time.Second, 3, 0.5, 1 << 10, true, "red", "w", ""}) {
+	file, fault = decode("[things]\nwho = \"w\"\n", Options{})
+	if got := *thingsTable.In(file); fault != "" || got != (things{time.Second, 3, 0.5, 1 << 10, true, "red", "w", ""}) {
 		t.Errorf("defaults: %+v, %s", got, fault)
 	}
 	if got := *thingsTable.Default(); got.Count != 3 {
--- a/internal/config/schema/size.go
+++ b/internal/config/schema/size.go
@@ -36,17 +36,17 @@
 }
 
 // readSize returns a number of bytes, or what is wrong with the text.
-func readSize(v *doc.Value) (int64, string) {
+func readSize(value *doc.Value) (int64, string) {
 	const want = `a size with its unit (like "64KiB" or "32MiB")`
-	switch v.Kind {
+	switch value.Kind {
 	case doc.Integer, doc.Float:
-		return 0, fmt.Sprintf("%s has no unit; write \"%sB\", \"%sKiB\" or \"%sMiB\"", quoteValue(v), v.Text, v.Text, v.Text)
+		return 0, fmt.Sprintf("%s has no unit; write \"%sB\", \"%sKiB\" or \"%sMiB\"", quoteValue(value), value.Text, value.Text, value.Text)
 	case doc.String:
 	default:
-		return 0, wrongKind(v, want)
+		return 0, wrongKind(value, want)
 	}
-	unit := strings.TrimLeft(v.Text, "+-0123456789._")
-	digits := strings.TrimSuffix(v.Text, unit)
+	unit := strings.TrimLeft(value.Text, "+-0123456789._")
+	digits := strings.TrimSuffix(value.Text, unit)
 	for _, s := range sizeUnits {
 		if unit != s.unit {
 			continue
@@ -54,17 +54,17 @@
 		n, err := strconv.ParseInt(digits, 10, 64)
 		switch {
 		case err != nil && strings.ContainsAny(digits, "._"):
-			return 0, fmt.Sprintf("%s is not a whole number of %s", quoteValue(v), s.unit)
+			return 0, fmt.Sprintf("%s is not a whole number of %s", quoteValue(value), s.unit)
 		case err != nil || n > math.MaxInt64/s.bytes || n < math.MinInt64/s.bytes:
-			return 0, fmt.Sprintf("%s is no size that can be used", quoteValue(v))
+			return 0, fmt.Sprintf("%s is no size that can be used", quoteValue(value))
 		}
 		return n * s.bytes, ""
 	}
 	switch trimmed := strings.TrimSpace(unit); {
 	case unit == "":
-		return 0, fmt.Sprintf("%s has no unit; write B, KiB, MiB or GiB behind it", quoteValue(v))
+		return 0, fmt.Sprintf("%s has no unit; write B, KiB, MiB or GiB behind it", quoteValue(value))
 	case misspeltSizeUnits[trimmed] != "":
-		return 0, fmt.Sprintf("%s has the unknown unit %q; did you mean %q?", quoteValue(v), trimmed, misspeltSizeUnits[trimmed])
+		return 0, fmt.Sprintf("%s has the unknown unit %q; did you mean %q?", quoteValue(value), trimmed, misspeltSizeUnits[trimmed])
 	}
-	return 0, fmt.Sprintf("%s is no size; units are B, KiB, MiB and GiB, as in \"64KiB\"", quoteValue(v))
+	return 0, fmt.Sprintf("%s is no size; units are B, KiB, MiB and GiB, as in \"64KiB\"", quoteValue(value))
 }
--- a/internal/config/schema/text.go
+++ b/internal/config/schema/text.go
@@ -24,34 +24,41 @@
 const MaxStringBytes = 4096
 
 // String declares a key whose value is a string that is not empty and has no control characters.
-func String[T any](name string, field func(*T) *string, s StringOptions, change Change, help string) KeyOf[T] {
-	k := &Key{Name: name, Type: cmp.Or(s.Type, "string"), Bounds: s.Bounds, Help: help, Change: change, Required: s.Required}
-	if s.Example != "" {
-		k.Example = doc.Quote(s.Example)
+func String[T any](name string, field func(*T) *string, options StringOptions, change Change, help string) KeyOf[T] {
+	key := &Key{
+		Name:     name,
+		Type:     cmp.Or(options.Type, "string"),
+		Bounds:   options.Bounds,
+		Help:     help,
+		Change:   change,
+		Required: options.Required,
 	}
-	if s.Default != "" {
-		k.Default = doc.Quote(s.Default)
+	if options.Example != "" {
+		key.Example = doc.Quote(options.Example)
 	}
-	k.setDefault = func(target any) { *field(target.(*T)) = s.Default }
-	k.decode = func(target any, v *doc.Value) (string, string) {
+	if options.Default != "" {
+		key.Default = doc.Quote(options.Default)
+	}
+	key.setDefault = func(target any) { *field(target.(*T)) = options.Default }
+	key.decode = func(target any, value *doc.Value) (string, string) {
 		switch {
-		case v.Kind != doc.String:
-			return "", wrongKind(v, "a string")
-		case len(v.Text) > MaxStringBytes:
-			return "", fmt.Sprintf("has %d bytes; at most %d are read", len(v.Text), MaxStringBytes)
-		case strings.ContainsFunc(v.Text, func(r rune) bool { return r < 0x20 || r == 0x7f }):
+		case value.Kind != doc.String:
+			return "", wrongKind(value, "a string")
+		case len(value.Text) > MaxStringBytes:
+			return "", fmt.Sprintf("has %d bytes; at most %d are read", len(value.Text), MaxStringBytes)
+		case strings.ContainsFunc(value.Text, func(r rune) bool { return r < 0x20 || r == 0x7f }):
 			return "", "has a control character in it"
-		case v.Text == "":
+		case value.Text == "":
 			return "", "is empty; leave the key out instead"
-		case s.Fault != nil:
-			if fault := s.Fault(v.Text); fault != "" {
-				return "", quoteValue(v) + " " + fault
+		case options.Fault != nil:
+			if fault := options.Fault(value.Text); fault != "" {
+				return "", quoteValue(value) + " " + fault
 			}
 		}
-		*field(target.(*T)) = v.Text
-		return doc.Quote(v.Text), ""
+		*field(target.(*T)) = value.Text
+		return doc.Quote(value.Text), ""
 	}
-	return KeyOf[T]{k}
+	return KeyOf[T]{key}
 }
 
 // Choice declares a key whose value is one of several words. With required it has to be set.
@@ -60,15 +67,15 @@
 	for i, w := range words {
 		names[i] = string(w)
 	}
-	k := &Key{
+	key := &Key{
 		Name: name, Type: "word", Bounds: strings.Join(names, ", "), Help: help, Change: change, Required: required,
 		Example: doc.Quote(names[0]),
 	}
 	if preset != "" {
-		k.Default = doc.Quote(string(preset))
+		key.Default = doc.Quote(string(preset))
 	}
-	k.setDefault = func(target any) { *field(target.(*T)) = preset }
-	k.decode = func(target any, v *doc.Value) (string, string) {
+	key.setDefault = func(target any) { *field(target.(*T)) = preset }
+	key.decode = func(target any, v *doc.Value) (string, string) {
 		if v.Kind != doc.String {
 			return "", wrongKind(v, "one of "+strings.Join(names, ", "))
 		}
@@ -80,5 +87,5 @@
 		}
 		return "", finding.UnknownName("word", v.Text, names)
 	}
-	return KeyOf[T]{k}
+	return KeyOf[T]{key}
 }
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -112,36 +112,36 @@
 
 // Parse reads the object and returns the top-level keys that it ignored, sorted. It fails if the text is no such object, or has an unknown
 // value of discovery. The Balancer checks everything else.
-func Parse(text []byte) (s Settings, unknown []string, err error) {
-	var c config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return s, nil, fmt.Errorf("not a settings object: %w", err)
+func Parse(text []byte) (settings Settings, unknown []string, err error) {
+	var object config
+	if err := json.Unmarshal(text, &object); err != nil {
+		return settings, nil, fmt.Errorf("not a settings object: %w", err)
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(text, &keys); err != nil {
-		return s, nil, fmt.Errorf("not a settings object: %w", err)
+		return settings, nil, fmt.Errorf("not a settings object: %w", err)
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if !knownKeys[key] {
 			unknown = append(unknown, key)
 		}
 	}
-	if c.Discovery != discoveryPush && c.Discovery != discoveryAsk {
-		return s, unknown, fmt.Errorf("discovery: unknown word %q", c.Discovery)
+	if object.Discovery != discoveryPush && object.Discovery != discoveryAsk {
+		return settings, unknown, fmt.Errorf("discovery: unknown word %q", object.Discovery)
 	}
 	return Settings{
-		Settings:      c.balancerSettings(),
-		Zones:         c.Zones,
-		Models:        c.Models,
-		ConnIdle:      Microseconds(c.Allowed.ConnIdle),
-		GraceToAnswer: Microseconds(c.Rules.Grace),
-		OpenCap:       c.Allowed.OpenCap,
+		Settings:      object.balancerSettings(),
+		Zones:         object.Zones,
+		Models:        object.Models,
+		ConnIdle:      Microseconds(object.Allowed.ConnIdle),
+		GraceToAnswer: Microseconds(object.Rules.Grace),
+		OpenCap:       object.Allowed.OpenCap,
 	}, unknown, nil
 }
 
 // balancerSettings returns the part of the object that the Balancer is started with.
 func (c *config) balancerSettings() balancer.Settings {
-	s := balancer.Settings{
+	settings := balancer.Settings{
 		Instances:           c.Instances,
 		Ordinal:             c.Ordinal,
 		Tier:                c.Stage,
@@ -167,10 +167,10 @@
 		OverloadDuration:    Microseconds(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
-		s.MaxRetryAfter = Microseconds(c.Allowed.MaxRetryAfter)
+		settings.MaxRetryAfter = Microseconds(c.Allowed.MaxRetryAfter)
 	}
 	for _, service := range c.Services {
-		s.Classes = append(s.Classes, balancer.Class{
+		settings.Classes = append(settings.Classes, balancer.Class{
 			Name:           service.Name,
 			LatencyTarget:  Microseconds(service.Aim),
 			Deadline:       Microseconds(service.Deadline),
@@ -183,9 +183,9 @@
 		})
 	}
 	for _, tenant := range c.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerS})
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerS})
 	}
-	return s
+	return settings
 }
 
 // translate looks a word up, and passes an unknown one on unchanged.
--- a/internal/doctest/names_test.go
+++ b/internal/doctest/names_test.go
@@ -46,7 +46,7 @@
 // collect returns the names that the project declares.
 func collect(t *testing.T) *declared {
 	t.Helper()
-	d := &declared{
+	names := &declared{
 		packages: map[string]map[string]bool{},
 		members:  map[string]map[string]bool{},
 		inside:   map[string]bool{},
@@ -58,10 +58,10 @@
 			name = filepath.Base(filepath.Dir(path)) // pages name a program by its folder
 		}
 		for _, declaration := range file.Decls {
-			d.add(name, declaration)
+			names.add(name, declaration)
 		}
 	}
-	return d
+	return names
 }
 
 // add adds the names of a declaration in a package.
--- a/internal/golden/values.go
+++ b/internal/golden/values.go
@@ -19,30 +19,30 @@
 }
 
 // writeValue writes one value, of any kind.
-func writeValue(text *strings.Builder, v reflect.Value) {
-	switch v.Kind() {
+func writeValue(text *strings.Builder, value reflect.Value) {
+	switch value.Kind() {
 	case reflect.Bool:
-		text.WriteString(strconv.FormatBool(v.Bool()))
+		text.WriteString(strconv.FormatBool(value.Bool()))
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		text.WriteString(strconv.FormatInt(v.Int(), 10))
+		text.WriteString(strconv.FormatInt(value.Int(), 10))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		text.WriteString(strconv.FormatUint(v.Uint(), 10))
+		text.WriteString(strconv.FormatUint(value.Uint(), 10))
 	case reflect.Float32, reflect.Float64:
-		text.WriteString(strconv.FormatFloat(v.Float(), 'g', -1, 64))
+		text.WriteString(strconv.FormatFloat(value.Float(), 'g', -1, 64))
 	case reflect.String:
-		text.WriteString(strconv.Quote(v.String()))
+		text.WriteString(strconv.Quote(value.String()))
 	case reflect.Pointer:
-		if v.IsNil() {
+		if value.IsNil() {
 			text.WriteString("nil")
 			return
 		}
-		writeValue(text, v.Elem())
+		writeValue(text, value.Elem())
 	case reflect.Struct:
-		writeFields(text, v)
+		writeFields(text, value)
 	case reflect.Slice, reflect.Array:
-		writeElements(text, v)
+		writeElements(text, value)
 	case reflect.Map:
-		writeEntries(text, v)
+		writeEntries(text, value)
 	default:
 		text.WriteString("-")
 	}
@@ -61,8 +61,8 @@
 }
 
 // writeElements writes the elements of a list.
-func writeElements(text *strings.Builder, v reflect.Value) {
-	element := v.Type().Elem()
+func writeElements(text *strings.Builder, list reflect.Value) {
+	element := list.Type().Elem()
 	if element.Kind() == reflect.Pointer {
 		element = element.Elem()
 	}
@@ -71,11 +71,11 @@
 		separator = "\n"
 	}
 	text.WriteByte('[')
-	for i := range v.Len() {
+	for i := range list.Len() {
 		if i > 0 {
 			text.WriteString(separator)
 		}
-		writeValue(text, v.Index(i))
+		writeValue(text, list.Index(i))
 	}
 	text.WriteByte(']')
 }
--- a/internal/product/peer_group.go
+++ b/internal/product/peer_group.go
@@ -14,20 +14,20 @@
 
 // peersOpener returns a function that joins the group of sidecars that a file configures; nil if it configures none. It fails if the
 // settings contradict one another or the keys cannot be read.
-func peersOpener(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
-	settings := *gossip.Table.In(f)
+func peersOpener(file *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
+	settings := *gossip.Table.In(file)
 	if settings.Listen == "" {
 		return nil, nil
 	}
-	application := appfile.SidecarTable.In(f).Application
+	application := appfile.SidecarTable.In(file).Application
 	if application == "" {
 		return nil, fmt.Errorf("%s: peers_listen is set, and sidecar.application is not: others could not be told from another application's",
-			f.Location("peers", "peers_listen"))
+			file.Location("peers", "peers_listen"))
 	}
-	if settings.Service != "" && consul.Table.In(f).Agents == "" {
-		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", f.Location("peers", "peers_service"))
+	if settings.Service != "" && consul.Table.In(file).Agents == "" {
+		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", file.Location("peers", "peers_service"))
 	}
-	readKeys := func() ([][]byte, error) { return readPeerKeys(f, settings.KeyFile, resolve) }
+	readKeys := func() ([][]byte, error) { return readPeerKeys(file, settings.KeyFile, resolve) }
 	if _, err := readKeys(); err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 		var findAddresses func() ([]string, error)
 		if settings.Service != "" {
 			findAddresses = func() ([]string, error) {
-				return consul.Find(context.Background(), *consul.Table.In(f), settings.Service, resolve)
+				return consul.Find(context.Background(), *consul.Table.In(file), settings.Service, resolve)
 			}
 		}
 		group, err := gossip.Open(gossip.Config{
--- a/internal/product/platform_shape.go
+++ b/internal/product/platform_shape.go
@@ -105,40 +105,40 @@
 }
 
 // check checks a value against a shape. path names the value in findings.
-func (s *shape) check(v *doc.Value, path string, report finding.Reporter) {
-	if s.number && (v.Kind == doc.Integer || v.Kind == doc.Float) {
-		if n, err := strconv.ParseFloat(v.Text, 64); err != nil || n > maxNumber || n < -maxNumber {
-			report(v.Pos, "%s: %.40s is too large a number", path, v.Text)
+func (s *shape) check(value *doc.Value, path string, report finding.Reporter) {
+	if s.number && (value.Kind == doc.Integer || value.Kind == doc.Float) {
+		if n, err := strconv.ParseFloat(value.Text, 64); err != nil || n > maxNumber || n < -maxNumber {
+			report(value.Pos, "%s: %.40s is too large a number", path, value.Text)
 		}
 		return
 	}
-	if v.Kind != s.kind {
-		report(v.Pos, "%s: %s is wanted, not %s", path, s.kind, v.Kind)
+	if value.Kind != s.kind {
+		report(value.Pos, "%s: %s is wanted, not %s", path, s.kind, value.Kind)
 		return
 	}
 	if s.item != nil {
-		for i, item := range v.Items {
+		for i, item := range value.Items {
 			s.item.check(item, fmt.Sprintf("%s[%d]", path, i), report)
 		}
 	}
-	if s.keys != nil && v.Table != nil {
-		s.checkKeys(v, path, report)
+	if s.keys != nil && value.Table != nil {
+		s.checkKeys(value, path, report)
 	}
 }
 
 // checkKeys checks the keys of an object.
-func (s *shape) checkKeys(v *doc.Value, path string, report finding.Reporter) {
+func (s *shape) checkKeys(object *doc.Value, path string, report finding.Reporter) {
 	keyPrefix := path
 	if keyPrefix != "" {
 		keyPrefix += "."
 	}
 	var absent []string
 	for key := range s.keys {
-		if v.Table.Get(key) == nil {
+		if object.Table.Get(key) == nil {
 			absent = append(absent, key)
 		}
 	}
-	for _, e := range v.Table.Entries {
+	for _, e := range object.Table.Entries {
 		if inner := s.keys[e.Name]; inner != nil {
 			inner.check(e.Value, keyPrefix+e.Name, report)
 		} else if nearest := finding.Nearest(e.Name, absent); nearest != "" {
@@ -146,8 +146,8 @@
 		}
 	}
 	for _, key := range s.required {
-		if v.Table.Get(key) == nil {
-			report(v.Pos, "%slacks the key %q", pathPrefix(path), key)
+		if object.Table.Get(key) == nil {
+			report(object.Pos, "%slacks the key %q", pathPrefix(path), key)
 		}
 	}
 }
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	var found finding.List
-	f := Load(path, false, &found)
+	file := Load(path, false, &found)
 	// In the sample a safe class has the keys of a keyed one, a call names another class, and the files of secrets are missing.
 	expected := []string{"means nothing", "for_class", "_file", "settings for TLS", "second_copies is false"}
 	for _, x := range found.All() {
@@ -63,7 +63,7 @@
 			if table.Named {
 				path = []string{table.Name, table.ExampleName, k.Name}
 			}
-			if f.Setting(path...) == nil {
+			if file.Setting(path...) == nil {
 				t.Errorf("%v is not in the sample", path)
 			}
 		}
@@ -102,24 +102,24 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		mode os.FileMode
 		want string
 	}{{0o600, ""}, {0o622, "written by everybody"}, {0o644, "read by everybody"}} {
 		if err := os.WriteFile(filepath.Join(dir, "token"), []byte("t0ken"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Chmod(filepath.Join(dir, "token"), c.mode); err != nil {
+		if err := os.Chmod(filepath.Join(dir, "token"), tc.mode); err != nil {
 			t.Fatal(err)
 		}
 		var found finding.List
 		Load(path, false, &found)
 		asWanted := found.Len() == 0
-		if c.want != "" {
-			asWanted = found.Len() == 1 && strings.Contains(found.All()[0].Message, c.want) && found.All()[0].Line > 0
+		if tc.want != "" {
+			asWanted = found.Len() == 1 && strings.Contains(found.All()[0].Message, tc.want) && found.All()[0].Line > 0
 		}
 		if !asWanted {
-			t.Errorf("%v: %v", c.mode, found.Err())
+			t.Errorf("%v: %v", tc.mode, found.Err())
 		}
 	}
 }
--- a/internal/product/secrets.go
+++ b/internal/product/secrets.go
@@ -29,20 +29,20 @@
 
 // checkCertificates reports certificates with which HTTP/3 could not start: files that are missing, a key of another certificate, one that
 // is not valid now.
-func checkCertificates(f *schema.File, path string, now time.Time, found *finding.List) {
+func checkCertificates(file *schema.File, path string, now time.Time, found *finding.List) {
 	report := func(table, key string, err error) {
 		if err != nil {
-			at := f.Location(table, key)
+			at := file.Location(table, key)
 			found.Add(at.File, at.Pos, "%s.%s: %v", table, key, err)
 		}
 	}
-	if c := http3.FrontTable.In(f); c.Listen != "" && c.CertFile != "" && c.KeyFile != "" {
+	if c := http3.FrontTable.In(file); c.Listen != "" && c.CertFile != "" && c.KeyFile != "" {
 		report("http3", "http3_cert_file", checkCertificate(Resolve(path, c.CertFile), Resolve(path, c.KeyFile), now))
 		if c.SecretFile != "" {
 			report("http3", "http3_secret_file", checkSecretLength(Resolve(path, c.SecretFile)))
 		}
 	}
-	if e := http3.TransportTable.In(f); e.Use != http3.Never && e.CAFile != "" {
+	if e := http3.TransportTable.In(file); e.Use != http3.Never && e.CAFile != "" {
 		_, err := certfile.LoadPool(Resolve(path, e.CAFile))
 		report("http3-endpoints", "http3_ca_file", err)
 	}
