--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -47,7 +47,7 @@
 	sidecar *process
 }
 
-// measureFlood measures a sidecar with n instances, without changes and in a flood of them.
+// measureFlood measures a sidecar with some instances, without changes and in a flood of them.
 func measureFlood(b *testing.B, program string, instances int) {
 	b.Helper()
 	// Each instance has a loopback address of its own; one server listens on all of them.
--- a/cmd/quincegap/peers_helpers_test.go
+++ b/cmd/quincegap/peers_helpers_test.go
@@ -73,7 +73,8 @@
 	return ""
 }
 
-// newPeersRig prepares a group of n members; start starts them. The seed is for the faults of the relays, settings for [peers].
+// newPeersRig prepares a group of sidecars, which start starts. The seed is that of the relays' faults; settings are further lines of
+// [peers].
 func newPeersRig(tb testing.TB, size int, seed uint64, settings string) *peersRig {
 	tb.Helper()
 	rig := &peersRig{
@@ -109,6 +110,7 @@
 	return rig
 }
 
+// memberName returns the name of a member.
 func memberName(i int) string { return fmt.Sprintf("front-%02d", i) }
 
 // admin returns the path of the admin socket of a member.
--- a/internal/config/apps/address_graph.go
+++ b/internal/config/apps/address_graph.go
@@ -25,12 +25,12 @@
 }
 
 // conflict returns the first address with which an address of an application conflicts, and the reason; "" if there is none.
-func (x *addressIndex) conflict(n *node, u addressUse) (other addressOwner, why string) {
+func (a *addressIndex) conflict(n *node, u addressUse) (other addressOwner, why string) {
 	for _, place := range placesOf(n, u) {
 		// Two sidecars may dial one address.
-		candidates := [][]addressOwner{x.listeners[place]}
+		candidates := [][]addressOwner{a.listeners[place]}
 		if !u.key.dials {
-			candidates = append(candidates, x.dialers[place])
+			candidates = append(candidates, a.dialers[place])
 		}
 		for _, owners := range candidates {
 			for _, other := range owners {
@@ -44,10 +44,10 @@
 }
 
 // add adds an address of an application.
-func (x *addressIndex) add(n *node, u addressUse) {
-	index := x.listeners
+func (a *addressIndex) add(n *node, u addressUse) {
+	index := a.listeners
 	if u.key.dials {
-		index = x.dialers
+		index = a.dialers
 	}
 	for _, place := range placesOf(n, u) {
 		index[place] = append(index[place], addressOwner{u, n})
--- a/internal/config/apps/edits.go
+++ b/internal/config/apps/edits.go
@@ -89,21 +89,21 @@
 }
 
 // findEdits finds the keys that were changed by hand.
-func (s *FileState) findEdits() {
-	for _, setting := range s.File.Settings() {
-		s.addEdit(setting.Path, setting.Key, setting)
+func (f *FileState) findEdits() {
+	for _, setting := range f.File.Settings() {
+		f.addEdit(setting.Path, setting.Key, setting)
 	}
-	for _, id := range s.Provenance.Keys {
-		if path := splitID(id); path != nil && s.File.Setting(path...) == nil {
-			s.addEdit(path, nil, nil)
+	for _, id := range f.Provenance.Keys {
+		if path := splitID(id); path != nil && f.File.Setting(path...) == nil {
+			f.addEdit(path, nil, nil)
 		}
 	}
 }
 
 // addEdit adds an edit if a key was changed by hand. It compares the short digests of three values: the one that was written, the one that
 // the file has (here; nil for none) and the one that apps.toml has now.
-func (s *FileState) addEdit(path []string, key *schema.Key, here *schema.Setting) {
-	edit := Edit{Path: path, Key: key, Location: s.File.Location(path...)}
+func (f *FileState) addEdit(path []string, key *schema.Key, here *schema.Setting) {
+	edit := Edit{Path: path, Key: key, Location: f.File.Location(path...)}
 	hereDigest := ""
 	if here != nil {
 		edit.Raw = here.Raw
@@ -111,11 +111,11 @@
 		hereDigest = shortDigest(here.Canonical)
 	}
 	currentDigest := ""
-	if current := s.App.File.Setting(path...); current != nil {
+	if current := f.App.File.Setting(path...); current != nil {
 		edit.Current = cmp.Or(current.Raw, current.Canonical)
 		currentDigest = shortDigest(current.Canonical)
 	}
-	writtenDigest := s.Provenance.KeyDigests[edit.ID()]
+	writtenDigest := f.Provenance.KeyDigests[edit.ID()]
 	if hereDigest == writtenDigest || hereDigest == currentDigest {
 		return // unchanged, or changed to the value that would be written
 	}
@@ -124,17 +124,17 @@
 	} else {
 		edit.Conflicting = true
 	}
-	s.Edits = append(s.Edits, edit)
+	f.Edits = append(f.Edits, edit)
 }
 
 // Edited reports whether the file has changed since it was written, if only in comments or spacing.
-func (s *FileState) Edited() bool {
-	return s.Provenance != nil && (s.Provenance.Edited || s.Provenance.Truncated)
+func (f *FileState) Edited() bool {
+	return f.Provenance != nil && (f.Provenance.Edited || f.Provenance.Truncated)
 }
 
 // Conflicts returns the edits of keys that apps.toml has changed as well, to another value.
-func (s *FileState) Conflicts() (conflicts []Edit) {
-	for _, e := range s.Edits {
+func (f *FileState) Conflicts() (conflicts []Edit) {
+	for _, e := range f.Edits {
 		if e.Conflicting {
 			conflicts = append(conflicts, e)
 		}
@@ -145,27 +145,27 @@
 // Merge returns the file with the changes of apps.toml applied and the edits kept. It changes the edited text, so that comments by hand
 // are kept, and sets the header and the trailer of the generated file, so that the edits are still recognized as such. There must be no
 // conflict.
-func (s *FileState) Merge() []byte {
-	if s.File == nil {
-		return s.Generated // the file has no edits
+func (f *FileState) Merge() []byte {
+	if f.File == nil {
+		return f.Generated // the file has no edits
 	}
 	kept := map[string]bool{}
-	for _, e := range s.Edits {
+	for _, e := range f.Edits {
 		kept[e.ID()] = true
 	}
-	merged := s.Doc
-	for _, setting := range s.App.File.Settings() {
+	merged := f.Doc
+	for _, setting := range f.App.File.Settings() {
 		if kept[setting.ID()] {
 			continue
 		}
-		if here := s.File.Setting(setting.Path...); here == nil || here.Canonical != setting.Canonical {
+		if here := f.File.Setting(setting.Path...); here == nil || here.Canonical != setting.Canonical {
 			merged = readAgain(merged.Set(setting.Path, setting.OneLine(), setting.Key.Help))
 		}
 	}
-	for _, setting := range s.File.Settings() {
-		if !kept[setting.ID()] && s.App.File.Setting(setting.Path...) == nil {
+	for _, setting := range f.File.Settings() {
+		if !kept[setting.ID()] && f.App.File.Setting(setting.Path...) == nil {
 			merged = readAgain(merged.Delete(setting.Path, setting.Key.Help))
 		}
 	}
-	return replaceProvenance(merged.Text, s.Generated)
+	return replaceProvenance(merged.Text, f.Generated)
 }
--- a/internal/config/apps/hosts.go
+++ b/internal/config/apps/hosts.go
@@ -51,19 +51,19 @@
 }
 
 // add adds the limits of an application's sidecar.
-func (l *hostLoad) add(n *node) {
+func (h *hostLoad) add(n *node) {
 	limits := appfile.LimitsTable.In(n.File)
-	l.cores += limits.Cores
-	l.memory += limits.Memory
-	l.sockets += limits.Sockets
-	l.apps = append(l.apps, n.Name)
+	h.cores += limits.Cores
+	h.memory += limits.Memory
+	h.sockets += limits.Sockets
+	h.apps = append(h.apps, n.Name)
 }
 
 // describeApps names the applications whose sidecars run on a host.
-func (l *hostLoad) describeApps() string {
-	text := strings.Join(l.apps[:min(maxAppsNamed, len(l.apps))], ", ")
-	if len(l.apps) > maxAppsNamed {
-		text += fmt.Sprintf(" and %d more", len(l.apps)-maxAppsNamed)
+func (h *hostLoad) describeApps() string {
+	text := strings.Join(h.apps[:min(maxAppsNamed, len(h.apps))], ", ")
+	if len(h.apps) > maxAppsNamed {
+		text += fmt.Sprintf(" and %d more", len(h.apps)-maxAppsNamed)
 	}
 	return text
 }
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -73,19 +73,19 @@
 }
 
 // step follows one key, with or without an index, by the sidecar's name of it. It returns false if the document has no such key.
-func (w *keyWalk) step(name string) bool {
+func (k *keyWalk) step(name string) bool {
 	key, index, isIndexed := strings.Cut(strings.TrimSuffix(name, "]"), "[")
 	for key := range strings.SplitSeq(platformPath(key), ".") {
-		e := w.table.Get(key)
+		e := k.table.Get(key)
 		if e == nil {
 			return false
 		}
-		w.pos = e.Pos
-		w.table = e.Value.Table
+		k.pos = e.Pos
+		k.table = e.Value.Table
 		if n, err := strconv.Atoi(index); isIndexed && err == nil && n < len(e.Value.Items) {
 			item := e.Value.Items[n]
-			w.pos = item.Pos
-			w.table = item.Table
+			k.pos = item.Pos
+			k.table = item.Table
 		}
 	}
 	return true
