--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -13,6 +13,7 @@
 	"quincegap/internal/config/finding"
 )
 
+// base is an apps.toml with one application.
 const base = `# ours
 [apps.a.sidecar]
 listen = "127.0.0.1:8080"
@@ -32,6 +33,7 @@
 effect = "safe"
 `
 
+// model reads an apps.toml without findings.
 func model(t interface{ Fatal(...any) }, text string) *Model {
 	var found finding.List
 	m := Read(testSchema, "apps.toml", []byte(text), &found)
@@ -41,31 +43,33 @@
 	return m
 }
 
-// compare compares a file with what an apps.toml says.
+// compare compares a file with an apps.toml.
 func compare(t interface{ Fatal(...any) }, apps, file string) *FileState {
 	var found finding.List
-	st := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
+	state := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
 	if found.Len() > 0 {
 		t.Fatal(found.Err(), file)
 	}
-	return st
+	return state
 }
 
+// generate returns the derived file of the first application.
 func generate(t interface{ Fatal(...any) }, apps string) string {
 	return string(Generate(model(t, apps).Apps[0], "apps.toml"))
 }
 
+// Generating is deterministic, and the generated file is read as unedited.
 func TestGenerateIsTheSameEveryTime(t *testing.T) {
 	file := generate(t, base)
 	if file != generate(t, base) {
-		t.Error("two texts")
+		t.Error("two texts of one model")
 	}
-	w := ParseProvenance([]byte(file))
-	if w == nil || w.App != "a" || w.Source != "apps.toml" || w.Edited || w.Truncated || len(w.KeyDigests) != 10 {
-		t.Errorf("got %+v", w)
+	p := ParseProvenance([]byte(file))
+	if p == nil || p.App != "a" || p.Source != "apps.toml" || p.Edited || p.Truncated || len(p.KeyDigests) != 10 {
+		t.Errorf("got %+v", p)
 	}
-	if st := compare(t, base, file); st.Edited() || len(st.Edits) > 0 {
-		t.Errorf("got %+v", st.Edits)
+	if state := compare(t, base, file); state.Edited() || len(state.Edits) > 0 {
+		t.Errorf("got %+v", state.Edits)
 	}
 }
 
@@ -73,31 +77,111 @@
 type mergeCase struct {
 	name       string
 	here, apps [2]string // what is replaced, and by what
-	clash      bool
+	conflict   bool
 	want       []string // in the merged file
 }
 
-// An edit on a line above, below or beside one that write changes is merged; on the same key it clashes
-// unless both say the same.
+var mergeCases = []mergeCase{
+	{
+		name: "above",
+		here: [2]string{"cores = 1.0", "cores = 2"},
+		apps: [2]string{`"192MiB"`, `"256MiB"`},
+		want: []string{"cores = 2\n", `memory = "256MiB"`},
+	},
+	{
+		name: "below",
+		here: [2]string{"sockets = 1024", "sockets = 512"},
+		apps: [2]string{`"192MiB"`, `"256MiB"`},
+		want: []string{"sockets = 512\n", `memory = "256MiB"`},
+	},
+	{
+		name:     "on it",
+		here:     [2]string{`"192MiB"`, `"128MiB"`},
+		apps:     [2]string{`"192MiB"`, `"256MiB"`},
+		conflict: true,
+	},
+	{
+		name: "on it, the same",
+		here: [2]string{`"192MiB"`, `"256MiB"`},
+		apps: [2]string{`"192MiB"`, `"256MiB"`},
+		want: []string{`memory = "256MiB"`},
+	},
+	{
+		name: "on it, the same otherwise written",
+		here: [2]string{`"1s"`, `"2000ms"`},
+		apps: [2]string{`"1s"`, `"2s"`},
+		want: []string{`aim = "2000ms"`},
+	},
+	{
+		name: "a comment on it",
+		here: [2]string{`memory = "192MiB"`, "# why\nmemory = \"192MiB\" # so"},
+		apps: [2]string{`"192MiB"`, `"256MiB"`},
+		want: []string{"# why\nmemory = \"256MiB\" # so"},
+	},
+	{
+		name:     "taken away here, changed there",
+		here:     [2]string{"sockets = 1024\n", ""},
+		apps:     [2]string{"sockets = 1024", "sockets = 99"},
+		conflict: true,
+	},
+	{
+		name:     "changed here, taken away there",
+		here:     [2]string{"sockets = 1024", "sockets = 512"},
+		apps:     [2]string{"sockets = 1024\n", ""},
+		conflict: true,
+	},
+	{
+		name: "taken away here",
+		here: [2]string{"sockets = 1024\n", ""},
+		apps: [2]string{`"192MiB"`, `"256MiB"`},
+		want: []string{`memory = "256MiB"`},
+	},
+	{
+		name: "taken away there",
+		here: [2]string{"cores = 1.0", "cores = 2"},
+		apps: [2]string{"sockets = 1024\n", ""},
+		want: []string{"cores = 2"},
+	},
+	{
+		name: "taken away on both",
+		here: [2]string{"sockets = 1024\n", ""},
+		apps: [2]string{"sockets = 1024\n", ""},
+	},
+	{
+		name: "added on both, the same",
+		here: [2]string{"[discovery]", "[discovery]\nmode = \"ask\""},
+		apps: [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"ask\""},
+		want: []string{"mode = \"ask\""},
+	},
+	{
+		name:     "added on both, otherwise",
+		here:     [2]string{"[discovery]", "[discovery]\nmode = \"ask\""},
+		apps:     [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"push\""},
+		conflict: true,
+	},
+	{
+		name: "a table here",
+		here: [2]string{"[discovery]", "[tenant.x]\nquota_per_s = 5\n[discovery]"},
+		apps: [2]string{`"192MiB"`, `"256MiB"`},
+		want: []string{"[tenant.x]\nquota_per_s = 5\n", `memory = "256MiB"`},
+	},
+	{
+		name: "a table there",
+		here: [2]string{"cores = 1.0", "cores = 2"},
+		apps: [2]string{"[apps.a.discovery]", "[apps.a.tenant.x]\nquota_per_s = 5\n[apps.a.discovery]"},
+		want: []string{"[tenant.x]\n", "quota_per_s = 5\n", "cores = 2"},
+	},
+	{
+		name: "a table gone there",
+		here: [2]string{"cores = 1.0", "cores = 2"},
+		apps: [2]string{"instances = 3\n", ""},
+		want: []string{"cores = 2"},
+	},
+}
+
+// An edit on a line above, below or beside one that write changes is merged. On the same key it conflicts unless both values are the same.
 func TestMerge(t *testing.T) {
-	for _, c := range []mergeCase{
-		{"above", [2]string{"cores = 1.0", "cores = 2"}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{"cores = 2\n", `memory = "256MiB"`}},
-		{"below", [2]string{"sockets = 1024", "sockets = 512"}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{"sockets = 512\n", `memory = "256MiB"`}},
-		{"on it", [2]string{`"192MiB"`, `"128MiB"`}, [2]string{`"192MiB"`, `"256MiB"`}, true, nil},
-		{"on it, the same", [2]string{`"192MiB"`, `"256MiB"`}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{`memory = "256MiB"`}},
-		{"on it, the same otherwise written", [2]string{`"1s"`, `"2000ms"`}, [2]string{`"1s"`, `"2s"`}, false, []string{`aim = "2000ms"`}},
-		{"a comment on it", [2]string{`memory = "192MiB"`, "# why\nmemory = \"192MiB\" # so"}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{"# why\nmemory = \"256MiB\" # so"}},
-		{"taken away here, changed there", [2]string{"sockets = 1024\n", ""}, [2]string{"sockets = 1024", "sockets = 99"}, true, nil},
-		{"changed here, taken away there", [2]string{"sockets = 1024", "sockets = 512"}, [2]string{"sockets = 1024\n", ""}, true, nil},
-		{"taken away here", [2]string{"sockets = 1024\n", ""}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{`memory = "256MiB"`}},
-		{"taken away there", [2]string{"cores = 1.0", "cores = 2"}, [2]string{"sockets = 1024\n", ""}, false, []string{"cores = 2"}},
-		{"taken away on both", [2]string{"sockets = 1024\n", ""}, [2]string{"sockets = 1024\n", ""}, false, nil},
-		{"added on both, the same", [2]string{"[discovery]", "[discovery]\nmode = \"ask\""}, [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"ask\""}, false, []string{"mode = \"ask\""}},
-		{"added on both, otherwise", [2]string{"[discovery]", "[discovery]\nmode = \"ask\""}, [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"push\""}, true, nil},
-		{"a table here", [2]string{"[discovery]", "[tenant.x]\nquota_per_s = 5\n[discovery]"}, [2]string{`"192MiB"`, `"256MiB"`}, false, []string{"[tenant.x]\nquota_per_s = 5\n", `memory = "256MiB"`}},
-		{"a table there", [2]string{"cores = 1.0", "cores = 2"}, [2]string{"[apps.a.discovery]", "[apps.a.tenant.x]\nquota_per_s = 5\n[apps.a.discovery]"}, false, []string{"[tenant.x]\n", "quota_per_s = 5\n", "cores = 2"}},
-		{"a table gone there", [2]string{"cores = 1.0", "cores = 2"}, [2]string{"instances = 3\n", ""}, false, []string{"cores = 2"}},
-	} {
+	for _, c := range mergeCases {
 		t.Run(c.name, func(t *testing.T) {
 			checkMerge(t, c, "\n")
 			checkMerge(t, c, "\r\n")
@@ -105,19 +189,20 @@
 	}
 }
 
-func checkMerge(t *testing.T, c mergeCase, newline string) {
+// checkMerge checks a case in files with the given line ends.
+func checkMerge(t *testing.T, tc mergeCase, newline string) {
 	t.Helper()
 	written := generate(t, base)
-	edited := strings.Replace(written, c.here[0], c.here[1], 1)
-	apps := strings.Replace(base, c.apps[0], c.apps[1], 1)
+	edited := strings.Replace(written, tc.here[0], tc.here[1], 1)
+	apps := strings.Replace(base, tc.apps[0], tc.apps[1], 1)
 	if edited == written || apps == base {
 		t.Fatal("replaces nothing")
 	}
 	state := compare(t, apps, strings.ReplaceAll(edited, "\n", newline))
-	if !state.Edited() || (len(state.Conflicts()) > 0) != c.clash {
+	if !state.Edited() || (len(state.Conflicts()) > 0) != tc.conflict {
 		t.Fatalf("edits %v", state.Edits)
 	}
-	if c.clash {
+	if tc.conflict {
 		return
 	}
 	merged := string(state.Merge())
@@ -125,31 +210,32 @@
 		t.Error("line ends are mixed")
 	}
 	plain := strings.ReplaceAll(merged, "\r", "")
-	for _, want := range c.want {
+	for _, want := range tc.want {
 		if !strings.Contains(plain, want) {
 			t.Errorf("%q is missing in\n%s", want, plain)
 		}
 	}
-	// Merging again changes nothing, and the edits are still known as such.
+	// Merging again changes nothing, and the edits are still recognized.
 	again := compare(t, apps, merged)
 	if got := string(again.Merge()); got != merged {
 		t.Errorf("no fixed point:\n%s", got)
 	}
 	for _, edit := range state.Edits {
 		if !slices.ContainsFunc(again.Edits, func(other Edit) bool { return other.ID() == edit.ID() }) {
-			t.Errorf("the edit of %s is forgotten", edit.ID())
+			t.Errorf("the edit of %s is lost", edit.ID())
 		}
 	}
 }
 
+// Files that must not be overwritten, or cannot be read, have a finding.
 func TestFilesThatAreNotOurs(t *testing.T) {
 	file := generate(t, base)
 	for name, c := range map[string][2]string{
 		"no header":   {"[sidecar]\n", "was not written by quincegapctl"},
 		"another app": {strings.Replace(file, " for a from", " for b from", 1), "was written for b, not for a"},
-		"cut":         {file[:len(file)/2], "its end is missing"},
+		"truncated":   {file[:len(file)/2], "its end is missing"},
 		"unreadable":  {strings.Replace(file, "cores = 1.0", "cores = 1.0x", 1), "cannot be read"},
-		"unsound":     {strings.Replace(file, "cores = 1.0", "cores = -1.0", 1), "is below"},
+		"invalid":     {strings.Replace(file, "cores = 1.0", "cores = -1.0", 1), "is below"},
 	} {
 		var found finding.List
 		Compare(testSchema, model(t, base).Apps[0], "apps.toml", "a.toml", []byte(c[0]), &found)
@@ -159,22 +245,23 @@
 	}
 }
 
-// Every cut of a written file is seen, whatever byte it falls on.
+// A written file that is truncated at any byte is recognized.
 func TestEveryCutIsSeen(t *testing.T) {
 	file := generate(t, base)
 	for n := range len(file) {
-		if w := ParseProvenance([]byte(file[:n])); w != nil && !w.Edited && !w.Truncated {
-			t.Fatalf("cut at %d: passes as it was written", n)
+		if p := ParseProvenance([]byte(file[:n])); p != nil && !p.Edited && !p.Truncated {
+			t.Fatalf("truncated at %d: read as unedited", n)
 		}
 	}
 }
 
+// Adopting an edit changes just the lines of apps.toml that it has to, and leaves no edit.
 func TestAdopt(t *testing.T) {
 	withDefaults := "[defaults.attempts]\nmost_attempts = 3 # all\n\n" + base
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name, apps string
 		here       [2]string
-		want       string // the lines of apps.toml that went and came, or the finding
+		want       string // the lines of apps.toml that are removed and added, or the finding
 		fault      bool
 	}{
 		{"set", base, [2]string{"cores = 1.0", "cores = 2"}, "-cores = 1.0 # one +cores = 2 # one", false},
@@ -185,27 +272,27 @@
 		{"take a default away", withDefaults, [2]string{"most_attempts = 3\n", ""}, "comes from [defaults] in line 2", true},
 		{"rename", base, [2]string{`application = "a"`, `application = "b"`}, "cannot be adopted", true},
 	} {
-		edited := strings.Replace(generate(t, c.apps), c.here[0], c.here[1], 1)
-		st := compare(t, c.apps, edited)
+		edited := strings.Replace(generate(t, tc.apps), tc.here[0], tc.here[1], 1)
+		state := compare(t, tc.apps, edited)
 		var found finding.List
-		after := string(model(t, c.apps).Adopt([]*FileState{st}, &found))
-		if c.fault {
-			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, c.want) {
-				t.Errorf("%s: %v", c.name, found.Err())
+		after := string(model(t, tc.apps).Adopt([]*FileState{state}, &found))
+		if tc.fault {
+			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, tc.want) {
+				t.Errorf("%s: %v", tc.name, found.Err())
 			}
 			continue
 		}
-		if got := lines(c.apps, after); got != c.want || found.Len() > 0 {
-			t.Errorf("%s: got %q, want %q, %v", c.name, got, c.want, found.Err())
+		if got := lines(tc.apps, after); got != tc.want || found.Len() > 0 {
+			t.Errorf("%s: got %q, want %q, %v", tc.name, got, tc.want, found.Err())
 		}
-		// What apps.toml now says is what the file says: no edit is left.
-		if st := compare(t, after, edited); len(st.Edits) > 0 {
-			t.Errorf("%s: left over: %v", c.name, st.Edits)
+		// apps.toml now has the values of the file: no edit is left.
+		if state := compare(t, after, edited); len(state.Edits) > 0 {
+			t.Errorf("%s: left over: %v", tc.name, state.Edits)
 		}
 	}
 }
 
-// lines lists the lines that went and those that came.
+// lines lists the lines that were removed and those that were added.
 func lines(before, after string) string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	var out []string
@@ -228,7 +315,11 @@
 
 // mergedKeys are the keys that random edits change.
 var mergedKeys = [][]string{
-	{"sidecar", "instances"}, {"limits", "sockets"}, {"attempts", "most_attempts"}, {"tenant", "x", "quota_per_s"}, {"tenant", "y", "quota_per_s"},
+	{"sidecar", "instances"},
+	{"limits", "sockets"},
+	{"attempts", "most_attempts"},
+	{"tenant", "x", "quota_per_s"},
+	{"tenant", "y", "quota_per_s"},
 }
 
 // drawChanges keeps, sets or drops each key of a map.
@@ -245,7 +336,7 @@
 	return to
 }
 
-// applyChanges makes a text say what a map does.
+// applyChanges changes a text so that it has the values of a map.
 func applyChanges(text string, prefix []string, from, to map[string]string) string {
 	for _, key := range mergedKeys {
 		id := doc.DottedPath(key)
@@ -263,7 +354,7 @@
 	return text
 }
 
-// mergeMaps merges as Merge should, and gives the keys that conflict.
+// mergeMaps returns the result that Merge should have, and the keys that conflict.
 func mergeMaps(first, here, there map[string]string) (want map[string]string, conflicts map[string]bool) {
 	want = maps.Clone(there)
 	conflicts = map[string]bool{}
@@ -280,8 +371,8 @@
 	return want, conflicts
 }
 
-// Random edits on both sides, against maps: merging takes each key from the side that changed it, refuses
-// just where both did otherwise, loses no comment, and adopting leaves no edit.
+// Random edits on both sides are compared with maps: a merge takes each key from the side that has changed it, and conflicts only if both
+// sides have set it to different values. It loses no comment, and adopting leaves no edit.
 func TestMergeFollowsMaps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := strings.Replace(strings.Replace(base, "instances = 3\n", "", 1), "sockets = 1024\n", "", 1)
@@ -311,12 +402,12 @@
 	})
 }
 
-// checkMerged holds a merged file to the values that it should have.
+// checkMerged checks that a merged file has the wanted values and the comments.
 func checkMerged(rt *rapid.T, appsText, merged string, want map[string]string) {
-	says := compare(rt, appsText, merged)
+	state := compare(rt, appsText, merged)
 	for _, key := range mergedKeys {
 		value := ""
-		if s := says.File.Setting(key...); s != nil {
+		if s := state.File.Setting(key...); s != nil {
 			value = s.Canonical
 		}
 		if id := doc.DottedPath(key); value != want[id] {
@@ -328,7 +419,7 @@
 	}
 }
 
-// checkAdopted adopts edits, after which a merged file has none.
+// checkAdopted checks that adopting the edits keeps the comments, and that the merged file then has no edits.
 func checkAdopted(rt *rapid.T, appsText, merged string, state *FileState) {
 	var found finding.List
 	after := string(model(rt, appsText).Adopt([]*FileState{state}, &found))
@@ -340,7 +431,7 @@
 	}
 }
 
-// help is what stands above a key in a written file.
+// help returns the comment above a key in a written file.
 func help(path []string) string {
 	for _, k := range testSchema.Table(path[0]).Keys {
 		if k.Name == path[len(path)-1] {
@@ -358,9 +449,9 @@
 	f.Add([]byte(headerBy + "a" + headerFrom + "b.\n\n\n" + trailer + "\n#: x y\n"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		var found finding.List
-		st := Compare(testSchema, m.Apps[0], "apps.toml", "a.toml", text, &found)
-		if found.Len() == 0 && st.File != nil && len(st.Conflicts()) == 0 {
-			st.Merge()
+		state := Compare(testSchema, m.Apps[0], "apps.toml", "a.toml", text, &found)
+		if found.Len() == 0 && state.File != nil && len(state.Conflicts()) == 0 {
+			state.Merge()
 		}
 	})
 }
--- a/internal/config/doc/doc_test.go
+++ b/internal/config/doc/doc_test.go
@@ -11,19 +11,19 @@
 	"quincegap/internal/config/finding"
 )
 
-// read reads TOML and gives the findings as line:column.
+// read reads TOML and returns the document and the positions of the findings, as line:column.
 func read(t *testing.T, text string) (*Document, []string) {
 	t.Helper()
 	var found finding.List
 	d := ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
-	var at []string
+	var positions []string
 	for _, f := range found.All() {
-		at = append(at, fmt.Sprintf("%d:%d", f.Line, f.Column))
+		positions = append(positions, fmt.Sprintf("%d:%d", f.Line, f.Column))
 	}
-	return d, at
+	return d, positions
 }
 
-// Each text is read to its end: all of its mistakes are found, each at its place, and nothing else.
+// Each text is read to its end: all of its faults are found, each at its position, and nothing else.
 func TestAllMistakesAreFound(t *testing.T) {
 	for text, want := range map[string]string{
 		"a = 1\nb = \"x\"\n[t]\nc = true # so\n": "",
@@ -52,7 +52,7 @@
 	}
 }
 
-// Behind a header that cannot be read nothing is taken for another table's key.
+// Keys after a header that cannot be read are not added to another table.
 func TestKeysBehindABrokenHeaderGoNowhere(t *testing.T) {
 	d, _ := read(t, "[t]\na = 1\n[u\na = 2\nb = 3\n[v]\nc = 4\n")
 	if d.Root.Subtable("t").Get("b") != nil || d.Root.Lookup("v", "c") == nil || d.Root.Subtable("t").Get("a").Value.Text != "1" {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Junk of any size is given up on soon.
+// Reading junk of any size stops early.
 func TestJunkIsBounded(t *testing.T) {
 	for _, line := range []string{"x = [\n", "%$ nonsense\n", "[[[\n", "\"\"\"\n", "= = =\n", "a = '''\n"} {
 		var found finding.List
@@ -79,14 +79,18 @@
 	}
 }
 
+// Entries and values have the positions and offsets of the text.
 func TestPlaces(t *testing.T) {
 	d, _ := read(t, "# first\n[t]\n  key = \"välue\" # so\nü = 3\n")
 	e := d.Root.Lookup("t", "key")
-	if e.Pos != (finding.Pos{Line: 3, Col: 3}) || e.Value.Pos != (finding.Pos{Line: 3, Col: 9}) || string(d.Text[e.Value.Start:e.Value.End]) != `"välue"` {
+	text := string(d.Text[e.Value.Start:e.Value.End])
+	if e.Pos != (finding.Pos{Line: 3, Col: 3}) || e.Value.Pos != (finding.Pos{Line: 3, Col: 9}) || text != `"välue"` {
 		t.Errorf("got %+v %+v", e, e.Value)
 	}
-	j := ReadJSON([]byte("{\n \"a\": [1, {\"b\": true}],\n \"ü\": null}"), 100, func(_ finding.Pos, f string, args ...any) { t.Errorf(f, args...) })
-	if b := j.Root.Get("a").Value.Items[1].Table.Get("b"); b.Pos != (finding.Pos{Line: 2, Col: 12}) || b.Value.Pos != (finding.Pos{Line: 2, Col: 17}) {
+	report := func(_ finding.Pos, format string, args ...any) { t.Errorf(format, args...) }
+	j := ReadJSON([]byte("{\n \"a\": [1, {\"b\": true}],\n \"ü\": null}"), 100, report)
+	b := j.Root.Get("a").Value.Items[1].Table.Get("b")
+	if b.Pos != (finding.Pos{Line: 2, Col: 12}) || b.Value.Pos != (finding.Pos{Line: 2, Col: 17}) {
 		t.Errorf("got %+v %+v", b, b.Value)
 	}
 	if u := j.Root.Get("ü"); u.Value.Kind != Null || u.Value.Pos != (finding.Pos{Line: 3, Col: 7}) {
@@ -94,12 +98,13 @@
 	}
 }
 
+// Each edit changes just the lines that it has to, with both line ends.
 func TestEdits(t *testing.T) {
 	const text = "# head\ntop = 1\n\n[t] # the table\n# about a\na = 1 # so\nb = 2\n\n[t.u]\nc = 3\n\n[z]\nd = 4\nx.y = 5\n"
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name string
 		edit func(d *Document) []byte
-		want string // of the lines that came and went
+		want string // the lines that are removed and added
 	}{
 		{"replace", func(d *Document) []byte { return d.Set([]string{"t", "a"}, "9") }, "-a = 1 # so +a = 9 # so"},
 		{"add to a table", func(d *Document) []byte { return d.Set([]string{"t", "new"}, "9", "help") }, "+# help +new = 9"},
@@ -116,15 +121,15 @@
 		for _, nl := range []string{"\n", "\r\n"} {
 			before := strings.ReplaceAll(text, "\n", nl)
 			d, _ := read(t, before)
-			after := string(c.edit(d))
+			after := string(tc.edit(d))
 			if _, at := read(t, after); len(at) > 0 {
-				t.Errorf("%s: cannot be read at %v:\n%s", c.name, at, after)
+				t.Errorf("%s: cannot be read at %v:\n%s", tc.name, at, after)
 			}
 			if nl == "\r\n" && strings.Count(after, "\n") != strings.Count(after, "\r\n") {
-				t.Errorf("%s: line ends are mixed: %q", c.name, after)
+				t.Errorf("%s: line ends are mixed: %q", tc.name, after)
 			}
-			if got := lineDiff(strings.ReplaceAll(before, "\r", ""), strings.ReplaceAll(after, "\r", "")); got != c.want {
-				t.Errorf("%s: got %q, want %q", c.name, got, c.want)
+			if got := lineDiff(strings.ReplaceAll(before, "\r", ""), strings.ReplaceAll(after, "\r", "")); got != tc.want {
+				t.Errorf("%s: got %q, want %q", tc.name, got, tc.want)
 			}
 		}
 	}
@@ -134,7 +139,7 @@
 	}
 }
 
-// lineDiff lists the lines that went, then those that came.
+// lineDiff lists the lines that were removed, then those that were added.
 func lineDiff(before, after string) string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	for len(a) > 0 && len(b) > 0 && a[0] == b[0] {
@@ -153,7 +158,7 @@
 	return strings.Join(out, " ")
 }
 
-// Random edits against a map: the text always says what the map does, and all comments stay.
+// Random edits of a text and a map: the text always has the values of the map, and all comments are kept.
 func TestEditsFollowAMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(rt, "nl")
@@ -189,22 +194,23 @@
 func randomEdit(t *testing.T, rt *rapid.T, text string, model map[string]string) string {
 	t.Helper()
 	name := rapid.SampledFrom([]string{"a", "b", "k", "with space", "q\"uote", "d.ot"})
-	d := mustRead(t, rt, text)
+	document := mustRead(t, rt, text)
 	path := []string{"a", name.Draw(rt, "table"), "key" + name.Draw(rt, "key")}
 	id := DottedPath(path)
 	if !rapid.Bool().Draw(rt, "set") {
 		delete(model, id)
-		return string(d.Delete(path))
+		return string(document.Delete(path))
 	}
 	value := fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
 	if path[1] == "k" {
-		delete(model, id) // a value stands there
+		delete(model, id) // a.k has a value, and can have no keys
 		return text
 	}
 	model[id] = value
-	return string(d.Set(path, value))
+	return string(document.Set(path, value))
 }
 
+// leaves adds all keys of a table and its tables to a map.
 func leaves(t *Table, into map[string]string) {
 	for _, e := range t.Entries {
 		if e.Value.Kind == TableKind {
@@ -215,15 +221,23 @@
 	}
 }
 
-// Whatever a file holds, reading ends, places are inside it, and what an edit wrote is read back.
+// For any text, reading ends, positions are within the text, and a value that was set is read back.
 func FuzzTOML(f *testing.F) {
-	for _, s := range []string{"[t]\na = 1\n", "a = [1, {b = 2}]\n", "[[x]]\ny = 1\n[x.z]\n", "a.b.c = \"\"\"\n\"\"\"\n", "\xef\xbb\xbfa=1", "a = '''", "[a]\r\nb=1\r\n[a.c]\r\n"} {
-		f.Add([]byte(s))
+	for _, seed := range []string{
+		"[t]\na = 1\n",
+		"a = [1, {b = 2}]\n",
+		"[[x]]\ny = 1\n[x.z]\n",
+		"a.b.c = \"\"\"\n\"\"\"\n",
+		"\xef\xbb\xbfa=1",
+		"a = '''",
+		"[a]\r\nb=1\r\n[a.c]\r\n",
+	} {
+		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var found finding.List
 		d := ReadTOML(text, 1<<16, found.ForFile("f"))
-		checkPlaces(t, text, &found)
+		checkPositions(t, text, &found)
 		for _, x := range found.All() {
 			if strings.Contains(x.Message, "\n") {
 				t.Errorf("finding %q is not one line", x)
@@ -241,8 +255,8 @@
 	})
 }
 
-// checkPlaces holds findings to lines that a text has.
-func checkPlaces(t *testing.T, text []byte, found *finding.List) {
+// checkPositions checks that each finding has a message and a line that the text has.
+func checkPositions(t *testing.T, text []byte, found *finding.List) {
 	t.Helper()
 	lines := strings.Count(string(text), "\n") + 1
 	for _, x := range found.All() {
@@ -252,7 +266,7 @@
 	}
 }
 
-// editable tells whether a key can be set as a scalar in a table with lines of its own.
+// editable reports whether a key can be set as a scalar in a table with lines of its own.
 func editable(d *Document, path []string) bool {
 	if e := d.Root.Get(path[0]); e != nil && (e.Value.Kind != TableKind || e.Value.Start > 0) {
 		return false // no table with lines of its own
@@ -261,6 +275,7 @@
 	return e == nil || e.Value.Kind != TableKind && e.Value.Kind != Array
 }
 
+// Any text is read, or rejected with a finding whose position is within the text.
 func FuzzJSON(f *testing.F) {
 	for _, s := range []string{`{"a": [1, 2.5, null, true, "x"]}`, `{"a": {"a": 1, "a": 2}}`, `{`, `[]`, `{"a":1} x`} {
 		f.Add([]byte(s))
@@ -269,8 +284,8 @@
 		var found finding.List
 		d := ReadJSON(text, 1<<16, found.ForFile("f"))
 		if d == nil && found.Len() == 0 {
-			t.Errorf("%q: neither read nor refused", text)
+			t.Errorf("%q: neither read nor rejected", text)
 		}
-		checkPlaces(t, text, &found)
+		checkPositions(t, text, &found)
 	})
 }
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -9,47 +9,47 @@
 	"quincegap/internal/config/finding"
 )
 
-// ReadJSON reads a text of at most maxBytes bytes that holds one object. It is nil where the text cannot be read, which is reported:
-// JSON has no place to go on from.
+// ReadJSON reads a text of at most maxBytes bytes that holds one object. If the text cannot be read it reports the first fault and returns
+// nil: unlike TOML, JSON has no lines at which reading could continue.
 func ReadJSON(text []byte, maxBytes int, report finding.Reporter) *Document {
-	d := newDocument(text)
-	if !d.checkReadable(maxBytes, report) {
+	document := newDocument(text)
+	if !document.checkReadable(maxBytes, report) {
 		return nil
 	}
-	r := jsonReader{Document: d, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
+	r := jsonReader{Document: document, report: report, decoder: json.NewDecoder(bytes.NewReader(text))}
 	r.decoder.UseNumber()
 	root, err := r.document()
 	if err != nil {
 		at, message := r.locate(err)
-		report(d.Pos(at), "cannot be read: %s", message)
+		report(document.Pos(at), "cannot be read: %s", message)
 		return nil
 	}
 	if root.Kind != TableKind {
 		report(root.Pos, "holds %s, not an object", root.Kind)
 		return nil
 	}
-	d.Root = root.Table
-	return d
+	document.Root = root.Table
+	return document
 }
 
-// Errors of a text beside the decoder's. Their texts are parts of findings.
+// Errors that the decoder does not detect. Their texts are parts of findings.
 var (
 	errTrailingText = errors.New("more text behind the end of the object")
 	errTooDeep      = errors.New("too many lists and objects within one another")
 )
 
-// endedEarly is the message on a text that ends within its object.
+// endedEarly is the message for a text that ends within its object.
 const endedEarly = "it ends before the object does"
 
-// jsonReader reads one document. The decoder gives tokens; where each begins is found in the text.
+// jsonReader reads one document. The decoder returns tokens; the offset of each is found in the text.
 type jsonReader struct {
 	*Document
 	report     finding.Reporter
 	decoder    *json.Decoder
-	tokenStart int // offset of the token that is read
+	tokenStart int // offset of the current token
 }
 
-// document reads the only value of the text, and that nothing is behind an object.
+// document reads the only value of the text, and checks that nothing follows an object.
 func (j *jsonReader) document() (*Value, error) {
 	root, err := j.value(nil, 0)
 	if err != nil || root.Kind != TableKind {
@@ -62,7 +62,7 @@
 	return root, nil
 }
 
-// locate is the offset of an error of the decoder, and its message.
+// locate returns the offset of an error, and its message.
 func (j *jsonReader) locate(err error) (at int, message string) {
 	var syntax *json.SyntaxError
 	switch {
@@ -83,43 +83,43 @@
 	}
 }
 
-// token reads the next token; tokenStart is its offset then.
+// token reads the next token and sets tokenStart to its offset.
 func (j *jsonReader) token() (json.Token, error) {
 	j.skipToToken()
 	return j.decoder.Token()
 }
 
-// value reads one value. depth is how many lists and objects it is within.
+// value reads one value. depth is the number of lists and objects around it.
 func (j *jsonReader) value(path []string, depth int) (*Value, error) {
 	token, err := j.token()
 	if err != nil {
 		return nil, err
 	}
-	v := &Value{Pos: j.Pos(j.tokenStart), Start: j.tokenStart, End: int(j.decoder.InputOffset())}
-	v.Text = string(j.Text[v.Start:v.End])
+	value := &Value{Pos: j.Pos(j.tokenStart), Start: j.tokenStart, End: int(j.decoder.InputOffset())}
+	value.Text = string(j.Text[value.Start:value.End])
 	switch token := token.(type) {
 	case json.Delim:
 		if depth >= maxDepth {
 			return nil, errTooDeep
 		}
 		if token == '{' {
-			return v, j.object(v, path, depth)
+			return value, j.object(value, path, depth)
 		}
-		return v, j.array(v, path, depth)
+		return value, j.array(value, path, depth)
 	case string:
-		v.Kind = String
-		v.Text = token
+		value.Kind = String
+		value.Text = token
 	case json.Number:
-		v.Kind = Integer
+		value.Kind = Integer
 		if bytes.ContainsAny([]byte(token), ".eE") {
-			v.Kind = Float
+			value.Kind = Float
 		}
 	case bool:
-		v.Kind = Bool
+		value.Kind = Bool
 	case nil:
-		v.Kind = Null
+		value.Kind = Null
 	}
-	return v, nil
+	return value, nil
 }
 
 // array reads the items of a list and its end.
@@ -136,10 +136,10 @@
 	return err
 }
 
-// object reads the keys of an object and its end. Of a key that stands twice the first counts.
-func (j *jsonReader) object(v *Value, path []string, depth int) error {
-	v.Kind = TableKind
-	v.Table = &Table{Path: path, Pos: v.Pos}
+// object reads the keys of an object and its end. The first of two equal keys counts.
+func (j *jsonReader) object(object *Value, path []string, depth int) error {
+	object.Kind = TableKind
+	object.Table = &Table{Path: path, Pos: object.Pos}
 	for j.decoder.More() {
 		token, err := j.token()
 		if err != nil {
@@ -147,15 +147,15 @@
 		}
 		name, _ := token.(string)
 		pos := j.Pos(j.tokenStart)
-		inner, err := j.value(v.Table.pathOf(name), depth+1)
+		inner, err := j.value(object.Table.pathOf(name), depth+1)
 		if err != nil {
 			return err
 		}
-		if e := v.Table.Get(name); e != nil {
+		if e := object.Table.Get(name); e != nil {
 			j.report(pos, "%q stands twice: first in line %d", name, e.Pos.Line)
 			continue
 		}
-		v.Table.add(&Entry{Name: name, Pos: pos, Value: inner})
+		object.Table.add(&Entry{Name: name, Pos: pos, Value: inner})
 	}
 	_, err := j.token()
 	return err
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// maxNameBytes bounds the names that are compared, since the cost grows with the square of their length, and what a message quotes.
+	// maxNameBytes bounds the names that are compared, since the cost grows with the square of their length, and the part of a name that a
+	// message quotes.
 	maxNameBytes = 64
-	// maxNamesListed bounds the candidates that a message lists.
+	// maxNamesListed bounds the number of candidates that a message lists.
 	maxNamesListed = 8
 )
 
-// Nearest is the candidate that a misspelt name most likely means, or "" if none is near: up to a third of its letters may differ, and
-// at least one. Case does not count. Among equals the first wins.
+// Nearest returns the candidate that a misspelt name most likely means, or "" if none is similar: at most a third of the letters may
+// differ, and always one. Case does not count. The first of equally similar candidates is returned.
 func Nearest(name string, candidates []string) string {
 	if len(name) > maxNameBytes {
 		return ""
@@ -35,7 +36,7 @@
 	return nearest
 }
 
-// UnknownName is the message on a name that is not among the candidates. It proposes the nearest, or lists all where these are few.
+// UnknownName returns the message on a name that is not among the candidates. It proposes the nearest one, or lists all if there are few.
 func UnknownName(what, name string, candidates []string) string {
 	text := fmt.Sprintf("unknown %s %q", what, truncate(name))
 	if nearest := Nearest(name, candidates); nearest != "" {
@@ -47,7 +48,7 @@
 	return text
 }
 
-// truncate keeps a message short enough to read.
+// truncate returns a name, or its beginning, as messages quote it.
 func truncate(s string) string {
 	if len(s) <= maxNameBytes {
 		return s
@@ -55,31 +56,31 @@
 	return strings.ToValidUTF8(s[:maxNameBytes], "") + "..."
 }
 
-// editDistance is the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
+// editDistance returns the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
 // (optimal string alignment distance).
 func editDistance(from, to string) int {
-	a := []rune(from)
-	b := []rune(to)
+	source := []rune(from)
+	target := []rune(to)
 	// Three rows of the table of distances between prefixes are enough.
-	beforeLast := make([]int, len(b)+1)
-	last := make([]int, len(b)+1)
-	row := make([]int, len(b)+1)
+	beforeLast := make([]int, len(target)+1)
+	last := make([]int, len(target)+1)
+	row := make([]int, len(target)+1)
 	for j := range last {
 		last[j] = j
 	}
-	for i := range a {
+	for i := range source {
 		row[0] = i + 1
-		for j := range b {
+		for j := range target {
 			cost := 1
-			if a[i] == b[j] {
+			if source[i] == target[j] {
 				cost = 0
 			}
 			row[j+1] = min(last[j+1]+1, row[j]+1, last[j]+cost)
-			if i > 0 && j > 0 && a[i] == b[j-1] && a[i-1] == b[j] {
+			if i > 0 && j > 0 && source[i] == target[j-1] && source[i-1] == target[j] {
 				row[j+1] = min(row[j+1], beforeLast[j-1]+1)
 			}
 		}
 		beforeLast, last, row = last, row, beforeLast
 	}
-	return last[len(b)]
+	return last[len(target)]
 }
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -10,6 +10,7 @@
 	"quincegap/internal/config/finding"
 )
 
+// things is filled by a table of the test.
 type things struct {
 	Wait  time.Duration
 	Count int
@@ -22,7 +23,8 @@
 }
 
 var thingsTable = NewTable("things", "Things.",
-	Duration("wait", func(s *things) *time.Duration { return &s.Wait }, Bounds[time.Duration]{Default: time.Second, Min: time.Millisecond, Max: time.Hour}, OnReload, "Wait."),
+	Duration("wait", func(s *things) *time.Duration { return &s.Wait },
+		Bounds[time.Duration]{Default: time.Second, Min: time.Millisecond, Max: time.Hour}, OnReload, "Wait."),
 	Int("count", func(s *things) *int { return &s.Count }, Bounds[int]{Default: 3, Min: -5, Max: 100}, AtStart, "Count."),
 	Float("share", func(s *things) *float64 { return &s.Share }, Bounds[float64]{Default: 0.5, Min: 0, Max: 1}, AtStart, "Share."),
 	Size("bytes", func(s *things) *int64 { return &s.Bytes }, Bounds[int64]{Default: 1 << 10, Min: 1, Max: 1 << 30}, AtStart, "Bytes."),
@@ -36,6 +38,7 @@
 	}
 })
 
+// part is filled by named tables of the test.
 type part struct{ Size int }
 
 var partTable = NewNamed("part", "part", "p", "Parts.",
@@ -43,32 +46,48 @@
 
 var testSchema = New(thingsTable.Table, partTable.Table)
 
-func decode(text string, o Options) (*File, string) {
+// decode decodes a text, and returns the file and the findings as text.
+func decode(text string, options Options) (*File, string) {
 	var found finding.List
 	d := doc.ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
 	if d == nil {
 		return nil, found.Err().Error()
 	}
-	f := testSchema.Decode(&found, o, Layer{Doc: d, Table: d.Root, File: "f"})
+	f := testSchema.Decode(&found, options, Layer{Doc: d, Table: d.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		return f, err.Error()
 	}
 	return f, ""
 }
 
+// Values of each type are read in each way to write them, and defaults are set.
 func TestValues(t *testing.T) {
-	f, fault := decode("[things]\nwho = \"w\"\nwait = '1m30s'\ncount = 0x10\nshare = 1\nbytes = \"3KiB\"\non = false\nword = \"green\"\nat = \"[::1]:80\"\n[part.x]\nsize = 2\n[part.\"y z\"]\nsize = 3\n", Options{})
+	file, fault := decode(`[things]
+who = "w"
+wait = '1m30s'
+count = 0x10
+share = 1
+bytes = "3KiB"
+on = false
+word = "green"
+at = "[::1]:80"
+[part.x]
+size = 2
+[part."y z"]
+size = 3
+`, Options{})
 	if fault != "" {
 		t.Fatal(fault)
 	}
-	if got := *thingsTable.In(f); got != (things{90 * time.Second, 16, 1, 3 << 10, false, "green", "w", "[::1]:80"}) {
+	if got := *thingsTable.In(file); got != (things{90 * time.Second, 16, 1, 3 << 10, false, "green", "w", "[::1]:80"}) {
 		t.Errorf("got %+v", got)
 	}
-	if all := partTable.All(f); len(all) != 2 || all[0].Name != "x" || all[1].Name != "y z" || all[1].Value.Size != 3 || partTable.Get(f, "no") != nil {
+	all := partTable.All(file)
+	if len(all) != 2 || all[0].Name != "x" || all[1].Name != "y z" || all[1].Value.Size != 3 || partTable.Get(file, "no") != nil {
 		t.Errorf("got %+v", all)
 	}
-	f, fault = decode("[things]\nwho = \"w\"\n", Options{})
-	if got := *thingsTable.In(f); fault != "" || got != (things{time.Second, 3, 0.5, 1 << 10, true, "red", "w", ""}) {
+	file, fault = decode("[things]\nwho = \"w\"\n", Options{})
+	if got := *thingsTable.In(file); fault != "" || got != (things{time.Second, 3, 0.5, 1 << 10, true, "red", "w", ""}) {
 		t.Errorf("defaults: %+v, %s", got, fault)
 	}
 	if got := *thingsTable.Default(); got.Count != 3 {
@@ -76,7 +95,7 @@
 	}
 }
 
-// Each value is refused with words that say what would do.
+// Each bad value is rejected with a message that tells which values are valid.
 func TestRefusals(t *testing.T) {
 	for line, want := range map[string]string{
 		"wait = 5":                    `5 has no unit; write "5ms" or "5s"`,
@@ -134,7 +153,7 @@
 	}
 }
 
-// Later layers win, key by key, and each setting knows the line that set it.
+// Later layers take precedence, key by key, and each setting has the line that sets it.
 func TestLayers(t *testing.T) {
 	var found finding.List
 	var layers []Layer
@@ -146,14 +165,15 @@
 	if got := thingsTable.In(f); found.Err() != nil || got.Who != "low" || got.Count != 2 || len(partTable.All(f)) != 2 {
 		t.Errorf("got %+v, %v", got, found.Err())
 	}
-	if at := f.Location("things", "count"); at.String() != "layer1:2" {
-		t.Errorf("got %v", at)
+	if location := f.Location("things", "count"); location.String() != "layer1:2" {
+		t.Errorf("got %v", location)
 	}
-	if at := f.Location("things", "who"); at.String() != "layer0:2" {
-		t.Errorf("got %v", at)
+	if location := f.Location("things", "who"); location.String() != "layer0:2" {
+		t.Errorf("got %v", location)
 	}
 }
 
+// Only changes of values are changes, and those of order, comments and notation are not.
 func TestChanged(t *testing.T) {
 	base := "[things]\nwho = \"w\"\nwait = \"90s\"\n[part.a]\nsize = 1\n"
 	for text, want := range map[string]string{
@@ -183,7 +203,7 @@
 	}
 }
 
-// The sample and a file's own text decode to what they came from.
+// The sample and the text of a file decode to the same settings.
 func TestTextsDecode(t *testing.T) {
 	if _, fault := decode(testSchema.Sample(), Options{}); fault != "" {
 		t.Error(fault)
@@ -193,11 +213,13 @@
 	if fault != "" || len(Changed(f, again)) > 0 || len(again.Settings()) != 3 {
 		t.Errorf("%s\n%s", f.Text(), fault)
 	}
-	if r := testSchema.Reference(); !strings.Contains(r, "## [part.PART]") || !strings.Contains(r, "| `wait` | duration, 1ms to 1h | `\"1s\"` | SIGHUP | Wait. |") {
+	r := testSchema.Reference()
+	if !strings.Contains(r, "## [part.PART]") || !strings.Contains(r, "| `wait` | duration, 1ms to 1h | `\"1s\"` | SIGHUP | Wait. |") {
 		t.Error(r)
 	}
 }
 
+// Declarations with a name twice panic.
 func TestDeclarationsThatClash(t *testing.T) {
 	for name, declare := range map[string]func(){
 		"table twice": func() { New(thingsTable.Table, thingsTable.Table) },
@@ -212,7 +234,7 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s: passes", name)
+					t.Errorf("%s: does not panic", name)
 				}
 			}()
 			declare()
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings decodes the JSON object that starts an instance of the load balancer, and load reports of endpoints. The
 // simulator's adapter and the standalone sidecar share it.
 //
-// Times in the object are whole microseconds. Keys keep the words of the users' pages; Settings has the field's terms for them.
+// Times in the object are whole microseconds. Keys keep the words of the users' pages; the Go names are the standard terms.
 package settings
 
 import (
@@ -14,8 +14,8 @@
 	"quincegap/internal/balancer"
 )
 
-// config mirrors the JSON object. Its keys, and its name and those of its fields in errors of encoding/json, are data. Keys that
-// are not listed here are ignored.
+// config mirrors the JSON object. Its keys are data, and so are the names of the type and the fields, which errors of encoding/json have.
+// Keys that are not listed here are ignored.
 type config struct {
 	Allowed struct {
 		Cancel         bool  `json:"cancel"`
@@ -74,7 +74,7 @@
 	} `json:"tenants"`
 }
 
-// knownKeys are the top-level keys that config reads or that need no reading.
+// knownKeys are the top-level keys that config reads, and those that are ignored without a warning.
 var knownKeys = map[string]bool{
 	"allowed": true, "clientHabits": true, "discovery": true, "family": true, "familyInfo": true,
 	"feedback": true, "goal": true, "instances": true, "models": true, "myZone": true, "ordinal": true,
@@ -82,15 +82,15 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// The words of the object that choose between ways to work.
+// Values of the keys discovery and worthBy.
 const (
-	discoveryPush = "push" // the endpoint list comes by itself
-	discoveryAsk  = "ask"  // the endpoint list has to be asked for
-	worthByWork   = "work" // an answer's value grows with its work units
+	discoveryPush = "push" // discovery sends the list of endpoints
+	discoveryAsk  = "ask"  // the list has to be polled
+	worthByWork   = "work" // the value of a response is proportional to its work units
 )
 
-// idempotencyByWord and keyScopeByWord translate the object's words. An unknown word is passed on as it is, for the Balancer to reject
-// by name.
+// idempotencyByWord and keyScopeByWord map values of effect and keyScope. An unknown value is passed on unchanged, and the Balancer rejects
+// it by name.
 var (
 	idempotencyByWord = map[string]balancer.Idempotency{
 		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NonIdempotent,
@@ -100,48 +100,48 @@
 	}
 )
 
-// Settings is what a Balancer is started with, and what only the program around it needs.
+// Settings has the settings of a Balancer, and those that only the program around it needs.
 type Settings struct {
 	balancer.Settings
-	Zones         []string      // names; the Balancer knows their indexes
+	Zones         []string      // the names of the zones, by the Balancer's indexes
 	Models        []string      // names of the endpoints' models
-	ConnIdle      time.Duration // an endpoint closes a connection that was idle for so long; 0 if unknown
-	GraceToAnswer time.Duration // how long after the client's deadline an answer still counts
-	OpenCap       int           // requests that may be open at once; 0 for no limit
+	ConnIdle      time.Duration // the time after which an endpoint closes an idle connection; 0 if unknown
+	GraceToAnswer time.Duration // the time after the client's deadline in which a response still counts
+	OpenCap       int           // the most requests in flight; 0 for no limit
 }
 
-// Parse reads the object and lists the top-level keys that it ignored, sorted. It fails where the text is no such object, or names an
-// unknown way of discovery; all else is for the Balancer to judge.
-func Parse(text []byte) (s Settings, unknown []string, err error) {
-	var c config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return s, nil, fmt.Errorf("not a settings object: %w", err)
+// Parse reads the object and returns the top-level keys that it ignored, sorted. It fails if the text is no such object, or has an unknown
+// value of discovery. The Balancer checks everything else.
+func Parse(text []byte) (settings Settings, unknown []string, err error) {
+	var object config
+	if err := json.Unmarshal(text, &object); err != nil {
+		return settings, nil, fmt.Errorf("not a settings object: %w", err)
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(text, &keys); err != nil {
-		return s, nil, fmt.Errorf("not a settings object: %w", err)
+		return settings, nil, fmt.Errorf("not a settings object: %w", err)
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if !knownKeys[key] {
 			unknown = append(unknown, key)
 		}
 	}
-	if c.Discovery != discoveryPush && c.Discovery != discoveryAsk {
-		return s, unknown, fmt.Errorf("discovery: unknown word %q", c.Discovery)
+	if object.Discovery != discoveryPush && object.Discovery != discoveryAsk {
+		return settings, unknown, fmt.Errorf("discovery: unknown word %q", object.Discovery)
 	}
 	return Settings{
-		Settings:      c.balancerSettings(),
-		Zones:         c.Zones,
-		Models:        c.Models,
-		ConnIdle:      Microseconds(c.Allowed.ConnIdle),
-		GraceToAnswer: Microseconds(c.Rules.Grace),
-		OpenCap:       c.Allowed.OpenCap,
+		Settings:      object.balancerSettings(),
+		Zones:         object.Zones,
+		Models:        object.Models,
+		ConnIdle:      Microseconds(object.Allowed.ConnIdle),
+		GraceToAnswer: Microseconds(object.Rules.Grace),
+		OpenCap:       object.Allowed.OpenCap,
 	}, unknown, nil
 }
 
-// balancerSettings is the part of the object that the Balancer is started with.
+// balancerSettings returns the part of the object that the Balancer is started with.
 func (c *config) balancerSettings() balancer.Settings {
-	s := balancer.Settings{
+	settings := balancer.Settings{
 		Instances:           c.Instances,
 		Ordinal:             c.Ordinal,
 		Tier:                c.Stage,
@@ -167,10 +167,10 @@
 		OverloadDuration:    Microseconds(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
-		s.MaxRetryAfter = Microseconds(c.Allowed.MaxRetryAfter)
+		settings.MaxRetryAfter = Microseconds(c.Allowed.MaxRetryAfter)
 	}
 	for _, service := range c.Services {
-		s.Classes = append(s.Classes, balancer.Class{
+		settings.Classes = append(settings.Classes, balancer.Class{
 			Name:           service.Name,
 			LatencyTarget:  Microseconds(service.Aim),
 			Deadline:       Microseconds(service.Deadline),
@@ -183,9 +183,9 @@
 		})
 	}
 	for _, tenant := range c.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerS})
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerS})
 	}
-	return s
+	return settings
 }
 
 // translate looks a word up, and passes an unknown one on unchanged.
@@ -196,5 +196,5 @@
 	return T(word)
 }
 
-// Microseconds is a duration of n microseconds, the unit of all times in the settings.
+// Microseconds returns a duration of n microseconds, the unit of all times in the settings.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/product/peer_group.go
+++ b/internal/product/peer_group.go
@@ -12,25 +12,26 @@
 	"quincegap/internal/standalone"
 )
 
-// peersOpener opens the group of the other sidecars that a file asks for; it is nil for none. It fails for settings that cannot work.
-func peersOpener(f *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
-	settings := *gossip.Table.In(f)
+// peersOpener returns a function that joins the group of sidecars that a file configures; nil if it configures none. It fails if the
+// settings contradict one another or the keys cannot be read.
+func peersOpener(file *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
+	settings := *gossip.Table.In(file)
 	if settings.Listen == "" {
 		return nil, nil
 	}
-	application := appfile.SidecarTable.In(f).Application
+	application := appfile.SidecarTable.In(file).Application
 	if application == "" {
 		return nil, fmt.Errorf("%s: peers_listen is set, and sidecar.application is not: others could not be told from another application's",
-			f.Location("peers", "peers_listen"))
+			file.Location("peers", "peers_listen"))
 	}
-	if settings.Service != "" && consul.Table.In(f).Agents == "" {
-		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", f.Location("peers", "peers_service"))
+	if settings.Service != "" && consul.Table.In(file).Agents == "" {
+		return nil, fmt.Errorf("%s: peers_service is set, and consul.agents is not", file.Location("peers", "peers_service"))
 	}
-	readKeys := func() ([][]byte, error) { return readPeerKeys(f, settings.KeyFile, resolve) }
+	readKeys := func() ([][]byte, error) { return readPeerKeys(file, settings.KeyFile, resolve) }
 	if _, err := readKeys(); err != nil {
 		return nil, err
 	}
-	return func(in standalone.PeersConfig) (standalone.Peers, error) {
+	return func(config standalone.PeersConfig) (standalone.Peers, error) {
 		keys, err := readKeys()
 		if err != nil {
 			return nil, err
@@ -38,22 +39,22 @@
 		var findAddresses func() ([]string, error)
 		if settings.Service != "" {
 			findAddresses = func() ([]string, error) {
-				return consul.Find(context.Background(), *consul.Table.In(f), settings.Service, resolve)
+				return consul.Find(context.Background(), *consul.Table.In(file), settings.Service, resolve)
 			}
 		}
 		group, err := gossip.Open(gossip.Config{
 			Settings:        settings,
 			FindAddresses:   findAddresses,
-			Name:            in.Name,
+			Name:            config.Name,
 			Application:     application,
 			Version:         Version(),
-			ExpectedMembers: in.Instances,
+			ExpectedMembers: config.Instances,
 			Keys:            keys,
-			SettledNames:    in.Names,
-			KnownAddresses:  in.Addresses,
-			Ready:           in.Ready,
-			OnShare:         in.Changed,
-			OnSettled:       in.Save,
+			SettledNames:    config.Names,
+			KnownAddresses:  config.Addresses,
+			Ready:           config.Ready,
+			OnShare:         config.Changed,
+			OnSettled:       config.Save,
 		})
 		if err != nil {
 			return nil, err
@@ -62,7 +63,7 @@
 	}, nil
 }
 
-// readPeerKeys reads the keys of the group from the file that the settings name; without a file there are none.
+// readPeerKeys reads the keys of the group from the file that the settings name. Without a file there are no keys.
 func readPeerKeys(f *schema.File, keyFile string, resolve func(string) string) ([][]byte, error) {
 	if keyFile == "" {
 		return nil, nil
@@ -78,13 +79,13 @@
 	return keys, nil
 }
 
-// reloadableGroup is a group whose keys are in a file.
+// reloadableGroup is a group whose keys are read again from their file.
 type reloadableGroup struct {
 	*gossip.Group
 	readKeys func() ([][]byte, error)
 }
 
-// Reload reads the keys again. Without a file of keys it does nothing.
+// Reload reads the keys again. It does nothing if there is no file.
 func (r *reloadableGroup) Reload() error {
 	keys, err := r.readKeys()
 	if err != nil || keys == nil {
--- a/internal/product/platform_shape.go
+++ b/internal/product/platform_shape.go
@@ -8,17 +8,17 @@
 	"quincegap/internal/config/finding"
 )
 
-// maxNumber bounds the numbers of the platform's JSON, on both sides of 0.
+// maxNumber bounds the magnitude of numbers in the platform's JSON.
 const maxNumber = 1e18
 
-// shape is what a value of the platform's JSON may be. The platform may add keys, so unknown ones pass, unless one is near a known one
-// that is missing.
+// shape describes the valid values of a part of the platform's JSON. Unknown keys are allowed, since the platform may add some, unless one
+// is similar to a known key that is missing.
 type shape struct {
-	kind     doc.Kind // of the value
-	number   bool     // any number
-	keys     map[string]*shape
-	item     *shape // of a list
-	required []string
+	kind     doc.Kind          // of the value
+	number   bool              // any number is valid, whole or not
+	keys     map[string]*shape // of an object
+	item     *shape            // of a list
+	required []string          // the keys that an object must have
 }
 
 // The shapes of values.
@@ -28,89 +28,117 @@
 func boolShape() *shape            { return &shape{kind: doc.Bool} }
 func listShape(item *shape) *shape { return &shape{kind: doc.Array, item: item} }
 
-// objectShape is the shape of an object, with the names of the keys that it must have.
-func objectShape(keys map[string]*shape, needed ...string) *shape {
-	return &shape{kind: doc.TableKind, keys: keys, required: needed}
+// objectShape returns the shape of an object with the given keys, of which some are required.
+func objectShape(keys map[string]*shape, required ...string) *shape {
+	return &shape{kind: doc.TableKind, keys: keys, required: required}
 }
 
-// numberShapes are keys whose values are numbers.
+// numberShapes returns shapes for keys whose values are numbers.
 func numberShapes(names ...string) map[string]*shape {
-	m := map[string]*shape{}
-	for _, n := range names {
-		m[n] = numberShape()
-	}
-	return m
+	return withShapes(map[string]*shape{}, numberShape, names...)
 }
 
-// withShapes adds keys of one shape to others, and returns all.
-func withShapes(m map[string]*shape, sort func() *shape, names ...string) map[string]*shape {
-	for _, n := range names {
-		m[n] = sort()
+// withShapes adds keys of the same shape to a map, and returns the map.
+func withShapes(keys map[string]*shape, newShape func() *shape, names ...string) map[string]*shape {
+	for _, name := range names {
+		keys[name] = newShape()
 	}
-	return m
+	return keys
 }
 
-var platformShape = objectShape(map[string]*shape{
-	"name": stringShape(), "listen": stringShape(), "discovery": stringShape(), "seed": stringShape(), "peer_listen": stringShape(), "peers_all": stringShape(),
-	"peers":  listShape(stringShape()),
-	"limits": objectShape(numberShapes("cores", "memory_mb", "sockets"), "cores", "memory_mb", "sockets"),
-	"known": objectShape(map[string]*shape{
-		"rev": numberShape(), "all": boolShape(),
-		"targets": listShape(objectShape(withShapes(numberShapes("pod_group", "capacity_hint", "boot_ms"), stringShape, "uid", "endpoint", "az", "model", "state"), "uid", "state")),
-	}),
-	"settings": objectShape(map[string]*shape{
-		"allowed": objectShape(withShapes(numberShapes("connIdle", "connectTimeout", "cpuUsPerRequest", "cpuUsPerS", "maxRetryAfter", "maxStreams",
-			"openCap", "sendCap"), boolShape, "cancel", "mayProbe", "peers", "retryAfter", "secondCopies"), "connectTimeout"),
+// platformShape is the shape of the configuration.
+var platformShape = objectShape(
+	withShapes(map[string]*shape{
+		"peers":    listShape(stringShape()),
+		"limits":   objectShape(numberShapes("cores", "memory_mb", "sockets"), "cores", "memory_mb", "sockets"),
+		"known":    knownShape(),
+		"settings": settingsShape(),
+	}, stringShape, "name", "listen", "discovery", "seed", "peer_listen", "peers_all"),
+	"name", "listen", "discovery", "seed", "limits", "settings")
+
+// knownShape returns the shape of the last known list of endpoints.
+func knownShape() *shape {
+	target := numberShapes("pod_group", "capacity_hint", "boot_ms")
+	withShapes(target, stringShape, "uid", "endpoint", "az", "model", "state")
+	return objectShape(map[string]*shape{
+		"rev":     numberShape(),
+		"all":     boolShape(),
+		"targets": listShape(objectShape(target, "uid", "state")),
+	})
+}
+
+// settingsShape returns the shape of the settings of the balancer.
+func settingsShape() *shape {
+	keys := map[string]*shape{
+		"allowed":      allowedShape(),
 		"clientHabits": objectShape(withShapes(map[string]*shape{}, boolShape, "marksRetry")),
-		"discovery":    stringShape(), "family": stringShape(), "weights": stringShape(), "worthBy": stringShape(),
-		"familyInfo": objectShape(withShapes(map[string]*shape{}, boolShape, "passesDeadline", "warmKeys")),
-		"feedback":   objectShape(map[string]*shape{"fields": listShape(stringShape()), "how": stringShape()}),
-		"goal":       objectShape(numberShapes("whole", "worstClass", "worstTenant", "worstWindow")),
-		"instances":  numberShape(), "ordinal": numberShape(), "stage": numberShape(), "quantum": numberShape(), "myZone": numberShape(), "overShareWorth": numberShape(),
-		"models": listShape(stringShape()), "zones": listShape(stringShape()), "tiers": listShape(stringShape()),
-		"prices": objectShape(numberShapes("connection", "crossZone", "discovery", "fleet", "handshake", "lateFail", "moves", "origin", "peer", "probe", "waste")),
-		"rules":  objectShape(numberShapes("askEvery", "cold", "coldFrom", "drainGrace", "fall", "graceToAnswer", "tipMultiple")),
-		"services": listShape(objectShape(withShapes(withShapes(numberShapes("aim", "aimStretch", "deadline", "gain", "lateValue", "window"),
-			stringShape, "effect", "keyScope", "name"), boolShape, "streamed"), "name", "aim", "deadline", "effect")),
-		"tenants": listShape(objectShape(withShapes(numberShapes("quotaPerS", "share"), stringShape, "name"), "name")),
-	}, "discovery", "services", "instances"),
-}, "name", "listen", "discovery", "seed", "limits", "settings")
+		"familyInfo":   objectShape(withShapes(map[string]*shape{}, boolShape, "passesDeadline", "warmKeys")),
+		"feedback":     objectShape(map[string]*shape{"fields": listShape(stringShape()), "how": stringShape()}),
+		"goal":         objectShape(numberShapes("whole", "worstClass", "worstTenant", "worstWindow")),
+		"models":       listShape(stringShape()),
+		"zones":        listShape(stringShape()),
+		"tiers":        listShape(stringShape()),
+		"prices": objectShape(numberShapes("connection", "crossZone", "discovery", "fleet", "handshake", "lateFail", "moves", "origin",
+			"peer", "probe", "waste")),
+		"rules":    objectShape(numberShapes("askEvery", "cold", "coldFrom", "drainGrace", "fall", "graceToAnswer", "tipMultiple")),
+		"services": listShape(serviceShape()),
+		"tenants":  listShape(objectShape(withShapes(numberShapes("quotaPerS", "share"), stringShape, "name"), "name")),
+	}
+	withShapes(keys, stringShape, "discovery", "family", "weights", "worthBy")
+	withShapes(keys, numberShape, "instances", "ordinal", "stage", "quantum", "myZone", "overShareWorth")
+	return objectShape(keys, "discovery", "services", "instances")
+}
+
+// allowedShape returns the shape of the limits of what the balancer may do.
+func allowedShape() *shape {
+	keys := numberShapes("connIdle", "connectTimeout", "cpuUsPerRequest", "cpuUsPerS", "maxRetryAfter", "maxStreams", "openCap", "sendCap")
+	withShapes(keys, boolShape, "cancel", "mayProbe", "peers", "retryAfter", "secondCopies")
+	return objectShape(keys, "connectTimeout")
+}
+
+// serviceShape returns the shape of a class of requests.
+func serviceShape() *shape {
+	keys := numberShapes("aim", "aimStretch", "deadline", "gain", "lateValue", "window")
+	withShapes(keys, stringShape, "effect", "keyScope", "name")
+	withShapes(keys, boolShape, "streamed")
+	return objectShape(keys, "name", "aim", "deadline", "effect")
+}
 
 // check checks a value against a shape. path names the value in findings.
-func (s *shape) check(v *doc.Value, path string, report finding.Reporter) {
-	if s.number && (v.Kind == doc.Integer || v.Kind == doc.Float) {
-		if n, err := strconv.ParseFloat(v.Text, 64); err != nil || n > maxNumber || n < -maxNumber {
-			report(v.Pos, "%s: %.40s is too large a number", path, v.Text)
+func (s *shape) check(value *doc.Value, path string, report finding.Reporter) {
+	if s.number && (value.Kind == doc.Integer || value.Kind == doc.Float) {
+		if n, err := strconv.ParseFloat(value.Text, 64); err != nil || n > maxNumber || n < -maxNumber {
+			report(value.Pos, "%s: %.40s is too large a number", path, value.Text)
 		}
 		return
 	}
-	if v.Kind != s.kind {
-		report(v.Pos, "%s: %s is wanted, not %s", path, s.kind, v.Kind)
+	if value.Kind != s.kind {
+		report(value.Pos, "%s: %s is wanted, not %s", path, s.kind, value.Kind)
 		return
 	}
 	if s.item != nil {
-		for i, item := range v.Items {
+		for i, item := range value.Items {
 			s.item.check(item, fmt.Sprintf("%s[%d]", path, i), report)
 		}
 	}
-	if s.keys != nil && v.Table != nil {
-		s.checkKeys(v, path, report)
+	if s.keys != nil && value.Table != nil {
+		s.checkKeys(value, path, report)
 	}
 }
 
 // checkKeys checks the keys of an object.
-func (s *shape) checkKeys(v *doc.Value, path string, report finding.Reporter) {
+func (s *shape) checkKeys(object *doc.Value, path string, report finding.Reporter) {
 	keyPrefix := path
 	if keyPrefix != "" {
 		keyPrefix += "."
 	}
 	var absent []string
 	for key := range s.keys {
-		if v.Table.Get(key) == nil {
+		if object.Table.Get(key) == nil {
 			absent = append(absent, key)
 		}
 	}
-	for _, e := range v.Table.Entries {
+	for _, e := range object.Table.Entries {
 		if inner := s.keys[e.Name]; inner != nil {
 			inner.check(e.Value, keyPrefix+e.Name, report)
 		} else if nearest := finding.Nearest(e.Name, absent); nearest != "" {
@@ -118,13 +146,13 @@
 		}
 	}
 	for _, key := range s.required {
-		if v.Table.Get(key) == nil {
-			report(v.Pos, "%slacks the key %q", pathPrefix(path), key)
+		if object.Table.Get(key) == nil {
+			report(object.Pos, "%slacks the key %q", pathPrefix(path), key)
 		}
 	}
 }
 
-// pathPrefix names a value at the head of a message; the object as a whole has no name.
+// pathPrefix returns the beginning of a message on a value; "" for the object as a whole.
 func pathPrefix(path string) string {
 	if path == "" {
 		return ""
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// The generated pages are what the declarations say: go generate ./docs writes them anew.
+// The generated pages are those of the declarations; go generate ./docs writes them.
 func TestGeneratedPagesDoNotDrift(t *testing.T) {
 	for path, want := range map[string]string{"docs/reference.md": Reference(), "deploy/sidecar.toml": Sample()} {
 		got, err := os.ReadFile(filepath.Join("..", "..", path))
@@ -21,7 +21,7 @@
 	}
 }
 
-// Every key has what the reference page needs.
+// Each key has what the reference page needs.
 func TestDeclarations(t *testing.T) {
 	for _, table := range Schema.Tables {
 		for _, k := range table.Keys {
@@ -35,7 +35,7 @@
 	}
 }
 
-// All keys at once, each with its default or example: each is in the sample, and within its own bounds.
+// The sample has all keys, and the default or the example of each is valid.
 func TestSampleHasAllKeys(t *testing.T) {
 	text := strings.NewReplacer("\n# ", "\n").Replace(Sample())
 	var lines []string
@@ -49,8 +49,8 @@
 		t.Fatal(err)
 	}
 	var found finding.List
-	f := Load(path, false, &found)
-	// The sample's safe class has the keys of a keyed one, its call names another class, and its secret is not here.
+	file := Load(path, false, &found)
+	// In the sample a safe class has the keys of a keyed one, a call names another class, and the files of secrets are missing.
 	expected := []string{"means nothing", "for_class", "_file", "settings for TLS", "second_copies is false"}
 	for _, x := range found.All() {
 		if !slices.ContainsFunc(expected, func(part string) bool { return strings.Contains(x.Message, part) }) {
@@ -59,17 +59,18 @@
 	}
 	for _, table := range Schema.Tables {
 		for _, k := range table.Keys {
-			at := []string{table.Name, k.Name}
+			path := []string{table.Name, k.Name}
 			if table.Named {
-				at = []string{table.Name, table.ExampleName, k.Name}
+				path = []string{table.Name, table.ExampleName, k.Name}
 			}
-			if f.Setting(at...) == nil {
-				t.Errorf("%v is not in the sample", at)
+			if file.Setting(path...) == nil {
+				t.Errorf("%v is not in the sample", path)
 			}
 		}
 	}
 }
 
+// Only regular files up to a bound are read, and errors do not have the path.
 func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	pipe := filepath.Join(dir, "pipe")
@@ -93,7 +94,7 @@
 	}
 }
 
-// A secret is looked for beside the file that names it, and must be fit to be one.
+// The path of a secret is relative to the file that names it, and the secret must be valid.
 func TestSecrets(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sidecar.toml")
@@ -101,20 +102,24 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		mode os.FileMode
 		want string
 	}{{0o600, ""}, {0o622, "written by everybody"}, {0o644, "read by everybody"}} {
 		if err := os.WriteFile(filepath.Join(dir, "token"), []byte("t0ken"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Chmod(filepath.Join(dir, "token"), c.mode); err != nil {
+		if err := os.Chmod(filepath.Join(dir, "token"), tc.mode); err != nil {
 			t.Fatal(err)
 		}
 		var found finding.List
 		Load(path, false, &found)
-		if c.want == "" && found.Len() > 0 || c.want != "" && (found.Len() != 1 || !strings.Contains(found.All()[0].Message, c.want) || found.All()[0].Line == 0) {
-			t.Errorf("%v: %v", c.mode, found.Err())
+		asWanted := found.Len() == 0
+		if tc.want != "" {
+			asWanted = found.Len() == 1 && strings.Contains(found.All()[0].Message, tc.want) && found.All()[0].Line > 0
+		}
+		if !asWanted {
+			t.Errorf("%v: %v", tc.mode, found.Err())
 		}
 	}
 }
