--- a/internal/network/consul/client.go
+++ b/internal/network/consul/client.go
@@ -77,18 +77,18 @@
 	agents   []agent
 }
 
-func newClient(s Settings, resolve func(string) string) (*client, error) {
-	c := &client{settings: s, resolve: resolve}
+func newClient(settings Settings, resolve func(string) string) (*client, error) {
+	c := &client{settings: settings, resolve: resolve}
 	var tlsConfig *tls.Config
 	scheme := "http"
-	if s.TLS {
+	if settings.TLS {
 		scheme = "https"
 		var err error
 		if tlsConfig, err = c.tlsConfig(); err != nil {
 			return nil, err
 		}
 	}
-	for _, address := range s.agents() {
+	for _, address := range settings.agents() {
 		transport := &http.Transport{
 			DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			TLSClientConfig:        tlsConfig,
@@ -103,8 +103,8 @@
 			Address:    address,
 			Scheme:     scheme,
 			HttpClient: &http.Client{Transport: &boundedTransport{transport}},
-			Namespace:  s.Namespace,
-			Partition:  s.Partition,
+			Namespace:  settings.Namespace,
+			Partition:  settings.Partition,
 		})
 		if err != nil {
 			return nil, fmt.Errorf("consul agent %s: %w", address, err)
--- a/internal/network/consul/client_test.go
+++ b/internal/network/consul/client_test.go
@@ -37,7 +37,7 @@
 	if err := os.WriteFile(token, []byte("s3cret"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		consistency Consistency
 		want        string
 	}{
@@ -54,13 +54,13 @@
 			s.Datacenter = "east"
 			s.Namespace = "transport"
 			s.Partition = "south"
-			s.Consistency = c.consistency
+			s.Consistency = test.consistency
 			s.TokenFile = token
 		})
 		first, second := <-asked, <-asked
 		query, _ := url.QueryUnescape(first.URL.RawQuery)
-		if first.URL.Path != "/v1/health/service/x" || query != c.want || first.Header.Get("X-Consul-Token") != "s3cret" {
-			t.Errorf("asked %s?%s, want %s; token %q", first.URL.Path, query, c.want, first.Header.Get("X-Consul-Token"))
+		if first.URL.Path != "/v1/health/service/x" || query != test.want || first.Header.Get("X-Consul-Token") != "s3cret" {
+			t.Errorf("asked %s?%s, want %s; token %q", first.URL.Path, query, test.want, first.Header.Get("X-Consul-Token"))
 		}
 		q := second.URL.Query()
 		wait, err := time.ParseDuration(q.Get("wait"))
@@ -144,14 +144,14 @@
 
 // Agents that refuse connections or speak no HTTP are skipped.
 func TestNoAgent(t *testing.T) {
-	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var junk sync.WaitGroup
 	junk.Go(func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -160,14 +160,14 @@
 		}
 	})
 	defer func() {
-		if err := l.Close(); err != nil {
+		if err := listener.Close(); err != nil {
 			t.Error(err)
 		}
 		junk.Wait()
 	}()
 	agent := serve(t, "a")
 	watcher := watch(t, func(s *Settings) {
-		s.Agents = "127.0.0.1:1," + l.Addr().String() + "," + agent.Address()
+		s.Agents = "127.0.0.1:1," + listener.Addr().String() + "," + agent.Address()
 	}, agent)
 	watcher.knows("a")
 }
--- a/internal/network/consul/confirmation.go
+++ b/internal/network/consul/confirmation.go
@@ -75,33 +75,33 @@
 
 // followCatalog queries the catalogue until no instance is unconfirmed, or the context ends.
 func (c *confirmation) followCatalog(ctx context.Context, agent int) {
-	w := c.watcher
+	watcher := c.watcher
 	var index uint64
 	failures := 0
 	for ctx.Err() == nil {
 		listed := map[string]bool{}
-		m, err := c.queryCatalog(ctx, agent, index, listed)
+		meta, err := c.queryCatalog(ctx, agent, index, listed)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			failures++
-			address := w.agents[agent].address
-			w.log.logf("consul: the catalogue at agent %s: %s", address, errorText(err))
-			agent = (agent + 1) % len(w.agents)
+			address := watcher.agents[agent].address
+			watcher.log.logf("consul: the catalogue at agent %s: %s", address, errorText(err))
+			agent = (agent + 1) % len(watcher.agents)
 			index = 0
 			pause(ctx, backoff(failures))
 			continue
 		}
 		failures = 0
-		if m.knownLeader && c.handleCatalog(ctx, listed) {
+		if meta.knownLeader && c.handleCatalog(ctx, listed) {
 			return
 		}
-		index = nextIndex(index, m.index)
+		index = nextIndex(index, meta.index)
 		if index == 0 {
 			pause(ctx, pollInterval)
 		}
-		pause(ctx, max(w.settings.MinInterval, restPerWork*time.Since(m.receivedAt)))
+		pause(ctx, max(watcher.settings.MinInterval, restPerWork*time.Since(meta.receivedAt)))
 	}
 }
 
--- a/internal/network/consul/confirmation_test.go
+++ b/internal/network/consul/confirmation_test.go
@@ -12,7 +12,7 @@
 // it confirms or refutes that they are gone.
 func TestSuspiciousLists(t *testing.T) {
 	all := []string{"a", "b", "c", "d", "e", "f", "g"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		fault     standin.Fault
 		untrusted bool
@@ -27,29 +27,29 @@
 		{"null", standin.Fault{Body: "null", CatalogUnaffected: true}, false, 0},
 		{"hangs", standin.Fault{Empty: true, CatalogHangs: true}, false, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			agent := serve(t, all...)
 			watcher := watch(t, nil, agent)
 			watcher.knows(all...)
-			agent.SetFault(c.fault)
+			agent.SetFault(test.fault)
 			watcher.until("fewer", func() bool { return len(watcher.known) < 7 })
 			for _, a := range watcher.answers {
-				if len(a.Missing) > 0 && (a.Untrusted != c.untrusted || a.KnownBefore != 7) {
+				if len(a.Missing) > 0 && (a.Untrusted != test.untrusted || a.KnownBefore != 7) {
 					t.Errorf("%+v", a)
 				}
 			}
 			watcher.until("the catalogue's answer", func() bool {
 				_, asked := agent.Queries()
-				return asked > 0 && len(watcher.confirmed()) == c.confirmed
+				return asked > 0 && len(watcher.confirmed()) == test.confirmed
 			})
 			// Another answer of the health API comes after the catalogue's.
 			agent.SetStatus("a", "passing")
 			time.Sleep(50 * time.Millisecond)
 			agent.SetFault(standin.Fault{})
 			watcher.knows(all...)
-			if got := len(watcher.confirmed()); got != c.confirmed {
-				t.Errorf("the catalogue confirmed %d, want %d", got, c.confirmed)
+			if got := len(watcher.confirmed()); got != test.confirmed {
+				t.Errorf("the catalogue confirmed %d, want %d", got, test.confirmed)
 			}
 			checkCatalogNotQueried(t, agent, watcher)
 		})
--- a/internal/network/consul/endpoint.go
+++ b/internal/network/consul/endpoint.go
@@ -119,40 +119,40 @@
 }
 
 // applyChecks sets the state, the weights and the reason by the worst of all checks of the node and the service.
-func applyChecks(i *instance, e *endpointsource.Endpoint) {
+func applyChecks(i *instance, endpoint *endpointsource.Endpoint) {
 	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), maxWeight)
 	warning := min(max(i.Service.Weights.Warning, 0), maxWeight)
-	e.Weight = float64(passing)
-	e.WeightShare = 1
+	endpoint.Weight = float64(passing)
+	endpoint.WeightShare = 1
 	warned := "" // the ID of a check that warns
 	for _, c := range i.Checks {
 		switch {
 		case c.maintenance():
-			e.State = balancer.EndpointDraining
-			e.Maintenance = true
-			e.Reason = "in maintenance"
+			endpoint.State = balancer.EndpointDraining
+			endpoint.Maintenance = true
+			endpoint.Reason = "in maintenance"
 		case c.Status == statusPassing:
 		case c.Status == statusWarning:
 			warned = c.shortID()
 		default: // critical, or a status of a later version of Consul
-			e.State = balancer.EndpointDraining
-			if !e.Maintenance {
-				e.Reason = fmt.Sprintf("check %q is %.20s", c.shortID(), c.Status)
+			endpoint.State = balancer.EndpointDraining
+			if !endpoint.Maintenance {
+				endpoint.Reason = fmt.Sprintf("check %q is %.20s", c.shortID(), c.Status)
 			}
 		}
 	}
-	if e.State != balancer.EndpointReady || warned == "" {
+	if endpoint.State != balancer.EndpointReady || warned == "" {
 		return
 	}
 	if warning == 0 {
 		// Consul's own DNS leaves such an instance out.
-		e.State = balancer.EndpointDraining
-		e.Reason = fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
+		endpoint.State = balancer.EndpointDraining
+		endpoint.Reason = fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
 		return
 	}
-	e.Weight = float64(warning)
-	e.WeightShare = float64(warning) / float64(passing)
-	e.Reason = fmt.Sprintf("check %q warns", warned)
+	endpoint.Weight = float64(warning)
+	endpoint.WeightShare = float64(warning) / float64(passing)
+	endpoint.Reason = fmt.Sprintf("check %q warns", warned)
 }
 
 // maintenance reports whether a check represents a maintenance mode.
--- a/internal/network/consul/endpoint_test.go
+++ b/internal/network/consul/endpoint_test.go
@@ -14,7 +14,7 @@
 	passes := check{"a", "passing"}
 	warns := check{"b", "warning"}
 	fails := check{"c", "critical"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name             string
 		checks           []check
 		passing, warning int // weights
@@ -34,13 +34,14 @@
 		{"negative weights", []check{passes}, -5, -1, ready, 1, 1, false, ""},
 		{"huge weight", []check{passes}, 1 << 30, 1, ready, maxWeight, 1, false, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			i := instance{Checks: c.checks}
-			i.Service.Weights.Passing = c.passing
-			i.Service.Weights.Warning = c.warning
+		t.Run(test.name, func(t *testing.T) {
+			i := instance{Checks: test.checks}
+			i.Service.Weights.Passing = test.passing
+			i.Service.Weights.Warning = test.warning
 			var e endpointsource.Endpoint
 			applyChecks(&i, &e)
-			if e.State != c.state || e.Weight != c.weight || e.WeightShare != c.share || e.Maintenance != c.maintenance || e.Reason != c.reason {
+			if e.State != test.state || e.Weight != test.weight || e.WeightShare != test.share ||
+				e.Maintenance != test.maintenance || e.Reason != test.reason {
 				t.Errorf("got %+v", e)
 			}
 		})
@@ -48,8 +49,8 @@
 }
 
 func TestEndpoints(t *testing.T) {
-	s := Table.Default()
-	for _, c := range []struct{ name, instance, want string }{
+	settings := Table.Default()
+	for _, test := range []struct{ name, instance, want string }{
 		{
 			"node's address",
 			`{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},"Service":{"ID":"x","Port":80}}`,
@@ -67,25 +68,25 @@
 		{"no id", `{"Node":{"Node":"n","Address":"h"},"Service":{"Port":80}}`, "its id is missing or too long"},
 		{"bad cell", `{"Node":{"Node":"n","Address":"h"},"Service":{"ID":"x","Port":80,"Meta":{"cell":"seven"}}}`, `its cell "seven" is no number`},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var i instance
-			if err := json.Unmarshal([]byte(c.instance), &i); err != nil {
+			if err := json.Unmarshal([]byte(test.instance), &i); err != nil {
 				t.Fatal(err)
 			}
-			e, got := s.endpoint(&i, true)
+			e, got := settings.endpoint(&i, true)
 			if got == "" {
 				got = fmt.Sprint(e.UID, " ", e.Address, " ", e.Zone, " ", e.Model, " ", e.Cell, " ", e.StartedMS, " ", e.StartUnknown)
 			}
-			if got != c.want {
-				t.Errorf("got %q, want %q", got, c.want)
+			if got != test.want {
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
-	s.UIDMeta = "uid"
-	if got := s.uid("n", "x", map[string]string{"uid": "s-1"}, true); got != "s-1" {
+	settings.UIDMeta = "uid"
+	if got := settings.uid("n", "x", map[string]string{"uid": "s-1"}, true); got != "s-1" {
 		t.Error(got)
 	}
-	if got := s.uid("n", "x", nil, false); got != "x" {
+	if got := settings.uid("n", "x", nil, false); got != "x" {
 		t.Error(got)
 	}
 }
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -12,12 +12,12 @@
 const maxFoundAddresses = 256
 
 // Find returns the addresses of a service's instances without a critical check, in Consul's order, from the first agent that answers.
-// s.Service and s.Tag are not used. If no agent answers it returns the *AgentError of the last one; if the settings name none,
+// The Service and the Tag of the settings are not used. If no agent answers it returns the *AgentError of the last one; if the settings name none,
 // ErrNoAgents.
-func Find(ctx context.Context, s Settings, service string, resolve func(string) string) (addresses []string, err error) {
-	s.Service = service
-	s.Tag = ""
-	c, err := newClient(s, resolve)
+func Find(ctx context.Context, settings Settings, service string, resolve func(string) string) (addresses []string, err error) {
+	settings.Service = service
+	settings.Tag = ""
+	c, err := newClient(settings, resolve)
 	if err != nil {
 		return nil, err
 	}
@@ -27,7 +27,7 @@
 	}
 	q := question{
 		path:        "/v1/health/service/" + url.PathEscape(service),
-		consistency: s.Consistency,
+		consistency: settings.Consistency,
 	}
 	for i := range c.agents {
 		addresses = nil
--- a/internal/network/consul/watcher.go
+++ b/internal/network/consul/watcher.go
@@ -75,20 +75,20 @@
 	defer w.closeIdle()
 	w.confirmation = newConfirmation(w)
 	defer w.confirmation.stop()
-	c := &cursor{}
+	position := &cursor{}
 	for ctx.Err() == nil {
-		if c.agent != 0 && time.Now().After(w.failbackAt) {
-			c.moveTo(0)
+		if position.agent != 0 && time.Now().After(w.failbackAt) {
+			position.moveTo(0)
 		}
-		h := &healthAnswer{endpoints: map[string]endpointsource.Endpoint{}}
-		m, err := w.queryHealth(ctx, c, h)
+		answer := &healthAnswer{endpoints: map[string]endpointsource.Endpoint{}}
+		meta, err := w.queryHealth(ctx, position, answer)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			w.failOver(ctx, c, err)
+			w.failOver(ctx, position, err)
 		default:
-			w.accept(ctx, c, h, m)
+			w.accept(ctx, position, answer, meta)
 		}
 	}
 }
@@ -100,21 +100,21 @@
 }
 
 // queryHealth queries the service's instances at the cursor's agent.
-func (w *Watcher) queryHealth(ctx context.Context, c *cursor, h *healthAnswer) (answerMeta, error) {
+func (w *Watcher) queryHealth(ctx context.Context, position *cursor, answer *healthAnswer) (answerMeta, error) {
 	q := question{
 		path:        "/v1/health/service/" + url.PathEscape(w.settings.Service),
 		tagsField:   "Service.Tags",
-		index:       c.index,
-		hash:        c.hash,
+		index:       position.index,
+		hash:        position.hash,
 		wait:        w.settings.Wait - rand.N(w.settings.Wait/8+1),
 		consistency: w.settings.Consistency,
 	}
 	if w.askLeader && q.consistency == Stale {
 		q.consistency = Default
 	}
-	return w.query(ctx, &w.agents[c.agent], q, func(body io.Reader) error {
+	return w.query(ctx, &w.agents[position.agent], q, func(body io.Reader) error {
 		return decodeEach(body, maxInstances, func(i *instance) {
-			h.faults = w.settings.addEndpoint(h.endpoints, i, w.qualified, h.faults)
+			answer.faults = w.settings.addEndpoint(answer.endpoints, i, w.qualified, answer.faults)
 		})
 	})
 }
@@ -132,23 +132,24 @@
 }
 
 // accept handles an answer, and rests until the next query is due.
-func (w *Watcher) accept(ctx context.Context, c *cursor, h *healthAnswer, m answerMeta) {
-	if c.failures > 0 || !c.answered {
-		log.Printf("consul: agent %s answers: %d instances of %s", w.agents[c.agent].address, len(h.endpoints), w.settings.Service)
+func (w *Watcher) accept(ctx context.Context, position *cursor, answer *healthAnswer, meta answerMeta) {
+	if position.failures > 0 || !position.answered {
+		log.Printf("consul: agent %s answers: %d instances of %s",
+			w.agents[position.agent].address, len(answer.endpoints), w.settings.Service)
 		w.log.reset()
 	}
-	c.failures = 0
-	c.answered = true
-	w.handleAnswer(ctx, c.agent, h, m)
-	work := time.Since(m.receivedAt)
-	next := nextIndex(c.index, m.index)
-	c.index = 0
-	c.hash = ""
+	position.failures = 0
+	position.answered = true
+	w.handleAnswer(ctx, position.agent, answer, meta)
+	work := time.Since(meta.receivedAt)
+	next := nextIndex(position.index, meta.index)
+	position.index = 0
+	position.hash = ""
 	switch {
-	case m.index != 0:
-		c.index = next
-	case m.hash != "":
-		c.hash = m.hash
+	case meta.index != 0:
+		position.index = next
+	case meta.hash != "":
+		position.hash = meta.hash
 	default:
 		pause(ctx, pollInterval/2+rand.N(pollInterval))
 	}
@@ -157,21 +158,21 @@
 
 // handleAnswer publishes the changes of an answer, without waiting for a confirmation: an answer that lacks too many instances may also
 // have one that has become critical.
-func (w *Watcher) handleAnswer(ctx context.Context, agent int, h *healthAnswer, m answerMeta) {
-	for _, fault := range h.faults {
+func (w *Watcher) handleAnswer(ctx context.Context, agent int, answer *healthAnswer, meta answerMeta) {
+	for _, fault := range answer.faults {
 		w.log.logf("consul: %s", fault)
 	}
-	a := diff(w.known, h.endpoints)
+	a := diff(w.known, answer.endpoints)
 	a.UnixMS = time.Now().UnixMilli()
-	a.Untrusted = !m.knownLeader || m.lastContact > w.settings.MaxStaleness
-	w.askLeader = a.Untrusted && m.knownLeader
-	w.known = h.endpoints
+	a.Untrusted = !meta.knownLeader || meta.lastContact > w.settings.MaxStaleness
+	w.askLeader = a.Untrusted && meta.knownLeader
+	w.known = answer.endpoints
 	if len(a.Changed) == 0 && len(a.Missing) == 0 {
 		w.OnUnchanged()
 		return
 	}
 	w.confirmation.observe(a, func() { w.OnAnswer(a) })
-	if doubtful := a.Untrusted || len(h.endpoints) == 0; len(a.Missing) > believedMissing || len(a.Missing) > 0 && doubtful {
+	if doubtful := a.Untrusted || len(answer.endpoints) == 0; len(a.Missing) > believedMissing || len(a.Missing) > 0 && doubtful {
 		w.confirmation.confirm(ctx, agent, a.Missing)
 	}
 }
--- a/internal/network/consul/watcher_test.go
+++ b/internal/network/consul/watcher_test.go
@@ -30,7 +30,7 @@
 
 // While answers are faulty nothing is published; the changes of that time are published with the next good answer.
 func TestFaults(t *testing.T) {
-	for name, f := range map[string]standin.Fault{
+	for name, fault := range map[string]standin.Fault{
 		"refuse":   {Refuse: true},
 		"reset":    {Reset: true},
 		"truncate": {Truncate: true},
@@ -49,7 +49,7 @@
 			watcher.knows("a", "b", "c", "d")
 			published := len(watcher.answers)
 			before, _ := agent.Queries()
-			agent.SetFault(f)
+			agent.SetFault(fault)
 			agent.SetStatus("a", "critical")
 			watcher.until("some questions", func() bool {
 				now, _ := agent.Queries()
--- a/internal/network/gossip/config.go
+++ b/internal/network/gossip/config.go
@@ -65,62 +65,62 @@
 
 // memberlistConfig returns the library's configuration for the group. It opens the transport.
 func (g *Group) memberlistConfig() (*memberlist.Config, error) {
-	m := memberlist.DefaultLANConfig()
-	m.Name = g.nodeName()
-	m.ProbeInterval = g.config.ProbeInterval
-	m.ProbeTimeout = g.config.ProbeInterval / 2
-	m.SuspicionMult = suspicionMult
-	m.SuspicionMaxTimeoutMult = suspicionMaxMult
-	m.AwarenessMaxMultiplier = maxAwareness
-	m.PushPullInterval = exchangeIntervals * g.config.ProbeInterval
-	m.GossipInterval = max(g.config.ProbeInterval/gossipsPerProbe, minGossipInterval)
-	m.TCPTimeout = dialTimeout
-	m.Logger = log.New(g.libraryLog, "", 0)
-	m.DNSConfigPath = ""
+	config := memberlist.DefaultLANConfig()
+	config.Name = g.nodeName()
+	config.ProbeInterval = g.config.ProbeInterval
+	config.ProbeTimeout = g.config.ProbeInterval / 2
+	config.SuspicionMult = suspicionMult
+	config.SuspicionMaxTimeoutMult = suspicionMaxMult
+	config.AwarenessMaxMultiplier = maxAwareness
+	config.PushPullInterval = exchangeIntervals * g.config.ProbeInterval
+	config.GossipInterval = max(g.config.ProbeInterval/gossipsPerProbe, minGossipInterval)
+	config.TCPTimeout = dialTimeout
+	config.Logger = log.New(g.libraryLog, "", 0)
+	config.DNSConfigPath = ""
 	callbacks := &delegate{group: g}
-	m.Delegate = callbacks
-	m.Events = callbacks
-	m.Alive = callbacks
-	m.Merge = callbacks
-	m.Ping = callbacks
+	config.Delegate = callbacks
+	config.Events = callbacks
+	config.Alive = callbacks
+	config.Merge = callbacks
+	config.Ping = callbacks
 	if len(g.config.Keys) > 0 {
 		var err error
 		if g.keyring, err = memberlist.NewKeyring(g.config.Keys, g.config.Keys[0]); err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		m.Keyring = g.keyring
+		config.Keyring = g.keyring
 	}
 	if g.config.NewTransport != nil {
 		t, err := g.config.NewTransport()
-		m.Transport = t
-		return m, err
+		config.Transport = t
+		return config, err
 	}
-	return m, g.openSockets(m)
+	return config, g.openSockets(config)
 }
 
 // openSockets opens the sockets that the settings name, and sets the addresses and the transport of m.
-func (g *Group) openSockets(m *memberlist.Config) error {
+func (g *Group) openSockets(config *memberlist.Config) error {
 	listen, err := net.ResolveUDPAddr("udp", g.config.Listen)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	m.BindAddr = listen.IP.String()
-	m.BindPort = listen.Port
-	m.AdvertisePort = listen.Port
+	config.BindAddr = listen.IP.String()
+	config.BindPort = listen.Port
+	config.AdvertisePort = listen.Port
 	if g.config.Advertise != "" {
 		advertised, err := net.ResolveUDPAddr("udp", g.config.Advertise)
 		if err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
-		m.AdvertiseAddr = advertised.IP.String()
-		m.AdvertisePort = advertised.Port
+		config.AdvertiseAddr = advertised.IP.String()
+		config.AdvertisePort = advertised.Port
 	}
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{m.BindAddr}, BindPort: m.BindPort, Logger: m.Logger,
+		BindAddrs: []string{config.BindAddr}, BindPort: config.BindPort, Logger: config.Logger,
 	})
 	if err != nil {
 		return fmt.Errorf("peers: %s: %w", g.config.Listen, err)
 	}
-	m.Transport = newBoundedTransport(t, listen.IP)
+	config.Transport = newBoundedTransport(t, listen.IP)
 	return nil
 }
--- a/internal/network/gossip/figures_test.go
+++ b/internal/network/gossip/figures_test.go
@@ -80,17 +80,17 @@
 }
 
 // times measures a fleet of n members: its start, a quiet minute, a death, a join, a partition that heals. It returns a line of the table.
-func times(t *testing.T, n int) string {
+func times(t *testing.T, size int) string {
 	t.Helper()
 	before := heap()
-	fleet := newFleet(t, n, 1)
+	fleet := newFleet(t, size, 1)
 	defer fleet.end()
-	for i := range n {
-		fleet.start(i, n, nil)
+	for i := range size {
+		fleet.start(i, size, nil)
 	}
 	const long = 5 * time.Minute
 	start := fleet.within(long, "start", fleet.agree)
-	memory := float64(heap()-before) / float64(n)
+	memory := float64(heap()-before) / float64(size)
 	sent := func() (b int) {
 		fleet.net.set(func() {
 			for _, x := range fleet.net.bytes {
@@ -99,23 +99,23 @@
 		})
 		return b
 	}
-	time.Sleep(time.Minute) // what is said of the start is over
+	time.Sleep(time.Minute) // the broadcasts of the start have ended
 	bytes, used := sent(), cpu(t)
 	const quiet = time.Minute
 	time.Sleep(quiet)
-	rate := float64(sent()-bytes) / float64(n) / quiet.Seconds()
-	work := (cpu(t) - used).Seconds() / float64(n) / quiet.Seconds()
-	fleet.kill(n - 1)
+	rate := float64(sent()-bytes) / float64(size) / quiet.Seconds()
+	work := (cpu(t) - used).Seconds() / float64(size) / quiet.Seconds()
+	fleet.kill(size - 1)
 	died := fleet.within(long, "a death", fleet.agree)
-	fleet.start(n-1, n, nil)
+	fleet.start(size-1, size, nil)
 	joined := fleet.within(long, "a join", fleet.agree)
 	time.Sleep(time.Minute)
 	fleet.halve()
 	parted := fleet.within(long, "a partition", func() bool {
 		for i, g := range fleet.members {
-			want := n - n/2
-			if i < n/2 {
-				want = n / 2
+			want := size - size/2
+			if i < size/2 {
+				want = size / 2
 			}
 			if s, _ := g.state(); s.Instances != want {
 				return false
@@ -127,22 +127,22 @@
 	fleet.heal()
 	healed := fleet.within(long, "healed", fleet.agree)
 	return fmt.Sprintf("| %d | %.1f s | %.1f s | %.1f s | %.1f s | %.1f s | %.0f | %.2f | %.0f |",
-		n, start.Seconds(), died.Seconds(), joined.Seconds(),
+		size, start.Seconds(), died.Seconds(), joined.Seconds(),
 		parted.Seconds(), healed.Seconds(), rate, work*1000, memory/1024)
 }
 
 // lossy counts for ten minutes how often a member that runs is declared gone by another, and how often the group changes. It returns a
 // line of the table.
-func lossy(t *testing.T, n int, loss float64) string {
+func lossy(t *testing.T, size int, loss float64) string {
 	t.Helper()
-	fleet := newFleet(t, n, 1)
+	fleet := newFleet(t, size, 1)
 	defer fleet.end()
 	logged := &lines{}
-	for i := range n {
-		fleet.start(i, n, func(c *Config) { c.Log = logged.logger() })
+	for i := range size {
+		fleet.start(i, size, func(c *Config) { c.Log = logged.logger() })
 	}
 	fleet.within(5*time.Minute, "start", fleet.agree)
-	time.Sleep(time.Second) // a view is as agreed a tick before its member says so
+	time.Sleep(time.Second) // members log a view a tick after they have it
 	fleet.net.set(func() { fleet.net.loss = loss })
 	logged.take()
 	const length = 10 * time.Minute
@@ -160,6 +160,6 @@
 			moves++
 		}
 	}
-	hours := length.Hours() * float64(n)
-	return fmt.Sprintf("| %d | %.0f%% | %.2f | %.2f |", n, loss*100, float64(len(verdicts))/hours, float64(moves)/hours)
+	hours := length.Hours() * float64(size)
+	return fmt.Sprintf("| %d | %.0f%% | %.2f | %.2f |", size, loss*100, float64(len(verdicts))/hours, float64(moves)/hours)
 }
--- a/internal/network/gossip/fleet_test.go
+++ b/internal/network/gossip/fleet_test.go
@@ -135,7 +135,7 @@
 // heal ends all partitions.
 func (v *virtualFleet) heal() { v.net.set(func() { clear(v.net.partitioned) }) }
 
-// end kills all members. memberlist's goroutines end with their timeouts, and time stands still once the test returns.
+// end kills all members. memberlist's goroutines end with their timeouts, and virtual time stops when the test returns.
 func (v *virtualFleet) end() {
 	v.t.Helper()
 	for i := range v.members {
--- a/internal/network/gossip/golden_log_test.go
+++ b/internal/network/gossip/golden_log_test.go
@@ -24,8 +24,8 @@
 		Settings: *Table.Default(), Name: "front-0", Application: "booking-front", Version: "1.4.2",
 		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: noTime})),
 	}
-	g := newGroup(c)
-	g.logChanges([]peers.Change{
+	group := newGroup(c)
+	group.logChanges([]peers.Change{
 		{At: time.Second, Name: "front-1", Process: 2, To: peers.Serving, Witness: "front-2", Cause: "heard of"},
 		{At: time.Second, Name: "front-1", Process: 2, From: peers.Serving, To: peers.Gone, Witness: "front-0", Cause: "not reached"},
 	})
@@ -35,17 +35,17 @@
 		"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message\n",
 		"[WARN] memberlist: refuting a suspect message\n",
 	} {
-		if n, err := g.libraryLog.Write([]byte(line)); n != len(line) || err != nil {
+		if n, err := group.libraryLog.Write([]byte(line)); n != len(line) || err != nil {
 			t.Errorf("%q: %d, %v", line, n, err)
 		}
 	}
 	for _, e := range []envelope{{application: "slot-keeper"}, {application: "booking-front"}} {
-		_, reason := g.decodeOwn(e.encode())
+		_, reason := group.decodeOwn(e.encode())
 		fmt.Fprintf(&log, "%q\n", reason)
 	}
-	_, reason := g.decodeOwn([]byte("x"))
+	_, reason := group.decodeOwn([]byte("x"))
 	fmt.Fprintf(&log, "%q\n", reason)
-	_, reason = g.decodeOwn([]byte{0x08, 0x02})
-	fmt.Fprintf(&log, "%q\n%v\n%s\n", reason, g.rejections.counts, errMalformed)
+	_, reason = group.decodeOwn([]byte{0x08, 0x02})
+	fmt.Fprintf(&log, "%q\n%v\n%s\n", reason, group.rejections.counts, errMalformed)
 	golden.Text(t, "log.txt", []byte(log.String()))
 }
--- a/internal/network/gossip/loop.go
+++ b/internal/network/gossip/loop.go
@@ -57,26 +57,26 @@
 // tick advances the view to the present time, and does the work that results from it.
 func (g *Group) tick() {
 	ready := g.config.Ready == nil || g.config.Ready()
-	w := g.updateView(ready)
-	g.logChanges(w.changes)
-	if w.shareChanged {
-		g.publishShare(&w.share)
+	todo := g.updateView(ready)
+	g.logChanges(todo.changes)
+	if todo.shareChanged {
+		g.publishShare(&todo.share)
 	}
-	if w.settledNames != nil {
-		g.config.OnSettled(w.settledNames, w.knownAddresses)
+	if todo.settledNames != nil {
+		g.config.OnSettled(todo.settledNames, todo.knownAddresses)
 	}
-	g.sendDisputed(w.disputed)
-	if w.metadataChanged {
+	g.sendDisputed(todo.disputed)
+	if todo.metadataChanged {
 		select {
 		case g.metadataChanged <- struct{}{}:
 		default: // the pending announcement reads the latest metadata
 		}
 	}
-	g.startJoin(w.exchangeWith, w.join, w.missing)
+	g.startJoin(todo.exchangeWith, todo.join, todo.missing)
 }
 
 // updateView advances the view, and broadcasts the records that are new in it.
-func (g *Group) updateView(ready bool) (w work) {
+func (g *Group) updateView(ready bool) (todo work) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -84,25 +84,25 @@
 		g.view.SetState(now, peers.Serving)
 	}
 	g.broadcast(g.view.Tick(now)...)
-	w.metadataChanged = g.announceSelf()
+	todo.metadataChanged = g.announceSelf()
 	if now-g.lastDispute >= g.config.ProbeInterval {
-		w.disputed = g.view.Disputed()
+		todo.disputed = g.view.Disputed()
 		g.lastDispute = now
 	}
 	share, ok := g.view.Share(now)
 	if ok && (!g.haveShare || !share.Equal(&g.share) || share.Confidence != g.share.Confidence) {
-		w.share = share
-		w.shareChanged = true
+		todo.share = share
+		todo.shareChanged = true
 		g.share = share
 		g.haveShare = true
-		w.settledNames, w.knownAddresses = g.newSettledGroup()
+		todo.settledNames, todo.knownAddresses = g.newSettledGroup()
 	}
-	w.missing = !ok || share.Confidence == peers.Partitioned
-	w.join = g.joinSchedule.Due(now, w.missing)
-	w.exchangeWith = g.exchangeWith
+	todo.missing = !ok || share.Confidence == peers.Partitioned
+	todo.join = g.joinSchedule.Due(now, todo.missing)
+	todo.exchangeWith = g.exchangeWith
 	g.exchangeWith = ""
-	w.changes = g.view.TakeChanges()
-	return w
+	todo.changes = g.view.TakeChanges()
+	return todo
 }
 
 // announceSelf broadcasts this member's record if it has changed or others have to be reminded of it. It reports whether the record has
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -92,16 +92,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBoundedTransport(sockets, net.IPv4(127, 0, 0, 1))
+	bounded := newBoundedTransport(sockets, net.IPv4(127, 0, 0, 1))
 	defer func() {
-		if err := b.Shutdown(); err != nil {
+		if err := bounded.Shutdown(); err != nil {
 			t.Error(err)
 		}
 	}()
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(sockets.GetAutoBindPort()))
 	closed := make(chan struct{}, 100)
 	dial := func() {
-		c, err := b.DialTimeout(address, 30*time.Second)
+		c, err := bounded.DialTimeout(address, 30*time.Second)
 		if err != nil {
 			t.Error(err)
 			return
@@ -115,7 +115,7 @@
 	var accepted []net.Conn
 	for range maxInboundStreams {
 		dial()
-		accepted = append(accepted, <-b.StreamCh())
+		accepted = append(accepted, <-bounded.StreamCh())
 	}
 	for range 10 * maxInboundStreams {
 		dial()
@@ -124,7 +124,7 @@
 		<-closed
 	}
 	select {
-	case <-b.StreamCh():
+	case <-bounded.StreamCh():
 		t.Error("one beyond the bound was passed on")
 	case <-closed:
 		t.Error("one within it was closed")
@@ -134,7 +134,7 @@
 	closeConn(t, accepted[0]) // memberlist may close twice, which makes room for one connection
 	<-closed
 	dial()
-	<-b.StreamCh()
+	<-bounded.StreamCh()
 	dial()
 	<-closed
 }
--- a/internal/network/http1/attempt_test.go
+++ b/internal/network/http1/attempt_test.go
@@ -94,7 +94,7 @@
 
 // An endpoint that sends without end is given up, long before the attempt's time is, and takes no memory.
 func TestEndlessAnswers(t *testing.T) {
-	for name, c := range map[string]struct{ first, then string }{
+	for name, answer := range map[string]struct{ first, then string }{
 		"head":        {"HTTP/1.1 200 OK\r\n", "X-Pad: pppppppppppppppp\r\n"},
 		"line":        {"HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppppppppppppppppp"},
 		"status":      {"HTTP/1.1 200 O", "KKKKKKKKKKKKKKK"},
@@ -107,9 +107,9 @@
 			var sent atomic.Int64
 			near := pipe(t, func(far net.Conn) {
 				readRequest(far)
-				send(far, c.first)
+				send(far, answer.first)
 				for {
-					n, err := io.WriteString(far, c.then)
+					n, err := io.WriteString(far, answer.then)
 					sent.Add(int64(n))
 					if err != nil {
 						return
@@ -151,14 +151,14 @@
 
 // What comes after an answer, however late, must not be served to the next request.
 func TestLateExtraIsNotServed(t *testing.T) {
-	c, far := tcpPair(t)
-	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	near, far := tcpPair(t)
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeAll(t, l)
+	defer closeAll(t, listener)
 	go func() {
-		next, err := l.Accept()
+		next, err := listener.Accept()
 		if err != nil {
 			return // the listener is closed with the test
 		}
@@ -166,12 +166,12 @@
 		send(next, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
 	}()
 	send(far, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold")
-	for end := time.Now().Add(testTimeout); c.alive() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); near.alive() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	a, cancel := newAttempt(t, l.Addr().String(), testTimeout, largeBudget())
+	a, cancel := newAttempt(t, listener.Addr().String(), testTimeout, largeBudget())
 	defer cancel()
-	if res := a.run(c, testTimeout); res.Status != balancer.StatusOK || string(res.Response.Body) != "new" {
+	if res := a.run(near, testTimeout); res.Status != balancer.StatusOK || string(res.Response.Body) != "new" {
 		t.Errorf("status %v, response %+v", res.Status, res.Response)
 	}
 }
@@ -251,7 +251,7 @@
 
 // An attempt that is given up has closed its connection by the time its outcome is known.
 func TestGivenUp(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		timeout time.Duration
 		cancel  bool
 		want    balancer.Status
@@ -270,14 +270,14 @@
 					t.Errorf("endpoint got %d bytes, %v", n, err)
 				}
 			})
-			res := runAttempt(t, "", true, near, c.timeout, func(cancel func()) {
+			res := runAttempt(t, "", true, near, test.timeout, func(cancel func()) {
 				<-written
-				if c.cancel {
+				if test.cancel {
 					cancel()
 				}
 			})
 			<-ended // else the pipe's own end, closed with the test, may be what it reads
-			if res.Status != c.want || res.Conn != nil {
+			if res.Status != test.want || res.Conn != nil {
 				t.Errorf("status %v, conn %v", res.Status, res.Conn)
 			}
 			if _, err := near.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
--- a/internal/network/http3/attempt.go
+++ b/internal/network/http3/attempt.go
@@ -20,34 +20,34 @@
 )
 
 // Run implements exchange.Transport.
-func (t *Transport) Run(a *exchange.Attempt, c exchange.Conn) (res exchange.Result) {
-	defer func() { res.Elapsed = time.Since(a.Sent) }()
+func (t *Transport) Run(attempt *exchange.Attempt, c exchange.Conn) (res exchange.Result) {
+	defer func() { res.Elapsed = time.Since(attempt.Sent) }()
 	acquired := c.(*endpointConn)
 	select {
 	case <-acquired.ready:
-	case <-a.Context.Done():
-		return exchange.Result{Status: a.UnsentStatus()}
+	case <-attempt.Context.Done():
+		return exchange.Result{Status: attempt.UnsentStatus()}
 	}
 	if acquired.err != nil {
-		if a.Context.Err() == nil && !isAuthError(acquired.err) {
+		if attempt.Context.Err() == nil && !isAuthError(acquired.err) {
 			return exchange.Result{Status: balancer.StatusConnectFailed, Unreachable: true}
 		}
-		return exchange.Result{Status: a.UnsentStatus()}
+		return exchange.Result{Status: attempt.UnsentStatus()}
 	}
-	early := a.Request.Safe && t.settings.EarlyRequests
-	res, unsent := t.runOn(a, acquired, early)
+	early := attempt.Request.Safe && t.settings.EarlyRequests
+	res, unsent := t.runOn(attempt, acquired, early)
 	if !unsent {
 		return res
 	}
 	// The connection could not be used, and nothing was sent on it. The attempt goes to a new one, as with an idle connection of
 	// HTTP/1.1 that its endpoint has closed.
-	next := t.dialNow(a.Endpoint.Address)
+	next := t.dialNow(attempt.Endpoint.Address)
 	if next.err != nil {
-		return exchange.Result{Status: a.UnsentStatus(), Unreachable: a.Context.Err() == nil && !isAuthError(next.err)}
+		return exchange.Result{Status: attempt.UnsentStatus(), Unreachable: attempt.Context.Err() == nil && !isAuthError(next.err)}
 	}
-	res, unsent = t.runOn(a, next, false)
+	res, unsent = t.runOn(attempt, next, false)
 	if unsent {
-		res = exchange.Result{Status: a.UnsentStatus()}
+		res = exchange.Result{Status: attempt.UnsentStatus()}
 	}
 	res.Conn = next
 	return res
@@ -62,35 +62,35 @@
 }
 
 // runOn makes the attempt on a connection. unsent means that nothing was sent because the connection can't be used any more.
-func (t *Transport) runOn(a *exchange.Attempt, c *endpointConn, early bool) (res exchange.Result, unsent bool) {
+func (t *Transport) runOn(attempt *exchange.Attempt, conn *endpointConn, early bool) (res exchange.Result, unsent bool) {
 	if !early {
-		if err := c.waitConfirmed(a.Context); err != nil {
-			return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
+		if err := conn.waitConfirmed(attempt.Context); err != nil {
+			return exchange.Result{Status: attempt.UnsentStatus()}, attempt.Context.Err() == nil
 		}
 	}
 	// The endpoint may be draining since the handshake began.
-	if !a.Endpoint.Open.Load() || a.Context.Err() != nil {
+	if !attempt.Endpoint.Open.Load() || attempt.Context.Err() != nil {
 		return exchange.Result{Status: balancer.StatusNotSent}, false
 	}
-	a.Endpoint.Waiting.Add(1)
-	res, err := t.exchange(a, c.client, early)
-	a.Endpoint.Waiting.Add(-1)
+	attempt.Endpoint.Waiting.Add(1)
+	res, err := t.exchange(attempt, conn.client, early)
+	attempt.Endpoint.Waiting.Add(-1)
 	switch {
 	case err == nil:
 	case errors.Is(err, quic.Err0RTTRejected):
 		// The endpoint has discarded all early data (RFC 9001, section 4.6.2). The connection could go on with new streams, but
 		// the library still sends frames for the old ones, which have the same numbers.
-		c.abandon()
-		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
+		conn.abandon()
+		return exchange.Result{Status: attempt.UnsentStatus()}, attempt.Context.Err() == nil
 	case isNeverSent(err):
-		return exchange.Result{Status: a.UnsentStatus()}, a.Context.Err() == nil
+		return exchange.Result{Status: attempt.UnsentStatus()}, attempt.Context.Err() == nil
 	case isRejected(err):
 		// RFC 9114, section 4.1.1: the request was not processed.
 		res = exchange.Result{Status: balancer.StatusRejected}
 	default:
-		res = exchange.Result{Status: a.IncompleteStatus(c.conn.Context().Err() != nil)}
+		res = exchange.Result{Status: attempt.IncompleteStatus(conn.conn.Context().Err() != nil)}
 		if res.Status == balancer.StatusReset {
-			t.checkEndpoint(a, &res)
+			t.checkEndpoint(attempt, &res)
 		}
 	}
 	return res, false
--- a/internal/network/http3/early_test.go
+++ b/internal/network/http3/early_test.go
@@ -66,7 +66,7 @@
 }
 
 // recordFlight sends a booking in early data through a relay, and returns the recorded packets.
-func recordFlight(t *testing.T, test *testFront, e *earlyCounter, relay *udp.Relay, cache tls.ClientSessionCache) [][]byte {
+func recordFlight(t *testing.T, test *testFront, counter *earlyCounter, relay *udp.Relay, cache tls.ClientSessionCache) [][]byte {
 	t.Helper()
 	// The caller gets no reply until the server has the booking. Otherwise, on a busy machine, the handshake is complete before the
 	// caller sends it, and the flight has no early data to replay.
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	closeAll(t, str)
-	test.until("the booking came early, and waits", func() bool { waiting, _ := e.counts(); return waiting == 1 })
+	test.until("the booking came early, and waits", func() bool { waiting, _ := counter.counts(); return waiting == 1 })
 	flight := relay.StopRecording()
 	relay.SetFault(udp.Fault{})
 	res, err := str.ReadResponse()
@@ -111,8 +111,8 @@
 // A first flight with a booking in early data, recorded and replayed a hundred times, runs once: no replay completes its handshake. The
 // server restarts with the same secret in between, so that the old ticket is still valid.
 func TestReplayedFirstFlight(t *testing.T) {
-	e := &earlyCounter{}
-	test := openFront(t, e.ServeHTTP, func(s *FrontSettings, _ *Bounds, security *Security) {
+	counter := &earlyCounter{}
+	test := openFront(t, counter.ServeHTTP, func(s *FrontSettings, _ *Bounds, security *Security) {
 		// All replays of a flight have one connection ID, and are one connection. Its handshake must not time out before a busy machine
 		// has read the request.
 		s.EarlyData = EarlySafe
@@ -134,10 +134,10 @@
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	flight := recordFlight(t, test, e, relay, cache)
-	e.mu.Lock()
-	before := e.other
-	e.mu.Unlock()
+	flight := recordFlight(t, test, counter, relay, cache)
+	counter.mu.Lock()
+	before := counter.other
+	counter.mu.Unlock()
 	replay := func() {
 		t.Helper()
 		for range 100 {
@@ -151,25 +151,25 @@
 	for range 3 {
 		test.close()
 		test.start(address)
-		had, _ := e.counts()
+		had, _ := counter.counts()
 		replay()
-		test.until("a replay was taken up, and waits", func() bool { waiting, _ := e.counts(); return waiting > had })
+		test.until("a replay was taken up, and waits", func() bool { waiting, _ := counter.counts(); return waiting > had })
 		replay() // to the server where it waits
 	}
 	test.close()
-	test.until("all that waited have failed", func() bool { waiting, rejected := e.counts(); return rejected == waiting })
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.other != before || e.early != 0 {
-		t.Errorf("replays ran %d times, and %d early", e.other-before, e.early)
+	test.until("all that waited have failed", func() bool { waiting, rejected := counter.counts(); return rejected == waiting })
+	counter.mu.Lock()
+	defer counter.mu.Unlock()
+	if counter.other != before || counter.early != 0 {
+		t.Errorf("replays ran %d times, and %d early", counter.other-before, counter.early)
 	}
 }
 
 // A safe request is processed in early data if the setting allows it, and else after the handshake.
 func TestEarlySafe(t *testing.T) {
 	for _, choice := range []EarlyData{EarlySafe, EarlyNever} {
-		e := &earlyCounter{}
-		test := openFront(t, e.ServeHTTP, func(c *FrontSettings, _ *Bounds, _ *Security) { c.EarlyData = choice })
+		counter := &earlyCounter{}
+		test := openFront(t, counter.ServeHTTP, func(c *FrontSettings, _ *Bounds, _ *Security) { c.EarlyData = choice })
 		cache := tls.NewLRUClientSessionCache(10)
 		first := test.caller(cache)
 		if code, _, err := ask(first, "GET", test.address()+"/", ""); code != 200 || err != nil {
@@ -186,10 +186,10 @@
 			t.Fatal(code, err)
 		}
 		relay.Close()
-		e.mu.Lock()
-		if (e.early == 1) != (choice == EarlySafe) {
-			t.Errorf("%s: %d came early", choice, e.early)
+		counter.mu.Lock()
+		if (counter.early == 1) != (choice == EarlySafe) {
+			t.Errorf("%s: %d came early", choice, counter.early)
 		}
-		e.mu.Unlock()
+		counter.mu.Unlock()
 	}
 }
--- a/internal/network/http3/earlyrequests_test.go
+++ b/internal/network/http3/earlyrequests_test.go
@@ -27,14 +27,14 @@
 
 // Only safe requests are sent in early data, and they are sent again if the endpoint rejects it.
 func TestEarlyRequests(t *testing.T) {
-	for _, c := range []struct {
+	for _, variant := range []struct {
 		name      string
 		accept    bool
 		safe      bool
 		wantEarly bool
 	}{{"safe", true, true, true}, {"keyed", true, false, false}, {"rejected", false, true, false}} {
-		t.Run(c.name, func(t *testing.T) {
-			test := newTestTransport(t, func(e *TransportSettings) { e.EarlyRequests = true })
+		t.Run(variant.name, func(t *testing.T) {
+			test := newTestTransport(t, func(endpoint *TransportSettings) { endpoint.EarlyRequests = true })
 			var early, came atomic.Int64
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if h3.IsEarly(r) {
@@ -43,9 +43,9 @@
 				came.Add(1)
 				ok(w, r)
 			}
-			o := h3.Options{ResetSecret: [32]byte{2}, EarlyData: true}
-			e := test.serve("", o, handler)
-			address := e.Address()
+			options := h3.Options{ResetSecret: [32]byte{2}, EarlyData: true}
+			endpoint := test.serve("", options, handler)
+			address := endpoint.Address()
 			relay, err := udp.Start(address, 1)
 			if err != nil {
 				t.Fatal(err)
@@ -57,19 +57,19 @@
 			}
 			test.waitForTicket(relay.Address())
 			test.closeIdle()
-			e.Close()
-			o.EarlyData = c.accept
-			test.serve(address, o, handler)
+			endpoint.Close()
+			options.EarlyData = variant.accept
+			test.serve(address, options, handler)
 			test.target(relay.Address())
 			relay.SetFault(udp.Fault{Delay: 20 * time.Millisecond})
 			early.Store(0)
 			before := came.Load()
-			in := &exchange.Inbound{Method: "GET", Target: "/find", Host: "h", Safe: c.safe}
+			in := &exchange.Inbound{Method: "GET", Target: "/find", Host: "h", Safe: variant.safe}
 			if res := test.attempt(in, testTimeout, nil); res.Status != balancer.StatusOK {
 				t.Fatalf("%+v", res)
 			}
-			if got := early.Load() == 1; got != c.wantEarly || came.Load() != before+1 {
-				t.Errorf("early %v, want %v; %d came", got, c.wantEarly, came.Load()-before)
+			if got := early.Load() == 1; got != variant.wantEarly || came.Load() != before+1 {
+				t.Errorf("early %v, want %v; %d came", got, variant.wantEarly, came.Load()-before)
 			}
 		})
 	}
--- a/internal/network/http3/example_test.go
+++ b/internal/network/http3/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/network/http3"
 )
 
-// Settings as a file that says nothing has them: no HTTP/3 with callers or endpoints, and no early data.
+// The default settings: no HTTP/3 with callers or endpoints, and no early data.
 func Example() {
 	front := http3.FrontTable.Default()
 	transport := http3.TransportTable.Default()
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -56,31 +56,31 @@
 
 // NewFront returns a front that serves the requests on a UDP socket by a handler. Close closes the socket; if NewFront returns an error the
 // socket stays open.
-func NewFront(socket net.PacketConn, handler http.Handler, settings FrontSettings, b Bounds, security Security) (*Front, error) {
-	f := &Front{settings: settings, socket: socket, open: map[*quic.Conn]*callerConn{}}
-	f.ctx, f.cancel = context.WithCancel(context.Background())
+func NewFront(socket net.PacketConn, handler http.Handler, settings FrontSettings, bounds Bounds, security Security) (*Front, error) {
+	front := &Front{settings: settings, socket: socket, open: map[*quic.Conn]*callerConn{}}
+	front.ctx, front.cancel = context.WithCancel(context.Background())
 	tlsConfig := &tls.Config{
 		GetCertificate: security.Certificate,
 		MinVersion:     tls.VersionTLS13,
 		NextProtos:     []string{http3.NextProtoH3},
 	}
-	f.transport = &quic.Transport{Conn: socket, ConnContext: f.startHandshake, VerifySourceAddress: f.requiresRetry}
+	front.transport = &quic.Transport{Conn: socket, ConnContext: front.startHandshake, VerifySourceAddress: front.requiresRetry}
 	if security.Secret != nil {
-		f.useSecret(security, tlsConfig)
+		front.useSecret(security, tlsConfig)
 	}
 	var err error
-	if f.listener, err = f.transport.ListenEarly(tlsConfig, f.quicConfig(b)); err != nil {
-		f.cancel()
+	if front.listener, err = front.transport.ListenEarly(tlsConfig, front.quicConfig(bounds)); err != nil {
+		front.cancel()
 		return nil, err
 	}
-	f.server = &http3.Server{
-		Handler:        f.countRequests(handler, b),
-		MaxHeaderBytes: b.MaxHeaderBytes,
-		IdleTimeout:    b.IdleTimeout,
+	front.server = &http3.Server{
+		Handler:        front.countRequests(handler, bounds),
+		MaxHeaderBytes: bounds.MaxHeaderBytes,
+		IdleTimeout:    bounds.IdleTimeout,
 		ConnContext:    func(ctx context.Context, c *quic.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
-	f.running.Go(func() { f.sweep(b) })
-	return f, nil
+	front.running.Go(func() { front.sweep(bounds) })
+	return front, nil
 }
 
 // useSecret derives the front's keys from the secret.
--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -20,9 +20,10 @@
 
 func TestServes(t *testing.T) {
 	test := openFront(t, echo, nil)
-	c := test.caller(nil)
+	client := test.caller(nil)
 	for i := range 3 {
-		if code, text, err := ask(c, "POST", test.address()+"/trips?a=1", "trip"); code != 200 || text != "/trips?a=1 trip" || err != nil {
+		code, text, err := ask(client, "POST", test.address()+"/trips?a=1", "trip")
+		if code != 200 || text != "/trips?a=1 trip" || err != nil {
 			t.Fatalf("%d: %d %q %v", i, code, text, err)
 		}
 	}
@@ -34,7 +35,7 @@
 	if test.front.Quiet(0) {
 		t.Error("quiet with a connection")
 	}
-	closeAll(t, c)
+	closeAll(t, client)
 	test.until("it is forgotten", func() bool { open, idle, _ := test.front.Counts(); return open+idle == 0 })
 }
 
@@ -327,7 +328,7 @@
 
 // Loss, reordering, duplicated datagrams and a path whose MTU shrinks delay answers and lose none.
 func TestBadPaths(t *testing.T) {
-	for name, f := range map[string]udp.Fault{
+	for name, fault := range map[string]udp.Fault{
 		"loss":  {LossShare: 0.05, Delay: time.Millisecond},
 		"chaos": {LossShare: 0.02, DuplicateShare: 0.1, ReorderShare: 0.2, Delay: 2 * time.Millisecond},
 		"mtu":   {MTU: 1300},
@@ -348,7 +349,7 @@
 			body := strings.Repeat("trip ", 2000)
 			for i := range 30 {
 				if i == 10 {
-					relay.SetFault(f)
+					relay.SetFault(fault)
 				}
 				if code, text, err := ask(c, "POST", relay.Address()+"/a", body); code != 200 || text != "/a "+body || err != nil {
 					t.Fatalf("%d: %d, %d bytes, %v", i, code, len(text), err)
--- a/internal/network/http3/leaving_test.go
+++ b/internal/network/http3/leaving_test.go
@@ -46,7 +46,7 @@
 	test := newTestTransport(t, nil)
 	secret := h3.Options{ResetSecret: [32]byte{1}}
 	leaving := newGate()
-	e := test.serve("", secret, leaving.ServeHTTP)
+	endpoint := test.serve("", secret, leaving.ServeHTTP)
 	open := sync.OnceFunc(func() { close(leaving.opened) })
 	t.Cleanup(open)
 	done := test.attemptSlow()
@@ -55,7 +55,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		left <- e.Shutdown(ctx)
+		left <- endpoint.Shutdown(ctx)
 	}()
 	test.untilUnreachable()
 	open()
@@ -66,7 +66,7 @@
 		t.Error(err)
 	}
 
-	address := e.Address()
+	address := endpoint.Address()
 	dying := newGate()
 	again := test.serve(address, secret, dying.ServeHTTP)
 	t.Cleanup(func() { close(dying.opened) })
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -126,7 +126,7 @@
 func TestAttempts(t *testing.T) {
 	test := newTestTransport(t, nil)
 	seen := make(chan http.Header, 100)
-	e := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
+	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header
 		ok(w, r)
 	})
@@ -141,8 +141,8 @@
 			t.Errorf("headers %v", h)
 		}
 	}
-	if e.Connections() != 1 {
-		t.Errorf("%d connections", e.Connections())
+	if endpoint.Connections() != 1 {
+		t.Errorf("%d connections", endpoint.Connections())
 	}
 	for _, target := range []string{"//a/b", "/%7e%7E?x=%20", "/a|b"} {
 		res := test.attempt(&exchange.Inbound{Method: "GET", Target: target, Host: "h", Safe: true}, testTimeout, nil)
@@ -155,9 +155,9 @@
 
 // Many at once share connections, each with a stream of its own, within the bounds.
 func TestAttemptsShareConnections(t *testing.T) {
-	test := newTestTransport(t, func(e *TransportSettings) { e.MaxStreams = 10 })
+	test := newTestTransport(t, func(endpoint *TransportSettings) { endpoint.MaxStreams = 10 })
 	var now, highest atomic.Int64
-	e := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
+	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		if n := now.Add(1); n > highest.Load() {
 			highest.Store(n)
 		}
@@ -180,8 +180,8 @@
 		})
 	}
 	all.Wait()
-	if e.Connections() > 8 || highest.Load() > 80 || served.Load() < 80 || served.Load()+notSent.Load() != 100 {
-		t.Errorf("%d connections, %d at once, %d served, %d not", e.Connections(), highest.Load(), served.Load(), notSent.Load())
+	if endpoint.Connections() > 8 || highest.Load() > 80 || served.Load() < 80 || served.Load()+notSent.Load() != 100 {
+		t.Errorf("%d connections, %d at once, %d served, %d not", endpoint.Connections(), highest.Load(), served.Load(), notSent.Load())
 	}
 }
 
@@ -189,7 +189,7 @@
 func TestGivenUp(t *testing.T) {
 	test := newTestTransport(t, nil)
 	came, off := make(chan bool, 2), make(chan bool, 2)
-	e := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
+	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fast" {
 			ok(w, r)
 			return
@@ -217,8 +217,8 @@
 			t.Errorf("another one: %v", res.Status)
 		}
 	}
-	if e.Connections() != 1 {
-		t.Errorf("%d connections", e.Connections())
+	if endpoint.Connections() != 1 {
+		t.Errorf("%d connections", endpoint.Connections())
 	}
 }
 
@@ -292,7 +292,7 @@
 // isNeverSent compares the text of the library's error: this is that text.
 func TestNeverSent(t *testing.T) {
 	test := newTestTransport(t, nil)
-	e := test.serve("", h3.Options{}, ok)
+	endpoint := test.serve("", h3.Options{}, ok)
 	test.attempt(nil, testTimeout, nil)
 	test.mu.Lock()
 	c, _ := test.transport.Acquire(test.endpoint, time.Now())
@@ -315,7 +315,7 @@
 	if isNeverSent(errors.New("anything else")) || isRejected(&quic.ApplicationError{Remote: true, ErrorCode: 0x10b}) {
 		t.Error("what may have run passes for what never ran")
 	}
-	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK || e.Connections() != 2 {
-		t.Errorf("%v over %d connections", res.Status, e.Connections())
+	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK || endpoint.Connections() != 2 {
+		t.Errorf("%v over %d connections", res.Status, endpoint.Connections())
 	}
 }
--- a/internal/tool/adopt.go
+++ b/internal/tool/adopt.go
@@ -29,16 +29,16 @@
 	}
 	defer unlock()
 	var found finding.List
-	m := c.readModel(source, &found)
+	model := c.readModel(source, &found)
 	if found.Len() > 0 {
 		return c.report(&found)
 	}
-	states := readEdited(m, paths, &found)
-	text := m.Adopt(states, &found)
+	states := readEdited(model, paths, &found)
+	text := model.Adopt(states, &found)
 	if found.Len() > 0 {
 		return c.report(&found)
 	}
-	after := apps.Read(product.Schema, m.FileName, text, &found)
+	after := apps.Read(product.Schema, model.FileName, text, &found)
 	if after != nil {
 		checkModel(after, &found)
 	}
@@ -46,7 +46,7 @@
 		c.errOut.println("with these edits apps.toml would not be sound, so nothing was changed:")
 		return c.report(&found)
 	}
-	files := adoptedFiles(m, after, text, states, &found)
+	files := adoptedFiles(model, after, text, states, &found)
 	if len(files) == 0 {
 		c.out.println("there is nothing to adopt")
 		return nil
@@ -61,12 +61,12 @@
 			edits++
 		}
 	}
-	c.out.printf("%d edits are now in %s\n", edits, m.FileName)
+	c.out.printf("%d edits are now in %s\n", edits, model.FileName)
 	return nil
 }
 
 // readEdited reads derived files and compares them with apps.toml.
-func readEdited(m *apps.Model, paths []string, found *finding.List) []*apps.FileState {
+func readEdited(model *apps.Model, paths []string, found *finding.List) []*apps.FileState {
 	var states []*apps.FileState
 	for _, path := range paths {
 		text, err := product.Read(path, apps.MaxFileBytes)
@@ -79,12 +79,12 @@
 			found.Add(path, fileStart, "was not written by quincegapctl (its header is missing)")
 			continue
 		}
-		app := m.App(provenance.App)
+		app := model.App(provenance.App)
 		if app == nil {
-			found.Add(path, fileStart, "was written for %s, which %s does not have", provenance.App, m.FileName)
+			found.Add(path, fileStart, "was written for %s, which %s does not have", provenance.App, model.FileName)
 			continue
 		}
-		states = append(states, apps.Compare(product.Schema, app, filepath.Base(m.FileName), path, text, found))
+		states = append(states, apps.Compare(product.Schema, app, filepath.Base(model.FileName), path, text, found))
 	}
 	return states
 }
--- a/internal/tool/fleet.go
+++ b/internal/tool/fleet.go
@@ -180,12 +180,12 @@
 	if len(names) == 0 {
 		names = fleet.Days()
 	}
-	w := newFigureTable(c.out)
-	w.printf("day\tendpoints\tsidecars\trequests\tservice\trefused\tfailed\tin vain\tmax\t\tp99\t\tbreaches\tdecisions\t")
+	lines := newFigureTable(c.out)
+	lines.printf("day\tendpoints\tsidecars\trequests\tservice\trefused\tfailed\tin vain\tmax\t\tp99\t\tbreaches\tdecisions\t")
 	if options.cpu {
-		w.printf("us each\t")
+		lines.printf("us each\t")
 	}
-	w.println()
+	lines.println()
 	var plays []*report.Run
 	for _, name := range names {
 		m, err := fleet.Day(name)
@@ -198,14 +198,14 @@
 			return runError{fmt.Errorf("%s: %w", name, err)}
 		}
 		took := time.Since(began)
-		printDay(w, name, r)
+		printDay(lines, name, r)
 		if options.cpu {
-			w.printf("%.1f\t", float64(took.Microseconds())/float64(max(1, r.Decisions)))
+			lines.printf("%.1f\t", float64(took.Microseconds())/float64(max(1, r.Decisions)))
 		}
-		w.println()
+		lines.println()
 		plays = append(plays, &report.Run{Plan: r.Plan, Verdict: r.Verdict, Virtual: true})
 	}
-	if err := w.Flush(); err != nil {
+	if err := lines.Flush(); err != nil {
 		return runError{err}
 	}
 	c.printBreaches(plays)
--- a/internal/tool/golden_test.go
+++ b/internal/tool/golden_test.go
@@ -48,62 +48,62 @@
 
 // The help of all commands, with their flags and defaults.
 func TestGoldenHelp(t *testing.T) {
-	var s transcript
-	s.dir = t.TempDir()
+	var session transcript
+	session.dir = t.TempDir()
 	for _, command := range []string{
 		"", "init", "write", "check", "diff", "adopt", "sample", "reference", "demo", "members", "peers", "rehearse", "fleet", "route",
 		"store", "store verify", "store dump", "store compact", "store repair",
 	} {
-		s.run(append(strings.Fields(command), "--help")...)
+		session.run(append(strings.Fields(command), "--help")...)
 	}
-	s.compare(t, "help.txt")
+	session.compare(t, "help.txt")
 }
 
 // The commands for a configuration: its files are created, written, edited by hand, rejected, kept, adopted, discarded.
 func TestGoldenConfiguration(t *testing.T) {
-	s := transcript{dir: t.TempDir()}
-	source := filepath.Join(s.dir, "apps.toml")
-	front := filepath.Join(s.dir, "booking-front.example.org.toml")
-	keeper := filepath.Join(s.dir, "slot-keeper.example.org.toml")
-	s.run("init", s.dir)
-	s.run("init", s.dir)
-	s.run("check", source)
-	s.run("diff", source)
-	s.run("write", source)
-	s.file(t, front)
-	s.run("write", source)
-	s.run("diff", source)
+	session := transcript{dir: t.TempDir()}
+	source := filepath.Join(session.dir, "apps.toml")
+	front := filepath.Join(session.dir, "booking-front.example.org.toml")
+	keeper := filepath.Join(session.dir, "slot-keeper.example.org.toml")
+	session.run("init", session.dir)
+	session.run("init", session.dir)
+	session.run("check", source)
+	session.run("diff", source)
+	session.run("write", source)
+	session.file(t, front)
+	session.run("write", source)
+	session.run("diff", source)
 
 	replace(t, keeper, "sockets = 1024", "sockets = 512 # at night")
 	replace(t, keeper, "connect_timeout = \"250ms\"\n", "")
 	replace(t, source, "most_attempts = 3", "most_attempts = 2")
-	s.run("write", source)
-	s.run("diff", source)
-	s.run("write", "--keep-edits", source)
-	s.run("diff", source)
-	s.run("adopt", source, keeper)
+	session.run("write", source)
+	session.run("diff", source)
+	session.run("write", "--keep-edits", source)
+	session.run("diff", source)
+	session.run("adopt", source, keeper)
 	replace(t, keeper, "[limits]", "# a comment\n[limits]")
-	s.run("diff", source)
-	s.run("write", source)
+	session.run("diff", source)
+	session.run("write", source)
 	replace(t, source, "sockets = 1024", "sockets = 2048")
-	s.run("write", "--keep-edits", source)
-	s.run("diff", source)
-	s.run("write", "--discard-edits", source)
+	session.run("write", "--keep-edits", source)
+	session.run("diff", source)
+	session.run("write", "--discard-edits", source)
 	replace(t, front, "cores = 1.0", "cores = 2.0")
-	s.run("adopt", source, front)
-	s.run("adopt", source, front, keeper, filepath.Join(s.dir, "none.toml"))
-	s.file(t, source)
-	s.file(t, front)
-	s.compare(t, "configuration.txt")
+	session.run("adopt", source, front)
+	session.run("adopt", source, front, keeper, filepath.Join(session.dir, "none.toml"))
+	session.file(t, source)
+	session.file(t, front)
+	session.compare(t, "configuration.txt")
 }
 
 // Files that write, diff and adopt can't use, in the place of a derived file.
 func TestGoldenObstructedFiles(t *testing.T) {
-	s := transcript{dir: t.TempDir()}
-	source := filepath.Join(s.dir, "apps.toml")
-	front := filepath.Join(s.dir, "booking-front.example.org.toml")
-	keeper := filepath.Join(s.dir, "slot-keeper.example.org.toml")
-	must(t, "init", s.dir)
+	session := transcript{dir: t.TempDir()}
+	source := filepath.Join(session.dir, "apps.toml")
+	front := filepath.Join(session.dir, "booking-front.example.org.toml")
+	keeper := filepath.Join(session.dir, "slot-keeper.example.org.toml")
+	must(t, "init", session.dir)
 	must(t, "write", source)
 	written := content(t, front)
 	for _, obstructing := range []string{
@@ -115,18 +115,18 @@
 		if err := os.WriteFile(front, []byte(obstructing), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.run("check", front)
-		s.run("check", "--json", front, keeper)
-		s.run("write", source)
-		s.run("write", "--keep-edits", source)
-		s.run("diff", source)
-		s.run("adopt", source, front)
-		s.run("write", "--discard-edits", source)
+		session.run("check", front)
+		session.run("check", "--json", front, keeper)
+		session.run("write", source)
+		session.run("write", "--keep-edits", source)
+		session.run("diff", source)
+		session.run("adopt", source, front)
+		session.run("write", "--discard-edits", source)
 	}
-	s.run("check", "--json", source)
-	s.run("check", filepath.Join(s.dir, "none.toml"), s.dir)
-	s.run("write", filepath.Join(s.dir, "none.toml"))
-	s.compare(t, "in-the-way.txt")
+	session.run("check", "--json", source)
+	session.run("check", filepath.Join(session.dir, "none.toml"), session.dir)
+	session.run("write", filepath.Join(session.dir, "none.toml"))
+	session.compare(t, "in-the-way.txt")
 }
 
 // folderOfFixedLength returns a temporary folder whose path has the same length in every run: the width of columns depends on it.
@@ -143,8 +143,8 @@
 
 // What route prints for each setting of a route.
 func TestGoldenRoute(t *testing.T) {
-	s := transcript{dir: folderOfFixedLength(t)}
-	file := filepath.Join(s.dir, "sidecar.toml")
+	session := transcript{dir: folderOfFixedLength(t)}
+	file := filepath.Join(session.dir, "sidecar.toml")
 	text := strings.Replace(routedFile, "most_attempts = 4", "most_attempts = 4\nsecond_copies = true", 1) + `come_back = "7s"
 [route.all]
 match_path = "/all"
@@ -181,17 +181,17 @@
 		{"GET", "/x", "-H", "X-Lane"},
 		{"GET", "%zz", "-H", "X-Lane: find"},
 	} {
-		s.run(append([]string{"route", "--config", file}, args...)...)
+		session.run(append([]string{"route", "--config", file}, args...)...)
 	}
-	s.run("route", "GET", "/x")
-	s.run("route", "--config", filepath.Join(s.dir, "none"), "GET", "/x")
-	s.compare(t, "route.txt")
+	session.run("route", "GET", "/x")
+	session.run("route", "--config", filepath.Join(session.dir, "none"), "GET", "/x")
+	session.compare(t, "route.txt")
 }
 
 // The views of a running sidecar, for people and for programs.
 func TestGoldenViews(t *testing.T) {
-	s := transcript{dir: t.TempDir()}
-	address := "unix:" + filepath.Join(s.dir, "s")
+	session := transcript{dir: t.TempDir()}
+	address := "unix:" + filepath.Join(session.dir, "s")
 	own := peers.Report{
 		Name: "front-0", Confidence: "settled", Reachable: 2, GroupSize: 2, Instances: 2, Ordinal: 0, MaxInstances: 2, OwnsName: true, Digest: "d1",
 		DuplicateNames: []string{"front-1", "front-2"}, Rejected: map[string]int{"other key": 3, "another application": 1},
@@ -230,21 +230,21 @@
 	defer stop()
 	for _, args := range []string{"members", "members --unused", "members --json", "peers", "peers --all", "peers --json", "peers --all --json"} {
 		words := strings.Fields(args)
-		s.run(append([]string{words[0], address}, words[1:]...)...)
+		session.run(append([]string{words[0], address}, words[1:]...)...)
 	}
 	own.Instances = 0
-	s.run("peers", address)
+	session.run("peers", address)
 	own.Instances = 2
 	own.OwnsName = false
-	s.run("peers", address)
-	s.run("members", "nothing")
-	s.compare(t, "views.txt")
+	session.run("peers", address)
+	session.run("members", "nothing")
+	session.compare(t, "views.txt")
 }
 
 // What the store's commands print of requests, endpoints and lists that a sidecar remembers.
 func TestGoldenStore(t *testing.T) {
-	s := transcript{dir: t.TempDir()}
-	kept, err := store.Open(store.Dir(s.dir), store.Options{})
+	session := transcript{dir: t.TempDir()}
+	kept, err := store.Open(store.Dir(session.dir), store.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -267,16 +267,16 @@
 	}
 	for _, line := range []string{"verify", "verify --json", "dump", "compact", "repair", "verify"} {
 		words := strings.Fields(line)
-		s.run(append([]string{"store", words[0], s.dir}, words[1:]...)...)
+		session.run(append([]string{"store", words[0], session.dir}, words[1:]...)...)
 	}
-	s.run("store", "verify", filepath.Join(s.dir, "nowhere"))
-	s.run("store", "compact", filepath.Join(s.dir, "nowhere"))
+	session.run("store", "verify", filepath.Join(session.dir, "nowhere"))
+	session.run("store", "compact", filepath.Join(session.dir, "nowhere"))
 	// The time left of the hour depends on the duration of the test.
 	timeLeft := regexp.MustCompile(`("left":"|"At":)[0-9hms.]+`)
-	text := timeLeft.ReplaceAllString(s.String(), "${1}TIME-LEFT")
-	s.Reset()
-	s.WriteString(text)
-	s.compare(t, "store.txt")
+	text := timeLeft.ReplaceAllString(session.String(), "${1}TIME-LEFT")
+	session.Reset()
+	session.WriteString(text)
+	session.compare(t, "store.txt")
 }
 
 // The printed form of changes of a text.
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -45,11 +45,11 @@
 }
 
 // printMembers prints a line for each endpoint; with unused only for those that get no requests.
-func (c *command) printMembers(m *admin.Members, unused bool) error {
+func (c *command) printMembers(members *admin.Members, unused bool) error {
 	ready := 0
 	w := newTable(c.out)
 	w.println("ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
-	for _, r := range m.Endpoints {
+	for _, r := range members.Endpoints {
 		isReady := r.State == readyState
 		if isReady {
 			ready++
@@ -63,7 +63,7 @@
 	if err := w.Flush(); err != nil {
 		return runError{err}
 	}
-	c.out.printf("%s: %d of %d endpoints ready; the source is %s\n", m.Name, ready, len(m.Endpoints), m.Source)
+	c.out.printf("%s: %d of %d endpoints ready; the source is %s\n", members.Name, ready, len(members.Endpoints), members.Source)
 	return nil
 }
 
--- a/internal/tool/peers.go
+++ b/internal/tool/peers.go
@@ -40,30 +40,30 @@
 }
 
 // printPeers prints one sidecar's view of its peers.
-func (c *command) printPeers(r *peers.Report) error {
+func (c *command) printPeers(view *peers.Report) error {
 	w := newTable(c.out)
 	w.println("NAME\tSTATE\tFOR\tCOUNTS\tREACHED\tADDRESS\tZONE\tVERSION\tPROCESS")
-	for _, m := range r.Members {
+	for _, m := range view.Members {
 		w.printf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.State, formatAge(m.StateAgeMS),
 			yesNo(m.InGroup), yesNo(m.Reachable), orDash(m.Address), orDash(m.Zone), orDash(m.Version), m.Process)
 	}
 	if err := w.Flush(); err != nil {
 		return runError{err}
 	}
-	c.out.printf("%s: %s; %d of the %d settled last are in reach\n", r.Name, r.Confidence, r.Reachable, r.GroupSize)
+	c.out.printf("%s: %s; %d of the %d settled last are in reach\n", view.Name, view.Confidence, view.Reachable, view.GroupSize)
 	switch {
-	case r.Instances == 0:
+	case view.Instances == 0:
 		c.out.println("it goes by the numbers of its file until the view has settled once")
-	case !r.OwnsName:
-		c.out.printf("it has no place of its own among %d: it does not serve, comes and goes, or another process has its name\n", r.Instances-1)
+	case !view.OwnsName:
+		c.out.printf("it has no place of its own among %d: it does not serve, comes and goes, or another process has its name\n", view.Instances-1)
 	default:
-		c.out.printf("it is number %d of %d, and divides limits by %d\n", r.Ordinal, r.Instances, r.MaxInstances)
+		c.out.printf("it is number %d of %d, and divides limits by %d\n", view.Ordinal, view.Instances, view.MaxInstances)
 	}
-	if len(r.DuplicateNames) > 0 {
-		c.out.printf("several processes under one name: %s\n", strings.Join(r.DuplicateNames, ", "))
+	if len(view.DuplicateNames) > 0 {
+		c.out.printf("several processes under one name: %s\n", strings.Join(view.DuplicateNames, ", "))
 	}
-	for _, reason := range slices.Sorted(maps.Keys(r.Rejected)) {
-		c.out.printf("refused, %s: %d\n", reason, r.Rejected[reason])
+	for _, reason := range slices.Sorted(maps.Keys(view.Rejected)) {
+		c.out.printf("refused, %s: %d\n", reason, view.Rejected[reason])
 	}
 	return nil
 }
--- a/internal/tool/route_explain.go
+++ b/internal/tool/route_explain.go
@@ -12,16 +12,16 @@
 )
 
 // explainRoute prints how a request would be treated. It returns errFindings if the request would be rejected.
-func (c *command) explainRoute(f *schema.File, request *route.Request) error {
-	class := appfile.ClassTable.Get(f, request.Class)
-	if classes := appfile.ClassTable.All(f); class == nil && len(classes) > 0 {
+func (c *command) explainRoute(file *schema.File, request *route.Request) error {
+	class := appfile.ClassTable.Get(file, request.Class)
+	if classes := appfile.ClassTable.All(file); class == nil && len(classes) > 0 {
 		var names []string
 		for _, known := range classes {
 			names = append(names, known.Name)
 		}
 		return fmt.Errorf("-H 'X-Lane: ...': %s", finding.UnknownName("class", request.Class, names))
 	}
-	routes := route.Compile(f)
+	routes := route.Compile(file)
 	taken, ok := routes.Find(request)
 	if !ok {
 		c.out.printf("answered 400, and sent nowhere: %s\n", route.AmbiguousPath(request.Path))
@@ -30,18 +30,18 @@
 	if taken == nil {
 		c.out.println("no route; its class's values hold")
 	} else {
-		c.out.printf("route %s (%s): %v\n", taken.Name, f.Location("route", taken.Name, ""), taken.Pattern())
+		c.out.printf("route %s (%s): %v\n", taken.Name, file.Location("route", taken.Name, ""), taken.Pattern())
 	}
 	w := newTable(c.out)
 	if routes != nil && len(routes.Routes) > 0 {
 		w.println("\nOTHER ROUTE\tAT\tWHY NOT")
 		for _, other := range routes.Explain(request) {
 			if !other.Taken {
-				w.printf("%s\t%v\t%s\n", other.Name, f.Location("route", other.Name, ""), other.Text)
+				w.printf("%s\t%v\t%s\n", other.Name, file.Location("route", other.Name, ""), other.Text)
 			}
 		}
 	}
-	values := routeValues{table: w, file: f, request: request, class: class, settings: &route.Settings{Serve: true, RetryShare: -1}}
+	values := routeValues{table: w, file: file, request: request, class: class, settings: &route.Settings{Serve: true, RetryShare: -1}}
 	if taken != nil {
 		values.route = taken.Name
 		values.settings = taken.Settings
--- a/internal/tool/route_test.go
+++ b/internal/tool/route_test.go
@@ -46,7 +46,7 @@
 	if err := os.WriteFile(file, []byte(routedFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		want []string
@@ -75,13 +75,13 @@
 		{[]string{"GET", "/x"}, ExitUsage, []string{"unknown class"}},
 		{[]string{"GET", "/x", "-H", "X-Lane"}, ExitUsage, []string{"write \"Name: value\""}},
 	} {
-		code, out, errs := run(append([]string{"route", "--config", file}, c.args...)...)
-		if code != c.code {
-			t.Errorf("%v: code %d: %s%s", c.args, code, out, errs)
+		code, out, errs := run(append([]string{"route", "--config", file}, test.args...)...)
+		if code != test.code {
+			t.Errorf("%v: code %d: %s%s", test.args, code, out, errs)
 		}
-		for _, want := range c.want {
+		for _, want := range test.want {
 			if !strings.Contains(out+errs, want) {
-				t.Errorf("%v: no %q in\n%s%s", c.args, want, out, errs)
+				t.Errorf("%v: no %q in\n%s%s", test.args, want, out, errs)
 			}
 		}
 	}
--- a/internal/tool/store.go
+++ b/internal/tool/store.go
@@ -80,34 +80,34 @@
 }
 
 // printStoreReport prints the files of a store and the damage in them.
-func (c *command) printStoreReport(r *store.Report) error {
+func (c *command) printStoreReport(report *store.Report) error {
 	w := newTable(c.out)
 	w.println("FILE\tBYTES\tRECORDS\tFROM\tTO\tENDED\tSTANDS FOR")
-	for _, s := range r.Segments {
+	for _, s := range report.Segments {
 		w.printf("%s\t%d\t%d\t%d\t%d\t%t\t%d\n", s.File, s.Bytes, s.Records, s.FirstSeq, s.LastSeq, s.Sealed, s.Replaces)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, d := range r.Damage {
+	for _, d := range report.Damage {
 		c.out.printf("damaged: %v\n", d)
 	}
-	if r.TornBytes > 0 {
+	if report.TornBytes > 0 {
 		why := "an append that was cut, or damage to the last one"
-		if r.InUse {
+		if report.InUse {
 			why = "an append that is under way, or was cut"
 		}
-		c.out.printf("%d bytes: %s\n", r.TornBytes, why)
+		c.out.printf("%d bytes: %s\n", report.TornBytes, why)
 	}
-	for _, name := range r.Leftovers {
+	for _, name := range report.Leftovers {
 		c.out.printf("left over, removed at the next start: %s\n", name)
 	}
 	state := "no process has it open"
-	if r.InUse {
+	if report.InUse {
 		state = "a process has it open"
 	}
 	_, err := fmt.Fprintf(c.out, "%d live records in %d files; %d places damaged; %s\n",
-		r.LiveRecords, len(r.Segments), len(r.Damage), state)
+		report.LiveRecords, len(report.Segments), len(report.Damage), state)
 	return err
 }
 
@@ -130,22 +130,22 @@
 )
 
 // readable returns the printed form of a record.
-func readable(r store.Record) storedRecord {
-	line := storedRecord{Seq: r.Seq, File: r.File, Kind: "other", Key: fmt.Sprintf("%x", r.Key)}
-	if r.TimeLeft >= 0 {
-		line.Left = r.TimeLeft.Round(time.Millisecond).String()
+func readable(record store.Record) storedRecord {
+	line := storedRecord{Seq: record.Seq, File: record.File, Kind: "other", Key: fmt.Sprintf("%x", record.Key)}
+	if record.TimeLeft >= 0 {
+		line.Left = record.TimeLeft.Round(time.Millisecond).String()
 	}
-	switch r.Key[0] {
+	switch record.Key[0] {
 	case requestKey:
-		if e, err := idempotency.Decode(r.Value, r.TimeLeft, r.TimeLeft); err == nil {
+		if e, err := idempotency.Decode(record.Value, record.TimeLeft, record.TimeLeft); err == nil {
 			line.Kind = "request"
 			line.Request = &e
 		}
 	case endpointKey:
 		line.Kind = "endpoint"
-		line.Key = string(r.Key[1:])
-		if json.Valid(r.Value) {
-			line.Value = r.Value
+		line.Key = string(record.Key[1:])
+		if json.Valid(record.Value) {
+			line.Value = record.Value
 		}
 	case listKey:
 		line.Kind = "list was current"
--- a/internal/tool/store_test.go
+++ b/internal/tool/store_test.go
@@ -16,7 +16,7 @@
 // kept under another name, and never taken for a valid one.
 func TestStoreCommands(t *testing.T) {
 	dir := t.TempDir()
-	s, err := store.Open(store.Dir(dir), store.Options{SegmentBytes: 400})
+	opened, err := store.Open(store.Dir(dir), store.Options{SegmentBytes: 400})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 			Retention: time.Hour,
 		}
 		id := idempotency.KeyedID("book-trip", fmt.Sprint(i%10))
-		if err := s.Put(append([]byte{'r'}, id[:]...), e.Encode(), time.Hour); err != nil {
+		if err := opened.Put(append([]byte{'r'}, id[:]...), e.Encode(), time.Hour); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,7 +47,7 @@
 	expect(ExitOK, []string{`"kind":"request"`, `"Cell":2`, `"Class":"book-trip"`}, "store", "dump", dir)
 	expect(ExitFindings, []string{"another process has this store open"}, "store", "compact", dir)
 	expect(ExitFindings, []string{"another process has this store open"}, "store", "repair", dir)
-	if err := s.Close(); err != nil {
+	if err := opened.Close(); err != nil {
 		t.Fatal(err)
 	}
 	expect(ExitOK, []string{"10 live records", "no process has it open"}, "store", "verify", dir)
--- a/internal/tool/tool_test.go
+++ b/internal/tool/tool_test.go
@@ -379,7 +379,7 @@
 
 func TestExitCodesAndOutput(t *testing.T) {
 	dir, source, front, _ := initFolder(t)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		want string // part of the output or the messages
@@ -401,9 +401,9 @@
 		{[]string{"adopt", source}, ExitUsage, "requires at least 2"},
 		{[]string{"adopt", source, source}, ExitFindings, "its header is missing"},
 	} {
-		code, out, errs := run(c.args...)
-		if code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%v: exit %d, want %d with %q:\n%s%s", c.args, code, c.code, c.want, out, errs)
+		code, out, errs := run(test.args...)
+		if code != test.code || !strings.Contains(out+errs, test.want) {
+			t.Errorf("%v: exit %d, want %d with %q:\n%s%s", test.args, code, test.code, test.want, out, errs)
 		}
 	}
 	replace(t, front, "cores = 1.0", "cores = -1.0")
