--- a/cmd/quincegap/config_file_test.go
+++ b/cmd/quincegap/config_file_test.go
@@ -9,7 +9,6 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
-	"time"
 )
 
 // With a settings file alone, without a platform, the program serves and sends its token to discovery.
@@ -137,12 +136,7 @@
 	if status, err := sidecar.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d, %v", status, err)
 	}
-	before := served.Load()
-	for deadline := time.Now().Add(testTimeout); served.Load() < before+50 && !t.Failed(); time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatal("nothing is served any more")
-		}
-	}
+	awaitMore(t, &served, 50)
 	stop()
 	if served.Load() == 0 {
 		t.Error("nothing was served")
--- a/cmd/quincegap/consul_helpers_test.go
+++ b/cmd/quincegap/consul_helpers_test.go
@@ -91,8 +91,7 @@
 // awaitServed waits until n more bookings have been served.
 func (c *consulRig) awaitServed(n int64) {
 	c.tb.Helper()
-	want := c.served.Load() + n
-	c.await("bookings go on", func() bool { return c.served.Load() >= want })
+	awaitMore(c.tb, &c.served, n)
 }
 
 // await waits until a condition holds. It gives up when the test has failed elsewhere.
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -26,17 +26,8 @@
 	var overHTTP3, overHTTP1 atomic.Int64
 	stop := sidecar.over(rig.caller(nil), address).startCallers(4, &overHTTP3)
 	stopHTTP1 := sidecar.startCallers(2, &overHTTP1)
-	awaitMore := func(n *atomic.Int64, more int64) {
-		t.Helper()
-		want := n.Load() + more
-		for deadline := time.Now().Add(testTimeout); n.Load() < want; time.Sleep(2 * time.Millisecond) {
-			if t.Failed() || time.Now().After(deadline) {
-				t.Fatal("bookings do not go on")
-			}
-		}
-	}
-	awaitMore(&overHTTP3, 100)
-	awaitMore(&overHTTP1, 100)
+	awaitMore(t, &overHTTP3, 100)
+	awaitMore(t, &overHTTP1, 100)
 	status, header, err := get(http.DefaultClient, sidecar.url+"/nothing")
 	if err != nil {
 		t.Fatal(err)
@@ -57,12 +48,12 @@
 	}
 	sidecar.signal(syscall.SIGHUP)
 	sidecar.awaitLog("reload: discovery is")
-	awaitMore(&overHTTP3, 100)
+	awaitMore(t, &overHTTP3, 100)
 	// A change of a setting that takes effect only at a start is rejected.
 	sidecar.writeFile(strings.Replace(rig.text(site.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
 	sidecar.signal(syscall.SIGHUP)
 	sidecar.awaitLog("reload: refused")
-	awaitMore(&overHTTP3, 100)
+	awaitMore(t, &overHTTP3, 100)
 	stop()
 	stopHTTP1()
 }
--- a/cmd/quincegap/load_helpers_test.go
+++ b/cmd/quincegap/load_helpers_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"testing"
 	"time"
 )
 
@@ -84,6 +85,17 @@
 	return stop
 }
 
+// awaitMore waits until a count has grown by n. It gives up when the test has failed elsewhere.
+func awaitMore(tb testing.TB, count *atomic.Int64, n int64) {
+	tb.Helper()
+	want := count.Load() + n
+	for deadline := time.Now().Add(testTimeout); count.Load() < want; time.Sleep(time.Millisecond) {
+		if tb.Failed() || time.Now().After(deadline) {
+			tb.Fatalf("%d of %d more bookings are missing", want-count.Load(), n)
+		}
+	}
+}
+
 // maxOutstanding bounds the bookings of a stream that are in flight at once; 3 to 5 are usual. While the machine lets the sidecar
 // wait, further bookings would pile up in its sockets and then arrive at once: no even pace, and not the sidecar's fault.
 const maxOutstanding = 16
--- a/cmd/quincegap/peers_test.go
+++ b/cmd/quincegap/peers_test.go
@@ -54,12 +54,7 @@
 	rig.logEvent("datagrams are lost, duplicated and delayed")
 	rig.kill(0, 1, 3, 5, 6)
 	rig.awaitViews("two notice that they are alone", peers.Partitioned, []int{2, 4}, 2, 4)
-	before := counts.served.Load()
-	for deadline := time.Now().Add(testTimeout); counts.served.Load() < before+100; time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatalf("the two that are left served %d calls", counts.served.Load()-before)
-		}
-	}
+	awaitMore(t, &counts.served, 100) // by the two that are left
 	rig.net.Heal()
 	rig.start(0, 1, 3, 5, 6)
 	rig.awaitViews("all are back", peers.Settled, all, all...)
--- a/cmd/quincegap/route_test.go
+++ b/cmd/quincegap/route_test.go
@@ -7,7 +7,6 @@
 	"sync"
 	"sync/atomic"
 	"testing"
-	"time"
 )
 
 // tripsOff is a route that rejects its requests.
@@ -42,17 +41,6 @@
 	}
 }
 
-// awaitMore waits until a count has grown by five.
-func (c *routedCallers) awaitMore(n *atomic.Int64) {
-	c.t.Helper()
-	before := n.Load()
-	for deadline := time.Now().Add(testTimeout); n.Load() < before+5; time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) || c.t.Failed() {
-			c.t.Fatal("no more bookings")
-		}
-	}
-}
-
 // SIGHUP adds and removes routes while callers book without pause: each booking is served or, by a route that is off, rejected. A file
 // whose routes are ambiguous changes nothing.
 func TestRoutesBySIGHUP(t *testing.T) {
@@ -81,9 +69,9 @@
 	}
 	for range 10 {
 		sidecar.reload(good+tripsOff, "reload: discovery is")
-		callers.awaitMore(&callers.rejected)
+		awaitMore(t, &callers.rejected, 5)
 		sidecar.reload(good, "reload: discovery is")
-		callers.awaitMore(&callers.served)
+		awaitMore(t, &callers.served, 5)
 	}
 	callers.done.Store(true)
 	callers.running.Wait()
