--- a/internal/network/consul/confirmation.go
+++ b/internal/network/consul/confirmation.go
@@ -107,17 +107,17 @@
 
 // queryCatalog adds the UIDs that the catalogue lists to listed.
 func (c *confirmation) queryCatalog(ctx context.Context, agent int, index uint64, listed map[string]bool) (answerMeta, error) {
-	w := c.watcher
+	watcher := c.watcher
 	q := question{
-		path:        "/v1/catalog/service/" + url.PathEscape(w.settings.Service),
+		path:        "/v1/catalog/service/" + url.PathEscape(watcher.settings.Service),
 		tagsField:   "ServiceTags",
 		index:       index,
-		wait:        w.settings.Wait,
+		wait:        watcher.settings.Wait,
 		consistency: Consistent,
 	}
-	return w.query(ctx, &w.agents[agent], q, func(body io.Reader) error {
+	return watcher.query(ctx, &watcher.agents[agent], q, func(body io.Reader) error {
 		return decodeEach(body, maxInstances, func(e *catalogEntry) {
-			listed[w.settings.uid(e.Node, e.ServiceID, e.ServiceMeta, w.qualified)] = true
+			listed[watcher.settings.uid(e.Node, e.ServiceID, e.ServiceMeta, watcher.qualified)] = true
 		})
 	})
 }
--- a/internal/network/consul/endpoint.go
+++ b/internal/network/consul/endpoint.go
@@ -76,24 +76,24 @@
 }
 
 // endpoint returns the endpoint of an instance, or why the instance can't be used.
-func (s *Settings) endpoint(i *instance, qualified bool) (e endpointsource.Endpoint, fault string) {
-	e.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
+func (s *Settings) endpoint(i *instance, qualified bool) (result endpointsource.Endpoint, fault string) {
+	result.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
 	host := cmp.Or(i.Service.Address, i.Node.Address)
 	switch {
-	case i.Service.ID == "" || len(e.UID) > maxTextBytes:
-		return e, "its id is missing or too long"
+	case i.Service.ID == "" || len(result.UID) > maxTextBytes:
+		return result, "its id is missing or too long"
 	case host == "" || len(host) > maxTextBytes || strings.ContainsAny(host, " /\r\n\t"):
-		return e, fmt.Sprintf("its address %.40q is none", host)
+		return result, fmt.Sprintf("its address %.40q is none", host)
 	case i.Service.Port <= 0 || i.Service.Port > maxPort:
-		return e, fmt.Sprintf("its port %d is none", i.Service.Port)
+		return result, fmt.Sprintf("its port %d is none", i.Service.Port)
 	}
-	e.Address = net.JoinHostPort(host, strconv.Itoa(i.Service.Port))
-	if fault := s.readMeta(i, &e); fault != "" {
-		return e, fault
+	result.Address = net.JoinHostPort(host, strconv.Itoa(i.Service.Port))
+	if fault := s.readMeta(i, &result); fault != "" {
+		return result, fault
 	}
-	e.RegistrationIndex = i.Service.CreateIndex
-	applyChecks(i, &e)
-	return e, ""
+	result.RegistrationIndex = i.Service.CreateIndex
+	applyChecks(i, &result)
+	return result, ""
 }
 
 // readMeta sets the fields that come from the service's metadata, or returns why the instance can't be used.
--- a/internal/network/consul/watcher.go
+++ b/internal/network/consul/watcher.go
@@ -120,14 +120,14 @@
 }
 
 // failOver moves the cursor to the next agent; after all agents have failed it waits first.
-func (w *Watcher) failOver(ctx context.Context, c *cursor, err error) {
-	c.failures++
-	address := w.agents[c.agent].address
+func (w *Watcher) failOver(ctx context.Context, position *cursor, err error) {
+	position.failures++
+	address := w.agents[position.agent].address
 	w.log.logf("consul: agent %s: %s", address, errorText(err))
-	c.moveTo((c.agent + 1) % len(w.agents))
+	position.moveTo((position.agent + 1) % len(w.agents))
 	w.failbackAt = time.Now().Add(w.failbackDelay)
-	if c.failures%len(w.agents) == 0 {
-		pause(ctx, backoff(c.failures/len(w.agents)))
+	if position.failures%len(w.agents) == 0 {
+		pause(ctx, backoff(position.failures/len(w.agents)))
 	}
 }
 
--- a/internal/network/http3/attempt.go
+++ b/internal/network/http3/attempt.go
@@ -98,18 +98,18 @@
 
 // checkEndpoint distinguishes a connection that broke alone from an endpoint that ended, as over HTTP/1.1. If no new connection can be
 // made over UDP, the path may have broken: an endpoint that accepts a connection over TCP still runs.
-func (t *Transport) checkEndpoint(a *exchange.Attempt, res *exchange.Result) {
-	if a.Endpoint.Waiting.Load() > 0 {
+func (t *Transport) checkEndpoint(attempt *exchange.Attempt, res *exchange.Result) {
+	if attempt.Endpoint.Waiting.Load() > 0 {
 		res.Status = balancer.StatusInvalidResponse
 		return
 	}
-	if next := t.dialNow(a.Endpoint.Address); next.err == nil {
+	if next := t.dialNow(attempt.Endpoint.Address); next.err == nil {
 		res.Status = balancer.StatusInvalidResponse
 		res.Conn = next
 		return
 	}
 	dialer := net.Dialer{Timeout: t.settings.HandshakeTimeout}
-	if c, err := dialer.DialContext(a.Context, "tcp", a.Endpoint.Address); err == nil {
+	if c, err := dialer.DialContext(attempt.Context, "tcp", attempt.Endpoint.Address); err == nil {
 		_ = c.Close() // nothing was sent on it
 		res.Status = balancer.StatusInvalidResponse
 		res.Blocked = true
@@ -131,8 +131,8 @@
 }
 
 // exchange sends the request on a stream of its own, and reads the answer.
-func (t *Transport) exchange(a *exchange.Attempt, client *http3.ClientConn, early bool) (res exchange.Result, err error) {
-	r, err := newRequest(a, early)
+func (t *Transport) exchange(attempt *exchange.Attempt, client *http3.ClientConn, early bool) (res exchange.Result, err error) {
+	r, err := newRequest(attempt, early)
 	if err != nil {
 		return res, err
 	}
@@ -144,11 +144,11 @@
 	if answer.StatusCode < http.StatusOK || answer.ContentLength > exchange.MaxBody {
 		return res, errMalformed
 	}
-	if !a.Bodies.Reserve(exchange.MaxBody) {
+	if !attempt.Bodies.Reserve(exchange.MaxBody) {
 		return res, errNoMemory
 	}
 	kept := 0
-	defer func() { a.Bodies.Release(exchange.MaxBody - kept) }()
+	defer func() { attempt.Bodies.Release(exchange.MaxBody - kept) }()
 	body, err := exchange.ReadAll(answer.Body)
 	if err != nil {
 		return res, err
--- a/internal/tool/experiment.go
+++ b/internal/tool/experiment.go
@@ -98,11 +98,11 @@
 
 // runExperiment plays a design and prints its points. Unless dir is empty it also writes the runs and a page there. It returns errFindings
 // if a rule was broken.
-func (c *command) runExperiment(ctx context.Context, d *experiment.Design, dir string) error {
-	if err := d.Validate(); err != nil {
+func (c *command) runExperiment(ctx context.Context, design *experiment.Design, dir string) error {
+	if err := design.Validate(); err != nil {
 		return err
 	}
-	runs, err := d.Play(ctx, func(done, of int) {
+	runs, err := design.Play(ctx, func(done, of int) {
 		if done == of || done%max(1, of/50) == 0 {
 			c.errOut.printf("\r%d of %d runs", done, of)
 		}
@@ -112,11 +112,11 @@
 		return runError{err}
 	}
 	points := experiment.Summarize(runs)
-	if err := report.WriteTable(c.out, d.Scenarios, points); err != nil {
+	if err := report.WriteTable(c.out, design.Scenarios, points); err != nil {
 		return runError{err}
 	}
 	if dir != "" {
-		if err := c.keepExperiment(dir, d.Scenarios, runs, points); err != nil {
+		if err := c.keepExperiment(dir, design.Scenarios, runs, points); err != nil {
 			return runError{err}
 		}
 	}
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -47,8 +47,8 @@
 // printMembers prints a line for each endpoint; with unused only for those that get no requests.
 func (c *command) printMembers(members *admin.Members, unused bool) error {
 	ready := 0
-	w := newTable(c.out)
-	w.println("ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
+	lines := newTable(c.out)
+	lines.println("ENDPOINT\tADDRESS\tSTATE\tWEIGHT\tFOR\tPLATFORM\tCONSUL\tWHY")
 	for _, r := range members.Endpoints {
 		isReady := r.State == readyState
 		if isReady {
@@ -57,10 +57,10 @@
 		if isReady && unused {
 			continue
 		}
-		w.printf("%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n",
+		lines.printf("%s\t%s\t%s\t%g\t%s\t%s\t%s\t%s\n",
 			r.UID, r.Address, r.State, r.Weight, formatAge(r.AgoMS), orDash(r.Platform), orDash(r.Consul), r.Why)
 	}
-	if err := w.Flush(); err != nil {
+	if err := lines.Flush(); err != nil {
 		return runError{err}
 	}
 	c.out.printf("%s: %d of %d endpoints ready; the source is %s\n", members.Name, ready, len(members.Endpoints), members.Source)
