--- a/cmd/quincegap/load_helpers_test.go
+++ b/cmd/quincegap/load_helpers_test.go
@@ -100,13 +100,19 @@
 // wait, further bookings would pile up in its sockets and then arrive at once: no even pace, and not the sidecar's fault.
 const maxOutstanding = 16
 
+// minMachineStall is how long the machine must have kept a goroutine waiting for a stream to leave bookings out.
+const minMachineStall = 20 * time.Millisecond
+
 // startStream sends bookings at an even pace, with at most maxOutstanding in flight, until stop is called. That returns how many were
-// sent and how many of them were rejected. Each of the others has to be served.
+// sent and how many of them were rejected. Each of the others has to be served. Bookings that are left out because too many are in
+// flight are an error, unless the machine has stalled: the sidecar is at fault then.
 func (p *process) startStream(interval time.Duration) (stop func() (sent, rejected int64)) {
 	var sent, rejected atomic.Int64
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	outstanding := make(chan struct{}, maxOutstanding)
 	done, ended := make(chan struct{}), make(chan struct{})
+	var machine stalls
+	skipped := 0
 	book := func() {
 		defer func() { <-outstanding }()
 		switch status, err := p.book(client, "trip"); {
@@ -122,6 +128,7 @@
 		defer close(ended)
 		var bookings sync.WaitGroup
 		defer bookings.Wait()
+		bookings.Go(func() { machine.run(done) })
 		tick := time.NewTicker(interval)
 		defer tick.Stop()
 		for {
@@ -134,7 +141,8 @@
 			case outstanding <- struct{}{}:
 				sent.Add(1)
 				bookings.Go(book)
-			default: // skipped, as a ticker skips ticks that nobody receives
+			default:
+				skipped++
 			}
 		}
 	}()
@@ -142,6 +150,9 @@
 		close(done)
 		<-ended
 		client.CloseIdleConnections()
+		if skipped > 0 && machine.longest() < minMachineStall {
+			p.tb.Errorf("%d bookings were in flight at once on a machine that stalled for %v at most", maxOutstanding, machine.longest())
+		}
 		return sent.Load(), rejected.Load()
 	}
 }
--- a/cmd/quincegap/peers_helpers_test.go
+++ b/cmd/quincegap/peers_helpers_test.go
@@ -1,12 +1,11 @@
 package main
 
 import (
-	"context"
 	"encoding/base64"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"net/http"
+	"os"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -52,25 +51,22 @@
 // quickSettings are times that shorten a test. Benchmarks use the defaults.
 const quickSettings = "peers_pace = \"200ms\"\nsettle_after = \"400ms\""
 
-// freePortAt returns a port of an address that nobody listens on.
-func freePortAt(tb testing.TB, ip string) string {
-	tb.Helper()
-	for range 100 {
-		listener, err := listen(ip + ":0")
-		if err != nil {
-			tb.Fatal(err)
-		}
-		address := listener.Addr().String()
-		closeNow(listener)
-		// A port that is free for TCP may be in use for UDP by another test.
-		socket, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp", address)
-		if err == nil {
-			closeNow(socket)
-			return address
-		}
+// memberPort is the port of the first rig's members; each further rig has the next one.
+const memberPort = 7900
+
+// peersRigs counts the rigs of this test process.
+var peersRigs atomic.Int64
+
+// memberAddresses returns the gossip addresses of a rig's members. They are of this test process and this rig alone, so that no port has to
+// be looked for: one that was found and closed could be taken before the member listens on it.
+func memberAddresses(size int) []string {
+	process := os.Getpid()
+	port := memberPort + int(peersRigs.Add(1)) - 1
+	var addresses []string
+	for i := range size {
+		addresses = append(addresses, fmt.Sprintf("127.%d.%d.%d:%d", 221+process%30, process/30%256, i+1, port))
 	}
-	tb.Fatalf("no port of %s is free", ip)
-	return ""
+	return addresses
 }
 
 // newPeersRig prepares a group of sidecars, which start starts. The seed is that of the relays' faults; settings are further lines of
@@ -90,9 +86,9 @@
 	discovery := startDiscovery(tb, startCells(tb, rig.ledger, 3, 4)...)
 	key := filepath.Join(rig.dir, "key")
 	writeFile(tb, key, base64.StdEncoding.EncodeToString([]byte("0123456789abcdef")))
-	var own, fronts []string
+	own := memberAddresses(size)
+	var fronts []string
 	for i := range size {
-		own = append(own, freePortAt(tb, fmt.Sprintf("127.0.7.%d", i+1)))
 		front, err := rig.net.AddMember(memberName(i), fmt.Sprintf("127.0.8.%d:0", i+1), own[i])
 		if err != nil {
 			tb.Fatal(err)
