--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -132,8 +132,9 @@
 }
 
 // ApplyCommitted applies a committed configuration in this process, and announces its version to peers. The caller guarantees that a
-// majority of the voters has the configuration on disk; there is no other way to apply one. A version that is not above the applied one
-// changes nothing. A text that can't be parsed, or that names another version, is logged and not applied.
+// majority of the voters has the configuration on disk. The agent also applies those that it fetches from a peer that has applied them.
+// A version that is not above the applied one changes nothing. A text that can't be parsed, or that names another version, is logged and
+// not applied.
 func (a *Agent) ApplyCommitted(version uint64, text []byte) { a.configuration.apply(version, text) }
 
 // Configuration returns the version and the text of the configuration that is applied in this process; version 0 if there is none.
--- a/internal/mesh/agent/allocator.go
+++ b/internal/mesh/agent/allocator.go
@@ -12,8 +12,8 @@
 // roleAllocator is the name, on the wire and in State, of the singleton role that grants tokens of tenants' rate limits.
 const roleAllocator = "allocator"
 
-// initialStartGrace is how long after the first start of the whole system a new allocator may assume that no earlier one has granted
-// tokens.
+// initialStartGrace is how long after the start of this process, at the first start of the whole system, a new allocator may assume that
+// no earlier one has granted tokens.
 const initialStartGrace = 6 * time.Second
 
 // startAllocatorLocked makes this process the allocator. Its lease has just been granted.
--- a/internal/mesh/agent/doc.go
+++ b/internal/mesh/agent/doc.go
@@ -36,8 +36,9 @@
 //
 // # Units
 //
-// Times are durations on the hub's steady clock, with any start; only events carry wall-clock time (RFC 3339, UTC). Versions of the
-// configuration are counted from 1; 0 is none. Incarnations are random, new at each start of a process, and never 0.
+// Times are durations on the hub's monotonic clock, which is 0 at the start of the process (initialStartGrace relies on it); only events
+// carry wall-clock time (RFC 3339, UTC). Versions of the configuration are counted from 1; 0 is none. Incarnations are random, new at each
+// start of a process, and never 0.
 //
 // # What it does not do
 //
--- a/internal/mesh/agent/environment.go
+++ b/internal/mesh/agent/environment.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// now returns the time on the steady clock of this process.
+// now returns the time on the monotonic clock of this process.
 func (e *environment) now() time.Duration { return e.hub.Now() }
 
 // address returns the internal address of this process, at which other processes reach it.
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -133,7 +133,7 @@
 
 // targetLocked chooses the process to send a request to: the forwarder until directRetryAt, else the allocator. After failures, or if
 // the allocator isn't known, it draws in turn another sidecar, which may reach the allocator, and a core process, which may be the
-// allocator or name it.
+// allocator or name it. Unless it chooses the forwarder, it sets directRetryAt, the time of the next request that bypasses the forwarder.
 func (q *QuotaClient) targetLocked(now time.Duration) string {
 	if q.forwarder != "" && now < q.directRetryAt {
 		return q.forwarder
--- a/internal/mesh/discovery/doc.go
+++ b/internal/mesh/discovery/doc.go
@@ -44,7 +44,7 @@
 //
 // # Units and limits
 //
-// The package does no I/O, starts no goroutine and reads no clock. Time is an argument: a duration on a steady clock with any start.
+// The package does no I/O, starts no goroutine and reads no clock. Time is an argument: a duration on a monotonic clock with any start.
 // Records carry the time that is left (of a lease, of a slow start) instead of points in time, since the clocks of processes differ. The
 // types aren't safe for concurrent use.
 //
--- a/internal/mesh/discovery/membership/doc.go
+++ b/internal/mesh/discovery/membership/doc.go
@@ -40,7 +40,7 @@
 // # Units and limits
 //
 // The package does no I/O, starts no goroutine and reads no clock: time, randomness and messages are arguments. Time is that of a
-// steady clock with any start. A View isn't safe for concurrent use. The same calls with the same random source give the same results.
+// monotonic clock with any start. A View isn't safe for concurrent use. The same calls with the same random source give the same results.
 //
 // A heartbeat is a counter that its member raises at each gossip interval. Messages carry the ages of heartbeats instead of times, since
 // the clocks of processes differ. The time that a message takes isn't added to an age, so that a heartbeat may seem newer than it is.
