--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -86,7 +86,7 @@
 	defer a.mu.Unlock()
 	var due dueMessages
 	due.peers, due.shuffle = a.members.tickLocked(now)
-	if a.members.viewChangedLocked() {
+	if a.members.takeViewChangeLocked() {
 		a.publisher.updateOwnersLocked()
 		a.directory.updateOwnersLocked()
 		a.members.reportSidecarCountLocked()
@@ -109,10 +109,6 @@
 // SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
 func (a *Agent) SetSeeds(addresses []string) { a.members.setSeeds(addresses) }
 
-// MemberAt returns the member at an IP address: a sidecar before a core process, and of several the one that arrived last. It reports
-// false if none is known there.
-func (a *Agent) MemberAt(ip string) (membership.Member, bool) { return a.members.at(ip) }
-
 // Members returns the processes that run, as far as this one knows, itself included, ordered by address.
 func (a *Agent) Members() []membership.Member { return a.members.all() }
 
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -24,7 +24,7 @@
 	zoneLastSeen map[string]time.Duration // when a zone last had members
 	sidecarCount int                      // as last reported
 
-	changesHandled bool   // viewChangedLocked has reported all changes up to handledChanges
+	changesHandled bool   // takeViewChangeLocked has reported all changes up to handledChanges
 	handledChanges uint64 // membership.View.ChangeCount then
 }
 
@@ -116,9 +116,9 @@
 	return reply
 }
 
-// viewChangedLocked reports whether what depends on the members has to be computed anew: at the first call, and at the first one after
-// a change of the view or a call of invalidateLocked.
-func (m *memberTracker) viewChangedLocked() bool {
+// takeViewChangeLocked reports whether what depends on the members has to be computed anew: at the first call, and at the first one
+// after a change of the view or a call of invalidateLocked. It marks the changes so far as handled.
+func (m *memberTracker) takeViewChangeLocked() bool {
 	changes := m.view.ChangeCount()
 	if m.changesHandled && m.handledChanges == changes {
 		return false
@@ -128,7 +128,7 @@
 	return true
 }
 
-// invalidateLocked makes the next viewChangedLocked report a change.
+// invalidateLocked makes the next takeViewChangeLocked report a change.
 func (m *memberTracker) invalidateLocked() { m.changesHandled = false }
 
 // reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. Without that callback sidecarCount stays 0.
@@ -169,7 +169,7 @@
 // allLocked is all for callers that hold the lock.
 func (m *memberTracker) allLocked() []membership.Member { return m.view.Members() }
 
-// at returns the member at an IP address (Agent.MemberAt).
+// at returns the member at an IP address (membership.View.MemberAt).
 func (m *memberTracker) at(ip string) (membership.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/agent/roles.go
+++ b/internal/mesh/agent/roles.go
@@ -20,12 +20,12 @@
 	learnVotersTimeout  = time.Second            // for a read of the newest voter set
 )
 
-// Voters is the consensus register (control/controlplane.Server). Its voters also grant leases.
-type Voters interface {
+// Register is the consensus register (control/controlplane.Server). Its voters also grant leases.
+type Register interface {
 	// VoterSet returns the newest voter set, of control addresses, that this process knows to be committed.
 	VoterSet() consensus.VoterSet
-	// Accepted returns the epoch of the voter set in the newest vote of this process. ready is false while the process's record is not
-	// read from disk, or is lost.
+	// Accepted returns the epoch of the voter set in the newest vote of this process, as last written to disk. ready is true from when the
+	// process's record was first complete on disk; it stays true while the disk fails, and while a record that was lost later is recovered.
 	Accepted() (epoch uint64, ready bool)
 	// ReadLatest reads the register from a majority of the voters. If that finds a newer voter set, VoterSet returns it from then on.
 	ReadLatest(ctx context.Context) (consensus.Value, error)
@@ -36,7 +36,7 @@
 // methods may be called from any goroutine.
 type SingletonRoles struct {
 	agent        *Agent
-	voters       Voters
+	register     Register
 	initialStart bool          // the whole system starts for the first time: there was no earlier allocator
 	newerVoters  chan struct{} // holds a value if a newer voter set is to be read
 
@@ -53,11 +53,11 @@
 // NewSingletonRoles returns a core process's part in the singleton roles, and registers its methods. initialStart is true if the whole
 // system starts for the first time. It is called once for an Agent. The process votes on leases from then on, and contends for the roles
 // while Run runs.
-func (a *Agent) NewSingletonRoles(voters Voters, initialStart bool) *SingletonRoles {
+func (a *Agent) NewSingletonRoles(register Register, initialStart bool) *SingletonRoles {
 	self := a.hub.Self()
 	s := &SingletonRoles{
 		agent:          a,
-		voters:         voters,
+		register:       register,
 		initialStart:   initialStart,
 		newerVoters:    make(chan struct{}, 1),
 		voter:          lease.NewVoter(a.now(), initialStart),
@@ -87,7 +87,7 @@
 
 // checkLeases sends requests for leases, or to renew them, if they are due, and ends a role whose lease has expired.
 func (s *SingletonRoles) checkLeases() {
-	voters := s.voters.VoterSet()
+	voters := s.register.VoterSet()
 	now := s.agent.now()
 	s.checkMembers(now)
 	if request := s.tickLeases(now, voters); request != nil {
@@ -159,8 +159,8 @@
 
 // vote answers a request for leases as a voter. The epochs are read before the grant is made, as package lease requires.
 func (s *SingletonRoles) vote(request *lease.Request) *lease.Reply {
-	accepted, ready := s.voters.Accepted()
-	status := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.voters.VoterSet().Epoch)}
+	accepted, ready := s.register.Accepted()
+	status := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.register.VoterSet().Epoch)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.agent.now()
@@ -200,7 +200,7 @@
 func (s *SingletonRoles) readVoters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, learnVotersTimeout)
 	defer cancel()
-	if _, err := s.voters.ReadLatest(ctx); err != nil {
+	if _, err := s.register.ReadLatest(ctx); err != nil {
 		s.agent.log.WithError(err).Debug("agent: the newest set of voters can't be read")
 	}
 	s.mu.Lock()
@@ -243,7 +243,7 @@
 
 // otherCores returns the control addresses of the voters and of the core processes among the members, each once, without this process.
 func (s *SingletonRoles) otherCores() []string {
-	cores := append(slices.Clone(s.voters.VoterSet().Voters), s.agent.CoreAddresses()...)
+	cores := append(slices.Clone(s.register.VoterSet().Voters), s.agent.CoreAddresses()...)
 	slices.Sort(cores)
 	return slices.DeleteFunc(slices.Compact(cores), func(core string) bool { return core == s.agent.settings.ControlAddress })
 }
--- a/internal/mesh/agent/roles_test.go
+++ b/internal/mesh/agent/roles_test.go
@@ -23,21 +23,21 @@
 	newest   *consensus.VoterSet // that a read finds; nil for the known one
 }
 
-// VoterSet implements Voters.
+// VoterSet implements Register.
 func (r *fakeRegister) VoterSet() consensus.VoterSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
 }
 
-// Accepted implements Voters.
+// Accepted implements Register.
 func (r *fakeRegister) Accepted() (epoch uint64, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted, true
 }
 
-// ReadLatest implements Voters.
+// ReadLatest implements Register.
 func (r *fakeRegister) ReadLatest(context.Context) (consensus.Value, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -86,14 +86,14 @@
 func (s *SingletonRoles) State(ctx context.Context) State {
 	ctx, cancel := context.WithTimeout(ctx, confirmationReadTimeout)
 	defer cancel()
-	newest, err := s.voters.ReadLatest(ctx)
-	_, ready := s.voters.Accepted()
+	newest, err := s.register.ReadLatest(ctx)
+	_, ready := s.register.Accepted()
 	known := s.agent.snapshot()
 	return State{
 		Node:      s.agent.settings.Name,
 		Version:   max(known.version, newest.Version).String(),
 		Confirmed: err == nil,
-		Voters:    s.voters.VoterSet().Voters,
+		Voters:    s.register.VoterSet().Voters,
 		Ready:     ready,
 		Roles:     []RoleState{s.allocatorState()},
 		Members:   memberStates(known.members),
