--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -82,8 +82,8 @@
 // goldenLocal is the LocalEndpoint with the ID own.
 type goldenLocal struct{}
 
-// Keepalive implements LocalEndpoint.
-func (goldenLocal) Keepalive(e discovery.Endpoint) bool { return e.ID == "own" }
+// HandleReport implements LocalEndpoint.
+func (goldenLocal) HandleReport(e discovery.Endpoint) bool { return e.ID == "own" }
 
 // goldenCoreIP is the IP address in golden files of a core process, which accepts no links there.
 const goldenCoreIP = "127.9.31.1"
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -19,9 +19,9 @@
 
 // LocalEndpoint is the endpoint beside this process.
 type LocalEndpoint interface {
-	// Keepalive handles a keepalive, or a deregistration (state Deregistered). It reports whether that came from the endpoint beside
+	// HandleReport handles a keepalive, or a deregistration (state Deregistered). It reports whether that came from the endpoint beside
 	// this process.
-	Keepalive(e discovery.Endpoint) bool
+	HandleReport(e discovery.Endpoint) bool
 }
 
 // keepaliveServer answers the calls of endpoints. An endpoint calls the sidecar beside it; if it can't reach the sidecar, it calls any
@@ -92,7 +92,7 @@
 // draining or has deregistered, deliver waits until a registry owner on another machine has the record: with this process alone the
 // update would be lost if the process ended.
 func (k *keepaliveServer) deliver(ctx context.Context, e discovery.Endpoint) bool {
-	if k.local == nil || !k.local.Keepalive(e) {
+	if k.local == nil || !k.local.HandleReport(e) {
 		return false
 	}
 	if e.State >= discovery.Draining {
--- a/internal/mesh/assembly/doc.go
+++ b/internal/mesh/assembly/doc.go
@@ -7,7 +7,7 @@
 //	process        settings, log, hub of links, HTTP servers, background tasks; both programs have one
 //	sidecar        the data plane: inbound (requests to the endpoint here), outbound (requests of clients and of the endpoint here),
 //	               agent (membership, endpoint lists, configuration), quota client
-//	localEndpoint  the current endpoint ID beside a sidecar, and the earlier IDs that have ended
+//	localEndpoint  decides which endpoint ID beside a sidecar is current (inbound holds it); the earlier IDs that have ended
 //	controlPlane   the replicated configuration (controlplane.Server), agent, singleton roles
 //
 // Each of them ends what it has started: a process's tasks run until close, which waits for them.
--- a/internal/mesh/assembly/local_endpoint.go
+++ b/internal/mesh/assembly/local_endpoint.go
@@ -13,8 +13,9 @@
 // maxEndedIDs is the number of ended endpoint IDs that are remembered.
 const maxEndedIDs = 16
 
-// localEndpoint decides which endpoint beside a sidecar is the current one. An endpoint gets a new ID at each start. Its keepalives and
-// deregistrations may arrive late, may be forwarded by other processes, and may be reported by others that remember an earlier endpoint.
+// localEndpoint decides which endpoint beside a sidecar is the current one; inbound holds its ID and state. An endpoint gets a new ID at
+// each start. Its keepalives and deregistrations may arrive late, may be forwarded by other processes, and may be reported by others that
+// remember an earlier endpoint.
 //
 //	(none) --keepalive--> serving --keepalive "draining"--> draining --deregistration--> ended
 //	                         \------------------deregistration, or a keepalive of a new ID----/
@@ -32,9 +33,9 @@
 	shuttingDown bool       // the sidecar is shutting down, and publishes no keepalive any more
 }
 
-// Keepalive implements agent.LocalEndpoint: it handles a keepalive or a deregistration that this process received, or that another
+// HandleReport implements agent.LocalEndpoint: it handles a keepalive or a deregistration that this process received, or that another
 // process forwarded. It reports whether that came from the endpoint here. One that arrives late changes nothing.
-func (l *localEndpoint) Keepalive(endpoint discovery.Endpoint) bool {
+func (l *localEndpoint) HandleReport(endpoint discovery.Endpoint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if endpoint.State == discovery.Deregistered {
--- a/internal/mesh/assembly/local_endpoint_test.go
+++ b/internal/mesh/assembly/local_endpoint_test.go
@@ -72,23 +72,23 @@
 	restarted.agent.ApplyRecord(record(discovery.Draining))
 	c.Check(state(restarted), qt.Equals, admission.Draining)
 	late := record(discovery.Serving)
-	c.Assert(restarted.local.Keepalive(late), qt.IsTrue)
+	c.Assert(restarted.local.HandleReport(late), qt.IsTrue)
 	c.Check(state(restarted), qt.Equals, admission.Draining, qt.Commentf("a keepalive that comes late"))
 
 	restarted = startSidecar(t)
 	restarted.agent.ApplyRecord(record(discovery.Deregistered))
-	c.Assert(restarted.local.Keepalive(late), qt.IsTrue)
+	c.Assert(restarted.local.HandleReport(late), qt.IsTrue)
 	c.Check(state(restarted), qt.Equals, admission.Unknown, qt.Commentf("a keepalive of an ID that has ended"))
 
 	restarted = startSidecar(t)
-	c.Assert(restarted.local.Keepalive(discovery.Endpoint{ID: "x", State: discovery.Deregistered}), qt.IsTrue,
+	c.Assert(restarted.local.HandleReport(discovery.Endpoint{ID: "x", State: discovery.Deregistered}), qt.IsTrue,
 		qt.Commentf("it deregisters at a new process"))
-	c.Assert(restarted.local.Keepalive(late), qt.IsTrue)
+	c.Assert(restarted.local.HandleReport(late), qt.IsTrue)
 	c.Check(state(restarted), qt.Equals, admission.Unknown)
 
 	restarted = startSidecar(t)
 	own := record(discovery.Serving)
-	c.Assert(restarted.local.Keepalive(own), qt.IsTrue)
+	c.Assert(restarted.local.HandleReport(own), qt.IsTrue)
 	c.Check(state(restarted), qt.Equals, admission.Serving, qt.Commentf("its own keepalive"))
 	restarted.agent.ApplyRecord(record(discovery.Deregistered))
 	c.Check(state(restarted), qt.Equals, admission.Terminated, qt.Commentf("it has deregistered at another process"))
@@ -117,7 +117,7 @@
 			keepalive.AppAddress = sidecar.settings.ApplicationAddress
 			keepalive.Slots = 4
 			keepalive.Sequence = uint64(sequence)
-			c.Check(sidecar.local.Keepalive(keepalive), qt.IsTrue)
+			c.Check(sidecar.local.HandleReport(keepalive), qt.IsTrue)
 		}
 		sidecar.serveReadiness(httptest.NewRecorder(), nil)
 	}()
@@ -142,7 +142,7 @@
 		Slots:      4,
 		Sequence:   1,
 	}
-	c.Assert(sidecar.local.Keepalive(own), qt.IsTrue)
+	c.Assert(sidecar.local.HandleReport(own), qt.IsTrue)
 	for _, state := range []discovery.State{discovery.Draining, discovery.Deregistered} {
 		sidecar.agent.ApplyRecord(discovery.Endpoint{
 			ID:                 "before",
@@ -161,7 +161,7 @@
 		c.Check(is, qt.Equals, admission.Serving, qt.Commentf("%v", state))
 	}
 	own.Sequence = 2
-	c.Assert(sidecar.local.Keepalive(own), qt.IsTrue)
+	c.Assert(sidecar.local.HandleReport(own), qt.IsTrue)
 	current, _ := sidecar.inbound.Endpoint()
 	c.Check(current.ID, qt.Equals, "now")
 }
