--- a/internal/mesh/assembly/controlplane_shutdown.go
+++ b/internal/mesh/assembly/controlplane_shutdown.go
@@ -10,7 +10,7 @@
 const (
 	releaseTimeout  = 300 * time.Millisecond  // to hand over its singleton roles
 	handOverTimeout = 2500 * time.Millisecond // to hand over its vote
-	answerTimeout   = time.Second             // to answer the HTTP calls that it has read
+	httpTimeout     = time.Second             // to answer the HTTP calls that it has read
 	closeTimeout    = 500 * time.Millisecond  // to close its files on a disk that may hang; what was acknowledged is synced already
 	drainTimeout    = 400 * time.Millisecond  // to send its replies to other processes
 
@@ -44,16 +44,16 @@
 func (c *controlPlane) shutDown() {
 	grace := c.settings.Bounds.Grace
 	c.endStreams()
-	ctx, cancel := context.WithTimeout(c.ctx, min(answerTimeout, grace/httpDivisor))
+	ctx, cancel := context.WithTimeout(c.ctx, min(httpTimeout, grace/httpDivisor))
 	defer cancel()
-	c.shutDownServers(ctx)
-	c.closeServerWithin(min(closeTimeout, grace/closeDivisor))
+	c.shutDownHTTPServers(ctx)
+	c.closeConsensusWithin(min(closeTimeout, grace/closeDivisor))
 	c.hub.Drain(c.hub.Now() + min(drainTimeout, grace/drainDivisor))
 }
 
-// closeServerWithin closes the replicated configuration. If that takes longer than limit, as the disk hangs, it returns nevertheless: the
-// files are closed when the process exits.
-func (c *controlPlane) closeServerWithin(limit time.Duration) {
+// closeConsensusWithin closes the replicated configuration. If that takes longer than limit, as the disk hangs, it returns nevertheless:
+// the files are closed when the process exits.
+func (c *controlPlane) closeConsensusWithin(limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -293,7 +293,7 @@
 	qt.Assert(t, []int{maxCallBytes, minBodyMemoryBytes, gcPercent, maxEndedIDs}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
 	qt.Assert(t, []float64{bodyMemoryFraction, heapFraction}, qt.DeepEquals, []float64{0.3, 0.6})
 	times := []time.Duration{
-		listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, answerTimeout, closeTimeout, drainTimeout,
+		listenTimeout, reloadInterval, releaseTimeout, handOverTimeout, httpTimeout, closeTimeout, drainTimeout,
 		readinessNotice, answerMargin, exitMargin, shutdownPollInterval,
 	}
 	qt.Assert(t, times, qt.DeepEquals, slices.Concat([]time.Duration{2 * time.Second, 5 * time.Second},
--- a/internal/mesh/assembly/listen.go
+++ b/internal/mesh/assembly/listen.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// serveHTTP serves short calls until shutDownServers. If the server fails, awaitTermination returns its error.
+// serveHTTP serves short calls until shutDownHTTPServers. If the server fails, awaitTermination returns its error.
 func (p *process) serveHTTP(handler http.Handler, listener net.Listener) {
 	server := &http.Server{
 		Handler:           handler,
@@ -77,18 +77,19 @@
 	})
 }
 
-// shutDownServers shuts down the servers of short calls. Each call that was read is answered; those that aren't when ctx ends are aborted.
-func (p *process) shutDownServers(ctx context.Context) {
+// shutDownHTTPServers shuts down the servers of short calls. Each call that was read is answered; those that aren't when ctx ends are
+// aborted.
+func (p *process) shutDownHTTPServers(ctx context.Context) {
 	for _, server := range p.httpServers {
 		if err := server.Shutdown(ctx); err != nil {
 			p.log.WithError(err).Warn("assembly: a call is cut off")
-			p.closeServer(server)
+			p.closeHTTPServer(server)
 		}
 	}
 }
 
-// closeServer closes a server with its connections.
-func (p *process) closeServer(server *http.Server) {
+// closeHTTPServer closes a server with its connections.
+func (p *process) closeHTTPServer(server *http.Server) {
 	if err := server.Close(); err != nil && !isClosed(err) {
 		p.log.WithError(err).Debug("assembly: a server did not close")
 	}
--- a/internal/mesh/assembly/sidecar_shutdown.go
+++ b/internal/mesh/assembly/sidecar_shutdown.go
@@ -11,12 +11,14 @@
 
 // The steps by which a sidecar divides the grace time, from SIGTERM to SIGKILL. With a short grace time they are fractions of it.
 const (
-	readinessNotice      = 2400 * time.Millisecond // the platform probes every second, and sends no clients after two failed probes
-	answerMargin         = 900 * time.Millisecond  // before SIGKILL, to send the answers that are being written, also over a slow link
-	answerDivisor        = 7                       // answerMargin is this part of a short grace time: requests get five sixths at least
-	exitMargin           = 250 * time.Millisecond  // before SIGKILL
-	exitDivisor          = 12                      // exitMargin is this part of a short grace time
-	shutdownPollInterval = 20 * time.Millisecond   // between two checks whether a step is complete
+	readinessNotice = 2400 * time.Millisecond // the platform probes every second, and sends no clients after two failed probes
+	answerMargin    = 900 * time.Millisecond  // before SIGKILL, to send the answers that are being written, also over a slow link
+	// answerDivisor makes answerMargin a part of a short grace time: requests get six sevenths (five sixths are required:
+	// docs/incidents/signal-while-ending.md).
+	answerDivisor        = 7
+	exitMargin           = 250 * time.Millisecond // before SIGKILL
+	exitDivisor          = 12                     // exitMargin is this part of a short grace time
+	shutdownPollInterval = 20 * time.Millisecond  // between two checks whether a step is complete
 )
 
 // shutdownPlan holds the times of a sidecar's shutdown, on the process's clock. Invariant: rejectFrom < answersDue < exitBy.
@@ -53,7 +55,7 @@
 	s.waitUntil(plan.exitBy, func() bool { return s.outbound.OpenRequests() == 0 && s.outbound.OpenConnections() == 0 })
 	ctx, cancel := context.WithTimeout(s.ctx, plan.exitBy-s.hub.Now())
 	defer cancel()
-	s.shutDownServers(ctx)
+	s.shutDownHTTPServers(ctx)
 	s.hub.Drain(plan.exitBy)
 }
 
--- a/internal/mesh/assembly/signals_test.go
+++ b/internal/mesh/assembly/signals_test.go
@@ -188,7 +188,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		failing.shutDownServers(ctx)
+		failing.shutDownHTTPServers(ctx)
 	}()
 	close(release)
 	c.Check(<-status, qt.Equals, http.StatusOK)
