--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -10,22 +10,22 @@
 // Registry holds the records of the endpoints that one process knows. NewRegistry makes one.
 type Registry struct {
 	config           Config
-	records          map[string]*record   // by ID
-	byAppAddress     map[string][]*record // in the order of their arrival
-	byService        map[string][]*record // ordered by ID
-	version          uint64               // counts changes and renewals
-	forgottenVersion map[string]uint64    // by service: the highest version of a record that was forgotten
-	tombstones       []*record            // endpoints that ended, the oldest first; some may have come back
-	lastExpire       time.Duration        // last call of Expire
+	entries          map[string]*registryEntry   // by ID
+	byAppAddress     map[string][]*registryEntry // in the order of their arrival
+	byService        map[string][]*registryEntry // ordered by ID
+	version          uint64                      // counts changes and renewals
+	forgottenVersion map[string]uint64           // by service: the highest version of an entry that was forgotten
+	tombstones       []*registryEntry            // endpoints that ended, the oldest first; some may have come back
+	lastExpire       time.Duration               // last call of Expire
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry(config Config) *Registry {
 	return &Registry{
 		config:           config.WithDefaults(),
-		records:          map[string]*record{},
-		byAppAddress:     map[string][]*record{},
-		byService:        map[string][]*record{},
+		entries:          map[string]*registryEntry{},
+		byAppAddress:     map[string][]*registryEntry{},
+		byService:        map[string][]*registryEntry{},
 		forgottenVersion: map[string]uint64{},
 	}
 }
@@ -36,51 +36,51 @@
 	if e.ID == "" {
 		return false
 	}
-	rec := r.records[e.ID]
-	if rec == nil {
-		rec = r.add(now, e)
-		r.noteChange(now, rec)
-		r.supersede(now, rec.AppAddress)
+	entry := r.entries[e.ID]
+	if entry == nil {
+		entry = r.add(now, e)
+		r.noteChange(now, entry)
+		r.supersede(now, entry.AppAddress)
 		return true
 	}
-	before := rec.visible()
-	taken := rec.merge(now, e)
-	changed = before != rec.visible()
+	before := entry.visible()
+	accepted := entry.merge(now, e)
+	changed = before != entry.visible()
 	switch {
 	case changed:
-		r.noteChange(now, rec)
-	case taken:
-		r.advanceVersion(rec)
+		r.noteChange(now, entry)
+	case accepted:
+		r.advanceVersion(entry)
 	}
-	return r.supersede(now, rec.AppAddress) || changed
+	return r.supersede(now, entry.AppAddress) || changed
 }
 
-// add adds the record of an endpoint that isn't known, and indexes it.
-func (r *Registry) add(now time.Duration, e Endpoint) *record {
-	rec := newRecord(now, e)
-	r.records[rec.ID] = rec
-	r.byAppAddress[rec.AppAddress] = append(r.byAppAddress[rec.AppAddress], rec)
-	ofService := r.byService[rec.Service]
-	i, _ := slices.BinarySearchFunc(ofService, rec.ID, compareID)
-	r.byService[rec.Service] = slices.Insert(ofService, i, rec)
-	return rec
+// add adds an entry for an endpoint that isn't known, and indexes it.
+func (r *Registry) add(now time.Duration, e Endpoint) *registryEntry {
+	entry := newRegistryEntry(now, e)
+	r.entries[entry.ID] = entry
+	r.byAppAddress[entry.AppAddress] = append(r.byAppAddress[entry.AppAddress], entry)
+	ofService := r.byService[entry.Service]
+	i, _ := slices.BinarySearchFunc(ofService, entry.ID, compareID)
+	r.byService[entry.Service] = slices.Insert(ofService, i, entry)
+	return entry
 }
 
-// advanceVersion gives a record that was changed or renewed the next version of the registry.
-func (r *Registry) advanceVersion(rec *record) {
+// advanceVersion gives an entry that was changed or renewed the next version of the registry.
+func (r *Registry) advanceVersion(entry *registryEntry) {
 	r.version++
-	rec.version = r.version
+	entry.version = r.version
 }
 
-// noteChange advances the version of a record that has changed. If the endpoint has ended, the record becomes a tombstone, for which the
+// noteChange advances the version of an entry that has changed. If the endpoint has ended, the entry becomes a tombstone, for which the
 // oldest one may be forgotten.
-func (r *Registry) noteChange(now time.Duration, rec *record) {
-	r.advanceVersion(rec)
-	if rec.hasEnded() {
-		rec.endedAt = now
-		if !rec.inTombstones {
-			rec.inTombstones = true
-			r.tombstones = append(r.tombstones, rec)
+func (r *Registry) noteChange(now time.Duration, entry *registryEntry) {
+	r.advanceVersion(entry)
+	if entry.hasEnded() {
+		entry.endedAt = now
+		if !entry.inTombstones {
+			entry.inTombstones = true
+			r.tombstones = append(r.tombstones, entry)
 		}
 	}
 	for len(r.tombstones) > r.config.MaxTombstones {
@@ -90,21 +90,21 @@
 
 // forgetOldestTombstone removes the oldest tombstone, and forgets its endpoint unless that has come back.
 func (r *Registry) forgetOldestTombstone() {
-	rec := r.tombstones[0]
+	entry := r.tombstones[0]
 	r.tombstones = r.tombstones[1:]
-	rec.inTombstones = false
-	if !rec.hasEnded() {
+	entry.inTombstones = false
+	if !entry.hasEnded() {
 		return
 	}
-	delete(r.records, rec.ID)
-	r.forgottenVersion[rec.Service] = max(r.forgottenVersion[rec.Service], rec.version)
-	removeFromIndex(r.byAppAddress, rec.AppAddress, rec)
-	removeFromIndex(r.byService, rec.Service, rec)
+	delete(r.entries, entry.ID)
+	r.forgottenVersion[entry.Service] = max(r.forgottenVersion[entry.Service], entry.version)
+	removeFromIndex(r.byAppAddress, entry.AppAddress, entry)
+	removeFromIndex(r.byService, entry.Service, entry)
 }
 
-// removeFromIndex removes a record from the list of a key, and the key if the list is empty then.
-func removeFromIndex(index map[string][]*record, key string, rec *record) {
-	rest := slices.DeleteFunc(index[key], func(other *record) bool { return other == rec })
+// removeFromIndex removes an entry from the list of a key, and the key if the list is empty then.
+func removeFromIndex(index map[string][]*registryEntry, key string, entry *registryEntry) {
+	rest := slices.DeleteFunc(index[key], func(other *registryEntry) bool { return other == entry })
 	if len(rest) == 0 {
 		delete(index, key)
 		return
@@ -116,12 +116,12 @@
 // were any.
 func (r *Registry) supersede(now time.Duration, appAddress string) (changed bool) {
 	atAddress := r.byAppAddress[appAddress]
-	for _, rec := range atAddress {
+	for _, entry := range atAddress {
 		for _, other := range atAddress {
-			if !rec.deregistered && rec.isSupersededBy(other) {
-				rec.deregistered = true
+			if !entry.deregistered && entry.isSupersededBy(other) {
+				entry.deregistered = true
 				changed = true
-				r.noteChange(now, rec)
+				r.noteChange(now, entry)
 			}
 		}
 	}
@@ -137,13 +137,13 @@
 	}
 	r.lastExpire = now
 	for _, id := range r.sortedIDs() {
-		rec := r.records[id]
-		if rec.hasEnded() || now < rec.leaseEnd && !r.isTakenOver(now, rec) {
+		entry := r.entries[id]
+		if entry.hasEnded() || now < entry.leaseEnd && !r.isTakenOver(now, entry) {
 			continue
 		}
-		rec.expired = true
-		r.noteChange(now, rec)
-		changed = append(changed, rec.snapshot(now))
+		entry.expired = true
+		r.noteChange(now, entry)
+		changed = append(changed, entry.snapshot(now))
 	}
 	r.forgetOldTombstones(now)
 	return changed
@@ -151,9 +151,9 @@
 
 // extendLeases extends the leases after this process was frozen, so that renewals that have arrived meanwhile can be processed.
 func (r *Registry) extendLeases(now time.Duration) {
-	for _, rec := range r.records {
-		rec.leaseEnd = max(rec.leaseEnd, now+r.config.TakeoverTimeout)
-		rec.renewedAt = max(rec.renewedAt, now)
+	for _, entry := range r.entries {
+		entry.leaseEnd = max(entry.leaseEnd, now+r.config.TakeoverTimeout)
+		entry.renewedAt = max(entry.renewedAt, now)
 	}
 }
 
@@ -168,21 +168,21 @@
 	}
 }
 
-// isTakenOver reports whether another endpoint has taken over the address of a record: the other is renewed, and the record no longer is.
+// isTakenOver reports whether another endpoint has taken over the address of an entry: the other is renewed, and the entry no longer is.
 // It depends on the time alone, as the revisions that supersede compares mean nothing if the two have different publishers.
-func (r *Registry) isTakenOver(now time.Duration, rec *record) bool {
-	if now-rec.renewedAt < r.config.TakeoverTimeout {
+func (r *Registry) isTakenOver(now time.Duration, entry *registryEntry) bool {
+	if now-entry.renewedAt < r.config.TakeoverTimeout {
 		return false
 	}
-	return slices.ContainsFunc(r.byAppAddress[rec.AppAddress], func(other *record) bool {
-		return other != rec && !other.hasEnded() && now-other.renewedAt < r.config.TakeoverTimeout
+	return slices.ContainsFunc(r.byAppAddress[entry.AppAddress], func(other *registryEntry) bool {
+		return other != entry && !other.hasEnded() && now-other.renewedAt < r.config.TakeoverTimeout
 	})
 }
 
-// sortedIDs returns the IDs of all records, sorted.
+// sortedIDs returns the IDs of all entries, sorted.
 func (r *Registry) sortedIDs() []string {
-	ids := make([]string, 0, len(r.records))
-	ids = slices.AppendSeq(ids, maps.Keys(r.records))
+	ids := make([]string, 0, len(r.entries))
+	ids = slices.AppendSeq(ids, maps.Keys(r.entries))
 	slices.Sort(ids)
 	return ids
 }
@@ -196,9 +196,9 @@
 // changedAfter returns the records of a service that were changed or renewed after a version.
 func (r *Registry) changedAfter(now time.Duration, service string, version uint64) []Endpoint {
 	var changed []Endpoint
-	for _, rec := range r.byService[service] {
-		if rec.version > version {
-			changed = append(changed, rec.snapshot(now))
+	for _, entry := range r.byService[service] {
+		if entry.version > version {
+			changed = append(changed, entry.snapshot(now))
 		}
 	}
 	return changed
@@ -208,7 +208,7 @@
 func (r *Registry) All(now time.Duration) []Endpoint {
 	var all []Endpoint
 	for _, id := range r.sortedIDs() {
-		all = append(all, r.records[id].snapshot(now))
+		all = append(all, r.entries[id].snapshot(now))
 	}
 	return all
 }
@@ -236,8 +236,8 @@
 	return slices.MinFunc(atAddress, compareAtAddress).snapshot(now), true
 }
 
-// compareAtAddress orders the records at one address: the first is the one that EndpointAt returns.
-func compareAtAddress(a, b *record) int {
+// compareAtAddress orders the entries at one address: the first is the one that EndpointAt returns.
+func compareAtAddress(a, b *registryEntry) int {
 	if a.hasEnded() != b.hasEnded() {
 		if a.hasEnded() {
 			return 1
--- a/internal/mesh/discovery/record.go
+++ b/internal/mesh/discovery/registry_entry.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// record is a registry's record of one endpoint. The embedded Endpoint is the newest one that was applied; its state is only a part of
-// the endpoint's state (effectiveState).
-type record struct {
+// registryEntry is what a registry knows of one endpoint. The embedded Endpoint is the newest record that was applied; its state is only a
+// part of the endpoint's state (effectiveState).
+type registryEntry struct {
 	Endpoint
 	leaseEnd     time.Duration
 	warmupEnd    time.Duration
 	renewedAt    time.Duration // last
 	endedAt      time.Duration // last change to a state in which it has ended
-	drainSeen    bool          // an endpoint record in state Draining was applied
-	deregistered bool          // an endpoint record in state Deregistered was applied, or the endpoint was superseded
+	drainSeen    bool          // a record in state Draining was applied
+	deregistered bool          // a record in state Deregistered was applied, or the endpoint was superseded
 	expired      bool          // the lease expired at this registry, or another endpoint has taken the address over
-	inTombstones bool          // the record is in Registry.tombstones
-	version      uint64        // of the registry at the record's last change or renewal
+	inTombstones bool          // the entry is in Registry.tombstones
+	version      uint64        // of the registry at the entry's last change or renewal
 }
 
-// newRecord returns the record of an endpoint that the registry doesn't know yet.
-func newRecord(now time.Duration, e Endpoint) *record {
-	return &record{
+// newRegistryEntry returns the entry of an endpoint that the registry doesn't know yet.
+func newRegistryEntry(now time.Duration, e Endpoint) *registryEntry {
+	return &registryEntry{
 		Endpoint:     e,
 		leaseEnd:     now + e.LeaseRemaining,
 		warmupEnd:    now + e.WarmupRemaining,
@@ -33,7 +33,7 @@
 }
 
 // effectiveState returns the state of the endpoint, as others are sent it.
-func (r *record) effectiveState() State {
+func (r *registryEntry) effectiveState() State {
 	switch {
 	case r.deregistered:
 		return Deregistered
@@ -46,10 +46,10 @@
 }
 
 // hasEnded reports whether the endpoint has ended.
-func (r *record) hasEnded() bool { return r.effectiveState().hasEnded() }
+func (r *registryEntry) hasEnded() bool { return r.effectiveState().hasEnded() }
 
-// snapshot returns the record as it is sent now.
-func (r *record) snapshot(now time.Duration) Endpoint {
+// snapshot returns the endpoint's record as it is sent now.
+func (r *registryEntry) snapshot(now time.Duration) Endpoint {
 	e := r.Endpoint
 	e.State = r.effectiveState()
 	e.LeaseRemaining = max(r.leaseEnd-now, 0)
@@ -57,9 +57,9 @@
 	return e
 }
 
-// merge merges an endpoint record that a publisher sent. Nothing else changes a record because of a message. It reports whether the
-// endpoint record was newer, or renewed the lease.
-func (r *record) merge(now time.Duration, e Endpoint) (taken bool) {
+// merge merges a record that was received. Nothing else changes an entry because of a message. It reports whether the record was newer, or
+// renewed the lease.
+func (r *registryEntry) merge(now time.Duration, e Endpoint) (accepted bool) {
 	e.AppAddress = r.AppAddress // invariant: address and service never change for an endpoint ID
 	e.Service = r.Service
 	r.drainSeen = r.drainSeen || e.State == Draining
@@ -83,7 +83,7 @@
 	return cmp.Or(cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.State, b.State))
 }
 
-// visible holds the parts of a record whose changes are updates for other processes. Leases, sequences and warm-up times change all the
+// visible holds the parts of an entry whose changes are updates for other processes. Leases, sequences and warm-up times change all the
 // time, and are not among them.
 type visible struct {
 	state              State
@@ -93,15 +93,15 @@
 	sidecarIncarnation uint64
 }
 
-// visible returns the parts of the record whose changes are updates.
-func (r *record) visible() visible {
+// visible returns the parts of the entry whose changes are updates.
+func (r *registryEntry) visible() visible {
 	return visible{r.effectiveState(), r.Revision, r.Slots, r.SidecarAddress, r.SidecarIncarnation}
 }
 
 // isSupersededBy reports whether other is a later endpoint beside the same incarnation of a sidecar.
-func (r *record) isSupersededBy(other *record) bool {
+func (r *registryEntry) isSupersededBy(other *registryEntry) bool {
 	return r.SidecarIncarnation != 0 && r.SidecarIncarnation == other.SidecarIncarnation && r.Revision < other.Revision
 }
 
-// compareID compares a record with an endpoint ID, for searches in lists that are ordered by ID.
-func compareID(r *record, id string) int { return cmp.Compare(r.ID, id) }
+// compareID compares an entry with an endpoint ID, for searches in lists that are ordered by ID.
+func compareID(r *registryEntry, id string) int { return cmp.Compare(r.ID, id) }
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -194,10 +194,10 @@
 		endpoint.State = Deregistered
 		registry.Apply(0, endpoint)
 	}
-	c.Assert(len(registry.records) <= 10 && len(registry.tombstones) <= 10, qt.IsTrue,
-		qt.Commentf("%d records, %d tombstones", len(registry.records), len(registry.tombstones)))
+	c.Assert(len(registry.entries) <= 10 && len(registry.tombstones) <= 10, qt.IsTrue,
+		qt.Commentf("%d records, %d tombstones", len(registry.entries), len(registry.tombstones)))
 	registry.Expire(time.Hour)
-	c.Assert(len(registry.records)+len(registry.byAppAddress)+len(registry.byService)+len(registry.tombstones), qt.Equals, 0)
+	c.Assert(len(registry.entries)+len(registry.byAppAddress)+len(registry.byService)+len(registry.tombstones), qt.Equals, 0)
 }
 
 // A subscriber that applies the changes since its version has the same endpoints as the owner, whenever it polls.
