--- a/internal/mesh/discovery/membership/schedule.go
+++ b/internal/mesh/discovery/membership/schedule.go
@@ -11,16 +11,17 @@
 	nextGossip          time.Duration // next regular shuffle
 	nextReconnect       time.Duration // next attempt to reach a seed or any departed member
 	nextRecentReconnect time.Duration // next attempt to reach a member that departed lately
-	lastUpdate          time.Duration // last arrival, departure or refutation
-	lastRemoval         time.Duration // last departure with a tombstone
+	lastUpdate          time.Duration // last call of noteUpdate: an arrival, a refutation, or a departure as in lastRemoval
+	lastRemoval         time.Duration // last departure of an unreachable member, or by a peer's tombstone
 }
 
 // NextTick returns the time of the next regular shuffle, at which Tick is to be called. Other calls on the view may make something due
 // before that.
 func (v *View) NextTick() time.Duration { return v.schedule.nextGossip }
 
-// noteUpdate records that a member arrived or departed, or that a suspicion was refuted. The first update after a while, and any while the
-// view is quiet, is sent at once.
+// noteUpdate records that a member arrived, that one departed as unreachable or by a peer's tombstone, or that a suspicion or a tombstone
+// was refuted. It is not called for a member whose heartbeat has timed out. The first update after a while, and any while the view is
+// quiet, is sent at once.
 func (v *View) noteUpdate(now time.Duration) {
 	isFirst := now-v.schedule.lastUpdate > v.config.GossipInterval
 	if v.isQuiet(now) || isFirst && now-v.schedule.lastGossip > v.config.GossipInterval/4 {
