--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -38,8 +38,8 @@
 	dialConn   func(address string) (net.Conn, error)
 
 	mu        sync.Mutex       // guards what follows; locked before a link's mutex
-	links     map[string]*Link // dialled, and not retired, by address
-	accepted  map[*Link]bool   // accepted links, and retired ones
+	links     map[string]*Link // dialled links that take new calls, by address
+	accepted  map[*Link]bool   // all other links: those that peers have dialled, and dialled ones that are retired
 	listeners []net.Listener
 	closing   bool // draining or closed: links that end are not reported as lost
 	closed    bool // no goroutine may be started
@@ -81,7 +81,8 @@
 // Backlog returns the time until all queued large messages, and moreBytes more, have been sent; 0 if the rate is not bounded.
 func (h *Hub) Backlog(moreBytes float64) time.Duration { return h.shaper.backlog(moreBytes) }
 
-// LinkCounts returns the number of dialled links that are not retired, and the number of accepted and of retired links.
+// LinkCounts returns the number of dialled links that take new calls, and that of all other links: accepted ones, and dialled ones that are
+// retired.
 func (h *Hub) LinkCounts() (dialled, accepted int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/mesh/transport/shaper.go
+++ b/internal/mesh/transport/shaper.go
@@ -27,10 +27,11 @@
 	bitsPerByte   = 8
 )
 
-// transfer is a large message that is being sent. The shaper's lock guards it.
+// transfer is a large message that is being sent. The lock of its link guards it: callers of the shaper's methods hold that lock for the
+// transfer that they pass.
 type transfer struct {
-	link      *Link
-	remaining int // bytes for which no chunk was reserved yet
+	link      *Link // never changes
+	remaining int   // bytes for which no chunk was reserved yet
 }
 
 // shaper paces the large messages of a process by a token bucket for all its links. Its zero value does not pace. Its mutex is locked after
