--- a/internal/mesh/discovery/membership/schedule.go
+++ b/internal/mesh/discovery/membership/schedule.go
@@ -16,7 +16,7 @@
 }
 
 // NextTick returns the time of the next regular shuffle, at which Tick is to be called. Other calls on the view may make something due
-// before that.
+// before that. No program calls it: the agent calls Tick at a fixed interval, which is shorter.
 func (v *View) NextTick() time.Duration { return v.schedule.nextGossip }
 
 // noteUpdate records that a member arrived, that one departed as unreachable or by a peer's tombstone, or that a suspicion or a tombstone
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -227,7 +227,7 @@
 }
 
 // EndpointAt returns the endpoint at an address: of several, one that hasn't ended, and of these the one that was renewed last. It
-// reports false if none is known there.
+// reports false if none is known there. No program calls it yet.
 func (r *Registry) EndpointAt(now time.Duration, appAddress string) (Endpoint, bool) {
 	atAddress := r.byAppAddress[appAddress]
 	if len(atAddress) == 0 {
--- a/internal/mesh/discovery/subscribers.go
+++ b/internal/mesh/discovery/subscribers.go
@@ -24,7 +24,7 @@
 	s.leaseEnds[service][subscriber] = now + s.config.SubscriptionLease
 }
 
-// ConnectionLost ends the subscriptions of a process to which the connection broke.
+// ConnectionLost ends the subscriptions of a process to which the connection broke. No program calls it: the agent lets the leases expire.
 func (s *Subscribers) ConnectionLost(subscriber string) {
 	for service := range s.leaseEnds {
 		s.remove(service, subscriber)
