--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -86,7 +86,7 @@
 	defer a.mu.Unlock()
 	var due dueMessages
 	due.peers, due.shuffle = a.members.tickLocked(now)
-	if a.members.viewChangedLocked() {
+	if a.members.takeViewChangeLocked() {
 		a.publisher.updateOwnersLocked()
 		a.directory.updateOwnersLocked()
 		a.members.reportSidecarCountLocked()
@@ -109,10 +109,6 @@
 // SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
 func (a *Agent) SetSeeds(addresses []string) { a.members.setSeeds(addresses) }
 
-// MemberAt returns the member at an IP address: a sidecar before a core process, and of several the one that arrived last. It reports
-// false if none is known there.
-func (a *Agent) MemberAt(ip string) (membership.Member, bool) { return a.members.at(ip) }
-
 // Members returns the processes that run, as far as this one knows, itself included, ordered by address.
 func (a *Agent) Members() []membership.Member { return a.members.all() }
 
@@ -132,8 +128,9 @@
 }
 
 // ApplyCommitted applies a committed configuration in this process, and announces its version to peers. The caller guarantees that a
-// majority of the voters has the configuration on disk; there is no other way to apply one. A version that is not above the applied one
-// changes nothing. A text that can't be parsed, or that names another version, is logged and not applied.
+// majority of the voters has the configuration on disk. The agent also applies those that it fetches from a peer that has applied them.
+// A version that is not above the applied one changes nothing. A text that can't be parsed, or that names another version, is logged and
+// not applied.
 func (a *Agent) ApplyCommitted(version uint64, text []byte) { a.configuration.apply(version, text) }
 
 // Configuration returns the version and the text of the configuration that is applied in this process; version 0 if there is none.
