--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -116,7 +116,7 @@
 	roles := goldenRoles(core)
 	requested := core.now() + time.Minute
 	qt.Assert(t, roles.allocatorLease.Tick(requested, 1, 0), qt.IsNotNil)
-	roles.handleReply(requested, 0, core.settings.ControlAddress, &lease.Reply{Grants: []lease.Grant{{
+	roles.handleReply(requested, 0, core.settings.ControlAddress, &lease.Reply{Grants: []lease.RoleReply{{
 		Role:         "allocator",
 		FencingToken: 4,
 		Holder:       "127.9.30.3:7401",
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -115,7 +115,7 @@
 	sidecars := q.agent.members.sidecars()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tokenCache.SetSidecars(sidecars)
+	q.tokenCache.SetSidecarCount(sidecars)
 	requests, due := q.tokenCache.Tick(now)
 	if !due {
 		return
--- a/internal/mesh/control/consensus/change.go
+++ b/internal/mesh/control/consensus/change.go
@@ -31,11 +31,11 @@
 // Verdict is the outcome of a change.
 type Verdict uint8
 
-// The verdicts. Applied and Conflict are final.
+// The verdicts. Committed and Conflict are final.
 const (
-	Unknown  Verdict = iota // it may be in force, or come into force later, or not
-	Applied                 // it is in force, or was
-	Conflict                // it never was in force and never will be
+	Unknown   Verdict = iota // it may be in force, or come into force later, or not
+	Committed                // it is committed, or was before a later version
+	Conflict                 // it never was in force and never will be
 )
 
 // String returns the verdict in lower case.
@@ -43,7 +43,7 @@
 	switch v {
 	case Unknown:
 		return "unknown"
-	case Applied:
+	case Committed:
 		return "applied"
 	case Conflict:
 		return "conflict"
@@ -61,7 +61,7 @@
 	entry := c.entry()
 	switch {
 	case slices.Contains(newest.History, entry):
-		return Applied, newest
+		return Committed, newest
 	case slices.Contains(newest.Refused, entry):
 		return Conflict, newest
 	case c.Version <= c.Base:
@@ -73,5 +73,5 @@
 	case c.Base > newest.Version:
 		return newest.recordRefusal(entry)
 	}
-	return Applied, newest.successor(c.Body, entry)
+	return Committed, newest.successor(c.Body, entry)
 }
--- a/internal/mesh/control/consensus/crash_test.go
+++ b/internal/mesh/control/consensus/crash_test.go
@@ -77,11 +77,11 @@
 	for step := m.rng.IntN(crashWarmUpSteps); step > 0 && m.spec.fault == ""; step-- {
 		m.step()
 	}
-	acknowledged := m.counts[Applied.String()]
-	for step := 0; step < crashWaitSteps && m.counts[Applied.String()] == acknowledged && m.spec.fault == ""; step++ {
+	acknowledged := m.counts[Committed.String()]
+	for step := 0; step < crashWaitSteps && m.counts[Committed.String()] == acknowledged && m.spec.fault == ""; step++ {
 		m.step()
 	}
-	if m.counts[Applied.String()] == acknowledged {
+	if m.counts[Committed.String()] == acknowledged {
 		return false
 	}
 	lost := crashAfterCommit{tolerated: m.tolerance(), aimed: m.chance(70)}.crash(m)
--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -109,8 +109,8 @@
 	qt.Check(t, numbers([]RequestKind{ReadVote, Prepare, Accept, Recover, Describe, Commit}), qt.Equals, "1 2 3 4 5 6")
 	qt.Check(t, numbers([]ReplyKind{NotReady, Reported, Promise, Accepted, Rejected, StaleEpoch, ConflictingVoters, ForeignSystem}),
 		qt.Equals, "0 1 2 3 4 5 6 7")
-	qt.Check(t, numbers([]Verdict{Unknown, Applied, Conflict}), qt.Equals, "0 1 2")
-	qt.Check(t, []string{Unknown.String(), Applied.String(), Conflict.String()}, qt.DeepEquals, []string{"unknown", "applied", "conflict"})
+	qt.Check(t, numbers([]Verdict{Unknown, Committed, Conflict}), qt.Equals, "0 1 2")
+	qt.Check(t, []string{Unknown.String(), Committed.String(), Conflict.String()}, qt.DeepEquals, []string{"unknown", "applied", "conflict"})
 	qt.Check(t, numbers([]RoundState{Reading, Inconclusive, Preparing, Accepting, Done, Preempted, Stale}), qt.Equals, "0 1 2 3 4 5 6")
 }
 
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -49,14 +49,14 @@
 	HighestBallot Ballot   // the highest that the replies report as promised
 	NewerVoters   VoterSet // once Stale, or Done by a change of the voters
 
-	voterSet    VoterSet
-	jointVoters []string // voters of the next epoch, of whom a majority is needed as well (a joint step); nil for none
-	ballot      Ballot   // zero for a read
-	change      *Change  // nil for none
-	knownVote   Vote     // a committed vote: the caller's, and once Done, or Stale by this round's own value, the newest
-	verdict     Verdict  // holds once proposal is committed
-	proposal    Value
-	replies     map[string]*Reply // of the current phase, by voter
+	voterSet       VoterSet
+	jointVoters    []string // voters of the next epoch, of whom a majority is needed as well (a joint step); nil for none
+	ballot         Ballot   // zero for a read
+	change         *Change  // nil for none
+	knownVote      Vote     // a committed vote: the caller's, and once Done, or Stale by this round's own value, the newest
+	pendingVerdict Verdict  // holds once proposal is committed
+	proposal       Value
+	replies        map[string]*Reply // of the current phase, by voter
 }
 
 // NewReadRound starts a round that only reads, and returns the request to send. known is the newest committed vote whose
@@ -202,7 +202,7 @@
 	}
 	if r.change != nil {
 		verdict, next := r.change.evaluate(&newest.Value)
-		r.verdict = verdict
+		r.pendingVerdict = verdict
 		r.proposal = *next
 		committed = committed && next == &newest.Value
 		if next.VoterSet.Epoch > r.voterSet.Epoch {
@@ -246,7 +246,7 @@
 // becomeDone ends the round with a committed vote.
 func (r *Round) becomeDone(committed Vote) {
 	r.State = Done
-	r.Verdict = r.verdict
+	r.Verdict = r.pendingVerdict
 	r.Value = committed.Value
 	r.knownVote = committed
 }
--- a/internal/mesh/control/consensus/specification_test.go
+++ b/internal/mesh/control/consensus/specification_test.go
@@ -93,7 +93,7 @@
 	entry := change.entry()
 	at := slices.Index(s.chain, entry)
 	switch verdict {
-	case Applied:
+	case Committed:
 		if at < 0 {
 			s.fail("%v was acknowledged, and is not in force", change.Version)
 		} else if at > 0 && s.chain[at-1].Version != uint64(change.Base) {
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -22,13 +22,13 @@
 	value := &Value{VoterSet: firstVoterSet(3)}
 	for n := 1; n <= orders; n++ {
 		verdict, next := nthChange(n).evaluate(value)
-		c.Assert(verdict, qt.Equals, Applied)
+		c.Assert(verdict, qt.Equals, Committed)
 		value = next
 	}
 	return value
 }
 
-// A repeat of a change, however old, is Applied or Unknown. A change that certainly was never in force stays a Conflict.
+// A repeat of a change, however old, is Committed or Unknown. A change that certainly was never in force stays a Conflict.
 func TestBoundedHistory(t *testing.T) {
 	c := qt.New(t)
 	const orders = 1000
@@ -37,7 +37,7 @@
 	c.Assert(value.TruncatedVersion, qt.Equals, uint64(orders-maxHistory))
 	for n := 1; n <= orders; n++ {
 		verdict, next := nthChange(n).evaluate(value)
-		want := Applied
+		want := Committed
 		if n <= orders-maxHistory {
 			want = Unknown
 		}
@@ -49,8 +49,8 @@
 		base, version configuration.Version
 		verdict       Verdict
 	}{
-		"on the newest":                          {orders, orders + 1, Applied},
-		"on the newest, with a higher number":    {orders, orders + 50, Applied},
+		"on the newest":                          {orders, orders + 1, Committed},
+		"on the newest, with a higher number":    {orders, orders + 50, Committed},
 		"on the newest, with its number":         {orders, orders, Conflict},
 		"on an older version":                    {orders - 1, orders + 1, Conflict},
 		"on a forgotten version, above the rest": {3, orders + 1, Conflict},
@@ -81,7 +81,7 @@
 	c.Assert(same, qt.Equals, value)
 	for n := 2; n <= 50; n++ {
 		verdict, value = nthChange(n).evaluate(value)
-		c.Assert(verdict, qt.Equals, Applied)
+		c.Assert(verdict, qt.Equals, Committed)
 	}
 	for i := range maxRefused { // their base is here now
 		verdict, same = ahead(i).evaluate(value)
@@ -89,8 +89,8 @@
 		c.Assert(same, qt.Equals, value)
 	}
 	verdict, value = ahead(maxRefused).evaluate(value)
-	c.Assert(verdict, qt.Equals, Applied) // it was never refused
-	c.Assert(value.Refused, qt.HasLen, 0) // version 164 rules out all of them
+	c.Assert(verdict, qt.Equals, Committed) // it was never refused
+	c.Assert(value.Refused, qt.HasLen, 0)   // version 164 rules out all of them
 	for i := range maxRefused {
 		verdict, _ = ahead(i).evaluate(value)
 		c.Assert(verdict, qt.Equals, Conflict)
@@ -151,7 +151,7 @@
 	old.refused = []legacyDigest{{21, sha256.Sum256(ahead.Body)}}
 	var value Value
 	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &old), &value), qt.IsNil)
-	for n, want := range map[int]Verdict{3: Unknown, 4: Unknown, 5: Applied, 9: Applied, 10: Applied} {
+	for n, want := range map[int]Verdict{3: Unknown, 4: Unknown, 5: Committed, 9: Committed, 10: Committed} {
 		verdict, next := nthChange(n).evaluate(&value)
 		c.Assert(verdict, qt.Equals, want, qt.Commentf("order %d", n))
 		var again Value
--- a/internal/mesh/control/consensus/voterset.go
+++ b/internal/mesh/control/consensus/voterset.go
@@ -80,7 +80,7 @@
 func (c *Change) evaluateVoterChange(newest *Value) (Verdict, *Value) {
 	current := &newest.VoterSet
 	if current.Epoch == c.nextVoters.Epoch && slices.Equal(current.Voters, c.nextVoters.Voters) {
-		return Applied, newest
+		return Committed, newest
 	}
 	isNext := c.nextVoters.Epoch == current.Epoch+1
 	if !isNext || current.Epoch > 0 && !slices.Equal(current.Voters, c.nextVoters.Previous) {
@@ -88,5 +88,5 @@
 	}
 	next := *newest
 	next.VoterSet = *c.nextVoters
-	return Applied, &next
+	return Committed, &next
 }
--- a/internal/mesh/control/consensus/world_test.go
+++ b/internal/mesh/control/consensus/world_test.go
@@ -377,7 +377,7 @@
 func (w *world) faultOfConclusions() string {
 	for i := range w.conclusions {
 		later := &w.conclusions[i]
-		if later.verdict == Applied && !w.contains(&later.value, later.proposer) {
+		if later.verdict == Committed && !w.contains(&later.value, later.proposer) {
 			return "acknowledged, and not in the value"
 		}
 		for j := range w.conclusions[:i] {
@@ -386,7 +386,7 @@
 			if !extends(&earlier.value, &later.value) && (!overlap || !extends(&later.value, &earlier.value)) {
 				return "two conclusions contradict each other"
 			}
-			bothApplied := earlier.verdict == Applied && later.verdict == Applied
+			bothApplied := earlier.verdict == Committed && later.verdict == Committed
 			if bothApplied && areRivals(w.proposers[earlier.proposer].change, w.proposers[later.proposer].change) {
 				return "two changes on a base were acknowledged"
 			}
--- a/internal/mesh/control/controlplane/acceptor.go
+++ b/internal/mesh/control/controlplane/acceptor.go
@@ -15,7 +15,7 @@
 const maxQueuedJobs = 64
 
 // errRecordExists is the error of install if the acceptor has a record already.
-var errRecordExists = &trace.AlreadyExistsError{Message: "the record is here"}
+var errRecordExists = &trace.AlreadyExistsError{Message: "the acceptor has a record already"}
 
 // acceptor owns this process's record: what it promised and accepted. Only its goroutine (run) uses the record and the disk. Other
 // goroutines submit jobs to it, and read a copy of its status.
@@ -25,21 +25,21 @@
 // ballot without reporting a vote that is on disk; if it found that vote at its next start, a reader could consider it committed.
 // So both parts are read and written again before any other request is answered.
 type acceptor struct {
-	log           *logrus.Logger
-	lifetime      *lifetime
-	backoff       *backoff
-	learner       *learner
-	observeBallot func(consensus.Ballot)
-	makeRecord    func(diskIncarnation uint64, blankDisk bool) // starts a recovery, which installs a record later
-	self          string
-	initialStart  bool     // the whole system starts for the first time
-	initialVoters []string // of that start
-	jobs          chan *acceptorJob
+	log            *logrus.Logger
+	lifetime       *lifetime
+	backoff        *backoff
+	learner        *learner
+	observeBallot  func(consensus.Ballot)
+	startRecoverer func(diskIncarnation uint64, blankDisk bool) // starts a recovery, which installs a record later
+	self           string
+	initialStart   bool     // the whole system starts for the first time
+	initialVoters  []string // of that start
+	jobs           chan *acceptorJob
 
 	// Only run uses these.
 	disk            recordDisk
 	record          consensus.Record
-	loaded          bool   // record equals what is on disk
+	loaded          bool   // what is on disk is known: record equals it, or needsRecord is set
 	hadRecord       bool   // since the start of the process; if the disk is empty after that, it was lost
 	needsRecord     bool   // the record is lost, or was never made: it must not vote
 	blankDisk       bool   // with needsRecord: the disk was completely empty
@@ -53,7 +53,7 @@
 type acceptorStatus struct {
 	decidedEpoch  uint64    // of the voter set that the record on disk shows to be decided
 	acceptedEpoch uint64    // of the voter set in the vote on disk
-	ready         bool      // the record is complete, and the acceptor may vote
+	ready         bool      // the record was complete at the last write
 	readySince    time.Time // zero while it was never ready
 }
 
@@ -96,7 +96,7 @@
 	select {
 	case a.jobs <- job:
 	default:
-		return nil, trace.LimitExceeded("the disk is behind")
+		return nil, trace.LimitExceeded("the voter's disk: %d jobs wait already", maxQueuedJobs)
 	}
 	select {
 	case result := <-job.result:
--- a/internal/mesh/control/controlplane/acceptor_load.go
+++ b/internal/mesh/control/controlplane/acceptor_load.go
@@ -92,5 +92,5 @@
 	a.needsRecord = true
 	a.blankDisk = blankDisk
 	a.diskIncarnation = uint64(time.Now().UnixNano())
-	a.makeRecord(a.diskIncarnation, blankDisk)
+	a.startRecoverer(a.diskIncarnation, blankDisk)
 }
--- a/internal/mesh/control/controlplane/catchup_test.go
+++ b/internal/mesh/control/controlplane/catchup_test.go
@@ -23,7 +23,7 @@
 // change has a server apply the next version.
 func (t *testNetwork) change(ctx context.Context, i int, version configuration.Version, body string) {
 	outcome := t.server(i).Replace(ctx, version-1, config(version, body)).Outcome
-	t.c.Assert(outcome, qt.Equals, Applied, qt.Commentf("%v", version))
+	t.c.Assert(outcome, qt.Equals, Committed, qt.Commentf("%v", version))
 }
 
 // traffic returns the messages and syncs of all servers, and the bytes that one of them sent and received, since the start.
--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -28,17 +28,17 @@
 			base, v configuration.Version
 			outcome Outcome
 		}{
-			{0, 3, Applied},
-			{0, 3, Applied},
+			{0, 3, Committed},
+			{0, 3, Committed},
 			{0, 4, Conflict},
-			{3, 3, Applied},
+			{3, 3, Committed},
 			{3, 2, Conflict},
-			{3, 4, Applied},
+			{3, 4, Committed},
 			{3, 5, Conflict},
-			{0, 3, Applied},
+			{0, 3, Committed},
 			{9, 10, Conflict},
 			{4, 10, Conflict},
-			{4, 11, Applied},
+			{4, 11, Committed},
 		} {
 			core.c.Assert(core.replace(ctx, i%4, change.base, change.v), qt.Equals, change.outcome, qt.Commentf("%v", change))
 		}
@@ -106,10 +106,10 @@
 	t.c.Assert(err, qt.IsNil)
 	for i, outcome := range outcomes {
 		inForce := strings.Contains(string(value.Body), fmt.Sprintf(`"x":"%d"`, i))
-		if outcome == Applied {
+		if outcome == Committed {
 			applied++
 		}
-		t.c.Assert(outcome == Applied && inForce || outcome == Conflict && !inForce || outcome == Unknown, qt.IsTrue,
+		t.c.Assert(outcome == Committed && inForce || outcome == Conflict && !inForce || outcome == Unknown, qt.IsTrue,
 			qt.Commentf("%v %s", outcome, value.Body))
 	}
 	return applied
@@ -159,10 +159,10 @@
 					m.configure(func() { m.slow = 50 * time.Millisecond })
 				}
 				began := time.Now()
-				core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+				core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 				core.c.Assert(time.Since(began), qt.Equals, 100*time.Millisecond) // a promise and a vote
 				fault.begin(core)
-				core.c.Assert(core.replace(ctx, 3, 1, 2), qt.Equals, Applied)
+				core.c.Assert(core.replace(ctx, 3, 1, 2), qt.Equals, Committed)
 				core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(2))
 
 				core.isolate(1, true)
@@ -170,7 +170,7 @@
 				core.c.Assert(core.replace(short, 3, 2, 3), qt.Equals, Unknown)
 				cancel()
 				fault.end(core)
-				core.c.Assert(core.replace(ctx, 3, 2, 3), qt.Equals, Applied)
+				core.c.Assert(core.replace(ctx, 3, 2, 3), qt.Equals, Committed)
 				core.isolate(1, false)
 				core.isolate(0, true)
 				core.c.Assert(core.newest(ctx, 1), qt.Equals, configuration.Version(3))
@@ -187,7 +187,7 @@
 		part := []string{"", stateKey, voteKey}[mode/2] // the record that is corrupt; "": the disk is lost
 		runCore(t, 4, func(ctx context.Context, core *testCore) {
 			core.isolate(1-away, true)
-			core.c.Assert(core.replace(ctx, 3, 0, 5), qt.Equals, Applied) // by two voters, of whom one loses its disk
+			core.c.Assert(core.replace(ctx, 3, 0, 5), qt.Equals, Committed) // by two voters, of whom one loses its disk
 			core.isolate(1-away, false)
 			for i := range 4 {
 				core.stop(i)
@@ -207,7 +207,7 @@
 			}
 			core.isolate(away, true)
 			core.c.Assert(core.newest(ctx, 2), qt.Equals, configuration.Version(5))
-			core.c.Assert(core.replace(ctx, 2, 5, 6), qt.Equals, Applied)
+			core.c.Assert(core.replace(ctx, 2, 5, 6), qt.Equals, Committed)
 		})
 	}
 }
@@ -215,7 +215,7 @@
 // A replica that lost its disk does not vote until it has read from both other voters.
 func TestVoterWithoutRecordIsNotReady(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
-		core.c.Assert(core.replace(ctx, 0, 0, 5), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 5), qt.Equals, Committed)
 		core.stop(2)
 		core.disks[node(2)] = nil
 		core.isolate(0, true)
@@ -224,7 +224,7 @@
 		defer cancel()
 		core.c.Assert(core.replace(short, 1, 5, 6), qt.Equals, Unknown)
 		core.isolate(0, false)
-		core.c.Assert(core.replace(ctx, 1, 5, 6), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 5, 6), qt.Equals, Committed)
 	})
 }
 
@@ -235,7 +235,7 @@
 		core.seeds = core.seeds[:1]
 		core.disks[node(0)] = nil
 		core.start(0, true)
-		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 		disk := core.disks[node(0)]
 		disk.configure(func() { disk.fault, disk.only, disk.torn = io.ErrShortWrite, voteKey, true })
 		short, cancel := context.WithTimeout(ctx, callTimeout)
@@ -261,7 +261,7 @@
 		value, err := server.ReadLatest(t.Context())
 		c.Assert(err, qt.IsNil)
 		c.Assert(value.Version, qt.Equals, v)
-		c.Assert(server.Replace(t.Context(), v, config(v+1, "")).Outcome, qt.Equals, Applied)
+		c.Assert(server.Replace(t.Context(), v, config(v+1, "")).Outcome, qt.Equals, Committed)
 		server.Close()
 	}
 }
--- a/internal/mesh/control/controlplane/core_test.go
+++ b/internal/mesh/control/controlplane/core_test.go
@@ -278,7 +278,7 @@
 	t.Helper()
 	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
 		time.Sleep(2 * time.Second)
-		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 		test(ctx, core)
 	})
 }
--- a/internal/mesh/control/controlplane/cutoff_test.go
+++ b/internal/mesh/control/controlplane/cutoff_test.go
@@ -40,7 +40,7 @@
 	}
 	t.Logf("%d runs: %v; the first read after a cut took %v at most", seeds, answers, slowest)
 	qt.Assert(t, slowest < 2*time.Second, qt.IsTrue)
-	qt.Assert(t, answers["order "+Applied.String()] > 20*seeds && answers["order "+Conflict.String()] > seeds, qt.IsTrue)
+	qt.Assert(t, answers["order "+Committed.String()] > 20*seeds && answers["order "+Conflict.String()] > seeds, qt.IsTrue)
 }
 
 const cutOffServers = 4
--- a/internal/mesh/control/controlplane/doc.go
+++ b/internal/mesh/control/controlplane/doc.go
@@ -8,7 +8,8 @@
 //	learner          newest committed vote and value, voter set, system  in memory; rebuilt from the record, peers and rounds
 //	proposer         highest ballot seen, the slot of the one round      in memory; the name in its ballots is new at each start
 //	coreDirectory    seeds of the settings                               in memory
-//	voterManager     statuses of the core processes at the last tick     in memory
+//	voterManager     what the monitor found at its last tick: statuses   in memory
+//	                 of the core processes, unresponsive voters
 //	voterMonitor     failure detector, limiter of replacements, plan     in memory; only its goroutine uses it
 //	lifetime         the context and the goroutines of a Server          in memory
 //	responder, register, growth, operatorAPI, recoverer: none beyond a call
@@ -47,9 +48,9 @@
 //  1. operatorAPI.serveReplace reads the operator's call.
 //  2. register.replace parses the configuration.
 //  3. proposer.propose runs rounds until the change has a verdict.
-//  4. growth.await delays the acknowledgement while there are fewer voters than wanted.
-//  5. learner.learnVote and the Commit request make the value known in this and other processes.
-//  6. learner.runNotifications hands it to the agent.
+//  4. Within the round, learner.learnVote and the Commit request make the value known in this and other processes;
+//     learner.runNotifications hands it to the agent.
+//  5. growth.await delays the operator's acknowledgement while there are fewer voters than wanted.
 //
 // # Units
 //
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -85,20 +85,20 @@
 		for i := range 3 {
 			core.start(i, true)
 		}
-		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 		core.loseMachine(0)
 		core.start(3, false)
 		time.Sleep(after)
 		version := configuration.Version(1)
 		if loss.wipe {
 			core.c.Assert(core.server(2).Voters(), qt.DeepEquals, []string{node(1), node(2), node(3)})
-			core.c.Assert(core.replace(ctx, 1, 1, 2), qt.Equals, Applied)
+			core.c.Assert(core.replace(ctx, 1, 1, 2), qt.Equals, Committed)
 			version = 2
 		}
 		loss.do(core, victim, []int{1, 2, 3})
 		at := victim%3 + 1
 		core.c.Assert(core.newest(ctx, at), qt.Equals, version, qt.Commentf("%v, node %d", at, victim))
-		core.c.Assert(core.replace(ctx, at, version, version+1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, at, version, version+1), qt.Equals, Committed)
 		core.await(2*catchUp, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
 	})
 }
@@ -115,7 +115,7 @@
 				time.Sleep(2 * time.Second) // they know each other
 				other := (leaving + 1) % 3
 				core.isolate(other, true) // so that only the leaving voter and one more accept the change
-				core.c.Assert(core.replace(ctx, leaving, 0, 1), qt.Equals, Applied)
+				core.c.Assert(core.replace(ctx, leaving, 0, 1), qt.Equals, Committed)
 				core.isolate(other, false)
 				began := time.Now()
 				core.c.Assert(core.server(leaving).HandOver(ctx), qt.IsNil)
@@ -127,7 +127,7 @@
 				ctx, cancel := context.WithTimeout(ctx, time.Minute)
 				defer cancel()
 				core.c.Assert(core.newest(ctx, victim), qt.Equals, configuration.Version(1), qt.Commentf("%d leaves, %d is lost", leaving, victim))
-				core.c.Assert(core.replace(ctx, victim, 1, 2), qt.Equals, Applied)
+				core.c.Assert(core.replace(ctx, victim, 1, 2), qt.Equals, Committed)
 				core.c.Assert(len(core.server(victim).Voters()), qt.Equals, 3)
 				core.c.Assert(slices.Contains(core.server(victim).Voters(), node(leaving)), qt.IsFalse)
 			})
@@ -142,11 +142,11 @@
 		for _, victims := range [][2]int{{2, 3}, {3, 4}, {2, 5}, {5, 6}, {4, 6}} {
 			t.Run(fmt.Sprintf("victims %v, handed over: %v", victims, handOver), func(t *testing.T) {
 				runGrown(t, 5, 2, 5, func(ctx context.Context, core *testCore) {
-					core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+					core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Committed)
 					core.replaceFirstTwo(ctx, handOver)
 					time.Sleep(catchUp)
 					core.c.Assert(core.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
-					core.c.Assert(core.replace(ctx, 4, 1, 2), qt.Equals, Applied)
+					core.c.Assert(core.replace(ctx, 4, 1, 2), qt.Equals, Committed)
 					for _, victim := range victims {
 						core.loseMachine(victim)
 					}
@@ -154,7 +154,7 @@
 						core.start(victim, false)
 					}
 					core.c.Assert(core.newest(ctx, victims[0]), qt.Equals, configuration.Version(2))
-					core.c.Assert(core.replace(ctx, victims[1], 2, 3), qt.Equals, Applied)
+					core.c.Assert(core.replace(ctx, victims[1], 2, 3), qt.Equals, Committed)
 				})
 			})
 		}
@@ -212,7 +212,7 @@
 		core.mu.Unlock()
 		time.Sleep(time.Minute)
 		core.c.Assert(core.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
-		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Committed)
 
 		core.isolate(0, true)
 		core.isolate(1, true)
@@ -228,7 +228,7 @@
 func TestReplacementsAreBounded(t *testing.T) {
 	runGrown(t, 9, 2, 5, func(ctx context.Context, core *testCore) {
 		initialEpoch := core.server(0).VoterSet().Epoch
-		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 		rng := rand.New(rand.NewPCG(7, 7))
 		began := time.Now()
 		for time.Since(began) < time.Minute {
@@ -265,7 +265,7 @@
 			for i := range 3 {
 				core.start(i, true)
 			}
-			core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+			core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 			time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 			victim := run % 3
 			core.loseMachine(victim)
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -108,7 +108,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 	for v := configuration.Version(5); v < 7; v++ {
 		server := openAlone(c, folder)
-		c.Assert(server.Replace(c.Context(), v, config(v+1, "golden")).Outcome, qt.Equals, Applied)
+		c.Assert(server.Replace(c.Context(), v, config(v+1, "golden")).Outcome, qt.Equals, Committed)
 		server.Close()
 	}
 }
@@ -171,9 +171,9 @@
 	epoch, ready := server.Accepted()
 	c.Assert(epoch == 3 && ready, qt.IsTrue)
 	c.Assert(server.learner.system(), qt.Equals, want.State.System)
-	c.Assert(server.Replace(c.Context(), 5, config(6, "golden")).Outcome, qt.Equals, Applied) // a repeat of a change in the history
+	c.Assert(server.Replace(c.Context(), 5, config(6, "golden")).Outcome, qt.Equals, Committed) // a repeat of a change in the history
 	c.Assert(server.Replace(c.Context(), 1, config(2, "golden")).Outcome, qt.Equals, Unknown)
-	c.Assert(server.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Applied)
+	c.Assert(server.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Committed)
 	server.Close()
 	_, again := dump(c, folder)
 	c.Assert(codec.Unmarshal(again[voteKey], &got.Vote), qt.IsNil)
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -43,7 +43,8 @@
 			return trace.Wrap(err)
 		}
 	}
-	_, err := g.proposer.read(ctx) // a round under the current voter set
+	// The voters may have grown since the change was committed: a round under the current set makes a majority of that set hold it.
+	_, err := g.proposer.read(ctx)
 	return trace.Wrap(err)
 }
 
--- a/internal/mesh/control/controlplane/growth_test.go
+++ b/internal/mesh/control/controlplane/growth_test.go
@@ -21,7 +21,7 @@
 					core.tolerated = 2
 					core.startFive(true)
 					time.Sleep(after)
-					core.c.Assert(core.replaceUntilAnswered(ctx, lost[0], 0, 5, 5*time.Second), qt.Equals, Applied)
+					core.c.Assert(core.replaceUntilAnswered(ctx, lost[0], 0, 5, 5*time.Second), qt.Equals, Committed)
 					for i := range 5 {
 						core.stop(i)
 					}
@@ -32,7 +32,7 @@
 					back, cancel := context.WithTimeout(ctx, 15*time.Second)
 					defer cancel()
 					core.c.Assert(core.newest(back, 4), qt.Equals, configuration.Version(5))
-					core.c.Assert(core.replace(back, lost[0], 5, 6), qt.Equals, Applied)
+					core.c.Assert(core.replace(back, lost[0], 5, 6), qt.Equals, Committed)
 				})
 			})
 		}
@@ -53,7 +53,7 @@
 			core.start(i, true)
 		}
 		began := time.Now()
-		core.c.Assert(core.replaceUntilAnswered(ctx, 0, 0, 5, 10*time.Second), qt.Equals, Applied)
+		core.c.Assert(core.replaceUntilAnswered(ctx, 0, 0, 5, 10*time.Second), qt.Equals, Committed)
 		core.c.Check(time.Since(began) < 2*discoveryTime, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 	})
 }
--- a/internal/mesh/control/controlplane/halves_test.go
+++ b/internal/mesh/control/controlplane/halves_test.go
@@ -20,7 +20,7 @@
 		for _, half := range halves(size.n) {
 			t.Run(fmt.Sprintf("%d servers, half %b", size.n, half), func(t *testing.T) {
 				runGrown(t, size.n, size.tolerated, size.voters, func(ctx context.Context, core *testCore) {
-					core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+					core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 					newest := cutIntoHalves(ctx, core, size.n, half)
 					for i := range size.n {
 						core.stop(i)
@@ -33,7 +33,7 @@
 						core.c.Assert(core.newest(ctx, i) >= newest, qt.IsTrue, qt.Commentf("%d of %d, half %b", i, size.n, half))
 					}
 					newest = core.newest(ctx, 0)
-					core.c.Assert(core.replace(ctx, size.n-1, newest, newest+1), qt.Equals, Applied)
+					core.c.Assert(core.replace(ctx, size.n-1, newest, newest+1), qt.Equals, Committed)
 				})
 			})
 		}
@@ -75,7 +75,7 @@
 		for i := range servers {
 			sent++
 			short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-			if core.server(i).Replace(short, acknowledged, config(sent, "")).Outcome == Applied {
+			if core.server(i).Replace(short, acknowledged, config(sent, "")).Outcome == Committed {
 				acknowledged = sent
 				took[in(i)] = true
 			}
--- a/internal/mesh/control/controlplane/history_test.go
+++ b/internal/mesh/control/controlplane/history_test.go
@@ -67,7 +67,7 @@
 		if outcome == Conflict { // so the server knows a newer version than the base
 			h.checkConflict(ctx, network, sent, i)
 		}
-		if outcome == Applied || outcome == Conflict {
+		if outcome == Committed || outcome == Conflict {
 			return
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	body := string(sent.body)
 	switch outcome {
-	case Applied:
+	case Committed:
 		if other, ok := h.bases[sent.base]; ok && other != body {
 			h.fault("two orders on version %v are acknowledged", sent.base)
 		}
--- a/internal/mesh/control/controlplane/names_test.go
+++ b/internal/mesh/control/controlplane/names_test.go
@@ -8,7 +8,7 @@
 		stateKey: "standing", voteKey: "vote", ownerKey: "owner",
 		replacePattern: "POST /configuration/replace", retrievePattern: "GET /configuration/retrieve", baseVersionHeader: "Base-Version",
 		retryAfterSeconds: "0.2",
-		Unknown.String():  "unknown", Applied.String(): "applied", Conflict.String(): "conflict", Invalid.String(): "invalid",
+		Unknown.String():  "unknown", Committed.String(): "applied", Conflict.String(): "conflict", Invalid.String(): "invalid",
 	} {
 		if got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/internal/mesh/control/controlplane/operator_api.go
+++ b/internal/mesh/control/controlplane/operator_api.go
@@ -69,7 +69,7 @@
 // status returns the HTTP status of an outcome.
 func (o Outcome) status() int {
 	switch o {
-	case Applied:
+	case Committed:
 		return http.StatusOK
 	case Conflict:
 		return http.StatusPreconditionFailed
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -145,7 +145,7 @@
 // A server with another server's folder does not vote, and does not change the folder.
 func TestSwappedFolders(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
-		core.c.Assert(core.replace(ctx, 2, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 2, 0, 1), qt.Equals, Committed)
 		time.Sleep(time.Second) // of the bubble's time: all have it
 		for i := range 2 {
 			core.stop(i)
@@ -167,7 +167,7 @@
 		for i := range 2 {
 			core.start(i, false)
 		}
-		core.c.Assert(core.replace(ctx, 2, 1, 2), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 2, 1, 2), qt.Equals, Committed)
 	})
 }
 
@@ -211,7 +211,7 @@
 // A folder that is emptied while a voter runs is a lost disk, also at the system's first start.
 func TestEmptiedFolderIsNoFirstStart(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
-		core.c.Assert(core.replace(ctx, 1, 0, 5), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 0, 5), qt.Equals, Committed)
 		time.Sleep(time.Second) // of the bubble's time: all have it
 		disk := core.disks[node(2)]
 		disk.configure(func() {
@@ -220,7 +220,7 @@
 		})
 		short, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 1, 5, 6), qt.Equals, Applied)
+		core.c.Assert(core.replace(short, 1, 5, 6), qt.Equals, Committed)
 		synctest.Wait() // voter 2 has met the fault, also where the other two were enough before it was asked
 		core.isolate(0, true)
 		disk.configure(func() { disk.fault = nil })
@@ -228,6 +228,6 @@
 		defer cancel()
 		core.c.Assert(core.replace(short, 1, 6, 7), qt.Equals, Unknown)
 		core.isolate(0, false)
-		core.c.Assert(core.replace(ctx, 1, 6, 7), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 6, 7), qt.Equals, Committed)
 	})
 }
--- a/internal/mesh/control/controlplane/proposer.go
+++ b/internal/mesh/control/controlplane/proposer.go
@@ -33,12 +33,12 @@
 
 // read runs rounds until one has read the newest committed value. A majority has answered after the call began.
 func (p *proposer) read(ctx context.Context) (*consensus.Round, error) {
-	return p.run(ctx, true, nil)
+	return p.runUntilDone(ctx, true, nil)
 }
 
 // propose runs rounds until one has a verdict on the change.
 func (p *proposer) propose(ctx context.Context, change *consensus.Change) (*consensus.Round, error) {
-	return p.run(ctx, false, change)
+	return p.runUntilDone(ctx, false, change)
 }
 
 // observeBallot records a ballot, so that the next one of this process is higher.
@@ -56,9 +56,9 @@
 	return consensus.Ballot{Number: p.highest, Proposer: p.id}
 }
 
-// run runs rounds until one is Done or ctx ends. A read first runs a round without a ballot, which writes nothing. If the votes differ,
+// runUntilDone runs rounds until one is Done or ctx ends. A read first runs a round without a ballot, which writes nothing. If the votes differ,
 // a round with a ballot follows at once; if that is preempted, the next round has no ballot again.
-func (p *proposer) run(ctx context.Context, isRead bool, change *consensus.Change) (*consensus.Round, error) {
+func (p *proposer) runUntilDone(ctx context.Context, isRead bool, change *consensus.Change) (*consensus.Round, error) {
 	delay := minBackoff
 	timeout := minPhaseTimeout
 	withoutBallot := isRead
@@ -91,7 +91,7 @@
 	known := p.learner.newestVote()
 	if withoutBallot {
 		round, request := consensus.NewReadRound(voters, known)
-		p.play(ctx, round, request, timeout)
+		p.runRound(ctx, round, request, timeout)
 		return round, nil
 	}
 	select {
@@ -101,17 +101,17 @@
 		return nil, trace.Wrap(ctx.Err())
 	}
 	round, request := consensus.NewRound(voters, p.nextBallot(), change, known)
-	p.play(ctx, round, request, timeout)
+	p.runRound(ctx, round, request, timeout)
 	if round.State == consensus.Done || round.State == consensus.Stale {
 		p.announceCommit(round)
 	}
 	return round, nil
 }
 
-// play runs a round to its end, and learns what it found. timeout is how long each phase waits for replies.
-func (p *proposer) play(ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration) {
+// runRound runs a round to its end, and learns what it found. timeout is how long each phase waits for replies.
+func (p *proposer) runRound(ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration) {
 	for request != nil {
-		request = p.playPhase(ctx, round, request, timeout)
+		request = p.runPhase(ctx, round, request, timeout)
 	}
 	round.StopWaiting()
 	p.observeBallot(round.HighestBallot)
@@ -121,10 +121,10 @@
 	}
 }
 
-// playPhase sends a request to the round's recipients and hands their replies to the round. It returns the request of the next phase,
+// runPhase sends a request to the round's recipients and hands their replies to the round. It returns the request of the next phase,
 // or nil if the round has ended, all replies are there, or the time is over. After a rejection it waits for a shorter time, as
 // the round is likely to fail.
-func (p *proposer) playPhase(
+func (p *proposer) runPhase(
 	ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration,
 ) *consensus.Request {
 	nodes := round.Recipients()
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -36,7 +36,7 @@
 			t.isolate(i, true)
 		}
 	}
-	t.c.Assert(t.replace(ctx, lost[0], 0, 5), qt.Equals, Applied)
+	t.c.Assert(t.replace(ctx, lost[0], 0, 5), qt.Equals, Committed)
 	for _, i := range lost {
 		t.loseMachine(i)
 	}
@@ -54,7 +54,7 @@
 		at = lost[1]
 	}
 	t.c.Assert(t.newest(ctx, at), qt.Equals, configuration.Version(5))
-	t.c.Assert(t.replace(ctx, at, 5, 6), qt.Equals, Applied)
+	t.c.Assert(t.replace(ctx, at, 5, 6), qt.Equals, Committed)
 	if dead {
 		restart()
 	}
@@ -62,13 +62,13 @@
 	t.isolate(isolated[0], true)
 	t.isolate(isolated[1], true)
 	t.c.Assert(t.newest(ctx, lost[0]), qt.Equals, configuration.Version(6))
-	t.c.Assert(t.replace(ctx, lost[1], 6, 7), qt.Equals, Applied)
+	t.c.Assert(t.replace(ctx, lost[1], 6, 7), qt.Equals, Committed)
 }
 
 // Every server is killed right after an acknowledgement, and two of the five disks are lost.
 func TestAllAreKilledAndTwoDisksLost(t *testing.T) {
 	runGrown(t, 5, 2, 5, func(ctx context.Context, core *testCore) {
-		core.c.Assert(core.replace(ctx, 1, 0, 5), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 0, 5), qt.Equals, Committed)
 		for i := range 5 {
 			core.stop(i)
 		}
@@ -78,7 +78,7 @@
 			core.start(i, false)
 		}
 		core.c.Assert(core.newest(ctx, 1), qt.Equals, configuration.Version(5))
-		core.c.Assert(core.replace(ctx, 2, 5, 6), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 2, 5, 6), qt.Equals, Committed)
 		core.c.Assert(core.allKnowVoters(5), qt.IsTrue)
 	})
 }
@@ -97,7 +97,7 @@
 			short, cancel := context.WithTimeout(ctx, callTimeout)
 			outcome := core.server(int(version)%5).Replace(short, base, config(version, "")).Outcome
 			cancel()
-			core.c.Assert(outcome == Applied || outcome == Unknown, qt.IsTrue, qt.Commentf("%v on %v: %v", version, base, outcome))
+			core.c.Assert(outcome == Committed || outcome == Unknown, qt.IsTrue, qt.Commentf("%v on %v: %v", version, base, outcome))
 			if newest := core.newest(ctx, int(version+1)%5); newest == version {
 				base = version
 			} else {
@@ -119,12 +119,12 @@
 // is not a voter, and is not made one again by itself. After AddVoter it votes.
 func TestRetiredComesBack(t *testing.T) {
 	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
-		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Committed)
 		core.stop(0)
 		core.c.Assert(core.server(1).RetireVoter(ctx, node(0)), qt.IsNil)
 		core.await(10*time.Second, func() bool { return core.allKnowVoters(3) })
 		core.c.Assert(slices.Contains(core.server(1).Voters(), node(3)), qt.IsTrue)
-		core.c.Assert(core.replace(ctx, 1, 1, 2), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 1, 2), qt.Equals, Committed)
 		time.Sleep(10 * time.Minute) // longer than any timeout of the core
 		core.seeds = []string{node(0), node(1), node(2)}
 		core.start(0, false)
@@ -142,7 +142,7 @@
 
 		core.c.Assert(core.server(1).AddVoter(ctx, node(0)), qt.IsNil)
 		core.isolate(2, true)
-		core.c.Assert(core.replace(ctx, 0, 2, 4), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 2, 4), qt.Equals, Committed)
 		core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(4))
 	})
 }
@@ -160,7 +160,7 @@
 		core.loseMachine(0)
 		core.await(catchUp, func() bool { return !slices.Contains(core.server(1).Voters(), node(0)) })
 		core.c.Assert(len(core.server(1).Voters()), qt.Equals, 3)
-		core.c.Assert(core.replace(ctx, 3, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 3, 0, 1), qt.Equals, Committed)
 		core.stop(1)
 		time.Sleep(10 * time.Minute)
 		core.c.Assert(slices.Contains(core.server(2).Voters(), node(1)), qt.IsTrue)
@@ -181,7 +181,7 @@
 			core.c.Assert(core.server(3).RetireVoter(ctx, node(i)), qt.IsNil)
 			core.await(10*time.Second, func() bool { return core.allKnowVoters(3) })
 			core.stop(i)
-			core.c.Assert(core.replace(ctx, 3, version, version+1), qt.Equals, Applied)
+			core.c.Assert(core.replace(ctx, 3, version, version+1), qt.Equals, Committed)
 			version++
 			if i < 2 {
 				core.start(4+i, false) // an empty machine
@@ -209,14 +209,14 @@
 		for i := 1; i < 3; i++ {
 			core.start(i, false)
 		}
-		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Committed)
 	})
 }
 
 // Voters with blank disks wait if anything was accepted, or while another voter does not answer.
 func TestBlankVotersWait(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
-		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 		synctest.Wait() // server 0 has accepted the change too, even if the other two were the majority
 		_, err := core.disks[node(0)].Get(voteKey)
 		core.c.Assert(err, qt.IsNil)
@@ -238,7 +238,7 @@
 		defer cancel()
 		core.c.Assert(core.replace(short, 0, 0, 1), qt.Equals, Unknown)
 		core.start(2, false)
-		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 	})
 }
 
@@ -260,7 +260,7 @@
 			core.start(i, false)
 		}
 		core.c.Assert(core.newest(ctx, 4), qt.Equals, configuration.Version(5))
-		core.c.Assert(core.replace(ctx, 4, 5, 6), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 4, 5, 6), qt.Equals, Committed)
 		core.await(10*time.Second, func() bool { return core.allKnowVoters(5) })
 		core.c.Assert(core.server(0).VoterSet().Epoch, qt.Equals, uint64(2))
 		synctest.Wait()
--- a/internal/mesh/control/controlplane/register.go
+++ b/internal/mesh/control/controlplane/register.go
@@ -9,21 +9,21 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// Outcome is the outcome of an operator's change. Applied, Conflict and Invalid are final.
+// Outcome is the outcome of an operator's change. Committed, Conflict and Invalid are final.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Unknown  Outcome = iota // it may be in force, or come into force later, or neither
-	Applied                 // it is in force, or was
-	Conflict                // it never was in force and never will be: another version has taken its place
-	Invalid                 // it never was in force and never will be: it is not a valid configuration
+	Unknown   Outcome = iota // it may be in force, or come into force later, or neither
+	Committed                // it is committed, or was before a later version
+	Conflict                 // it never was in force and never will be: another version has taken its place
+	Invalid                  // it never was in force and never will be: it is not a valid configuration
 )
 
 // String returns the outcome's name, as it is logged.
 func (o Outcome) String() string { return [...]string{"unknown", "applied", "conflict", "invalid"}[o] }
 
-// ReplaceResult is an outcome, and the reason for it; Reason is nil if the outcome is Applied.
+// ReplaceResult is an outcome, and the reason for it; Reason is nil if the outcome is Committed.
 type ReplaceResult struct {
 	Outcome Outcome
 	Reason  error
@@ -54,11 +54,11 @@
 	switch {
 	case err != nil:
 		return ReplaceResult{Unknown, trace.Wrap(err)}
-	case round.Verdict == consensus.Applied:
+	case round.Verdict == consensus.Committed:
 		if err := r.growth.await(ctx); err != nil {
 			return ReplaceResult{Unknown, trace.Wrap(err, "%v is in force, but too few voters hold it yet", config.Version)}
 		}
-		return ReplaceResult{Outcome: Applied}
+		return ReplaceResult{Outcome: Committed}
 	case round.Verdict == consensus.Conflict:
 		return ReplaceResult{Conflict, trace.CompareFailed("%v on %v: %v is in place", config.Version, base, round.Value.Version)}
 	}
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -76,7 +76,7 @@
 // required option is missing. The caller closes the Server with Close.
 func Open(options Options) (*Server, error) {
 	if options.Self == "" || options.Transport == nil || options.Log == nil {
-		return nil, trace.BadParameter("a server needs its own name, a transport and a log")
+		return nil, trace.BadParameter("Options: Self, Transport and Log are required")
 	}
 	if options.openStore == nil {
 		options.openStore = openStorage
@@ -154,7 +154,7 @@
 		client:    client,
 		install:   a.install,
 	}
-	a.makeRecord = recovery.start
+	a.startRecoverer = recovery.start
 	return a
 }
 
@@ -233,8 +233,8 @@
 // Voters returns the names of the voters; none while this process does not know them.
 func (s *Server) Voters() []string { return s.VoterSet().Voters }
 
-// Accepted returns the epoch of the voter set in this process's newest vote. ready is false while the record is not yet read from
-// disk, or is lost.
+// Accepted returns the epoch of the voter set in this process's newest vote. ready is true from when the record was first complete on
+// disk; it stays true while the disk fails, and while a record that was lost later is recovered.
 func (s *Server) Accepted() (epoch uint64, ready bool) {
 	status := s.acceptor.status()
 	return status.acceptedEpoch, status.ready
@@ -243,11 +243,12 @@
 // SetSeeds replaces the seeds, after a change of the operator's settings.
 func (s *Server) SetSeeds(seeds []string) { s.directory.setSeeds(seeds) }
 
-// AddVoter makes a core process a voter, also one that was retired. It retries until the change is committed or ctx ends.
+// AddVoter makes a core process a voter, also one that was retired. It retries until the change is committed or ctx ends. No program calls
+// it yet.
 func (s *Server) AddVoter(ctx context.Context, node string) error { return s.voters.add(ctx, node) }
 
 // RetireVoter removes a voter, which is not made a voter again except by AddVoter. A standby takes its place in the same step, or,
-// if there is none yet, as soon as there is one. It retries until the change is committed or ctx ends.
+// if there is none yet, as soon as there is one. It retries until the change is committed or ctx ends. No program calls it yet.
 func (s *Server) RetireVoter(ctx context.Context, node string) error {
 	return s.voters.retire(ctx, node)
 }
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -31,7 +31,7 @@
 		time.Sleep(time.Minute)
 		core.c.Assert(core.server(0).VoterSet().Epoch, qt.Equals, uint64(0))
 		core.c.Assert(core.server(4).VoterSet().Epoch, qt.Equals, uint64(9))
-		core.c.Assert(core.replace(ctx, 0, 1, 2), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 1, 2), qt.Equals, Committed)
 		core.c.Assert(core.newest(ctx, 2), qt.Equals, configuration.Version(2))
 		request := &consensus.Request{
 			Kind:     consensus.ReadVote,
@@ -65,7 +65,7 @@
 			core.c.Assert(reply.Kind, qt.Equals, consensus.ConflictingVoters)
 		}
 		core.c.Assert(core.server(0).Voters(), qt.DeepEquals, []string{node(0), node(1), node(2)})
-		core.c.Assert(core.replace(ctx, 0, 1, 2), qt.Equals, Applied)
+		core.c.Assert(core.replace(ctx, 0, 1, 2), qt.Equals, Committed)
 	})
 }
 
--- a/internal/mesh/control/controlplane/voter_manager.go
+++ b/internal/mesh/control/controlplane/voter_manager.go
@@ -155,8 +155,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if round.Verdict != consensus.Applied {
-		return trace.CompareFailed("the voters have changed")
+	if round.Verdict != consensus.Committed {
+		return trace.CompareFailed("the voters have changed since epoch %d", voters.Epoch)
 	}
 	_, err = v.proposer.read(ctx)
 	return trace.Wrap(err)
--- a/internal/mesh/control/controlplane/voter_monitor.go
+++ b/internal/mesh/control/controlplane/voter_monitor.go
@@ -139,35 +139,48 @@
 // peerStatuses returns the statuses of the core processes, including this one if it may become a voter. It publishes those of the
 // others at the voterManager.
 func (v *voterMonitor) peerStatuses(now time.Time, voters consensus.VoterSet) []consensus.PeerStatus {
-	unresponsive := v.detector.unresponsive(now, voters.Voters)
-	v.manager.setUnresponsiveVoters(unresponsive)
 	seeds := v.directory.currentSeeds()
-	for _, seed := range seeds {
-		if !slices.Contains(v.seedsSeen, seed) {
-			v.seedsSeen = append(v.seedsSeen, seed)
-		}
-	}
+	v.recordSeeds(seeds)
 	removed := func(node string) bool { return slices.Contains(v.seedsSeen, node) && !slices.Contains(seeds, node) }
+	unresponsive := v.detector.unresponsive(now, voters.Voters)
+	v.manager.setUnresponsiveVoters(unresponsive)
 	reported := unresponsive
 	if !voters.Contains(v.self) {
 		reported = nil // only the reports of voters count
 	}
 	peers := v.detector.peerStatuses(now, voters.Voters, reported, removed)
 	v.manager.setKnownPeers(peers)
-	status := v.acceptor.status()
-	if voters.Contains(v.self) || !status.ready {
+	self, ok := v.ownStatus(now, voters)
+	if !ok {
 		return peers
 	}
-	self := consensus.PeerStatus{
-		Node:             v.self,
-		Responsive:       true,
-		StateDuration:    now.Sub(status.readySince),
-		Ready:            true,
-		RemovedFromSeeds: removed(v.self),
-	}
+	self.RemovedFromSeeds = removed(v.self)
 	return append(slices.Clone(peers), self)
 }
 
+// recordSeeds adds the seeds to those that the settings have named since the start.
+func (v *voterMonitor) recordSeeds(seeds []string) {
+	for _, seed := range seeds {
+		if !slices.Contains(v.seedsSeen, seed) {
+			v.seedsSeen = append(v.seedsSeen, seed)
+		}
+	}
+}
+
+// ownStatus returns this process's own status, but for RemovedFromSeeds; ok is false if it is a voter, or may not become one.
+func (v *voterMonitor) ownStatus(now time.Time, voters consensus.VoterSet) (self consensus.PeerStatus, ok bool) {
+	status := v.acceptor.status()
+	if voters.Contains(v.self) || !status.ready {
+		return consensus.PeerStatus{}, false
+	}
+	return consensus.PeerStatus{
+		Node:          v.self,
+		Responsive:    true,
+		StateDuration: now.Sub(status.readySince),
+		Ready:         true,
+	}, true
+}
+
 // plan returns the change that is needed, or the zero change if none is, or if voters were replaced too recently.
 func (v *voterMonitor) plan(now time.Time, voters consensus.VoterSet, peers []consensus.PeerStatus) consensus.VoterChange {
 	var change consensus.VoterChange
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -209,7 +209,7 @@
 }
 
 // countRejection counts a voter's rejection. Once the attempt is lost, its grants are to be released.
-func (c *Candidate) countRejection(now time.Duration, rejection *Grant) {
+func (c *Candidate) countRejection(now time.Duration, rejection *RoleReply) {
 	if c.state == Holding {
 		return
 	}
--- a/internal/mesh/control/lease/golden_test.go
+++ b/internal/mesh/control/lease/golden_test.go
@@ -19,11 +19,11 @@
 		Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, VoterSetEpoch: 4,
 		Roles: []RoleRequest{{Role: "quota", FencingToken: 4_000_001, Release: true}, {Role: "config", FencingToken: 4_000_300}},
 	}
-	reply := Reply{VoterSetEpoch: 5, Grants: []Grant{
+	reply := Reply{VoterSetEpoch: 5, Grants: []RoleReply{
 		{Role: "quota", Granted: true, FencingToken: 4_000_001},
 		{Role: "config", FencingToken: 4_000_300, Holder: "10.0.0.2:7401", Remaining: 750 * time.Millisecond},
 	}}
-	grant := Grant{Role: "quota", Granted: true, FencingToken: 4_000_001, Holder: "10.0.0.2:7401", Remaining: time.Second}
+	grant := RoleReply{Role: "quota", Granted: true, FencingToken: 4_000_001, Holder: "10.0.0.2:7401", Remaining: time.Second}
 	for _, message := range []struct {
 		name         string
 		value, empty codec.Message
@@ -31,7 +31,7 @@
 		{"request", &request, &Request{}},
 		{"duty", &request.Roles[0], &RoleRequest{}},
 		{"reply", &reply, &Reply{}},
-		{"grant", &grant, &Grant{}},
+		{"grant", &grant, &RoleReply{}},
 	} {
 		t.Run(message.name, func(t *testing.T) {
 			file := "message-" + message.name + ".hex"
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -38,8 +38,8 @@
 
 // Reply is a voter's answer to a Request.
 type Reply struct {
-	Grants        []Grant // in the order of Request.Roles, without roles for which the voter has no room
-	VoterSetEpoch uint64  // of the newest voter set that the voter accepted or knows to be decided
+	Grants        []RoleReply // in the order of Request.Roles, without roles for which the voter has no room
+	VoterSetEpoch uint64      // of the newest voter set that the voter accepted or knows to be decided
 }
 
 // Fields implements codec.Message.
@@ -48,8 +48,8 @@
 	visitor.Uint64(2, &r.VoterSetEpoch)
 }
 
-// Grant is a voter's answer for one role: a grant, or a rejection.
-type Grant struct {
+// RoleReply is a voter's reply to a RoleRequest: a grant, or a rejection.
+type RoleReply struct {
 	Role         string
 	Granted      bool          // false: the request was rejected
 	FencingToken uint64        // the highest that the voter has granted for the role
@@ -58,10 +58,10 @@
 }
 
 // Fields implements codec.Message.
-func (g *Grant) Fields(visitor *codec.Visitor) {
-	visitor.String(1, &g.Role)
-	visitor.Bool(2, &g.Granted)
-	visitor.Uint64(3, &g.FencingToken)
-	visitor.String(4, &g.Holder)
-	visitor.Duration(5, &g.Remaining)
+func (r *RoleReply) Fields(visitor *codec.Visitor) {
+	visitor.String(1, &r.Role)
+	visitor.Bool(2, &r.Granted)
+	visitor.Uint64(3, &r.FencingToken)
+	visitor.String(4, &r.Holder)
+	visitor.Duration(5, &r.Remaining)
 }
--- a/internal/mesh/control/lease/rules_test.go
+++ b/internal/mesh/control/lease/rules_test.go
@@ -73,8 +73,8 @@
 	// The holder learns of the new voter set while it holds the lease, cannot renew it, and waits like any other candidate.
 	holder = NewCandidate("h", 3, "e", zero)
 	c.Assert(ask(holder, 0, 0, oldVoters), qt.IsFalse)
-	holder.HandleReply(0, 0, "a", &Reply{Grants: []Grant{{Role: "e", Granted: true, FencingToken: 1}}})
-	c.Assert(holder.HandleReply(0, 0, "b", &Reply{Grants: []Grant{{Role: "e", Granted: true, FencingToken: 1}}}), qt.IsTrue)
+	holder.HandleReply(0, 0, "a", &Reply{Grants: []RoleReply{{Role: "e", Granted: true, FencingToken: 1}}})
+	c.Assert(holder.HandleReply(0, 0, "b", &Reply{Grants: []RoleReply{{Role: "e", Granted: true, FencingToken: 1}}}), qt.IsTrue)
 	c.Assert(holder.Tick(holderDuration-1, 3, 1), qt.IsNotNil) // renews under the new voter set
 	for now := holderDuration; now < holderDuration-1+voterChangeDelay; now += retryDelay {
 		c.Assert(holder.Tick(now, 3, 1), qt.IsNil)
@@ -141,8 +141,8 @@
 	candidate := NewCandidate("x", 1, "d", func() float64 { return 1 })
 	candidate.SetRank(4)
 	c.Assert(candidate.Tick(0, 3, 0), qt.IsNotNil)
-	candidate.HandleReply(0, 0, "a", &Reply{Grants: []Grant{{Role: "d", FencingToken: 1, Holder: "y", Remaining: Duration}}})
-	granted := &Reply{Grants: []Grant{{Role: "d", Granted: true, FencingToken: 1}}}
+	candidate.HandleReply(0, 0, "a", &Reply{Grants: []RoleReply{{Role: "d", FencingToken: 1, Holder: "y", Remaining: Duration}}})
+	granted := &Reply{Grants: []RoleReply{{Role: "d", Granted: true, FencingToken: 1}}}
 	candidate.HandleReply(0, 0, "b", granted)
 	c.Assert(candidate.HandleReply(0, 0, "c", granted), qt.IsTrue)
 	c.Assert(candidate.Tick(renewInterval, 3, 0), qt.IsNotNil)
--- a/internal/mesh/control/lease/voter.go
+++ b/internal/mesh/control/lease/voter.go
@@ -63,7 +63,7 @@
 }
 
 // answer grants, renews, releases or rejects the lease. mayGrant is false while the voter must not grant anything.
-func (h *heldLease) answer(now time.Duration, mayGrant bool, request *Request, role *RoleRequest) Grant {
+func (h *heldLease) answer(now time.Duration, mayGrant bool, request *Request, role *RoleRequest) RoleReply {
 	isHolder := h.isHeldBy(request)
 	isCurrent := isHolder && role.FencingToken >= h.fencingToken
 	isFree := now >= h.expiresAt && role.FencingToken > h.fencingToken
@@ -79,9 +79,9 @@
 			fencingToken: role.FencingToken,
 			expiresAt:    now + Duration,
 		}
-		return Grant{Role: role.Role, Granted: true, FencingToken: role.FencingToken}
+		return RoleReply{Role: role.Role, Granted: true, FencingToken: role.FencingToken}
 	}
-	rejection := Grant{Role: role.Role, FencingToken: h.fencingToken}
+	rejection := RoleReply{Role: role.Role, FencingToken: h.fencingToken}
 	if now < h.expiresAt && !isHolder {
 		rejection.Holder = h.holder
 		rejection.Remaining = h.expiresAt - now
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -25,7 +25,7 @@
 	limit := Limit{Rate: 1e5, Burst: 1e5, Overage: 100}
 	allocator := NewAllocator(0, true, func(string) (Limit, bool) { return limit, true })
 	requests := benchmarkRequests(sidecars, tenants)
-	now, interval := time.Second, heartbeatInterval/time.Duration(sidecars)
+	now, interval := time.Second, maxRequestInterval/time.Duration(sidecars)
 	exchange := func(request *AllocationRequest) *AllocationReply {
 		now += interval
 		reply := AllocationReply{Granted: true, FencingToken: 3, Allocator: "10.0.0.1:7301", Grants: allocator.Allocate(now, request)}
--- a/internal/mesh/control/ratelimit/bucket.go
+++ b/internal/mesh/control/ratelimit/bucket.go
@@ -112,7 +112,8 @@
 	return taken
 }
 
-// timeUntil returns the time until the lacking tokens are there, at a rate of refill in tokens a second, at most shareLease.
+// timeUntil returns the time until the lacking tokens are there, rounded up by one token at most, at a rate of refill in tokens a second.
+// It is shareLease at most.
 func (b *bucket) timeUntil(lacking, rate float64) time.Duration {
 	if rate <= 0 {
 		return shareLease
--- a/internal/mesh/control/ratelimit/example_test.go
+++ b/internal/mesh/control/ratelimit/example_test.go
@@ -13,7 +13,7 @@
 	limits := func(string) (ratelimit.Limit, bool) { return limit, true }
 	allocator := ratelimit.NewAllocator(0, true, limits)
 	cache := ratelimit.NewTokenCache()
-	cache.SetSidecars(1)
+	cache.SetSidecarCount(1)
 
 	now := time.Second
 	for request := range 7 {
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -51,7 +51,7 @@
 	z.allocator = NewAllocator(0, true, z.limits)
 	for i := range zoneSidecars {
 		cache := NewTokenCache()
-		cache.SetSidecars(zoneSidecars)
+		cache.SetSidecarCount(zoneSidecars)
 		z.caches = append(z.caches, cache)
 		z.names = append(z.names, fmt.Sprint(i))
 	}
--- a/internal/mesh/control/ratelimit/golden_test.go
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -72,7 +72,7 @@
 		450 * time.Millisecond, 300 * time.Millisecond, 10 * time.Second, 20 * time.Second, 100 * time.Millisecond, time.Second,
 	})
 	c.Check([]time.Duration{
-		heartbeatInterval, urgentInterval, renewInterval, idleTimeout, replyTimeout, waitTimeout, firstWaitTimeout, minRetryAfter,
+		maxRequestInterval, urgentInterval, renewInterval, idleTimeout, replyTimeout, waitTimeout, firstWaitTimeout, minRetryAfter,
 		maxRetryAfter, maxDenial,
 	}, qt.DeepEquals, []time.Duration{
 		200 * time.Millisecond, 15 * time.Millisecond, 2 * time.Second, 10 * time.Second,
@@ -122,7 +122,7 @@
 	run := &goldenRun{rng: rand.New(rand.NewPCG(seed, 7)), allocator: NewAllocator(0, seed%2 == 0, goldenLimit)}
 	for range 3 {
 		cache := NewTokenCache()
-		cache.SetSidecars(3)
+		cache.SetSidecarCount(3)
 		run.caches = append(run.caches, cache)
 	}
 	return run
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -26,7 +26,7 @@
 	visitor.Float64(6, &t.UnusedTokens)
 }
 
-// AllocationRequest has all token requests of a sidecar, or none: it is sent at least every heartbeatInterval, so that the allocator
+// AllocationRequest has all token requests of a sidecar, or none: it is sent at least every maxRequestInterval, so that the allocator
 // knows which sidecars reach it.
 type AllocationRequest struct {
 	Sidecar             string // its address
@@ -48,7 +48,7 @@
 // TokenGrant answers a TokenRequest.
 type TokenGrant struct {
 	Tenant         string
-	Tokens         float64       // valid for tokenValidity from the time of the request
+	Tokens         float64       // valid for tokenValidity from the time of the request; extends what is left of earlier ones
 	FallbackShare  float64       // in requests a second
 	ShareRemaining time.Duration // lease of the share, from the time of the request
 	RetryAfter     time.Duration // time until more tokens are there, if fewer were granted than requested; else 0
--- a/internal/mesh/control/ratelimit/tenant_tokens.go
+++ b/internal/mesh/control/ratelimit/tenant_tokens.go
@@ -9,14 +9,14 @@
 	fallback fallback
 
 	tokens        float64
-	tokensUntil   time.Duration // when tokens expire
+	tokensUntil   time.Duration // when all of them expire; a later grant extends it
 	expiredTokens float64       // to be returned to the allocator
 	deniedUntil   time.Duration // the allocator has no tokens before this time
 	renewAt       time.Duration // when the share is to be reported and renewed, even if no tokens are wanted
 
 	waiters          []func(ok bool, retryAfter time.Duration) // waiting requests, oldest first
-	waitingSince     time.Duration                             // of the first waiter
-	requestedWaiters int                                       // number of waiters that the newest token request counted
+	waitingSince     time.Duration                             // since when the first waiter waits, or the last reply that left it waiting
+	requestedWaiters int                                       // the first so many waiters are in the newest token request; stale after answerWaiters
 }
 
 func newTenantTokens(now time.Duration) *tenantTokens {
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -4,17 +4,17 @@
 
 // When a sidecar requests tokens, and how long its clients' requests wait for them.
 const (
-	heartbeatInterval = 200 * time.Millisecond // between two requests to the allocator
-	urgentInterval    = 15 * time.Millisecond  // the same while clients' requests wait, or tokens run low
-	renewInterval     = 2 * time.Second        // between two requests for a tenant for which no tokens are wanted
-	idleTimeout       = 10 * time.Second       // after which a tenant without requests is dropped
-	replyTimeout      = 60 * time.Millisecond  // after which a request without a reply counts as lost
-	waitTimeout       = 60 * time.Millisecond  // of a waiting request, which then uses the fallback share
-	firstWaitTimeout  = 250 * time.Millisecond // the same before any allocator has been reached
-	maxWaiters        = 1024                   // of one tenant
-	minRetryAfter     = 30 * time.Millisecond  // least retry-after of a rejected client
-	maxRetryAfter     = 2 * time.Second        // greatest retry-after of a rejected client
-	maxDenial         = 100 * time.Millisecond // longest time without requests after the allocator had no tokens
+	maxRequestInterval = 200 * time.Millisecond // between two requests to the allocator
+	urgentInterval     = 15 * time.Millisecond  // the same while clients' requests wait, or tokens run low
+	renewInterval      = 2 * time.Second        // between two requests for a tenant for which no tokens are wanted
+	idleTimeout        = 10 * time.Second       // after which a tenant without requests is dropped
+	replyTimeout       = 60 * time.Millisecond  // after which a request without a reply counts as lost
+	waitTimeout        = 60 * time.Millisecond  // of a waiting request, which then uses the fallback share
+	firstWaitTimeout   = 250 * time.Millisecond // the same before any allocator has been reached
+	maxWaiters         = 1024                   // of one tenant
+	minRetryAfter      = 30 * time.Millisecond  // least retry-after of a rejected client
+	maxRetryAfter      = 2 * time.Second        // greatest retry-after of a rejected client
+	maxDenial          = 100 * time.Millisecond // longest time without requests after the allocator had no tokens
 )
 
 // TokenCache is one sidecar's state of all tenants' limits. It admits requests by the tokens that it has drawn from the allocator.
@@ -32,8 +32,8 @@
 // NewTokenCache returns an empty cache.
 func NewTokenCache() *TokenCache { return &TokenCache{tenants: map[string]*tenantTokens{}} }
 
-// SetSidecars sets the number of sidecars, by which the fallback divides the limit.
-func (c *TokenCache) SetSidecars(n int) { c.sidecarCount = n }
+// SetSidecarCount sets the number of sidecars, by which the fallback divides the limit.
+func (c *TokenCache) SetSidecarCount(n int) { c.sidecarCount = n }
 
 // HighestFencingToken returns the highest fencing token of an allocator whose grants were accepted; 0 for none.
 func (c *TokenCache) HighestFencingToken() uint64 { return c.highestFencingToken }
@@ -90,10 +90,10 @@
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
 // Tick returns the token requests to send to the allocator now, and reports whether anything is due: an AllocationRequest without
-// token requests is a heartbeat. It also admits or rejects requests that have waited too long, by the fallback share. It is to
+// token requests still shows the allocator that the sidecar reaches it. It also admits or rejects requests that have waited too long, by the fallback share. It is to
 // be called every few milliseconds.
 func (c *TokenCache) Tick(now time.Duration) (requests []TokenRequest, due bool) {
-	interval := heartbeatInterval
+	interval := maxRequestInterval
 	if c.expireWaiters(now) {
 		interval = urgentInterval
 	}
