--- a/internal/mesh/agent/agent.go
+++ b/internal/mesh/agent/agent.go
@@ -12,10 +12,10 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// tickInterval is the time after which Agent.Run sends what is due, unless it is woken before.
+// tickInterval is the interval at which Agent.Run sends due messages. A wakeup makes it send them earlier.
 const tickInterval = 100 * time.Millisecond
 
-// Agent is one process's part in the control plane. Its methods may be called from any goroutine.
+// Agent connects one process to the control plane. Its methods are safe for concurrent use.
 type Agent struct {
 	*environment
 	members       *memberTracker
@@ -25,8 +25,8 @@
 	events        *eventRecorder // nil on sidecars
 }
 
-// New returns an Agent, and registers its methods with the hub, which may serve already. The agent answers peers from then on; it sends
-// nothing by itself before Run.
+// New returns an Agent, and registers its methods with the hub, which may already be serving. From then on, the agent answers requests
+// of peers. It sends no messages on its own initiative before Run is called.
 func New(config Config) *Agent {
 	env := newEnvironment(config)
 	agent := &Agent{environment: env}
@@ -45,7 +45,8 @@
 	return agent
 }
 
-// Run sends what is due until ctx ends. It returns once the last configuration that was fetched is no longer being applied.
+// Run sends due messages until ctx ends. Before it returns, it waits until a fetched configuration that is being applied has been
+// applied.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.configuration.stop()
 	tick := time.NewTicker(tickInterval)
@@ -61,7 +62,7 @@
 	}
 }
 
-// sendDue sends the shuffles, endpoint records and subscribe requests that are due, and notifies subscribers of changes.
+// sendDue sends the due shuffles, endpoint records and subscribe requests, and notifies subscribers of changes.
 func (a *Agent) sendDue() {
 	a.configuration.finishPoll()
 	due := a.takeDue()
@@ -71,15 +72,15 @@
 	a.directory.notifyChanges()
 }
 
-// dueMessages are those that are to be sent now.
+// dueMessages holds the messages to send now. shuffle is nil if none is due.
 type dueMessages struct {
-	peers         []string // addresses to send the shuffle to
+	peers         []string // internal addresses of the recipients of shuffle
 	shuffle       *membership.Shuffle
 	records       []discovery.Announcement
 	subscriptions []discovery.SubscribeRequest
 }
 
-// takeDue advances the parts of the agent to the present time, and returns what they have to send.
+// takeDue advances the parts of the agent to the current time, and returns the messages that they have to send.
 func (a *Agent) takeDue() dueMessages {
 	now := a.now()
 	a.mu.Lock()
@@ -96,7 +97,7 @@
 	return due
 }
 
-// handleLinkLost informs the parts of the agent that the link to an address has ended: the process there may have ended too.
+// handleLinkLost informs the parts of the agent that the link to an address has been lost. The process there may have ended as well.
 func (a *Agent) handleLinkLost(address, _ string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,13 +107,14 @@
 	a.publisher.linkLostLocked(address)
 }
 
-// SetSeeds replaces the internal addresses of the seeds by those that the settings have now.
+// SetSeeds replaces the internal addresses of the seeds, for example after the settings have been reloaded.
 func (a *Agent) SetSeeds(addresses []string) { a.members.setSeeds(addresses) }
 
-// Members returns the processes that run, as far as this one knows, itself included, ordered by address.
+// Members returns the running processes known to this process, including itself, ordered by address.
 func (a *Agent) Members() []membership.Member { return a.members.all() }
 
-// CoreAddresses returns the control addresses of the core processes among the members. All machines have the same ports.
+// CoreAddresses returns the control addresses of the core processes among the members. They are built from the members' IP addresses and
+// this process's control port, as all machines use the same ports.
 func (a *Agent) CoreAddresses() []string {
 	_, port, err := net.SplitHostPort(a.settings.ControlAddress)
 	if err != nil {
@@ -128,36 +130,36 @@
 }
 
 // ApplyCommitted applies a committed configuration in this process, and announces its version to peers. The caller guarantees that a
-// majority of the voters has the configuration on disk. The agent also applies those that it fetches from a peer that has applied them.
-// A version that is not above the applied one changes nothing. A text that can't be parsed, or that names another version, is logged and
-// not applied.
+// majority of the voters has the configuration on disk. (Run also applies configurations that it fetches from peers that have applied
+// them.) A version that is not higher than the applied one is ignored. A text that can't be parsed, or that names another version, is
+// logged as an error and not applied.
 func (a *Agent) ApplyCommitted(version uint64, text []byte) { a.configuration.apply(version, text) }
 
-// Configuration returns the version and the text of the configuration that is applied in this process; version 0 if there is none.
+// Configuration returns the version and the text of the configuration applied in this process. The version is 0 if none is applied.
 func (a *Agent) Configuration() (version uint64, text []byte) { return a.configuration.applied() }
 
-// Publish publishes the endpoint beside this process as it is now. It only queues the record, which Run sends. It may therefore be
-// called with locks held that OnEndpointLeaving or OnEndpointsChanged takes: where this process is a registry owner of the service, the
-// record leads to these callbacks.
-func (a *Agent) Publish(e discovery.Endpoint) { a.publisher.set(e) }
+// Publish publishes the current record of the local endpoint. It only queues the record; Run sends it. Publish may therefore be called
+// while holding locks that OnEndpointLeaving or OnEndpointsChanged acquires, although the record triggers these callbacks if this process
+// is a registry owner of the service.
+func (a *Agent) Publish(e discovery.Endpoint) { a.publisher.publish(e) }
 
-// PublishEnd publishes that an endpoint that was beside this process has ended, as Crashed or Deregistered. Like Publish it only queues
-// the record.
-func (a *Agent) PublishEnd(id string, s discovery.State) { a.publisher.end(id, s) }
+// PublishEnd publishes the final state of a former local endpoint: Crashed or Deregistered. Like Publish, it only queues the record.
+func (a *Agent) PublishEnd(id string, s discovery.State) { a.publisher.publishEnd(id, s) }
 
-// ApplyRecord applies a record of an endpoint to this process's registry, as if a sidecar had published it to this process. It is for
-// tests of the programs.
+// ApplyRecord applies an endpoint record to this process's registry, as if a sidecar had published it to this process. It is intended
+// for tests of the programs.
 func (a *Agent) ApplyRecord(e discovery.Endpoint) { a.directory.applyAsOwner(e) }
 
-// Refresh requests the complete endpoint list of a service from its registry owners. It does not wait for the answers.
+// Refresh requests the complete endpoint list of a service from its registry owners in this process's zone. It does not wait for the
+// replies.
 func (a *Agent) Refresh(service string) { a.directory.refresh(service) }
 
-// EventsHandler returns the handler that serves the feed of events to tools (package eventfeed). It is for core processes only: a
-// sidecar records no events.
+// EventsHandler returns the HTTP handler that serves the event feed to tools (package eventfeed). It must be called in core processes
+// only, as a sidecar records no events.
 func (a *Agent) EventsHandler() http.Handler { return eventfeed.Handler(a.events) }
 
-// KeepaliveHandler returns the handler of endpoints' calls over HTTP: POST /endpoints/{id}/keepalive and POST /endpoints/{id}/deregister.
-// local is the endpoint beside this process, nil if there is none; keepalives that other processes forward are delivered to it too.
+// KeepaliveHandler returns the HTTP handler of the endpoints' calls: POST /endpoints/{id}/keepalive and POST /endpoints/{id}/deregister.
+// local is the local endpoint, or nil if there is none. Keepalives forwarded by other processes are delivered to it as well.
 func (a *Agent) KeepaliveHandler(local LocalEndpoint) http.Handler {
 	k := &keepaliveServer{
 		environment: a.environment,
--- a/internal/mesh/agent/allocator.go
+++ b/internal/mesh/agent/allocator.go
@@ -9,23 +9,23 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// roleAllocator is the name, on the wire and in State, of the singleton role that grants tokens of tenants' rate limits.
+// roleAllocator is the name, on the wire and in State, of the singleton role that grants tokens of the tenants' rate limits.
 const roleAllocator = "allocator"
 
-// initialStartGrace is how long after the start of this process, at the first start of the whole system, a new allocator may assume that
-// no earlier one has granted tokens.
+// initialStartGrace applies at the first start of the whole system only: a process that becomes the allocator within this time of its
+// own start may assume that no earlier allocator has granted tokens.
 const initialStartGrace = 6 * time.Second
 
-// startAllocatorLocked makes this process the allocator. Its lease has just been granted.
+// startAllocatorLocked makes this process the allocator, after it has acquired the allocator's lease.
 func (s *SingletonRoles) startAllocatorLocked(now time.Duration) {
 	token, _ := s.allocatorLease.Holds(now)
 	s.agent.events.recordRoleAcquired(s.agent.address(), fmt.Sprintf("%s, under number %d", roleAllocator, token))
-	first := s.initialStart && now < initialStartGrace
-	s.allocator = ratelimit.NewAllocator(now, first, s.agent.configuration.tenantLimit)
+	noEarlierAllocator := s.initialStart && now < initialStartGrace
+	s.allocator = ratelimit.NewAllocator(now, noEarlierAllocator, s.agent.configuration.tenantLimit)
 	s.updateSidecarsLocked(now, s.agent.Members())
 }
 
-// stopAllocatorLocked ends the role of this process, if it is the allocator.
+// stopAllocatorLocked makes this process stop being the allocator. It has no effect if the process is not the allocator.
 func (s *SingletonRoles) stopAllocatorLocked() {
 	if s.allocator == nil {
 		return
@@ -34,8 +34,8 @@
 	s.agent.events.recordRoleLost(s.agent.address(), roleAllocator)
 }
 
-// handleAllocation answers a sidecar's request for tokens. A process that is not the allocator, or whose fencing token is below the
-// highest one that the sidecar has seen, grants nothing and names the allocator, if it is known.
+// handleAllocation handles a sidecar's request for tokens. A process that is not the allocator, or whose fencing token is lower than the
+// highest one that the sidecar has seen, grants nothing. Its reply names the allocator if that is known.
 func (s *SingletonRoles) handleAllocation(
 	_ context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest,
 ) *ratelimit.AllocationReply {
--- a/internal/mesh/agent/configuration.go
+++ b/internal/mesh/agent/configuration.go
@@ -14,27 +14,28 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// noticePeers is the number of members, drawn at random, that are notified of a new version at once. Gossip notifies the others.
+// noticePeers is the number of randomly selected members that are notified of a new version immediately. The other members learn of it
+// by gossip.
 const noticePeers = 4
 
-// configurationUpdater holds the committed configuration that is applied in this process. It discovers newer versions at peers, fetches
-// them, applies them one after the other, and announces them. Invariant: the applied version only rises.
+// configurationUpdater holds the committed configuration that is applied in this process. It learns of newer versions from peers, fetches
+// and applies them one at a time, and announces them. Invariant: the applied version never decreases.
 type configurationUpdater struct {
 	*environment
 	members   *memberTracker
 	directory *endpointDirectory
-	events    *eventRecorder // may be nil
+	events    *eventRecorder // nil on sidecars
 
 	applyMu      sync.Mutex                                 // held while a configuration is being applied
-	tenantLimits atomic.Pointer[map[string]ratelimit.Limit] // by the tenant's name; nil before a configuration is applied
-	applying     sync.WaitGroup                             // goroutines of applyFetched
-
-	// Guarded by environment.mu.
-	current       configurationText // the applied one
-	poll          versionPoll       // used while none is applied
-	fetching      uint64            // version that is being fetched
-	fetchDeadline time.Duration     // of that fetch
-	stopped       bool              // fetched configurations are not applied any more
+	tenantLimits atomic.Pointer[map[string]ratelimit.Limit] // rate limits by tenant name; nil before a configuration is applied
+	applying     sync.WaitGroup                             // goroutines started by applyFetched
+
+	// The fields below are guarded by environment.mu.
+	current       configurationText // applied configuration; version 0 if none is applied
+	poll          versionPoll       // selects the first configuration while none is applied
+	fetching      uint64            // version of the latest fetch; 0 before the first
+	fetchDeadline time.Duration     // time from which the version in fetching may be fetched again
+	stopped       bool              // set by stop: fetched configurations are no longer applied
 }
 
 // newConfigurationUpdater returns an updater without a configuration.
@@ -44,13 +45,13 @@
 	return &configurationUpdater{environment: env, members: members, directory: directory, events: recorder}
 }
 
-// register registers the methods by which peers announce versions and request the configuration.
+// register registers the methods with which peers announce versions and request the configuration.
 func (c *configurationUpdater) register() {
 	transport.Handle(c.hub, methodVersionNotice, c.handleVersionNotice)
 	transport.Handle(c.hub, methodConfiguration, c.handleRequest)
 }
 
-// stop ends the applying of fetched configurations: it waits for the one that is being applied, and none is applied after that.
+// stop prevents further fetched configurations from being applied, and waits until those that are being applied have been applied.
 func (c *configurationUpdater) stop() {
 	c.mu.Lock()
 	c.stopped = true
@@ -58,16 +59,16 @@
 	c.applying.Wait()
 }
 
-// apply applies a committed configuration (Agent.ApplyCommitted). It calls OnConfiguration, and returns after that has returned.
+// apply implements Agent.ApplyCommitted. It returns after OnConfiguration has returned.
 func (c *configurationUpdater) apply(version uint64, text []byte) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
-	if held, _ := c.applied(); version <= held {
+	if appliedVersion, _ := c.applied(); version <= appliedVersion {
 		return
 	}
 	conf, err := parseVersion(version, text)
-	if err != nil { // it may have been committed by a newer release of the program, which accepts more
-		c.log.WithField("version", version).WithError(err).Error("agent: a committed configuration can't be read")
+	if err != nil { // a newer release of the program, which accepts more settings, may have committed the configuration
+		c.log.WithField("version", version).WithError(err).Error("agent: cannot parse committed configuration, which is not applied")
 		return
 	}
 	if c.config.OnConfiguration != nil {
@@ -81,19 +82,20 @@
 	c.wake()
 }
 
-// parseVersion parses the text of a version. The error is trace.BadParameter if the text names another version.
+// parseVersion parses a configuration text and checks that it names the given version. The error is that of configuration.Parse, or
+// trace.BadParameter if the text names another version.
 func parseVersion(version uint64, text []byte) (*configuration.Config, error) {
 	conf, err := configuration.Parse(text)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if uint64(conf.Version) != version {
-		return nil, trace.BadParameter("configVersion: the text has %v, it was sent as %v", conf.Version, configuration.Version(version))
+		return nil, trace.BadParameter("configVersion: the text names version %v, want %v", conf.Version, configuration.Version(version))
 	}
 	return conf, nil
 }
 
-// store makes a configuration the applied one, which peers can request, and returns the addresses of the peers to notify of it.
+// store makes a configuration the applied one, which peers can then fetch, and returns the addresses of the peers to notify.
 func (c *configurationUpdater) store(conf *configuration.Config, text []byte) (notify []string) {
 	services := make([]string, len(conf.Services))
 	for i, s := range conf.Services {
@@ -102,13 +104,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = configurationText{Version: uint64(conf.Version), Text: text}
-	c.directory.wantLocked(services)
+	c.directory.setWantedServicesLocked(services)
 	c.members.invalidateLocked()
 	return c.peersToNotifyLocked()
 }
 
-// peersToNotifyLocked returns the addresses that this process notifies of a new version: all other core processes, if it is one itself,
-// and noticePeers other members, drawn at random.
+// peersToNotifyLocked returns the addresses of the members to notify of a new version: up to noticePeers members selected at random and,
+// if this process is a core process, all other core processes as well.
 func (c *configurationUpdater) peersToNotifyLocked() []string {
 	self := c.address()
 	var core, rest []string
@@ -124,7 +126,7 @@
 	return append(core, c.sampleLocked(rest, noticePeers)...)
 }
 
-// applied returns the version and the text of the applied configuration; version 0 if there is none.
+// applied returns the version and the text of the applied configuration. The version is 0 if none is applied.
 func (c *configurationUpdater) applied() (version uint64, text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,13 +136,13 @@
 // versionLocked implements versionExchange.
 func (c *configurationUpdater) versionLocked() uint64 { return c.current.Version }
 
-// handleVersionNotice handles the version that a peer announces.
+// handleVersionNotice handles a peer's announcement of its applied version.
 func (c *configurationUpdater) handleVersionNotice(_ context.Context, from *transport.Hello, n *versionNotice) *acknowledgement {
-	c.learnVersion(from.Address, n.Version)
+	c.handlePeerVersion(from.Address, n.Version)
 	return &acknowledgement{Accepted: true}
 }
 
-// handleRequest answers a peer with the applied configuration, or with its version alone if that is not above the peer's.
+// handleRequest returns the applied configuration to a peer, without the text if its version is not higher than the peer's.
 func (c *configurationUpdater) handleRequest(_ context.Context, _ *transport.Hello, request *configurationText) *configurationText {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/agent/configuration_fetch.go
+++ b/internal/mesh/agent/configuration_fetch.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// fetchTimeout is the time until a version whose text has not arrived may be fetched again.
+	// fetchTimeout is the time after which a version may be fetched again if its text has not arrived.
 	fetchTimeout = 300 * time.Millisecond
-	// versionOnly stands for the requester's version in a request for a peer's version without its text: no text is newer than that.
+	// versionOnly is the version in a request that asks for a peer's version without the text. A peer sends its text only if its version
+	// is higher than the one in the request, and no version is higher than this one.
 	versionOnly = math.MaxUint64
 )
 
-// learnVersion implements versionExchange: a version above the applied one is fetched from the peer that has it. A process without a
-// configuration polls other members first.
-func (c *configurationUpdater) learnVersion(peer string, version uint64) {
+// handlePeerVersion implements versionExchange. It fetches a version that is higher than the applied one from the peer that has it. A
+// process without a configuration first polls other members for their versions.
+func (c *configurationUpdater) handlePeerVersion(peer string, version uint64) {
 	var peersToPoll []string
 	c.mu.Lock()
-	present := c.current.Version
-	if present == 0 && version > 0 {
+	appliedVersion := c.current.Version
+	if appliedVersion == 0 && version > 0 {
 		peersToPoll = c.poll.observe(c.now(), peer, version, c.pollCandidatesLocked)
 	}
 	c.mu.Unlock()
 	switch {
-	case present >= version:
-	case present > 0:
+	case appliedVersion >= version:
+	case appliedVersion > 0:
 		c.fetch(peer, version)
 	default:
 		c.pollVersions(peersToPoll)
@@ -40,7 +41,7 @@
 	return c.sampleLocked(others, len(others))
 }
 
-// pollVersions requests the applied versions of peers.
+// pollVersions requests the applied versions of peers, without their texts.
 func (c *configurationUpdater) pollVersions(peers []string) {
 	for _, peer := range peers {
 		c.send(peer, methodConfiguration, &configurationText{Version: versionOnly}, func(body []byte) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// recordPollAnswer records the applied version of a peer that was polled.
+// recordPollAnswer records the applied version reported by a polled peer.
 func (c *configurationUpdater) recordPollAnswer(peer string, version uint64) {
 	c.mu.Lock()
 	c.poll.record(peer, version)
@@ -60,7 +61,7 @@
 	c.finishPoll()
 }
 
-// finishPoll fetches the newest version that the version poll has found, if the poll is complete.
+// finishPoll fetches the newest version found by the version poll, if the poll has ended.
 func (c *configurationUpdater) finishPoll() {
 	c.mu.Lock()
 	peer, version, ok := c.poll.finish(c.now())
@@ -70,14 +71,14 @@
 	}
 }
 
-// fetch requests a version from a peer that has it, unless it is applied or being fetched already. The answer is applied on a goroutine
-// of its own, as OnConfiguration may take long and the link's reader must not wait.
+// fetch requests a version from a peer that has it, unless the version is already applied or being fetched. The reply is applied on a
+// separate goroutine, because OnConfiguration may take long and must not block the link's reader.
 func (c *configurationUpdater) fetch(peer string, version uint64) {
-	present, ok := c.beginFetch(version)
+	appliedVersion, ok := c.beginFetch(version)
 	if !ok {
 		return
 	}
-	c.send(peer, methodConfiguration, &configurationText{Version: present}, func(body []byte) {
+	c.send(peer, methodConfiguration, &configurationText{Version: appliedVersion}, func(body []byte) {
 		var fetched configurationText
 		if len(body) > 0 && codec.Unmarshal(body, &fetched) == nil && fetched.Version > 0 && len(fetched.Text) > 0 {
 			c.applyFetched(&fetched)
@@ -85,8 +86,9 @@
 	})
 }
 
-// beginFetch marks a version as being fetched, and returns the applied one. It reports false if there is nothing to fetch.
-func (c *configurationUpdater) beginFetch(version uint64) (present uint64, ok bool) {
+// beginFetch marks a version as being fetched, and returns the applied version. It reports false if the version is already applied or
+// being fetched.
+func (c *configurationUpdater) beginFetch(version uint64) (appliedVersion uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -99,7 +101,7 @@
 	return c.current.Version, true
 }
 
-// applyFetched applies a fetched configuration on a goroutine that stop waits for.
+// applyFetched applies a fetched configuration on a new goroutine, for which stop waits. After stop it has no effect.
 func (c *configurationUpdater) applyFetched(fetched *configurationText) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/agent/configuration_test.go
+++ b/internal/mesh/agent/configuration_test.go
@@ -13,17 +13,17 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// configurationOf returns the text of a configuration without routes.
+// configurationOf returns the text of a configuration with the given version and without routes.
 func configurationOf(version uint64) []byte {
 	return fmt.Appendf(nil, `{"configVersion":"r%d","routeTable":[]}`, version)
 }
 
-// Whatever versions arrive in whatever order, the versions that are applied only rise, and the newest that arrived is applied in the end.
-// A text that names another version than it is sent as is never applied.
+// The applied version never decreases, whatever the order in which configurations arrive, and the newest one that arrived is applied in the
+// end. A text that names a version other than the one with which it was sent is never applied.
 func TestVersionsOnlyRise(t *testing.T) {
 	const newest = 50
 	for seed := range uint64(20) {
-		var applied []configuration.Version // without a lock: configurations are applied one at a time
+		var applied []configuration.Version // not guarded by a lock, as configurations are applied one at a time
 		agent := New(Config{
 			Settings:        &settings.Settings{Service: "s"},
 			Hub:             newTestHub(t, 1, "127.9.1.1:7401"),
@@ -39,14 +39,14 @@
 				for range 30 {
 					version := 1 + rng.Uint64N(newest)
 					agent.ApplyCommitted(version, configurationOf(version))
-					agent.ApplyCommitted(100+version, configurationOf(version)) // sent as another version
+					agent.ApplyCommitted(100+version, configurationOf(version)) // rejected: the text names another version
 				}
 				agent.ApplyCommitted(newest, configurationOf(newest))
 			})
 		}
 		senders.Wait()
 		for i := range applied {
-			qt.Assert(t, i == 0 || applied[i] > applied[i-1], qt.IsTrue, qt.Commentf("%v", applied))
+			qt.Assert(t, i == 0 || applied[i] > applied[i-1], qt.IsTrue, qt.Commentf("applied versions %v, want them in ascending order", applied))
 		}
 		qt.Assert(t, applied[len(applied)-1], qt.Equals, configuration.Version(newest))
 		version, _ := agent.Configuration()
@@ -54,7 +54,7 @@
 	}
 }
 
-// A process that shuts down waits for the fetched configuration that it is applying, and applies no further one.
+// A process that shuts down waits until the fetched configuration that it is applying has been applied, and applies no other one after it.
 func TestStopWaitsForFetchedConfigurations(t *testing.T) {
 	applying, finish := make(chan struct{}), make(chan struct{})
 	agent := New(Config{
@@ -74,14 +74,14 @@
 		defer close(stopped)
 		agent.configuration.stop()
 	}()
-	eventually(t, "no further configuration is applied", func() bool {
+	eventually(t, "the configuration updater is marked as stopped", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		return agent.configuration.stopped
 	})
 	select {
 	case <-stopped:
-		t.Fatal("a configuration is still being applied")
+		t.Fatal("stop returned while a configuration was being applied")
 	default:
 	}
 	agent.configuration.applyFetched(&configurationText{Version: 2, Text: configurationOf(2)})
--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	expiryInterval = time.Second       // between two checks of the leases of endpoint records
-	ownersFollowed = ownersPerZone + 1 // of each service: the additional one replaces one that is unresponsive
+	expiryInterval        = time.Second       // interval between checks for expired leases of endpoint records
+	ownersPerSubscription = ownersPerZone + 1 // registry owners of a service to subscribe to: one more, to replace an unresponsive one
 )
 
-// endpointDirectory holds the endpoint records that this process knows. The process is a registry owner of some services, to which
-// sidecars publish and other processes subscribe, and a subscriber to the services that it wants itself. Both use the one registry. The
-// fields are guarded by environment.mu.
+// endpointDirectory holds the endpoint records known to this process. The process is a registry owner of some services: sidecars publish
+// records to it, and other processes subscribe to it. It is also a subscriber to the services whose endpoints it needs itself. Both uses
+// share one registry. The fields are guarded by environment.mu.
 type endpointDirectory struct {
 	*environment
 	members *memberTracker
-	events  *eventRecorder // may be nil
+	events  *eventRecorder // nil on sidecars
 
-	registry      *discovery.Registry
-	subscriptions *discovery.Subscription // of this process, at registry owners
-	subscribers   *discovery.Subscribers  // at this process
-	services      []string                // that this process wants to know the endpoints of
-	changed       map[string]uint64       // by service with pending notifications: the registry's version before the first change
-	nextExpiry    time.Duration           // next check of the leases
+	registry       *discovery.Registry
+	subscriptions  *discovery.Subscription // subscriptions of this process at registry owners
+	subscribers    *discovery.Subscribers  // subscribers registered at this process
+	wantedServices []string                // services whose endpoints this process needs
+	changedSince   map[string]uint64       // registry version before the first pending change, by name of the changed service
+	nextExpiry     time.Duration           // time of the next check for expired leases
 }
 
-// newEndpointDirectory returns a directory without records. A sidecar wants its own service until a configuration names others.
+// newEndpointDirectory returns a directory without records. Until a configuration is applied, a sidecar wants its own service only.
 func newEndpointDirectory(env *environment, members *memberTracker, recorder *eventRecorder) *endpointDirectory {
 	d := &endpointDirectory{
 		environment:   env,
@@ -40,29 +40,29 @@
 		registry:      discovery.NewRegistry(discovery.Config{}),
 		subscriptions: discovery.NewSubscription(discovery.Config{}),
 		subscribers:   discovery.NewSubscribers(discovery.Config{}),
-		changed:       map[string]uint64{},
+		changedSince:  map[string]uint64{},
 	}
 	if env.config.Role == membership.RoleAccess {
-		d.services = []string{env.settings.Service}
+		d.wantedServices = []string{env.settings.Service}
 	}
 	return d
 }
 
-// register registers the methods of a registry owner and of a subscriber.
+// register registers the methods that a registry owner and a subscriber serve.
 func (d *endpointDirectory) register() {
 	transport.Handle(d.hub, methodPublish, d.handlePublish)
 	transport.Handle(d.hub, methodSubscribe, d.handleSubscribe)
 	transport.Handle(d.hub, methodUpdate, d.handleUpdate)
 }
 
-// tickLocked expires leases, and returns the subscribe requests that are to be sent now.
+// tickLocked expires leases, and returns the subscribe requests to send now.
 func (d *endpointDirectory) tickLocked(now time.Duration) []discovery.SubscribeRequest {
 	due := d.subscriptions.Tick(now)
 	d.expireLocked(now)
 	return due
 }
 
-// expireLocked expires leases, once in an expiryInterval.
+// expireLocked expires the leases of endpoint records, at most once per expiryInterval.
 func (d *endpointDirectory) expireLocked(now time.Duration) {
 	if now < d.nextExpiry {
 		return
@@ -74,26 +74,28 @@
 	}
 }
 
-// linkLostLocked marks the registry owner at an address unresponsive, as the link to it has ended: the other owners are asked at once.
+// linkLostLocked marks the registry owner at an address as unresponsive, because the link to it was lost. The other owners are then asked
+// immediately.
 func (d *endpointDirectory) linkLostLocked(now time.Duration, address string) {
 	d.subscriptions.ConnectionLost(now, address)
 }
 
-// wantLocked replaces the list of the services that this process wants to know the endpoints of.
-func (d *endpointDirectory) wantLocked(services []string) { d.services = services }
+// setWantedServicesLocked replaces the list of services whose endpoints this process needs.
+func (d *endpointDirectory) setWantedServicesLocked(services []string) { d.wantedServices = services }
 
-// updateOwnersLocked determines the registry owners of the wanted services anew, from the present members.
+// updateOwnersLocked recomputes the registry owners of the wanted services from the current members.
 func (d *endpointDirectory) updateOwnersLocked() {
-	for _, service := range d.services {
+	for _, service := range d.wantedServices {
 		var owners []discovery.RegistryOwner
-		for _, m := range d.members.ownZoneOwnersLocked(service, ownersFollowed) {
+		for _, m := range d.members.ownZoneOwnersLocked(service, ownersPerSubscription) {
 			owners = append(owners, discovery.RegistryOwner{Address: m.Address, Incarnation: m.Incarnation})
 		}
 		d.subscriptions.SetOwners(service, owners)
 	}
 }
 
-// sendSubscriptions sends subscribe requests. One to this process itself, as a registry owner, is answered at once: the records are here.
+// sendSubscriptions sends subscribe requests. A request to this process itself, as a registry owner, counts as answered immediately, as
+// the registry is the same.
 func (d *endpointDirectory) sendSubscriptions(requests []discovery.SubscribeRequest) {
 	self := d.address()
 	for _, r := range requests {
@@ -113,7 +115,7 @@
 	}
 }
 
-// refresh requests the complete endpoint list of a service from its registry owners (Agent.Refresh).
+// refresh implements Agent.Refresh.
 func (d *endpointDirectory) refresh(service string) {
 	d.mu.Lock()
 	owners := d.members.ownZoneOwnersLocked(service, ownersPerZone)
@@ -126,7 +128,7 @@
 	}
 }
 
-// requestList sends a subscribe request to a registry owner, and applies the endpoint list that it answers with.
+// requestList sends a subscribe request to a registry owner, and applies the endpoint list in the reply.
 func (d *endpointDirectory) requestList(owner string, request *subscribeRequest) {
 	d.send(owner, methodSubscribe, request, func(body []byte) {
 		var list endpointList
@@ -136,7 +138,7 @@
 	})
 }
 
-// applyList applies the answer to a subscribe request.
+// applyList applies a registry owner's reply to a subscribe request.
 func (d *endpointDirectory) applyList(from discovery.RegistryOwner, list *endpointList) {
 	d.mu.Lock()
 	d.applyLocked(list.Endpoints)
@@ -145,15 +147,15 @@
 	d.notifyChanges()
 }
 
-// handleUpdate applies the records that a registry owner sends because they have changed.
+// handleUpdate applies the changed records that a registry owner sends to this process as its subscriber.
 func (d *endpointDirectory) handleUpdate(_ context.Context, _ *transport.Hello, list *endpointList) *acknowledgement {
 	d.apply(list.Endpoints...)
 	d.notifyChanges()
 	return &acknowledgement{Accepted: true}
 }
 
-// handleSubscribe answers a subscriber with the records that have changed since the version that it has, and makes it one that is
-// notified of later changes.
+// handleSubscribe registers a subscriber for notifications of later changes, or renews its registration, and returns the records that
+// have changed since the version that the subscriber has.
 func (d *endpointDirectory) handleSubscribe(_ context.Context, _ *transport.Hello, s *subscribeRequest) *endpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,25 +164,25 @@
 	incarnation := d.hub.Self().Incarnation
 	since := s.Since
 	if s.OwnerIncarnation != incarnation {
-		since = 0 // a version is one of a single incarnation's registry
+		since = 0 // versions of another incarnation's registry can't be compared with this one's
 	}
 	endpoints, version, _ := d.registry.ChangedSince(now, s.Service, since)
 	return &endpointList{Service: s.Service, Version: version, Endpoints: endpoints, OwnerIncarnation: incarnation}
 }
 
-// handlePublish applies the record that a sidecar publishes to this process as a registry owner.
+// handlePublish applies a record that a sidecar has published to this process as a registry owner.
 func (d *endpointDirectory) handlePublish(_ context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
 	d.applyAsOwner(p.Endpoint)
 	return &publishRequest{Accepted: true}
 }
 
-// applyAsOwner applies a record to the registry, and notifies the subscribers if that has changed anything.
+// applyAsOwner applies a record to the registry, and notifies the subscribers if the registry has changed.
 func (d *endpointDirectory) applyAsOwner(e discovery.Endpoint) {
 	d.apply(e)
 	d.notifyChanges()
 }
 
-// apply applies records to the registry. Subscribers are notified by the next notifyChanges.
+// apply applies records to the registry. The next call of notifyChanges notifies the subscribers.
 func (d *endpointDirectory) apply(records ...discovery.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,11 +200,12 @@
 	}
 }
 
-// allLocked returns the records of all services that this process knows, ordered by ID.
+// allLocked returns the records of all services known to this process, ordered by ID.
 func (d *endpointDirectory) allLocked() []discovery.Endpoint { return d.registry.All(d.now()) }
 
-// complete fills in a record that has only an ID and a state from the record that the registry has of the endpoint, if there is one.
-func (d *endpointDirectory) complete(e discovery.Endpoint) discovery.Endpoint {
+// completeRecord completes a record that has only an ID and a state: it returns the registry's record of the endpoint with the new state.
+// If the registry has none, it returns the record unchanged.
+func (d *endpointDirectory) completeRecord(e discovery.Endpoint) discovery.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, known := range d.allLocked() {
--- a/internal/mesh/agent/directory_changes.go
+++ b/internal/mesh/agent/directory_changes.go
@@ -2,18 +2,18 @@
 
 import "quincegap/internal/mesh/discovery"
 
-// serviceChange describes the changes of one service that are to be notified.
+// serviceChange describes the pending notifications of one service's changes.
 type serviceChange struct {
 	service     string
-	endpoints   []discovery.Endpoint // the complete list, as far as it is known
-	update      []discovery.Endpoint // those that have changed, for subscribers: complete lists for all would fill an owner's link
-	subscribers []string             // addresses
+	endpoints   []discovery.Endpoint // all known endpoints of the service
+	update      []discovery.Endpoint // changed endpoints only: complete lists to all subscribers would saturate an owner's link
+	subscribers []string             // internal addresses of the subscribers to notify
 }
 
-// markChangedLocked records that a service has changed, for drainChanges; before is the registry's version before the change.
+// markChangedLocked records that a service has changed, for drainChanges. before is the registry version before the change.
 func (d *endpointDirectory) markChangedLocked(service string, before uint64) {
-	if _, ok := d.changed[service]; !ok {
-		d.changed[service] = before
+	if _, ok := d.changedSince[service]; !ok {
+		d.changedSince[service] = before
 	}
 }
 
@@ -23,7 +23,7 @@
 	defer d.mu.Unlock()
 	now := d.now()
 	var changes []serviceChange
-	for service, before := range d.changed {
+	for service, before := range d.changedSince {
 		update, _, _ := d.registry.ChangedSince(now, service, before)
 		changes = append(changes, serviceChange{
 			service:     service,
@@ -32,11 +32,11 @@
 			subscribers: d.subscribers.Active(now, service),
 		})
 	}
-	clear(d.changed)
+	clear(d.changedSince)
 	return changes
 }
 
-// notifyChanges notifies the subscribers, the callbacks and the event recorder of the services whose endpoints have changed.
+// notifyChanges notifies the subscribers, the callbacks and the event recorder of the services that have changed since its last call.
 func (d *endpointDirectory) notifyChanges() {
 	for _, c := range d.drainChanges() {
 		for _, subscriber := range c.subscribers {
@@ -50,8 +50,8 @@
 	}
 }
 
-// reportLeaving calls OnEndpointLeaving for records of the endpoint beside this process that have it draining or deregistered. A record
-// that has it serving is ignored: it may be outdated, and only the endpoint's own keepalive shows that it serves.
+// reportLeaving calls OnEndpointLeaving for records with the application address of this machine whose state is draining or deregistered.
+// Records with the state serving are ignored: they may be outdated, and only a keepalive of the endpoint itself shows that it is serving.
 func (d *endpointDirectory) reportLeaving(endpoints []discovery.Endpoint) {
 	if d.config.OnEndpointLeaving == nil {
 		return
--- a/internal/mesh/agent/directory_test.go
+++ b/internal/mesh/agent/directory_test.go
@@ -10,8 +10,8 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// A registry owner notifies its subscribers of the records that have changed only: when many endpoints of a large service change at once,
-// complete lists to all subscribers would fill its link for seconds.
+// A registry owner sends its subscribers only the records that have changed. If many endpoints of a large service changed at once, complete
+// lists to all subscribers would saturate its link for seconds.
 func TestSubscribersAreNotifiedOfChanges(t *testing.T) {
 	c := qt.New(t)
 	directory := newTestSidecar(t, "127.9.1.2:7401", 1).directory
--- a/internal/mesh/agent/environment.go
+++ b/internal/mesh/agent/environment.go
@@ -13,29 +13,29 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// environment is what all parts of an agent share.
+// environment holds the dependencies, the lock and the random number generator that all parts of an agent share.
 type environment struct {
 	config   Config
 	settings *settings.Settings
 	hub      *transport.Hub
 	log      *logrus.Logger
-	wakeup   chan struct{} // holds a value if something is to be sent before the next tick
+	wakeup   chan struct{} // holds a value if Agent.Run is to send due messages before its next tick
 
 	// mu guards the state of all parts of the agent: the view of the members, the registry of endpoints, publications, subscriptions,
-	// the applied configuration and rng. One lock guards them all since they change together: a new view changes the owners to publish
-	// and to subscribe to, and a shuffle carries the applied version.
+	// the applied configuration and rng. A single lock guards all of them because they depend on each other: a changed view changes the
+	// owners to publish to and to subscribe to, and a shuffle carries the applied version.
 	//
 	// Rules:
-	//   - A method whose name ends in Locked is called with mu held, any other one without it. For methods of QuotaClient and
-	//     SingletonRoles the same holds of their own mu.
-	//   - Nothing waits under mu: no message is sent, no event recorded, and no callback called but OnSidecarCount.
-	//   - Order of locks: configurationUpdater.applyMu, then SingletonRoles.mu or QuotaClient.mu, then mu. eventRecorder.mu comes last,
-	//     and is never taken under mu.
+	//   - A method whose name ends in Locked is called with mu held, any other method without it. In QuotaClient and SingletonRoles, this
+	//     applies to their own field mu instead.
+	//   - Nothing blocks while mu is held: no message is sent, no event is recorded, and no callback other than OnSidecarCount is called.
+	//   - Lock order: configurationUpdater.applyMu, then SingletonRoles.mu or QuotaClient.mu, then mu. eventRecorder.mu is acquired last,
+	//     and never while mu is held.
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// newEnvironment returns the environment of an agent.
+// newEnvironment returns the environment of an agent with the given Config.
 func newEnvironment(config Config) *environment {
 	return &environment{
 		config:   config,
@@ -50,19 +50,19 @@
 // now returns the time on the monotonic clock of this process.
 func (e *environment) now() time.Duration { return e.hub.Now() }
 
-// address returns the internal address of this process, at which other processes reach it.
+// address returns the internal address of this process, to which other processes connect.
 func (e *environment) address() string { return e.hub.Self().Address }
 
-// wake makes Agent.Run send what is due at once, rather than at its next tick. It does not wait for that.
+// wake makes Agent.Run send due messages immediately instead of at its next tick. It does not block.
 func (e *environment) wake() {
 	select {
 	case e.wakeup <- struct{}{}:
-	default: // it is awake already
+	default: // a wakeup is already pending
 	}
 }
 
-// send sends a message to an address. If an answer comes, answered is called with its bytes by the link's reader, so it must not block.
-// answered may be nil. Errors are dropped: whatever matters is sent again at a later tick.
+// send sends a message to an address. If a reply arrives, the link's reader calls answered with its encoded body, so answered must not
+// block. answered may be nil. Errors are ignored: messages that must arrive are sent again at a later tick.
 func (e *environment) send(address string, method uint64, m codec.Message, answered func(body []byte)) {
 	e.hub.Send(address, method, codec.MarshalAppend(nil, m), 0, func(body []byte, err error) {
 		if err == nil && answered != nil {
@@ -71,7 +71,8 @@
 	})
 }
 
-// peerAddress returns the internal address of the process with a control address; empty if the argument isn't an address.
+// peerAddress returns the internal address of the process with the given control address, or an empty string if the argument is not a
+// host:port address.
 func (e *environment) peerAddress(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
@@ -80,17 +81,17 @@
 	return e.settings.PeerAddress(host)
 }
 
-// randomUint64Locked draws a random number.
+// randomUint64Locked returns a random number, uniformly distributed over all uint64 values.
 func (e *environment) randomUint64Locked() uint64 { return e.rng.Uint64() }
 
-// randomFraction draws a random number from 0 to 1, without 1.
+// randomFraction returns a random number from the half-open interval [0, 1).
 func (e *environment) randomFraction() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.rng.Float64()
 }
 
-// sampleLocked draws up to n elements of a list at random. It reorders the list, and returns a part of it.
+// sampleLocked returns up to n randomly selected elements of a list, in random order. It reorders the list and returns a prefix of it.
 func (e *environment) sampleLocked(list []string, n int) []string {
 	n = min(n, len(list))
 	for i := range n {
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	maxEvents              = 4096             // that the feed keeps; the oldest are dropped
-	quotaExhaustedInterval = 10 * time.Second // at least, between two events of one tenant's exhausted quota
+	maxEvents              = 4096             // capacity of the feed, in events; the oldest are discarded
+	quotaExhaustedInterval = 10 * time.Second // minimum interval between two events for the same tenant's exhausted quota
 )
 
-// eventRecorder records the changes that a core process sees as events, for tools. It implements eventfeed.Source. A nil recorder, which
-// sidecars have, records nothing.
+// eventRecorder records changes observed by a core process as events, for tools. It implements eventfeed.Source. Sidecars have a nil
+// recorder, whose record methods have no effect.
 type eventRecorder struct {
 	mu             sync.Mutex
 	feed           *events.Feed
-	added          chan struct{}                // closed, and replaced, when an event has been added
-	endpointStates map[string]discovery.State   // as last recorded, by id
-	members        map[uint64]membership.Member // as last recorded, by incarnation
-	quotaExhausted map[string]time.Duration     // when last recorded, by tenant
+	added          chan struct{}                // closed and replaced whenever an event is added
+	endpointStates map[string]discovery.State   // last observed states, by endpoint ID
+	members        map[uint64]membership.Member // last recorded members, by incarnation
+	quotaExhausted map[string]time.Duration     // time of the last event of an exhausted quota, by tenant name
 }
 
-// newEventRecorder returns a recorder whose cursors carry the incarnation of this process.
+// newEventRecorder returns a recorder whose cursors contain the incarnation of this process.
 func newEventRecorder(incarnation uint64) *eventRecorder {
 	return &eventRecorder{
 		feed:           events.NewFeed(incarnation, maxEvents),
@@ -37,7 +37,7 @@
 	}
 }
 
-// After implements eventfeed.Source.
+// After implements eventfeed.Source. The channel is closed when the next event is added; the error is always nil.
 func (r *eventRecorder) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	return found, next, r.added, nil
 }
 
-// add adds an event to the feed with the present wall-clock time, and wakes readers that wait for one.
+// add adds an event to the feed with the current wall-clock time, and wakes readers that wait for the next event.
 func (r *eventRecorder) add(e events.Event) {
 	e.Time = time.Now().UTC().Format(time.RFC3339Nano)
 	r.mu.Lock()
@@ -55,7 +55,7 @@
 	r.added = make(chan struct{})
 }
 
-// endpointEventKinds holds the kind of the event that records an endpoint's change to a state.
+// endpointEventKinds maps each endpoint state to the kind of event that records a change to that state.
 var endpointEventKinds = map[discovery.State]string{
 	discovery.Serving:      events.EndpointServing,
 	discovery.Draining:     events.EndpointDraining,
@@ -63,14 +63,14 @@
 	discovery.Deregistered: events.EndpointGone,
 }
 
-// recordEndpoints records the endpoints whose states have changed since they were last recorded. The end of an endpoint that was never
-// recorded as running is not recorded either.
+// recordEndpoints records an event for each endpoint whose state has changed since the last call. An endpoint that is first observed as
+// crashed or deregistered is not recorded.
 func (r *eventRecorder) recordEndpoints(endpoints []discovery.Endpoint) {
 	if r == nil {
 		return
 	}
 	for _, e := range endpoints {
-		if r.endpointChanged(&e) {
+		if r.updateEndpointState(&e) {
 			r.add(events.Event{
 				Kind:     endpointEventKinds[e.State],
 				Service:  e.Service,
@@ -82,8 +82,8 @@
 	}
 }
 
-// endpointChanged stores an endpoint's state, and reports whether the change is to be recorded.
-func (r *eventRecorder) endpointChanged(e *discovery.Endpoint) bool {
+// updateEndpointState stores an endpoint's state, and reports whether an event is to be recorded for it.
+func (r *eventRecorder) updateEndpointState(e *discovery.Endpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, known := r.endpointStates[e.ID]
@@ -98,7 +98,7 @@
 	return e.State < discovery.Crashed
 }
 
-// recordMembers records which members have arrived and which have departed since the last call.
+// recordMembers records an event for each member that has joined or departed since the last call.
 func (r *eventRecorder) recordMembers(members []membership.Member) {
 	if r == nil {
 		return
@@ -115,7 +115,8 @@
 	r.recordMissing(events.MemberUnreachable, last, current)
 }
 
-// recordMissing records an event of a kind for each member that is in one set and not in the other.
+// recordMissing records an event of the given kind for each member that is in the set in but not in the set notIn. Both sets are keyed by
+// incarnation.
 func (r *eventRecorder) recordMissing(kind string, in, notIn map[uint64]membership.Member) {
 	for incarnation, m := range in {
 		if _, ok := notIn[incarnation]; !ok {
@@ -124,15 +125,15 @@
 	}
 }
 
-// recordQuotaExhausted records that a tenant's quota is exhausted, at most once in a quotaExhaustedInterval.
+// recordQuotaExhausted records that a tenant's quota is exhausted, at most once per quotaExhaustedInterval.
 func (r *eventRecorder) recordQuotaExhausted(now time.Duration, tenant string) {
-	if r != nil && r.quotaEventDue(now, tenant) {
+	if r != nil && r.beginQuotaInterval(now, tenant) {
 		r.add(events.Event{Kind: events.QuotaExhausted, Tenant: tenant})
 	}
 }
 
-// quotaEventDue reports whether an exhausted quota is to be recorded; if so, the tenant's interval starts anew.
-func (r *eventRecorder) quotaEventDue(now time.Duration, tenant string) bool {
+// beginQuotaInterval starts a new quotaExhaustedInterval for a tenant, and reports true, if the previous one has ended.
+func (r *eventRecorder) beginQuotaInterval(now time.Duration, tenant string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, ok := r.quotaExhausted[tenant]
@@ -143,21 +144,23 @@
 	return true
 }
 
-// recordConfiguration records that this process has applied a version.
+// recordConfiguration records that this process has applied a version of the configuration.
 func (r *eventRecorder) recordConfiguration(version configuration.Version) {
 	if r != nil {
 		r.add(events.Event{Kind: events.ConfigurationApplied, Version: version.String()})
 	}
 }
 
-// recordRoleAcquired records that this process, node, has acquired a singleton role. detail names the role and its fencing token.
+// recordRoleAcquired records that this process has acquired a singleton role. node is the internal address of this process; detail names
+// the role and its fencing token.
 func (r *eventRecorder) recordRoleAcquired(node, detail string) {
 	if r != nil {
 		r.add(events.Event{Kind: events.RoleAcquired, Node: node, Detail: detail})
 	}
 }
 
-// recordRoleLost records that this process, node, has lost a singleton role. detail names the role.
+// recordRoleLost records that this process has lost or released a singleton role. node is the internal address of this process; detail
+// names the role.
 func (r *eventRecorder) recordRoleLost(node, detail string) {
 	if r != nil {
 		r.add(events.Event{Kind: events.RoleLost, Node: node, Detail: detail})
--- a/internal/mesh/agent/example_test.go
+++ b/internal/mesh/agent/example_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// A sidecar without peers applies a committed configuration, and publishes the endpoint beside it.
+// A sidecar without peers applies a committed configuration, and publishes its local endpoint.
 func ExampleAgent() {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -48,7 +48,7 @@
 	running.Go(func() { sidecar.Run(ctx) })
 
 	sidecar.ApplyCommitted(7, []byte(`{"configVersion":"r7","routeTable":[]}`))
-	sidecar.ApplyCommitted(6, []byte(`{"configVersion":"r6","routeTable":[]}`)) // older: nothing changes
+	sidecar.ApplyCommitted(6, []byte(`{"configVersion":"r6","routeTable":[]}`)) // ignored: the version is older
 	sidecar.Publish(discovery.Endpoint{
 		ID:         "endpoint-1",
 		Service:    "orders",
--- a/internal/mesh/agent/golden_test.go
+++ b/internal/mesh/agent/golden_test.go
@@ -24,7 +24,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// goldenEndpoint returns a record with a value in each field.
+// goldenEndpoint returns an endpoint record whose fields all have values other than their zero values.
 func goldenEndpoint() discovery.Endpoint {
 	return discovery.Endpoint{
 		ID:                 "ep-1",
@@ -42,8 +42,8 @@
 	}
 }
 
-// testGoldenMessage checks that a message with a value in each field is marshaled to the bytes in its golden file, and that these bytes
-// are unmarshaled to the message.
+// testGoldenMessage checks that a message whose fields are all set is marshaled to the bytes in its golden file, and that these bytes are
+// unmarshaled to the same message.
 func testGoldenMessage[T any, P interface {
 	*T
 	codec.Message
@@ -79,16 +79,16 @@
 	testGoldenMessage(t, "acknowledgement", acknowledgement{Accepted: true})
 }
 
-// goldenLocal is the LocalEndpoint with the ID own.
-type goldenLocal struct{}
+// goldenLocalEndpoint is a LocalEndpoint for the endpoint with the ID own.
+type goldenLocalEndpoint struct{}
 
 // HandleReport implements LocalEndpoint.
-func (goldenLocal) HandleReport(e discovery.Endpoint) bool { return e.ID == "own" }
+func (goldenLocalEndpoint) HandleReport(e discovery.Endpoint) bool { return e.ID == "own" }
 
-// goldenCoreIP is the IP address in golden files of a core process, which accepts no links there.
+// goldenCoreIP is the IP address that golden files contain for a core process. The process accepts no links at that address.
 const goldenCoreIP = "127.9.31.1"
 
-// goldenCore returns the agent of a core process at an IP address, which accepts no links yet.
+// goldenCore returns the agent of a core process with the given IP address. The process does not accept links yet.
 func goldenCore(t *testing.T, ip string) *Agent {
 	t.Helper()
 	own := &settings.Settings{
@@ -103,34 +103,34 @@
 	return New(Config{Settings: own, Hub: hub, Role: membership.RoleCore, Log: discardLog(), Seed: 1})
 }
 
-// goldenRoles returns the singleton roles of a core process that is the only voter.
+// goldenRoles returns the singleton roles of a core process, which is the only voter.
 func goldenRoles(core *Agent) *SingletonRoles {
 	voters := consensus.VoterSet{Voters: []string{core.settings.ControlAddress}}
 	return core.NewSingletonRoles(&fakeRegister{known: voters, accepted: 3}, true)
 }
 
-// serveGoldenCore serves all methods of a core process until the test ends. Another process is the allocator.
+// serveGoldenCore serves all methods of a core process until the test ends. The process knows another process as the allocator.
 func serveGoldenCore(t *testing.T, core *Agent) {
 	t.Helper()
 	core.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[]}`))
 	roles := goldenRoles(core)
 	requested := core.now() + time.Minute
 	qt.Assert(t, roles.allocatorLease.Tick(requested, 1, 0), qt.IsNotNil)
-	roles.handleReply(requested, 0, core.settings.ControlAddress, &lease.Reply{Grants: []lease.RoleReply{{
+	roles.handleLeaseReply(requested, 0, core.settings.ControlAddress, &lease.Reply{Grants: []lease.RoleReply{{
 		Role:         "allocator",
 		FencingToken: 4,
 		Holder:       "127.9.30.3:7401",
 		Remaining:    time.Hour,
 	}}})
 	core.ServeConsensus(func(_ context.Context, request []byte) ([]byte, error) { return append([]byte("re:"), request...), nil })
-	core.KeepaliveHandler(goldenLocal{})
+	core.KeepaliveHandler(goldenLocalEndpoint{})
 	serveHub(t, core.hub)
 }
 
-// goldenRequests returns a request for each method, by number.
+// goldenRequests returns a request for each method except methodShuffle, by method number.
 func goldenRequests() map[uint64]codec.Message {
 	record := goldenEndpoint()
-	record.LeaseRemaining = 0 // in an answer it would depend on the time
+	record.LeaseRemaining = 0 // a remaining lease in a reply would depend on the time
 	return map[uint64]codec.Message{
 		11: &publishRequest{Endpoint: record},
 		12: &subscribeRequest{Subscriber: "127.9.30.2:7401", Service: "none"},
@@ -152,7 +152,7 @@
 	}
 }
 
-// A process answers these methods with these bytes, and it has no others.
+// A core process replies to each method with the bytes in the golden file. It serves no other methods between 9 and 20.
 func TestGoldenMethods(t *testing.T) {
 	core := goldenCore(t, testNetwork+".201.1")
 	serveGoldenCore(t, core)
@@ -169,7 +169,7 @@
 		case err != nil:
 			fmt.Fprintf(&lines, "%d: no such method\n", method)
 		case method == methodShuffle:
-			fmt.Fprintf(&lines, "%d: %t\n", method, len(answer) > 0) // its bytes depend on the ages of heartbeats
+			fmt.Fprintf(&lines, "%d: %t\n", method, len(answer) > 0) // the bytes of a shuffle depend on the ages of heartbeats
 		default:
 			fmt.Fprintf(&lines, "%d: %x\n", method, answer)
 		}
@@ -177,7 +177,7 @@
 	golden.Text(t, "methods.txt", []byte(lines.String()))
 }
 
-// callMethod calls a method of the process at an address, and returns its answer.
+// callMethod calls a method of the process at an address, and returns the encoded reply or the error of the call.
 func callMethod(t *testing.T, caller *transport.Hub, address string, method uint64, body []byte) ([]byte, error) {
 	t.Helper()
 	type answer struct {
@@ -190,12 +190,12 @@
 	case a := <-answered:
 		return a.body, a.err
 	case <-time.After(maxWaitInTests):
-		t.Fatalf("no answer to method %d", method)
+		t.Fatalf("no reply to method %d within maxWaitInTests", method)
 		return nil, nil
 	}
 }
 
-// goldenState returns a core process's state with a value in each field.
+// goldenState returns a State in which each field has a value other than its zero value in at least one element.
 func goldenState() State {
 	return State{
 		Node:      "core-1",
@@ -246,7 +246,8 @@
 	c.Assert(names, qt.DeepEquals, []string{"allocator", "/mesh/state", "access", "core"})
 }
 
-// A core process answers GET /mesh/state with its state, and other calls with an error. Ages and remaining leases are left out.
+// A core process responds to GET /mesh/state with its state, and to other calls with an error. Ages of heartbeats and remaining leases,
+// which depend on the time, are set to 0 in the golden file.
 func TestGoldenStateAnswers(t *testing.T) {
 	core := goldenCore(t, goldenCoreIP)
 	core.directory.apply(goldenEndpoint())
@@ -274,7 +275,7 @@
 	golden.Text(t, "state_answers.txt", []byte(lines.String()))
 }
 
-// goldenKeepalives are bodies of keepalives. The first three are valid.
+// goldenKeepalives holds bodies of keepalives. The first three are valid, the others are not.
 var goldenKeepalives = []string{
 	`{"serviceName":"orders","address":"10.0.0.4:8080","zone":"z","slotCount":4,"state":"in_service","callSequence":7}`,
 	`{"serviceName":"orders","address":"10.0.0.4:8080","zone":"z","slotCount":4,"state":"draining","callSequence":8,` +
@@ -289,7 +290,7 @@
 
 func TestGoldenKeepalives(t *testing.T) {
 	var lines strings.Builder
-	handler := goldenCore(t, goldenCoreIP).KeepaliveHandler(goldenLocal{})
+	handler := goldenCore(t, goldenCoreIP).KeepaliveHandler(goldenLocalEndpoint{})
 	for _, body := range goldenKeepalives {
 		e, err := ParseKeepalive("own", []byte(body))
 		fmt.Fprintf(&lines, "%s\n", body)
@@ -325,7 +326,7 @@
 	})
 }
 
-// A core process records these events, and its feed writes them in this form.
+// A core process records the events in the golden file, and its feed encodes them in that form.
 func TestGoldenEvents(t *testing.T) {
 	core := goldenCore(t, goldenCoreIP)
 	core.events.recordMembers([]membership.Member{{
@@ -345,7 +346,7 @@
 	}
 	unseen := goldenEndpoint()
 	unseen.ID, unseen.State = "ep-2", discovery.Deregistered
-	core.events.recordEndpoints([]discovery.Endpoint{unseen}) // it was never recorded as running
+	core.events.recordEndpoints([]discovery.Endpoint{unseen}) // not recorded: the endpoint was never observed as running
 	core.events.recordQuotaExhausted(0, "north")
 	core.events.recordQuotaExhausted(quotaExhaustedInterval-1, "north")
 	core.events.recordQuotaExhausted(quotaExhaustedInterval, "north")
--- a/internal/mesh/agent/helpers_test.go
+++ b/internal/mesh/agent/helpers_test.go
@@ -16,11 +16,11 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// maxWaitInTests is how long a test waits for an event that is to happen soon. It is long enough for a busy machine.
+// maxWaitInTests is the maximum time that a test waits for an expected event. It is long enough for a machine under load.
 const maxWaitInTests = 20 * time.Second
 
-// testNetwork is the prefix of the loopback addresses that this test process uses, so that several may run on a machine at once. Two more
-// numbers follow it.
+// testNetwork is the prefix, the first two of four numbers, of the loopback addresses that this test process uses. It depends on the
+// process ID so that several test processes can run concurrently on a machine.
 var testNetwork = fmt.Sprintf("127.%d", 100+os.Getpid()%150)
 
 // discardLog returns a logger that writes nothing.
@@ -30,7 +30,7 @@
 	return log
 }
 
-// newTestHub returns a hub whose clock started an hour ago. It is closed when the test ends.
+// newTestHub returns a hub whose clock started an hour ago. The hub is closed when the test ends.
 func newTestHub(tb testing.TB, incarnation uint64, address string) *transport.Hub {
 	tb.Helper()
 	hello := transport.Hello{Incarnation: incarnation, Address: address, Zone: "z"}
@@ -47,7 +47,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = hub.Listen(listener) // ends with the listener
+		_ = hub.Listen(listener) // returns when the listener is closed
 	}()
 	tb.Cleanup(func() {
 		_ = listener.Close()
@@ -55,7 +55,7 @@
 	})
 }
 
-// newTestSidecar returns the agent of a sidecar that accepts no links.
+// newTestSidecar returns the agent of a sidecar that accepts no incoming links.
 func newTestSidecar(tb testing.TB, address string, seed uint64) *Agent {
 	tb.Helper()
 	return New(Config{
@@ -67,12 +67,12 @@
 	})
 }
 
-// eventually waits until done returns true, and fails the test after maxWaitInTests. what names the condition.
-func eventually(tb testing.TB, what string, done func() bool) {
+// eventually waits until met returns true, and fails the test after maxWaitInTests. condition describes what is waited for.
+func eventually(tb testing.TB, condition string, met func() bool) {
 	tb.Helper()
-	for deadline := time.Now().Add(maxWaitInTests); !done(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(maxWaitInTests); !met(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("after %v still waiting for: %s", maxWaitInTests, what)
+			tb.Fatalf("condition not met within %v: %s", maxWaitInTests, condition)
 		}
 	}
 }
--- a/internal/mesh/agent/idle_mesh_test.go
+++ b/internal/mesh/agent/idle_mesh_test.go
@@ -24,24 +24,24 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// idleMeshSize holds the numbers of core processes, zones and services of an idleMesh. Of its processes, which are numbered from 0, those
-// below core are core processes and the others sidecars.
+// idleMeshSize holds the numbers of core processes, zones and services of an idleMesh. The processes are numbered from 0. Those with
+// numbers below core are core processes, the others are sidecars.
 type idleMeshSize struct{ core, zones, services int }
 
-// idleMesh is a mesh of sidecars without clients and of core processes without disks, in one process.
+// idleMesh is a mesh of sidecars without users' requests and of core processes without disks, all of which run in the test process.
 type idleMesh struct {
 	testing.TB
 	size     idleMeshSize
 	seeds    []string
-	agents   []*Agent               // by number
-	stops    []func()               // by number
-	version  atomic.Uint64          // that applied counts
-	applied  atomic.Int64           // sidecars that have applied the version
-	draining atomic.Pointer[string] // ID of the endpoint that drained counts
-	drained  atomic.Int64           // sidecars that know that the endpoint is draining
+	agents   []*Agent               // agents of the processes, indexed by process number
+	stops    []func()               // functions that stop the processes, indexed by process number
+	version  atomic.Uint64          // configuration version whose application is counted in applied
+	applied  atomic.Int64           // number of sidecars that have applied version
+	draining atomic.Pointer[string] // ID of the endpoint whose draining is counted in drained; nil for none
+	drained  atomic.Int64           // number of sidecars that know that the endpoint is draining
 }
 
-// newIdleMesh returns a mesh without processes. Those that are started later are stopped when the test ends.
+// newIdleMesh returns a mesh without processes. Processes that are started later are stopped when the test ends.
 func newIdleMesh(tb testing.TB, size idleMeshSize) *idleMesh {
 	tb.Helper()
 	m := &idleMesh{TB: tb, size: size}
@@ -51,7 +51,8 @@
 	return m
 }
 
-// idleMeshIP returns the loopback address of process i. Other tests of the package use addresses whose third number is 200 or more.
+// idleMeshIP returns the loopback address of process i. Other tests of the package use addresses below testNetwork whose third number is
+// 200 or more.
 func idleMeshIP(i int) string { return fmt.Sprintf("%s.%d.%d", testNetwork, i/250, i%250+1) }
 
 // start starts process i. Processes are started in the order of their numbers.
@@ -79,23 +80,23 @@
 		own.ApplicationAddress = ip + ":8080"
 		own.Service = fmt.Sprintf("service-%d", i%m.size.services)
 	}
-	a := New(config)
-	m.run(a, hub)
-	m.agents = append(m.agents, a)
-	return a
+	agent := New(config)
+	m.run(agent, hub)
+	m.agents = append(m.agents, agent)
+	return agent
 }
 
-// run runs a process until it is stopped.
-func (m *idleMesh) run(a *Agent, hub *transport.Hub) {
+// run starts serving and running a process, until it is stopped.
+func (m *idleMesh) run(agent *Agent, hub *transport.Hub) {
 	m.Helper()
 	listener, err := new(net.ListenConfig).Listen(m.Context(), "tcp4", hub.Self().Address)
 	qt.Assert(m, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { _ = hub.Listen(listener) }) // ends with the listener
-	running.Go(func() { a.Run(ctx) })
-	if a.config.Role == membership.RoleAccess {
-		client := a.NewQuotaClient()
+	running.Go(func() { _ = hub.Listen(listener) }) // returns when the listener is closed
+	running.Go(func() { agent.Run(ctx) })
+	if agent.config.Role == membership.RoleAccess {
+		client := agent.NewQuotaClient()
 		running.Go(func() { client.Run(ctx) })
 	}
 	stop := sync.OnceFunc(func() {
@@ -111,14 +112,15 @@
 // stop stops process i.
 func (m *idleMesh) stop(i int) { m.stops[i]() }
 
-// countApplied is the OnConfiguration of all sidecars. It counts those that have applied the version.
+// countApplied is the OnConfiguration callback of all sidecars. It counts those that have applied the current version.
 func (m *idleMesh) countApplied(c *configuration.Config) {
 	if uint64(c.Version) == m.version.Load() {
 		m.applied.Add(1)
 	}
 }
 
-// countDrained returns the OnEndpointsChanged of one sidecar, which counts it once it knows that the endpoint is draining.
+// countDrained returns the OnEndpointsChanged callback of one sidecar, which counts the sidecar in drained, once, when it learns that the
+// endpoint is draining.
 func (m *idleMesh) countDrained() func(service string, endpoints []discovery.Endpoint) {
 	var known atomic.Bool
 	return func(_ string, endpoints []discovery.Endpoint) {
@@ -134,7 +136,7 @@
 	}
 }
 
-// commit makes a core process apply a version, and returns the time until all sidecars have applied it.
+// commit makes a core process apply a version, waits until all sidecars have applied it, and returns the time that this took.
 func (m *idleMesh) commit(version uint64, text []byte) time.Duration {
 	m.Helper()
 	m.applied.Store(0)
@@ -143,14 +145,15 @@
 	return m.waitForSidecars("configuration", &m.applied)
 }
 
-// waitForSidecars waits until a count is the number of sidecars, and returns the time that took.
-func (m *idleMesh) waitForSidecars(what string, count *atomic.Int64) time.Duration {
+// waitForSidecars waits until a count reaches the number of sidecars, and returns the time that this took. change names what the sidecars
+// are to learn.
+func (m *idleMesh) waitForSidecars(change string, count *atomic.Int64) time.Duration {
 	m.Helper()
 	sidecars := len(m.agents) - m.size.core
 	began := time.Now()
 	for count.Load() < int64(sidecars) {
 		if time.Since(began) > 30*time.Second {
-			m.Errorf("%s: %d of %d after half a minute", what, count.Load(), sidecars)
+			m.Errorf("%s: known to %d sidecars after 30 s, want all %d", change, count.Load(), sidecars)
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -158,7 +161,7 @@
 	return time.Since(began)
 }
 
-// traffic returns the sum of all sidecars' traffic, and the number of their links.
+// traffic returns the total traffic of all sidecars, and the total number of their links.
 func (m *idleMesh) traffic() (total transport.Traffic, links int) {
 	for _, a := range m.agents[m.size.core:] {
 		t := a.hub.Traffic()
@@ -171,15 +174,15 @@
 	return total, links
 }
 
-// processorTime returns the CPU time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapSize returns the size of this process's heap and stacks, in bytes, after a garbage collection.
-func heapSize() float64 {
+// heapAndStackBytes returns the size of this process's heap and stacks, in bytes, after a garbage collection.
+func heapAndStackBytes() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
@@ -205,13 +208,14 @@
 		version, strings.Join(routeTable, ","), strings.Join(serviceTable, ","))
 }
 
-// BenchmarkIdleMesh measures sidecars without requests, all in this process, over loopback: CPU, heap and traffic of each sidecar per
-// second while the mesh is quiet, and the time until all sidecars know a configuration and a draining endpoint. The environment variable
-// HOLLOW replaces the size by others, written as sidecars,services,routes and separated by spaces.
+// BenchmarkIdleMesh measures sidecars without users' requests that all run in this process and communicate over loopback. It reports the
+// CPU usage, memory, traffic and number of links per sidecar while nothing changes, and the times until all sidecars know a new
+// configuration and a draining endpoint. The environment variable HOLLOW replaces the default size with one or more sizes, separated by
+// spaces and each written as sidecars,services,routes.
 func BenchmarkIdleMesh(b *testing.B) {
 	sizes := []string{"20,3,10"}
-	if more := os.Getenv("HOLLOW"); more != "" {
-		sizes = strings.Fields(more)
+	if override := os.Getenv("HOLLOW"); override != "" {
+		sizes = strings.Fields(override)
 	}
 	for _, size := range sizes {
 		var numbers [3]int
@@ -229,11 +233,11 @@
 	}
 }
 
-// measureIdleMesh runs a mesh for some 20 seconds, and reports what its sidecars have used.
+// measureIdleMesh runs a mesh for about 20 seconds, and reports the metrics of BenchmarkIdleMesh.
 func measureIdleMesh(b *testing.B, sidecars, services, routes int) {
 	b.Helper()
 	const core = 3
-	heapBefore := heapSize()
+	heapBefore := heapAndStackBytes()
 	mesh := newIdleMesh(b, idleMeshSize{core: core, zones: 4, services: services})
 	defer func() {
 		for _, stop := range mesh.stops {
@@ -244,16 +248,16 @@
 	for i := range core + sidecars {
 		a := mesh.start(i)
 		if i >= core {
-			publish = append(publish, publisherOf(a, fmt.Sprintf("endpoint-%d", i)))
+			publish = append(publish, newEndpointPublisher(a, fmt.Sprintf("endpoint-%d", i)))
 			publish[len(publish)-1](discovery.Serving)
 		}
 	}
 	mesh.commit(1, idleMeshConfiguration(1, services, routes))
 	time.Sleep(12 * time.Second)
-	heap := heapSize() - heapBefore
+	heap := heapAndStackBytes() - heapBefore
 
 	before, _ := mesh.traffic()
-	processor, began := processorTime(), time.Now()
+	cpu, began := cpuTime(), time.Now()
 	for time.Since(began) < 6*time.Second {
 		for _, keepalive := range publish {
 			keepalive(discovery.Serving)
@@ -261,9 +265,9 @@
 		time.Sleep(1500 * time.Millisecond)
 	}
 	sidecarSeconds := time.Since(began).Seconds() * float64(sidecars)
-	processor = processorTime() - processor
+	cpu = cpuTime() - cpu
 	after, links := mesh.traffic()
-	b.ReportMetric(100*processor.Seconds()/sidecarSeconds, "%core")
+	b.ReportMetric(100*cpu.Seconds()/sidecarSeconds, "%core")
 	b.ReportMetric(heap/float64(sidecars)/1e6, "MB")
 	b.ReportMetric(float64(after.SentBytes-before.SentBytes)/sidecarSeconds, "B/s")
 	b.ReportMetric(float64(after.SentFrames-before.SentFrames)/sidecarSeconds, "frames/s")
@@ -275,8 +279,9 @@
 	b.ReportMetric(float64(mesh.waitForSidecars("draining", &mesh.drained).Milliseconds()), "ms/drain")
 }
 
-// publisherOf returns a function by which a sidecar publishes an endpoint in a state, each time as of a new keepalive.
-func publisherOf(a *Agent, id string) func(discovery.State) {
+// newEndpointPublisher returns a function that makes a sidecar publish an endpoint with a given state. Each call has a new sequence number,
+// as if it were caused by a new keepalive.
+func newEndpointPublisher(a *Agent, id string) func(discovery.State) {
 	sequence := uint64(0)
 	return func(s discovery.State) {
 		sequence++
--- a/internal/mesh/agent/keepalive.go
+++ b/internal/mesh/agent/keepalive.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	maxKeepaliveBytes       = 16 << 10               // bytes of a keepalive's body
-	keepaliveForwardTimeout = 250 * time.Millisecond // for the endpoint's own sidecar to answer, and then for the registry owners
-	forwardedRecordLease    = 9 * time.Second        // lease of the record of a keepalive that another process than the sidecar received
+	maxKeepaliveBytes       = 16 << 10               // maximum size of a keepalive's body
+	keepaliveForwardTimeout = 250 * time.Millisecond // timeout of the request to the endpoint's sidecar, and of those to the owners after it
+	forwardedRecordLease    = 9 * time.Second        // lease of the record of a keepalive received by a process other than the sidecar
 )
 
-// LocalEndpoint is the endpoint beside this process.
+// LocalEndpoint handles the keepalives of the local endpoint, which is the application instance on the same machine as this process.
 type LocalEndpoint interface {
-	// HandleReport handles a keepalive, or a deregistration (state Deregistered). It reports whether that came from the endpoint beside
-	// this process.
+	// HandleReport handles a keepalive, or a deregistration (state Deregistered). It reports whether the sender is the local endpoint.
 	HandleReport(e discovery.Endpoint) bool
 }
 
-// keepaliveServer answers the calls of endpoints. An endpoint calls the sidecar beside it; if it can't reach the sidecar, it calls any
-// other process, which forwards the keepalive.
+// keepaliveServer serves the HTTP calls of endpoints. An endpoint calls the sidecar on its own machine. If it can't reach that sidecar, it
+// calls any other process, which forwards the keepalive.
 type keepaliveServer struct {
 	*environment
 	members   *memberTracker
 	directory *endpointDirectory
 	publisher *recordPublisher
-	local     LocalEndpoint // may be nil
+	local     LocalEndpoint // nil if there is no local endpoint
 }
 
-// handler returns the handler of the calls, by their paths.
+// handler returns the HTTP handler that routes the calls by method and path.
 func (k *keepaliveServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /endpoints/{id}/keepalive", k.serveKeepalive)
@@ -42,7 +41,8 @@
 	return mux
 }
 
-// serveKeepalive answers a keepalive: 413 if its body is too large or can't be read, 400 if the body can't be parsed.
+// serveKeepalive handles a keepalive. The status is 413 if the body is too large or can't be read, 400 if it can't be parsed, and that of
+// answer otherwise.
 func (k *keepaliveServer) serveKeepalive(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKeepaliveBytes))
 	if err != nil {
@@ -51,31 +51,31 @@
 	}
 	e, err := ParseKeepalive(r.PathValue("id"), body)
 	if err != nil {
-		k.log.WithField("peer", r.RemoteAddr).WithError(err).Warn("agent: a keepalive can't be used")
+		k.log.WithField("peer", r.RemoteAddr).WithError(err).Warn("agent: rejected an invalid keepalive")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	k.answer(r.Context(), w, e)
 }
 
-// serveDeregistration answers an endpoint that deregisters. The ID in the path is all that it sends.
+// serveDeregistration handles a deregistration. The endpoint sends only its ID, in the path.
 func (k *keepaliveServer) serveDeregistration(w http.ResponseWriter, r *http.Request) {
 	k.answer(r.Context(), w, discovery.Endpoint{ID: r.PathValue("id"), State: discovery.Deregistered})
 }
 
-// handleForwarded delivers a keepalive that another process received.
+// handleForwarded delivers a keepalive that another process has received and forwarded.
 func (k *keepaliveServer) handleForwarded(ctx context.Context, _ *transport.Hello, p *publishRequest) *publishRequest {
 	return &publishRequest{Accepted: k.deliver(ctx, p.Endpoint)}
 }
 
-// answer acknowledges a keepalive. Draining and deregistration are acknowledged only once the endpoint's own sidecar, or a registry owner
-// in every zone, has accepted them; the answer is 503 otherwise, and the endpoint calls another process.
-func (k *keepaliveServer) answer(ctx context.Context, w http.ResponseWriter, e discovery.Endpoint) {
+// answer delivers or forwards a keepalive, and acknowledges it. Draining and deregistration are acknowledged only after the endpoint's own
+// sidecar, or a registry owner in every zone, has accepted them. Otherwise the status is 503, and the endpoint calls another process.
+func (k *keepaliveServer) answer(ctx context.Context, w http.ResponseWriter, endpoint discovery.Endpoint) {
 	target := ""
-	if !k.deliver(ctx, e) {
+	if !k.deliver(ctx, endpoint) {
 		var accepted bool
-		target, accepted = k.forward(ctx, e)
-		if !accepted && e.State >= discovery.Draining {
+		target, accepted = k.forward(ctx, endpoint)
+		if !accepted && endpoint.State >= discovery.Draining {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -88,9 +88,9 @@
 	_, _ = io.WriteString(w, text) // the endpoint may have closed the connection
 }
 
-// deliver passes a keepalive to LocalEndpoint, and reports whether it came from the endpoint beside this process. If the endpoint is
-// draining or has deregistered, deliver waits until a registry owner on another machine has the record: with this process alone the
-// update would be lost if the process ended.
+// deliver passes a keepalive to LocalEndpoint, and reports whether the sender is the local endpoint. If the endpoint is draining or has
+// deregistered, deliver waits until a registry owner on another machine has the record (see awaitConfirmed), as the update would
+// otherwise be lost if this process ended.
 func (k *keepaliveServer) deliver(ctx context.Context, e discovery.Endpoint) bool {
 	if k.local == nil || !k.local.HandleReport(e) {
 		return false
@@ -101,12 +101,12 @@
 	return true
 }
 
-// forward forwards a keepalive to the endpoint's own sidecar or, if the sidecar can't be reached, publishes its record to the registry
-// owners of the service on the sidecar's behalf. It reports whether the keepalive was accepted. If the sidecar has accepted it, target is
-// the sidecar's control address, to which the endpoint is to send later keepalives.
+// forward forwards a keepalive to the endpoint's own sidecar. If the sidecar does not accept it in time, forward publishes the record to
+// the registry owners of the service on the sidecar's behalf. It reports whether the keepalive was accepted. If the sidecar has accepted
+// it, target is the sidecar's control address, to which the endpoint is to send later keepalives; otherwise target is empty.
 func (k *keepaliveServer) forward(ctx context.Context, record discovery.Endpoint) (target string, accepted bool) {
-	if record.AppAddress == "" { // a deregistration, which has only an ID
-		record = k.directory.complete(record)
+	if record.AppAddress == "" { // a deregistration has only an ID
+		record = k.directory.completeRecord(record)
 	}
 	ip, _, err := net.SplitHostPort(record.AppAddress)
 	if err != nil {
@@ -114,20 +114,21 @@
 	}
 	record.LeaseRemaining = forwardedRecordLease
 	record.SidecarAddress = k.settings.PeerAddress(ip)
-	if m, ok := k.members.at(ip); ok {
+	if m, ok := k.members.memberAt(ip); ok {
 		record.SidecarAddress = m.Address
 		record.SidecarIncarnation = m.Incarnation
 	}
 	if k.forwardToSidecar(ctx, record) {
 		return k.controlAddress(ip), true
 	}
-	// The endpoint may have given up its call while the sidecar was waited for. The owners are to get the record nevertheless.
+	// The endpoint may have cancelled its call during the request to the sidecar. The record is sent to the owners nevertheless.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepaliveForwardTimeout)
 	defer cancel()
 	return "", k.publisher.publishOnBehalf(ctx, record)
 }
 
-// forwardToSidecar reports whether the endpoint's own sidecar has accepted a keepalive in time.
+// forwardToSidecar forwards a keepalive to the endpoint's own sidecar. It reports whether the sidecar has accepted the keepalive within
+// keepaliveForwardTimeout.
 func (k *keepaliveServer) forwardToSidecar(ctx context.Context, e discovery.Endpoint) (accepted bool) {
 	ctx, cancel := context.WithTimeout(ctx, keepaliveForwardTimeout)
 	defer cancel()
@@ -135,8 +136,8 @@
 	return err == nil && answer.Accepted
 }
 
-// controlAddress returns the control address of the process at an IP address: all machines have the same ports.
+// controlAddress returns the control address of the process at an IP address, as all machines use the same ports.
 func (k *keepaliveServer) controlAddress(ip string) string {
-	_, port, _ := net.SplitHostPort(k.settings.ControlAddress) // checked when the settings were parsed
+	_, port, _ := net.SplitHostPort(k.settings.ControlAddress) // no error: the parser of the settings has validated the address
 	return net.JoinHostPort(ip, port)
 }
--- a/internal/mesh/agent/keepalive_body.go
+++ b/internal/mesh/agent/keepalive_body.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// Fields of a keepalive's body, and of its answer.
+// Names of the JSON fields of a keepalive's body and, for fieldKeepaliveTarget, of the response.
 const (
 	fieldService         = "serviceName"
 	fieldAddress         = "address"
@@ -24,13 +24,13 @@
 )
 
 const (
-	maxTextBytes = 256       // bytes of a field; a longer one is rejected
-	maxSlots     = 1 << 20   // a higher number is reduced to this
-	maxSlowStart = time.Hour // a longer slow start is reduced to this
+	maxTextBytes = 256       // maximum length of a string field; longer strings are rejected
+	maxSlots     = 1 << 20   // maximum number of slots; higher numbers are reduced to it
+	maxSlowStart = time.Hour // maximum remaining slow start; longer times are reduced to it
 )
 
-// ParseKeepalive parses the JSON body of a keepalive of the endpoint with an ID. Unknown fields are ignored. The error is
-// trace.BadParameter, and names each field that can't be used.
+// ParseKeepalive parses the JSON body of a keepalive from the endpoint with the given ID. Unknown fields are ignored. The error is
+// trace.BadParameter and names each invalid field.
 func ParseKeepalive(id string, body []byte) (discovery.Endpoint, error) {
 	endpoint := discovery.Endpoint{ID: id}
 	if !gjson.ValidBytes(body) {
@@ -43,46 +43,47 @@
 	endpoint.Slots = int(min(k.number(fieldSlots), maxSlots))
 	endpoint.Sequence = uint64(k.number(fieldSequence))
 	if _, _, err := net.SplitHostPort(endpoint.AppAddress); err != nil {
-		k.fault(fieldAddress, "one like 10.0.0.4:8080")
+		k.addError(fieldAddress, "one like 10.0.0.4:8080")
 	}
 	endpoint.State = k.state()
 	endpoint.WarmupRemaining = k.slowStart()
-	if len(k.faults) > 0 {
-		return endpoint, trace.BadParameter("%s", strings.Join(k.faults, "; "))
+	if len(k.errors) > 0 {
+		return endpoint, trace.BadParameter("%s", strings.Join(k.errors, "; "))
 	}
 	return endpoint, nil
 }
 
-// keepaliveBody reads the fields of a body, and collects the faults of all of them.
+// keepaliveBody reads the fields of a keepalive's body, and collects an error for each invalid field.
 type keepaliveBody struct {
 	root   gjson.Result
-	faults []string
+	errors []string
 }
 
-// fault records that a field can't be used, and what is wanted instead.
-func (k *keepaliveBody) fault(field, wanted string) {
-	k.faults = append(k.faults, field+": wanted "+wanted)
+// addError records that a field is invalid, and which value is expected instead.
+func (k *keepaliveBody) addError(field, wanted string) {
+	k.errors = append(k.errors, field+": wanted "+wanted)
 }
 
-// text returns a field that must be a string of 1 to maxTextBytes bytes.
+// text returns a field that must be a string of 1 to maxTextBytes bytes. It records an error otherwise.
 func (k *keepaliveBody) text(field string) string {
 	value := k.root.Get(field)
 	if value.Type != gjson.String || value.String() == "" || len(value.String()) > maxTextBytes {
-		k.fault(field, "a text")
+		k.addError(field, "a text")
 	}
 	return value.String()
 }
 
-// number returns a field that must be a number of 0 or more, truncated to an integer.
+// number returns a field that must be a number of 0 or more, truncated to an integer. It records an error otherwise.
 func (k *keepaliveBody) number(field string) int64 {
 	value := k.root.Get(field)
 	if value.Type != gjson.Number || value.Int() < 0 {
-		k.fault(field, "a number that is not negative")
+		k.addError(field, "a number that is not negative")
 	}
 	return value.Int()
 }
 
-// state returns the endpoint's state. An endpoint that sends keepalives is in one of two states.
+// state returns the endpoint's state. It records an error for any state but the two of an endpoint that sends keepalives: in service and
+// draining.
 func (k *keepaliveBody) state() discovery.State {
 	switch k.text(fieldState) {
 	case StateInService:
@@ -90,11 +91,12 @@
 	case StateDraining:
 		return discovery.Draining
 	}
-	k.fault(fieldState, StateInService+" or "+StateDraining)
+	k.addError(fieldState, StateInService+" or "+StateDraining)
 	return discovery.Serving
 }
 
-// slowStart returns what is left of the endpoint's slow start; 0 if the field is missing.
+// slowStart returns the remaining time of the endpoint's slow start, or 0 if the field is missing. It records an error if the field is not
+// a duration of 0 or more.
 func (k *keepaliveBody) slowStart() time.Duration {
 	value := k.root.Get(fieldSlowStart)
 	if !value.Exists() {
@@ -102,7 +104,7 @@
 	}
 	remaining, err := time.ParseDuration(value.String())
 	if err != nil || remaining < 0 {
-		k.fault(fieldSlowStart, "a time like 1500ms")
+		k.addError(fieldSlowStart, "a time like 1500ms")
 	}
 	return min(remaining, maxSlowStart)
 }
--- a/internal/mesh/agent/members.go
+++ b/internal/mesh/agent/members.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	ownersPerZone = 2               // registry owners of a service in each zone
-	zoneRetention = 2 * time.Minute // for which a zone counts as one after its last member has departed
+	ownersPerZone = 2               // number of registry owners of a service in each zone
+	zoneRetention = 2 * time.Minute // time during which a zone still counts after its last member has departed
 )
 
-// memberTracker keeps the view of the members and exchanges it with others. Its fields are guarded by environment.mu.
+// memberTracker maintains the view of the members, and exchanges it with peers in shuffles. Its fields are guarded by environment.mu.
 type memberTracker struct {
 	*environment
 	versions versionExchange
 
 	view         *membership.View
-	zoneLastSeen map[string]time.Duration // when a zone last had members
-	sidecarCount int                      // as last reported
+	zoneLastSeen map[string]time.Duration // time at which a zone last had members, by zone name
+	sidecarCount int                      // number of sidecars last passed to OnSidecarCount
 
-	changesHandled bool   // takeViewChangeLocked has reported all changes up to handledChanges
-	handledChanges uint64 // membership.View.ChangeCount then
+	changesHandled bool   // takeViewChangeLocked has handled all changes up to handledChanges
+	handledChanges uint64 // membership.View.ChangeCount at the last change that takeViewChangeLocked has reported
 }
 
-// versionExchange provides the version of the configuration that shuffles carry, and receives those of peers.
+// versionExchange provides the configuration version for outgoing shuffles, and handles the versions in those of peers.
 type versionExchange interface {
-	// versionLocked returns the version that is applied in this process; 0 if there is none.
+	// versionLocked returns the version that is applied in this process, or 0 if none is applied.
 	versionLocked() uint64
-	// learnVersion is called with the version that is applied at a peer.
-	learnVersion(peer string, version uint64)
+	// handlePeerVersion handles the version that is applied at a peer.
+	handlePeerVersion(peer string, version uint64)
 }
 
-// newMemberTracker returns a tracker whose view has this process as its only member, and the seeds of the settings.
+// newMemberTracker returns a tracker whose view has this process as its only member, and the seeds from the settings.
 func newMemberTracker(env *environment) *memberTracker {
 	self := env.hub.Self()
 	rng := rand.New(rand.NewPCG(env.config.Seed, self.Incarnation))
@@ -60,12 +60,12 @@
 	return tracker
 }
 
-// register registers the method by which peers exchange views.
+// register registers the method with which peers exchange views.
 func (m *memberTracker) register() {
 	transport.Handle(m.hub, methodShuffle, m.handleShuffle)
 }
 
-// tickLocked advances the view, and returns the shuffle that is to be sent now, if there is one, and the peers that it goes to.
+// tickLocked advances the view to the current time, and returns the shuffle to send now and its recipients. shuffle is nil if none is due.
 func (m *memberTracker) tickLocked(now time.Duration) (peers []string, shuffle *membership.Shuffle) {
 	peers, shuffle = m.view.Tick(now)
 	if shuffle != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleShuffle answers a peer's shuffle; with an empty one if the view has no reply.
+// handleShuffle merges a peer's shuffle into the view and returns the reply, which is empty if the view has none.
 func (m *memberTracker) handleShuffle(_ context.Context, _ *transport.Hello, s *membership.Shuffle) *membership.Shuffle {
 	if reply := m.merge(s); reply != nil {
 		return reply
@@ -95,17 +95,17 @@
 	return &membership.Shuffle{Reply: true}
 }
 
-// merge merges a shuffle into the view, and passes the peer's version of the configuration on. The reply may be nil.
+// merge merges a shuffle into the view, and passes the peer's configuration version to versions. The reply may be nil.
 func (m *memberTracker) merge(s *membership.Shuffle) *membership.Shuffle {
 	if s.From.Incarnation == 0 {
 		return nil
 	}
 	reply := m.mergeView(s)
-	m.versions.learnVersion(s.From.Address, s.ConfigVersion)
+	m.versions.handlePeerVersion(s.From.Address, s.ConfigVersion)
 	return reply
 }
 
-// mergeView merges a shuffle into the view, and returns the reply, which carries the version that is applied here.
+// mergeView merges a shuffle into the view, and returns the reply with the version that is applied in this process. The reply may be nil.
 func (m *memberTracker) mergeView(s *membership.Shuffle) *membership.Shuffle {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,8 +116,8 @@
 	return reply
 }
 
-// takeViewChangeLocked reports whether what depends on the members has to be computed anew: at the first call, and at the first one
-// after a change of the view or a call of invalidateLocked. It marks the changes so far as handled.
+// takeViewChangeLocked reports whether values computed from the members have to be recomputed. That is the case at the first call, and at
+// the first call after the view has changed or invalidateLocked was called. takeViewChangeLocked marks all changes so far as handled.
 func (m *memberTracker) takeViewChangeLocked() bool {
 	changes := m.view.ChangeCount()
 	if m.changesHandled && m.handledChanges == changes {
@@ -131,7 +131,8 @@
 // invalidateLocked makes the next takeViewChangeLocked report a change.
 func (m *memberTracker) invalidateLocked() { m.changesHandled = false }
 
-// reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. Without that callback sidecarCount stays 0.
+// reportSidecarCountLocked calls OnSidecarCount if the number of sidecars has changed. If there is no such callback, sidecarCount remains
+// 0.
 func (m *memberTracker) reportSidecarCountLocked() {
 	count := len(sidecarAddresses(m.allLocked()))
 	if count != m.sidecarCount && m.config.OnSidecarCount != nil {
@@ -140,8 +141,8 @@
 	}
 }
 
-// sidecars returns the number of sidecars that was last reported.
-func (m *memberTracker) sidecars() int {
+// lastSidecarCount returns the number of sidecars last passed to OnSidecarCount, or 0 if there is no such callback.
+func (m *memberTracker) lastSidecarCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sidecarCount
@@ -154,12 +155,12 @@
 	m.view.SetSeeds(addresses)
 }
 
-// linkLostLocked marks the member at an address unreachable, as the link to it has ended.
+// linkLostLocked marks the member at an address as unreachable, because the link to it was lost.
 func (m *memberTracker) linkLostLocked(now time.Duration, address string) {
 	m.view.ConnectionLost(now, address)
 }
 
-// all returns the processes that run, as far as this one knows, itself included.
+// all returns the running processes known to this process, including itself.
 func (m *memberTracker) all() []membership.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,14 +170,14 @@
 // allLocked is all for callers that hold the lock.
 func (m *memberTracker) allLocked() []membership.Member { return m.view.Members() }
 
-// at returns the member at an IP address (membership.View.MemberAt).
-func (m *memberTracker) at(ip string) (membership.Member, bool) {
+// memberAt returns the member at an IP address, as membership.View.MemberAt does.
+func (m *memberTracker) memberAt(ip string) (membership.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.MemberAt(ip)
 }
 
-// othersLocked returns the addresses of all members but this process.
+// othersLocked returns the internal addresses of all members except this process.
 func (m *memberTracker) othersLocked() []string {
 	self := m.address()
 	var others []string
@@ -202,14 +203,14 @@
 	return m.view.RegistryOwners(service, m.settings.Zone, n)
 }
 
-// recordZonesLocked records the present time for each zone that has members.
+// recordZonesLocked stores the current time in zoneLastSeen for each zone that has members.
 func (m *memberTracker) recordZonesLocked(now time.Duration) {
 	for _, zone := range m.view.Zones() {
 		m.zoneLastSeen[zone] = now
 	}
 }
 
-// recentZonesLocked returns the set of the zones that have members, or had some within zoneRetention. The caller may change the set.
+// recentZonesLocked returns the set of zones that have members now, or had members within the last zoneRetention. The caller owns the set.
 func (m *memberTracker) recentZonesLocked() map[string]bool {
 	now := m.now()
 	m.recordZonesLocked(now)
@@ -224,7 +225,7 @@
 	return recent
 }
 
-// coreRank returns this process's position, from 0, among the core processes in the order of their addresses.
+// coreRank returns this process's index, counted from 0, in the list of the core processes ordered by address.
 func (m *memberTracker) coreRank(members []membership.Member) int {
 	self := m.address()
 	rank := 0
--- a/internal/mesh/agent/publisher.go
+++ b/internal/mesh/agent/publisher.go
@@ -11,19 +11,19 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// confirmationTimeout is how long an endpoint's call waits for a registry owner to acknowledge its record.
+// confirmationTimeout is the maximum time that an endpoint's call waits for a registry owner to acknowledge the record.
 const confirmationTimeout = 250 * time.Millisecond
 
-// recordPublisher publishes records of the endpoint beside this process to the registry owners of its service, in all zones. Its fields
-// are guarded by environment.mu.
+// recordPublisher publishes records of the local endpoint to the registry owners of its service in all zones. Its fields are guarded by
+// environment.mu.
 type recordPublisher struct {
 	*environment
 	members   *memberTracker
-	directory *endpointDirectory // where this process is an owner itself
+	directory *endpointDirectory // destination of records for which this process itself is a registry owner
 
 	records           *discovery.Publisher
-	ownerIncarnations map[string]uint64 // by address
-	acknowledged      chan struct{}     // closed, and replaced, when an owner has acknowledged a record
+	ownerIncarnations map[string]uint64 // last known incarnations of the registry owners, by address
+	acknowledged      chan struct{}     // closed and replaced whenever an owner acknowledges a record
 }
 
 // newRecordPublisher returns a publisher without records.
@@ -38,8 +38,8 @@
 	}
 }
 
-// set publishes the endpoint beside this process (Agent.Publish).
-func (p *recordPublisher) set(e discovery.Endpoint) {
+// publish implements Agent.Publish.
+func (p *recordPublisher) publish(e discovery.Endpoint) {
 	self := p.hub.Self()
 	e.SidecarAddress = self.Address
 	e.SidecarIncarnation = self.Incarnation
@@ -49,23 +49,23 @@
 	p.wake()
 }
 
-// end publishes that an endpoint has ended (Agent.PublishEnd).
-func (p *recordPublisher) end(id string, s discovery.State) {
+// publishEnd implements Agent.PublishEnd.
+func (p *recordPublisher) publishEnd(id string, s discovery.State) {
 	p.mu.Lock()
 	p.records.End(p.now(), id, s)
 	p.mu.Unlock()
 	p.wake()
 }
 
-// linkLostLocked makes all records due again for the owner at an address, as the link to it has ended: it may have restarted.
+// linkLostLocked makes all records due again for the owner at an address, because the link to it was lost: the owner may have restarted.
 func (p *recordPublisher) linkLostLocked(address string) { p.records.ForgetOwner(address) }
 
-// tickLocked returns the records that are to be sent now: changes, those that an owner has not acknowledged, and renewals.
+// tickLocked returns the records to send now: changed ones, those that an owner has not acknowledged, and lease renewals.
 func (p *recordPublisher) tickLocked(now time.Duration) []discovery.Announcement {
 	return p.records.Tick(now)
 }
 
-// updateOwnersLocked determines the registry owners anew, from the present members. An owner that has restarted gets all records again.
+// updateOwnersLocked recomputes the registry owners from the current members. All records are sent again to an owner that has restarted.
 func (p *recordPublisher) updateOwnersLocked() {
 	if p.config.Role != membership.RoleAccess || p.settings.Service == "" {
 		return
@@ -81,7 +81,7 @@
 	p.records.SetOwners(addresses)
 }
 
-// sendRecords sends records to the registry owners, of which this process may be one.
+// sendRecords sends records to the registry owners. Those for which this process itself is the owner are applied directly.
 func (p *recordPublisher) sendRecords(records []discovery.Announcement) {
 	for _, r := range records {
 		if r.To == p.address() {
@@ -107,8 +107,9 @@
 	p.acknowledged = make(chan struct{})
 }
 
-// awaitConfirmed waits until a registry owner on another machine has acknowledged an endpoint as it was last published, for
-// confirmationTimeout at most. What the endpoint reported is not lost if this process ends after that.
+// awaitConfirmed waits until a registry owner on another machine has acknowledged the newest published record of an endpoint, and for at
+// most confirmationTimeout or until ctx ends. An acknowledged record is not lost if this process ends. awaitConfirmed returns immediately
+// if the endpoint is not published, or there is no other owner.
 func (p *recordPublisher) awaitConfirmed(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 	defer cancel()
@@ -128,15 +129,17 @@
 	}
 }
 
-// ownerAnswer is a registry owner's answer to a record that was published on behalf of another process.
+// ownerAnswer is the result of publishing a record to a registry owner in a zone on behalf of another process. accepted is false if the
+// owner has rejected the record, or the request failed.
 type ownerAnswer struct {
 	zone     string
 	accepted bool
 }
 
 // publishOnBehalf publishes a record that this process received because the endpoint's own sidecar could not be reached. It reports
-// whether another process has acknowledged it, and a registry owner in every zone, so that all callers are notified. Zones that had members
-// within zoneRetention count: they may only be partitioned from this process. It returns when ctx ends at the latest.
+// whether a registry owner in every zone has the record, so that all callers of the service are notified, and whether another process is
+// among those owners. Zones that had members within the last zoneRetention count as well, as they may merely be partitioned from this
+// process. publishOnBehalf returns when ctx ends at the latest.
 func (p *recordPublisher) publishOnBehalf(ctx context.Context, record discovery.Endpoint) bool {
 	p.mu.Lock()
 	owners := p.members.ownersLocked(record.Service)
@@ -147,7 +150,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	defer cancel() // the requests that are still open when the result is known
+	defer cancel() // cancels the requests that are still pending when the result is known
 	answers := make(chan ownerAnswer, len(owners))
 	others := 0
 	for _, owner := range owners {
@@ -163,7 +166,7 @@
 	}
 	accepted := false
 	for range others {
-		answer := <-answers // every request ends when ctx does, at the latest
+		answer := <-answers // does not block past the end of ctx, which ends all requests
 		if answer.accepted {
 			accepted = true
 			delete(missing, answer.zone)
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	tokenInterval       = 40 * time.Millisecond  // between two checks whether tokens are to be requested
-	tokenTimeout        = 120 * time.Millisecond // for a reply; without one the next request goes to another process
-	directRetryInterval = time.Second            // between two attempts to reach the allocator while a peer forwards requests to it
+	tokenInterval       = 40 * time.Millisecond  // interval between checks whether tokens have to be requested
+	tokenTimeout        = 120 * time.Millisecond // timeout of a request for tokens; after it, the next request goes to another process
+	directRetryInterval = time.Second            // interval between direct requests to the allocator while a peer forwards the others
 )
 
-// QuotaClient gets tenants' tokens for a sidecar. It requests them from the allocator or, while it can't reach the allocator, from
-// another sidecar that forwards its requests. Its methods may be called from any goroutine.
+// QuotaClient obtains tokens of the tenants' rate limits for a sidecar. It requests them from the allocator or, while it can't reach the
+// allocator, from another sidecar that forwards the requests. Its methods are safe for concurrent use.
 type QuotaClient struct {
 	agent    *Agent
-	wakeup   chan struct{}  // holds a value if users' requests wait for tokens
-	inFlight sync.WaitGroup // requests for tokens
+	wakeup   chan struct{}  // holds a value if Run is to check immediately whether tokens have to be requested
+	inFlight sync.WaitGroup // goroutines that wait for replies to requests for tokens
 
-	// mu guards the fields below. environment.mu may be taken under it.
+	// mu guards the fields below. environment.mu may be acquired while mu is held.
 	mu            sync.Mutex
 	tokenCache    *ratelimit.TokenCache
-	allocator     string        // address of the allocator, by the newest reply that named it; empty if it isn't known
-	forwarder     string        // address of the sidecar that forwards requests; empty while the allocator is asked directly
-	directRetryAt time.Duration // when the allocator is asked directly again
-	failures      int           // requests in a row that were granted nothing
+	allocator     string        // internal address of the allocator, from the newest reply that named it; empty if unknown
+	forwarder     string        // internal address of the sidecar that forwards requests; empty while requests go to the allocator
+	directRetryAt time.Duration // time of the next request that bypasses the forwarder
+	failures      int           // number of consecutive requests without a grant; 0 after a reply has named another allocator
 }
 
-// NewQuotaClient returns a sidecar's client of the allocator, and registers the method by which it forwards other sidecars' requests. It
-// is called once for an Agent. Tokens are requested while Run runs.
+// NewQuotaClient returns a sidecar's client of the allocator, and registers the method that forwards other sidecars' requests. It must be
+// called at most once per Agent. The client requests tokens while Run is running.
 func (a *Agent) NewQuotaClient() *QuotaClient {
 	q := &QuotaClient{agent: a, tokenCache: ratelimit.NewTokenCache(), wakeup: make(chan struct{}, 1)}
 	transport.Handle(a.hub, methodTokens, q.handleForwarded)
 	return q
 }
 
-// handleForwarded forwards another sidecar's request to the allocator, unless it was forwarded to this process: a request is forwarded
-// once at most.
+// handleForwarded forwards another sidecar's request to the allocator and returns the reply. The reply is empty if the request was already
+// forwarded once, the allocator isn't known, or the allocator can't be reached.
 func (q *QuotaClient) handleForwarded(
 	ctx context.Context, _ *transport.Hello, request *ratelimit.AllocationRequest,
 ) *ratelimit.AllocationReply {
@@ -63,18 +63,18 @@
 	return reply
 }
 
-// Acquire takes a token for a request of a tenant. done is called exactly once, within a bounded time: with ok if the request is
-// admitted, else with the time after which the tenant may retry. It may be called before Acquire returns, with the client's lock held:
-// it must neither block nor call the client.
+// Acquire acquires a token for a request of a tenant. done is called exactly once, within a bounded time: with ok true if the request is
+// admitted, and otherwise with the time after which the tenant may retry. done may be called before Acquire returns, and with the client's
+// lock held, so it must neither block nor call methods of the client.
 func (q *QuotaClient) Acquire(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) {
 	if !q.acquireCached(tenant, done) {
 		q.wake()
 	}
 }
 
-// acquireCached takes a token from the cache, or queues the request if there is none. It reports whether done has been called.
+// acquireCached takes a token from the cache, or queues the request if the cache has none. It reports whether done has been called.
 func (q *QuotaClient) acquireCached(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration)) bool {
-	answered := false // guarded by mu: the cache may call the function after this one has returned
+	answered := false // guarded by mu, as the cache may call the function below after acquireCached has returned
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	limit := limitFor(&q.agent.settings.Bounds, tenant)
@@ -85,15 +85,15 @@
 	return answered
 }
 
-// wake makes Run request tokens at once, rather than at its next tick. It does not wait for that.
+// wake makes Run check immediately, instead of at its next tick, whether tokens have to be requested. It does not block.
 func (q *QuotaClient) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
-	default: // it is awake already
+	default: // a wakeup is already pending
 	}
 }
 
-// Run requests tokens until ctx ends. It returns once the last request has ended.
+// Run requests tokens until ctx ends. Before it returns, it waits until all pending requests have ended.
 func (q *QuotaClient) Run(ctx context.Context) {
 	defer q.inFlight.Wait()
 	tick := time.NewTicker(tokenInterval)
@@ -109,10 +109,10 @@
 	}
 }
 
-// sendRequests sends a request for tokens if one is due. A goroutine of its own waits for the reply.
+// sendRequests sends a request for tokens if one is due. A separate goroutine waits for the reply.
 func (q *QuotaClient) sendRequests(ctx context.Context) {
 	now := q.agent.now()
-	sidecars := q.agent.members.sidecars()
+	sidecars := q.agent.members.lastSidecarCount()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tokenCache.SetSidecarCount(sidecars)
@@ -128,12 +128,13 @@
 		Requests:            requests,
 		HighestFencingToken: q.tokenCache.HighestFencingToken(),
 	}
-	q.inFlight.Go(func() { q.request(ctx, now, target, request) })
+	q.inFlight.Go(func() { q.requestTokens(ctx, now, target, request) })
 }
 
-// targetLocked chooses the process to send a request to: the forwarder until directRetryAt, else the allocator. After failures, or if
-// the allocator isn't known, it draws in turn another sidecar, which may reach the allocator, and a core process, which may be the
-// allocator or name it. Unless it chooses the forwarder, it sets directRetryAt, the time of the next request that bypasses the forwarder.
+// targetLocked selects the process to send a request to: the forwarder until directRetryAt, and the allocator otherwise. After failures,
+// or if the allocator isn't known, it selects at random, in alternation, another sidecar, which may be able to reach the allocator, or a
+// core process, which may be the allocator or name it. Unless it selects the forwarder, it sets directRetryAt, the time of the next
+// request that bypasses the forwarder. The result is empty if no process is known.
 func (q *QuotaClient) targetLocked(now time.Duration) string {
 	if q.forwarder != "" && now < q.directRetryAt {
 		return q.forwarder
@@ -158,9 +159,9 @@
 	return candidates[q.agent.randomUint64Locked()%uint64(len(candidates))].Address
 }
 
-// request sends a request for tokens to a process, and handles the reply. It waits for the reply also if ctx ends in between, as the
-// tokens may be needed for users' requests that are still pending.
-func (q *QuotaClient) request(ctx context.Context, sent time.Duration, to string, request *ratelimit.AllocationRequest) {
+// requestTokens sends a request for tokens to a process, and handles the reply. It waits for the reply even after ctx has ended, as the
+// tokens may be needed for users' requests that are still pending. sent is the time of the request.
+func (q *QuotaClient) requestTokens(ctx context.Context, sent time.Duration, to string, request *ratelimit.AllocationRequest) {
 	reply := q.call(context.WithoutCancel(ctx), to, request)
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -180,7 +181,8 @@
 	}
 }
 
-// call sends a request to a process, and returns its reply; nil if none came in time, or if to is empty.
+// call sends a request to a process and returns the reply. It returns nil if to is empty, the request fails, or no reply arrives within
+// tokenTimeout.
 func (q *QuotaClient) call(ctx context.Context, to string, request *ratelimit.AllocationRequest) *ratelimit.AllocationReply {
 	if to == "" {
 		return nil
@@ -194,8 +196,8 @@
 	return reply
 }
 
-// recordFailureLocked records that a process has granted nothing. If its reply, which may be nil, names another process as the allocator,
-// that one is asked at once.
+// recordFailureLocked records that a request to a process has obtained no grant. reply is nil if there was none. If the reply names another
+// process as the allocator, the next request is sent to that process immediately.
 func (q *QuotaClient) recordFailureLocked(now time.Duration, asked string, reply *ratelimit.AllocationReply) {
 	q.failures++
 	q.tokenCache.HandleFailure(now)
--- a/internal/mesh/agent/quota_client_test.go
+++ b/internal/mesh/agent/quota_client_test.go
@@ -9,7 +9,8 @@
 	"quincegap/internal/mesh/control/ratelimit"
 )
 
-// Each request is answered exactly once while replies with tokens arrive concurrently. The race detector makes this test stricter.
+// Each request is answered exactly once while replies with tokens arrive concurrently. With the race detector, the test also checks that
+// the accesses are synchronized.
 func TestAcquireWhileTokensArrive(t *testing.T) {
 	client := newTestSidecar(t, "127.9.2.1:7401", 0).NewQuotaClient()
 	tenant := &configuration.Tenant{Name: "t", Rate: 1000, Burst: 1000}
@@ -40,7 +41,7 @@
 	granting.Wait()
 }
 
-// grantTokens passes a client a reply that grants a tenant some tokens.
+// grantTokens makes a client handle a reply that grants a tenant 3 tokens.
 func grantTokens(client *QuotaClient, tenant string) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
--- a/internal/mesh/agent/roles.go
+++ b/internal/mesh/agent/roles.go
@@ -15,64 +15,67 @@
 )
 
 const (
-	leaseCheckInterval  = 50 * time.Millisecond  // between two checks of the leases
-	memberCheckInterval = 300 * time.Millisecond // between two checks of the members
-	learnVotersTimeout  = time.Second            // for a read of the newest voter set
+	leaseCheckInterval  = 50 * time.Millisecond  // interval between checks of the leases
+	memberCheckInterval = 300 * time.Millisecond // minimum interval between checks of the members
+	voterReadTimeout    = time.Second            // timeout of a read of the newest voter set
 )
 
-// Register is the consensus register (control/controlplane.Server). Its voters also grant leases.
+// Register is the consensus register, whose voters also grant leases. control/controlplane.Server implements it.
 type Register interface {
-	// VoterSet returns the newest voter set, of control addresses, that this process knows to be committed.
+	// VoterSet returns the newest voter set that this process knows to be committed. Voters are identified by their control addresses.
 	VoterSet() consensus.VoterSet
-	// Accepted returns the epoch of the voter set in the newest vote of this process, as last written to disk. ready is true from when the
-	// process's record was first complete on disk; it stays true while the disk fails, and while a record that was lost later is recovered.
+	// Accepted returns the epoch of the voter set in the newest vote of this process, as last written to disk. ready is true from the time
+	// at which this process's record was first complete on disk. It remains true while the disk fails, and while a record that was lost
+	// later is being recovered.
 	Accepted() (epoch uint64, ready bool)
-	// ReadLatest reads the register from a majority of the voters. If that finds a newer voter set, VoterSet returns it from then on.
+	// ReadLatest reads the register from a majority of the voters, and fails if it can't reach one until ctx ends. If the read finds a newer
+	// voter set, VoterSet returns that set from then on.
 	ReadLatest(ctx context.Context) (consensus.Value, error)
 }
 
-// SingletonRoles is a core process's part in the singleton roles: those that one core process has at a time, under a lease that the
-// voters grant. There is one such role, the allocator. Each core process contends for it, and votes on leases if it is a voter. The
-// methods may be called from any goroutine.
+// SingletonRoles manages the singleton roles of a core process. A singleton role is held by at most one core process at a time, under a
+// lease that the voters grant. The only such role is the allocator. Each core process contends for it; voters also vote on leases. The
+// methods are safe for concurrent use.
 type SingletonRoles struct {
-	agent        *Agent
-	register     Register
-	initialStart bool          // the whole system starts for the first time: there was no earlier allocator
-	newerVoters  chan struct{} // holds a value if a newer voter set is to be read
+	agent             *Agent
+	register          Register
+	initialStart      bool          // true at the first start of the whole system: there was no earlier allocator
+	voterReadRequests chan struct{} // holds a value if the newest voter set is to be read
 
-	// mu guards the fields below. environment.mu and eventRecorder.mu may be taken under it.
+	// mu guards the fields below. environment.mu and eventRecorder.mu may be acquired while mu is held.
 	mu               sync.Mutex
 	voter            *lease.Voter
 	allocatorLease   *lease.Candidate
 	allocator        *ratelimit.Allocator // nil while this process doesn't hold the lease
-	lastSeen         ratelimit.LastSeen   // of sidecars
+	sidecarsLastSeen ratelimit.LastSeen   // times at which each sidecar was last a member
 	membersCheckedAt time.Duration
-	learningVoters   bool // a read of the newest voter set is pending or running
+	voterReadPending bool // true while a read of the newest voter set is requested or running
 }
 
-// NewSingletonRoles returns a core process's part in the singleton roles, and registers its methods. initialStart is true if the whole
-// system starts for the first time. It is called once for an Agent. The process votes on leases from then on, and contends for the roles
-// while Run runs.
+// NewSingletonRoles returns the singleton roles of a core process, and registers their methods. initialStart is true at the first start of
+// the whole system. NewSingletonRoles must be called at most once per Agent. From then on, the process votes on leases; it contends for the
+// roles while Run is running.
 func (a *Agent) NewSingletonRoles(register Register, initialStart bool) *SingletonRoles {
 	self := a.hub.Self()
 	s := &SingletonRoles{
-		agent:          a,
-		register:       register,
-		initialStart:   initialStart,
-		newerVoters:    make(chan struct{}, 1),
-		voter:          lease.NewVoter(a.now(), initialStart),
-		allocatorLease: lease.NewCandidate(self.Address, self.Incarnation, roleAllocator, a.randomFraction),
+		agent:             a,
+		register:          register,
+		initialStart:      initialStart,
+		voterReadRequests: make(chan struct{}, 1),
+		voter:             lease.NewVoter(a.now(), initialStart),
+		allocatorLease:    lease.NewCandidate(self.Address, self.Incarnation, roleAllocator, a.randomFraction),
 	}
-	transport.Handle(a.hub, methodLease, s.handleRequest)
+	transport.Handle(a.hub, methodLease, s.handleLeaseRequest)
 	transport.Handle(a.hub, methodTokens, s.handleAllocation)
 	return s
 }
 
-// Run contends for the roles and renews the leases of those that it has, until ctx ends. It doesn't release them (see Release).
+// Run contends for the roles, and renews the leases of those that this process holds, until ctx ends. It doesn't release
+// them (see Release).
 func (s *SingletonRoles) Run(ctx context.Context) {
-	var learner sync.WaitGroup
-	learner.Go(func() { s.learnVoters(ctx) })
-	defer learner.Wait()
+	var voterReader sync.WaitGroup
+	voterReader.Go(func() { s.serveVoterReads(ctx) })
+	defer voterReader.Wait()
 	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
 	for {
@@ -85,7 +88,7 @@
 	}
 }
 
-// checkLeases sends requests for leases, or to renew them, if they are due, and ends a role whose lease has expired.
+// checkLeases sends due requests to acquire or renew leases, and ends a role whose lease has expired.
 func (s *SingletonRoles) checkLeases() {
 	voters := s.register.VoterSet()
 	now := s.agent.now()
@@ -95,7 +98,7 @@
 	}
 }
 
-// tickLeases returns the request that is to be sent to all voters now; nil if there is none. It ends a role whose lease has expired.
+// tickLeases returns the request to send to all voters now, or nil if none is due. It ends a role whose lease has expired.
 func (s *SingletonRoles) tickLeases(now time.Duration, voters consensus.VoterSet) *lease.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +109,7 @@
 	return request
 }
 
-// checkMembers passes the present members to the event recorder, the lease and the allocator, once in a memberCheckInterval.
+// checkMembers passes the current members to the event recorder, the lease and the allocator, at most once per memberCheckInterval.
 func (s *SingletonRoles) checkMembers(now time.Duration) {
 	s.mu.Lock()
 	due := now >= s.membersCheckedAt+memberCheckInterval
@@ -123,26 +126,28 @@
 	s.updateSidecarsLocked(now, members)
 }
 
-// requestLeases sends a request to all voters, of which this process may be one.
+// requestLeases sends a request to all voters. If this process is a voter itself, it handles the request directly. sent is the time of the
+// request.
 func (s *SingletonRoles) requestLeases(sent time.Duration, voters consensus.VoterSet, request *lease.Request) {
 	for _, voter := range voters.Voters {
 		if voter == s.agent.settings.ControlAddress {
-			s.handleReply(sent, voters.Epoch, voter, s.vote(request))
+			s.handleLeaseReply(sent, voters.Epoch, voter, s.vote(request))
 			continue
 		}
 		s.agent.send(s.agent.peerAddress(voter), methodLease, request, func(body []byte) {
 			var reply lease.Reply
 			if len(body) > 0 && codec.Unmarshal(body, &reply) == nil {
-				s.handleReply(sent, voters.Epoch, voter, &reply)
+				s.handleLeaseReply(sent, voters.Epoch, voter, &reply)
 			}
 		})
 	}
 }
 
-// handleReply handles a voter's reply to a request that was sent at a time, to the voter set of an epoch.
-func (s *SingletonRoles) handleReply(sent time.Duration, epoch uint64, voter string, reply *lease.Reply) {
+// handleLeaseReply handles a voter's reply to a request for leases. sent is the time at which the request was sent, and epoch that of the
+// voter set to which it was sent. If the voter knows a newer voter set, that set is read.
+func (s *SingletonRoles) handleLeaseReply(sent time.Duration, epoch uint64, voter string, reply *lease.Reply) {
 	if reply.VoterSetEpoch > epoch {
-		s.requestVoters()
+		s.requestVoterRead()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,12 +157,13 @@
 	}
 }
 
-// handleRequest answers another core process's request for leases.
-func (s *SingletonRoles) handleRequest(_ context.Context, _ *transport.Hello, request *lease.Request) *lease.Reply {
+// handleLeaseRequest handles another core process's request for leases.
+func (s *SingletonRoles) handleLeaseRequest(_ context.Context, _ *transport.Hello, request *lease.Request) *lease.Reply {
 	return s.vote(request)
 }
 
-// vote answers a request for leases as a voter. The epochs are read before the grant is made, as package lease requires.
+// vote handles a request for leases as a voter and returns the reply. The epochs are read before the grant is made, as package lease
+// requires. If the request releases the allocator's lease, this process's own candidacy takes note of that.
 func (s *SingletonRoles) vote(request *lease.Request) *lease.Reply {
 	accepted, ready := s.register.Accepted()
 	status := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.register.VoterSet().Epoch)}
@@ -172,23 +178,23 @@
 	return s.voter.Handle(now, status, request)
 }
 
-// requestVoters makes learnVoters read the newest voter set, unless a read is pending or running.
-func (s *SingletonRoles) requestVoters() {
+// requestVoterRead makes serveVoterReads read the newest voter set, unless a read is already requested or running.
+func (s *SingletonRoles) requestVoterRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.learningVoters {
+	if s.voterReadPending {
 		return
 	}
-	s.learningVoters = true
-	s.newerVoters <- struct{}{} // never blocks: learningVoters was false, so the channel is empty
+	s.voterReadPending = true
+	s.voterReadRequests <- struct{}{} // never blocks: voterReadPending was false, so the channel is empty
 }
 
-// learnVoters reads the newest voter set whenever requestVoters asks for it, until ctx ends. A lease holder that kept to an old voter set
-// would lose its lease, as the voters reject its requests.
-func (s *SingletonRoles) learnVoters(ctx context.Context) {
+// serveVoterReads reads the newest voter set whenever requestVoterRead requests it, until ctx ends. A lease holder that continued to use an
+// old voter set would lose its lease, as the voters reject its requests.
+func (s *SingletonRoles) serveVoterReads(ctx context.Context) {
 	for {
 		select {
-		case <-s.newerVoters:
+		case <-s.voterReadRequests:
 			s.readVoters(ctx)
 		case <-ctx.Done():
 			return
@@ -196,20 +202,22 @@
 	}
 }
 
-// readVoters reads the register once, so that VoterSet returns the newest voter set.
+// readVoters reads the register once, after which VoterSet returns the newest voter set. A failure is logged only: the next reply with a
+// newer epoch requests another read.
 func (s *SingletonRoles) readVoters(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, learnVotersTimeout)
+	ctx, cancel := context.WithTimeout(ctx, voterReadTimeout)
 	defer cancel()
 	if _, err := s.register.ReadLatest(ctx); err != nil {
-		s.agent.log.WithError(err).Debug("agent: the newest set of voters can't be read")
+		s.agent.log.WithError(err).Debug("agent: reading the newest voter set failed")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learningVoters = false
+	s.voterReadPending = false
 }
 
-// Release releases all leases, for good, so that the next holder need not wait until they expire. It notifies the voters and the other
-// core processes, and waits for their answers until ctx ends. It is for a process that is shutting down. Without a lease it does nothing.
+// Release permanently releases all leases, so that the next holder need not wait until they expire. It notifies the voters and the other
+// core processes, and waits for their replies until ctx ends. It is intended for a process that is shutting down; this process does not
+// contend for the roles again. If the process has no lease to release, Release only ends its candidacy.
 func (s *SingletonRoles) Release(ctx context.Context) {
 	request := s.resign()
 	if request == nil {
@@ -220,7 +228,7 @@
 	answered := make(chan struct{}, len(peers))
 	for _, peer := range peers {
 		s.agent.hub.Send(s.agent.peerAddress(peer), methodLease, codec.MarshalAppend(nil, request), 0, func([]byte, error) {
-			answered <- struct{}{} // an error counts, too: there is nothing to wait for
+			answered <- struct{}{} // an error counts as a reply, as no reply will follow
 		})
 	}
 	for range peers {
@@ -232,7 +240,8 @@
 	}
 }
 
-// resign ends the roles of this process, and returns the request that releases their leases; nil if it has none.
+// resign permanently ends the roles of this process and its candidacy, and returns the request that releases the leases, or nil if there
+// is none to release.
 func (s *SingletonRoles) resign() *lease.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,16 +250,18 @@
 	return request
 }
 
-// otherCores returns the control addresses of the voters and of the core processes among the members, each once, without this process.
+// otherCores returns the control addresses of the voters and of the core processes among the members, without duplicates and without this
+// process.
 func (s *SingletonRoles) otherCores() []string {
 	cores := append(slices.Clone(s.register.VoterSet().Voters), s.agent.CoreAddresses()...)
 	slices.Sort(cores)
 	return slices.DeleteFunc(slices.Compact(cores), func(core string) bool { return core == s.agent.settings.ControlAddress })
 }
 
-// updateSidecarsLocked records which members are sidecars, and passes those that were seen lately to the allocator.
+// updateSidecarsLocked updates sidecarsLastSeen from the members, and passes the recently seen sidecars to the allocator, if this process
+// is the allocator.
 func (s *SingletonRoles) updateSidecarsLocked(now time.Duration, members []membership.Member) {
-	recent := s.lastSeen.Update(now, sidecarAddresses(members))
+	recent := s.sidecarsLastSeen.Update(now, sidecarAddresses(members))
 	if s.allocator != nil {
 		s.allocator.SetSidecars(recent)
 	}
--- a/internal/mesh/agent/roles_test.go
+++ b/internal/mesh/agent/roles_test.go
@@ -15,12 +15,12 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// fakeRegister is the consensus register of one core process, without consensus: the test sets what the process knows.
+// fakeRegister is the consensus register of one core process, without a consensus protocol: the test sets the state that the process knows.
 type fakeRegister struct {
 	mu       sync.Mutex
-	known    consensus.VoterSet  // newest that the process knows to be committed
-	accepted uint64              // epoch of the process's vote
-	newest   *consensus.VoterSet // that a read finds; nil for the known one
+	known    consensus.VoterSet  // newest voter set that the process knows to be committed
+	accepted uint64              // epoch of the voter set in the process's newest vote
+	newest   *consensus.VoterSet // voter set found by ReadLatest; nil if that is known
 }
 
 // VoterSet implements Register.
@@ -47,7 +47,7 @@
 	return consensus.Value{VoterSet: r.known}, nil
 }
 
-// testCore holds a few core processes on loopback, without disks. The first three are the voters.
+// testCore holds core processes that communicate over loopback and have no disks. The first three are the voters.
 type testCore struct {
 	*qt.C
 	registers []*fakeRegister
@@ -93,16 +93,16 @@
 	return core
 }
 
-// holder waits until one of the processes holds the allocator's lease, and returns its index and fencing token.
-func (c *testCore) holder() (process int, token uint64) {
+// waitForHolder waits until one of the processes holds the allocator's lease, and returns its index and fencing token.
+func (c *testCore) waitForHolder() (process int, token uint64) {
 	c.Helper()
-	eventually(c, "a process holds the lease", func() bool {
+	eventually(c, "a process holds the allocator's lease", func() bool {
 		for i, roles := range c.roles {
 			roles.mu.Lock()
-			holding, ok := roles.allocatorLease.Holds(roles.agent.now())
+			heldToken, ok := roles.allocatorLease.Holds(roles.agent.now())
 			roles.mu.Unlock()
 			if ok {
-				process, token = i, holding
+				process, token = i, heldToken
 				return true
 			}
 		}
@@ -111,70 +111,70 @@
 	return process, token
 }
 
-// After a holder has released its lease, another process acquires it, with a higher fencing token. The former holder doesn't request it
-// again.
+// After a holder has released its lease, another process acquires it with a higher fencing token. The former holder doesn't request the
+// lease again.
 func TestSingletonRoleIsReleased(t *testing.T) {
-	c := newTestCore(t, 4)
-	first, token := c.holder()
+	core := newTestCore(t, 4)
+	first, token := core.waitForHolder()
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), maxWaitInTests)
 	defer cancel()
-	c.roles[first].Release(ctx)
-	next, higher := c.holder()
-	t.Logf("the next holder came %v after the release", time.Since(began).Round(time.Millisecond))
-	c.Assert(next != first, qt.IsTrue)
-	c.Assert(higher > token, qt.IsTrue)
-	c.roles[first].Release(ctx) // a second call does nothing
+	core.roles[first].Release(ctx)
+	next, nextToken := core.waitForHolder()
+	t.Logf("next holder acquired the lease %v after the release", time.Since(began).Round(time.Millisecond))
+	core.Assert(next != first, qt.IsTrue)
+	core.Assert(nextToken > token, qt.IsTrue)
+	core.roles[first].Release(ctx) // a second call has no effect
 }
 
 // Voters that have accepted a newer voter set reject the holder's request. The holder then reads the newer set, and renews its lease with
-// those voters.
+// the voters in it.
 func TestHolderLearnsOfNewVoters(t *testing.T) {
-	c := newTestCore(t, 4)
-	first, token := c.holder()
-	known := c.registers[0].VoterSet()
+	core := newTestCore(t, 4)
+	first, token := core.waitForHolder()
+	known := core.registers[0].VoterSet()
 	next := consensus.VoterSet{
 		Epoch:    1,
 		Previous: known.Voters,
-		Voters:   append(known.Voters[1:3:3], c.roles[3].agent.settings.ControlAddress),
+		Voters:   append(known.Voters[1:3:3], core.roles[3].agent.settings.ControlAddress),
 	}
-	for _, r := range c.registers {
-		r.mu.Lock()
-		r.accepted = 1
-		r.newest = &next
-		r.mu.Unlock()
+	for _, register := range core.registers {
+		register.mu.Lock()
+		register.accepted = 1
+		register.newest = &next
+		register.mu.Unlock()
 	}
-	eventually(t, "the holder knows the new voters", func() bool { return c.registers[first].VoterSet().Epoch > 0 })
-	second, higher := c.holder()
-	t.Logf("process %d under %d, then %d under %d", first, token, second, higher)
-	c.Assert(higher >= token, qt.IsTrue)
+	eventually(t, "the holder knows the new voter set", func() bool { return core.registers[first].VoterSet().Epoch > 0 })
+	second, secondToken := core.waitForHolder()
+	t.Logf("lease held by process %d with fencing token %d, then by process %d with fencing token %d", first, token, second, secondToken)
+	core.Assert(secondToken >= token, qt.IsTrue)
 }
 
 // A sidecar may have seen a higher fencing token than the holder's, if all voters have lost their state since. The holder then grants
-// nothing until it has raised its own token, and remains the holder.
+// nothing until it has renewed its lease with a higher token. It remains the holder.
 func TestAllocatorRaisesItsNumber(t *testing.T) {
-	c := newTestCore(t, 3)
-	for _, roles := range c.roles {
+	core := newTestCore(t, 3)
+	for _, roles := range core.roles {
 		roles.agent.ApplyCommitted(1, []byte(`{"configVersion":"r1","routeTable":[],`+
 			`"tenantTable":[{"name":"t","accessKeys":["k"],"ratePerS":5,"burstSize":5}]}`))
 	}
-	first, token := c.holder()
-	request := func(known uint64) *ratelimit.AllocationReply {
-		return c.roles[first].handleAllocation(t.Context(), nil, &ratelimit.AllocationRequest{
+	first, token := core.waitForHolder()
+	request := func(highestToken uint64) *ratelimit.AllocationReply {
+		return core.roles[first].handleAllocation(t.Context(), nil, &ratelimit.AllocationRequest{
 			Sidecar:             "127.9.0.9:7401",
 			Incarnation:         9,
-			HighestFencingToken: known,
+			HighestFencingToken: highestToken,
 			Requests:            []ratelimit.TokenRequest{{Tenant: "t", Tokens: 1}},
 		})
 	}
-	c.Assert(request(token).Granted, qt.IsTrue)
-	c.Assert(request(token+10).Granted, qt.IsFalse)
+	core.Assert(request(token).Granted, qt.IsTrue)
+	core.Assert(request(token+10).Granted, qt.IsFalse)
 	began := time.Now()
 	var reply *ratelimit.AllocationReply
 	eventually(t, "tokens are granted again", func() bool {
 		reply = request(token + 10)
 		return reply.Granted
 	})
-	c.Assert(reply.FencingToken > token+10, qt.IsTrue)
-	t.Logf("granted again after %v", time.Since(began).Round(time.Millisecond))
+	core.Assert(reply.FencingToken > token+10, qt.IsTrue)
+	t.Logf("tokens granted again after %v", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -11,55 +11,55 @@
 	"quincegap/internal/mesh/discovery/membership"
 )
 
-// StatePath is the path of State over HTTP.
+// StatePath is the HTTP path at which Handler serves State.
 const StatePath = "/mesh/state"
 
-// confirmationReadTimeout is how long SingletonRoles.State waits for a majority of the voters.
+// confirmationReadTimeout is the time that SingletonRoles.State waits at most for a majority of the voters.
 const confirmationReadTimeout = 500 * time.Millisecond
 
-// State is the state of the mesh as one core process knows it, for operators. The keys of its JSON are part of the interface to tools
-// (meshctl).
+// State is the state of the mesh as known to one core process, for operators. Its JSON keys are part of the interface to tools such as
+// meshctl.
 type State struct {
 	Node      string          `json:"node"`          // name of the process, as in its settings
-	Version   string          `json:"configVersion"` // newest committed version that is known, like "r12"; "0" for none
-	Confirmed bool            `json:"confirmed"`     // a majority of the voters was reached: there is no newer committed version
-	Voters    []string        `json:"voters"`        // control addresses
-	Ready     bool            `json:"ready"`         // this process has its consensus record, and votes if it is a voter
+	Version   string          `json:"configVersion"` // newest known committed version, such as "r12", or "0" if there is none
+	Confirmed bool            `json:"confirmed"`     // true if a majority of the voters was reached: there is no newer committed version
+	Voters    []string        `json:"voters"`        // control addresses of the voters
+	Ready     bool            `json:"ready"`         // true if this process has its consensus record, and so votes if it is a voter
 	Roles     []RoleState     `json:"duties"`
 	Members   []MemberState   `json:"members"`
 	Endpoints []EndpointState `json:"endpoints"`
 }
 
-// RoleState says which process has a singleton role.
+// RoleState describes a singleton role and its holder.
 type RoleState struct {
 	Name         string `json:"name"`
-	Holder       string `json:"holder"`           // internal address of the lease holder; empty if it is not known
-	FencingToken uint64 `json:"epoch,omitempty"`  // known to the holder alone
-	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds until the lease expires if it isn't renewed; known to the holder alone
+	Holder       string `json:"holder"`           // internal address of the lease holder; empty if unknown
+	FencingToken uint64 `json:"epoch,omitempty"`  // fencing token of the lease; 0 except in the holder's state
+	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds until the lease expires if not renewed; 0 except in the holder's state
 }
 
-// MemberState is a process that runs.
+// MemberState describes a running process.
 type MemberState struct {
 	Address string `json:"address"` // internal address
 	Zone    string `json:"zone"`
 	Role    string `json:"role"`              // "access" for a sidecar, or "core"
-	Service string `json:"service,omitempty"` // of the endpoint beside it
-	AgeMs   int64  `json:"ageMs"`             // milliseconds since its newest heartbeat that the core process knows
+	Service string `json:"service,omitempty"` // service of the local endpoint of a sidecar
+	AgeMs   int64  `json:"ageMs"`             // age in milliseconds of the newest heartbeat known to the core process
 }
 
-// EndpointState is an endpoint's record.
+// EndpointState describes an endpoint record. Address is the application address of the endpoint.
 type EndpointState struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
-	State   string `json:"state"` // one of the State constants
+	State   string `json:"state"` // StateInService, StateDraining, StateCrashed or StateDeregistered
 	Address string `json:"address"`
 	Sidecar string `json:"witness"` // internal address of the sidecar that publishes the record
-	Slots   int    `json:"slots"`   // requests that the endpoint serves at once
+	Slots   int    `json:"slots"`   // number of requests that the endpoint serves concurrently
 	LeaseMs int64  `json:"leaseMs"` // milliseconds until the record's lease expires
 }
 
-// Names of the states of endpoints, in keepalives (the first two) and in State.
+// Names of endpoint states in EndpointState. Keepalives use the first two as well.
 const (
 	StateInService    = "in_service"
 	StateDraining     = "draining"
@@ -67,13 +67,13 @@
 	StateDeregistered = "gone"
 )
 
-// Names of the roles of processes in State.
+// Names of the roles of processes in MemberState.
 const (
 	roleNameAccess = "access"
 	roleNameCore   = "core"
 )
 
-// stateNames holds the names of the states of endpoints.
+// stateNames maps endpoint states to their names in EndpointState.
 var stateNames = map[discovery.State]string{
 	discovery.Serving:      StateInService,
 	discovery.Draining:     StateDraining,
@@ -81,8 +81,9 @@
 	discovery.Deregistered: StateDeregistered,
 }
 
-// State collects the state of the mesh as this core process knows it. It reads the register from a majority of the voters first, for half
-// a second at most. Confirmed is false if that fails: a newer version may then be committed that this process doesn't know.
+// State returns the state of the mesh as known to this core process. It first reads the register from a majority of the voters, for at most
+// confirmationReadTimeout (half a second). If that fails, Confirmed is false: there may be a newer committed version that this process
+// doesn't know.
 func (s *SingletonRoles) State(ctx context.Context) State {
 	ctx, cancel := context.WithTimeout(ctx, confirmationReadTimeout)
 	defer cancel()
@@ -101,14 +102,14 @@
 	}
 }
 
-// snapshot is the state of an agent at one moment.
+// snapshot is the state of an agent at one point in time.
 type snapshot struct {
-	version   configuration.Version // the applied one
+	version   configuration.Version // applied version; 0 if none is applied
 	members   []membership.Member
 	endpoints []discovery.Endpoint
 }
 
-// snapshot returns the present state of the agent. It is read under one lock, so that its parts are consistent with each other.
+// snapshot returns the current state of the agent. All of it is read in one critical section, so that its parts are consistent.
 func (a *Agent) snapshot() snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// allocatorState returns the state of the allocator's lease as this process knows it.
+// allocatorState returns the state of the allocator's lease as known to this process.
 func (s *SingletonRoles) allocatorState() RoleState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +134,7 @@
 	}
 }
 
-// memberStates returns members as State shows them; nil for none.
+// memberStates converts members to the form used in State. It returns nil if there are none.
 func memberStates(members []membership.Member) []MemberState {
 	var states []MemberState
 	for _, m := range members {
@@ -152,7 +153,7 @@
 	return states
 }
 
-// endpointStates returns endpoint records as State shows them; nil for none.
+// endpointStates converts endpoint records to the form used in State. It returns nil if there are none.
 func endpointStates(endpoints []discovery.Endpoint) []EndpointState {
 	var states []EndpointState
 	for _, e := range endpoints {
@@ -170,7 +171,7 @@
 	return states
 }
 
-// Handler returns the handler of GET StatePath, which answers with State as JSON.
+// Handler returns the HTTP handler of GET StatePath, which responds with State as JSON. It responds to all other requests with 404.
 func (s *SingletonRoles) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet || r.URL.Path != StatePath {
--- a/internal/mesh/agent/version_poll_test.go
+++ b/internal/mesh/agent/version_poll_test.go
@@ -9,15 +9,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A process that first meets a peer that was partitioned finds the newest version among the peers it asks, whichever of them answer and
-// in whatever order, and it doesn't wait longer than the timeout.
+// If the first peer that reports a version was partitioned and has an old one, the poll still finds the newest version among the peers that
+// answer, in whatever order they do. It doesn't last longer than pollTimeout, even if some peers don't answer.
 func TestVersionPollFindsTheNewest(t *testing.T) {
 	for seed := range uint64(2000) {
 		checkVersionPoll(t, rand.New(rand.NewPCG(seed, 1)))
 	}
 }
 
-// checkVersionPoll runs one poll with random peers, answers and times.
+// checkVersionPoll runs and checks one poll with random peers, answers and times.
 func checkVersionPoll(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	const partitioned, oldVersion = "partitioned", 5
@@ -35,7 +35,7 @@
 	answers := rng.IntN(len(ask) + 1)
 	for i, peer := range ask[:answers] {
 		_, _, over := poll.finish(now)
-		qt.Assert(t, over, qt.IsFalse, qt.Commentf("%d of %d answered", i, len(ask)))
+		qt.Assert(t, over, qt.IsFalse, qt.Commentf("finish after %d of %d answers and before the timeout", i, len(ask)))
 		now += time.Duration(rng.Int64N(int64(pollTimeout / 8)))
 		version := uint64(rng.IntN(12))
 		poll.record(peer, version)
@@ -43,7 +43,7 @@
 			newest, newestPeer = version, peer
 		}
 		if rng.IntN(4) == 0 {
-			qt.Assert(t, poll.observe(now, partitioned, oldVersion, nil), qt.HasLen, 0) // once more: the same poll
+			qt.Assert(t, poll.observe(now, partitioned, oldVersion, nil), qt.HasLen, 0) // the poll is running, so no new one starts
 		}
 	}
 	if answers < len(ask) {
@@ -57,7 +57,7 @@
 	qt.Assert(t, peer, qt.Equals, newestPeer)
 	poll.record("late", 99)
 	_, _, ok = poll.finish(now)
-	qt.Assert(t, ok, qt.IsFalse) // it is over
+	qt.Assert(t, ok, qt.IsFalse) // the poll has ended already
 	qt.Assert(t, poll.observe(now, partitioned, oldVersion, func() []string { return peers }), qt.HasLen, min(len(peers), pollPeers))
-	poll.record("peer0", 0) // a peer without a configuration has answered, too
+	poll.record("peer0", 0) // must not panic: version 0 is the answer of a peer without a configuration
 }
--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -130,7 +130,7 @@
 fault "shares of sidecars that left the view are forgotten" ratelimit/last_seen.go 's/if now-seen > shareLease/if now > seen/'
 fault "a new allocator keeps nothing back" ratelimit/allocator.go 's/reserved \+= max.*/_ = 0/'
 fault "shares of silent sidecars are granted again" ratelimit/allocator.go 's/reserved := bucket\.unresponsiveShares/reserved := 0.0/'
-fault "an older version comes in force" ../agent/configuration.go 's/version <= held \{/version == held {/'
+fault "an older version comes in force" ../agent/configuration.go 's/version <= appliedVersion \{/version == appliedVersion {/'
 fault "a text is taken under another version" ../agent/configuration.go 's/if uint64\(conf\.Version\) != version/if false/'
 fault "the first peer's version is taken" ../agent/version_poll.go 's/if version > v\.newest/if v.newest == 0/'
 fault "members that were lost are not tried" ../discovery/membership/reconnect.go 's/return m\.departedAt > at/return false/'
