--- a/internal/mesh/agent/directory.go
+++ b/internal/mesh/agent/directory.go
@@ -95,7 +95,7 @@
 }
 
 // sendSubscriptions sends subscribe requests. A request to this process itself, as a registry owner, counts as answered immediately, as
-// the registry is the same.
+// this process already has the owner's records.
 func (d *endpointDirectory) sendSubscriptions(requests []discovery.SubscribeRequest) {
 	self := d.address()
 	for _, r := range requests {
--- a/internal/mesh/agent/events.go
+++ b/internal/mesh/agent/events.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// beginQuotaInterval starts a new quotaExhaustedInterval for a tenant, and reports true, if the previous one has ended.
+// beginQuotaInterval starts a new quotaExhaustedInterval for a tenant, and reports true, if the previous one has ended or there was
+// none.
 func (r *eventRecorder) beginQuotaInterval(now time.Duration, tenant string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/agent/publisher.go
+++ b/internal/mesh/agent/publisher.go
@@ -137,8 +137,8 @@
 }
 
 // publishOnBehalf publishes a record that this process received because the endpoint's own sidecar could not be reached. It reports
-// whether a registry owner in every zone has the record, so that all callers of the service are notified, and whether another process is
-// among those owners. Zones that had members within the last zoneRetention count as well, as they may merely be partitioned from this
+// true if a registry owner in every zone has the record, so that all callers of the service are notified, and at least one of these owners
+// is another process. Zones that had members within the last zoneRetention count as well, as they may merely be partitioned from this
 // process. publishOnBehalf returns when ctx ends at the latest.
 func (p *recordPublisher) publishOnBehalf(ctx context.Context, record discovery.Endpoint) bool {
 	p.mu.Lock()
--- a/internal/mesh/agent/quota_client.go
+++ b/internal/mesh/agent/quota_client.go
@@ -134,7 +134,7 @@
 // targetLocked selects the process to send a request to: the forwarder until directRetryAt, and the allocator otherwise. After failures,
 // or if the allocator isn't known, it selects at random, in alternation, another sidecar, which may be able to reach the allocator, or a
 // core process, which may be the allocator or name it. Unless it selects the forwarder, it sets directRetryAt, the time of the next
-// request that bypasses the forwarder. The result is empty if no process is known.
+// request that bypasses the forwarder. The result is empty if there is no such process and the allocator isn't known.
 func (q *QuotaClient) targetLocked(now time.Duration) string {
 	if q.forwarder != "" && now < q.directRetryAt {
 		return q.forwarder
--- a/internal/mesh/agent/roles.go
+++ b/internal/mesh/agent/roles.go
@@ -28,7 +28,7 @@
 	// at which this process's record was first complete on disk. It remains true while the disk fails, and while a record that was lost
 	// later is being recovered.
 	Accepted() (epoch uint64, ready bool)
-	// ReadLatest reads the register from a majority of the voters, and fails if it can't reach one until ctx ends. If the read finds a newer
+	// ReadLatest reads the register from a majority of the voters, and fails if it can't reach one before ctx ends. If the read finds a newer
 	// voter set, VoterSet returns that set from then on.
 	ReadLatest(ctx context.Context) (consensus.Value, error)
 }
@@ -163,7 +163,7 @@
 }
 
 // vote handles a request for leases as a voter and returns the reply. The epochs are read before the grant is made, as package lease
-// requires. If the request releases the allocator's lease, this process's own candidacy takes note of that.
+// requires. If the request releases the allocator's lease, vote also informs this process's own candidate.
 func (s *SingletonRoles) vote(request *lease.Request) *lease.Reply {
 	accepted, ready := s.register.Accepted()
 	status := lease.VoterStatus{Ready: ready, VoterSetEpoch: max(accepted, s.register.VoterSet().Epoch)}
--- a/internal/mesh/agent/state.go
+++ b/internal/mesh/agent/state.go
@@ -34,8 +34,8 @@
 type RoleState struct {
 	Name         string `json:"name"`
 	Holder       string `json:"holder"`           // internal address of the lease holder; empty if unknown
-	FencingToken uint64 `json:"epoch,omitempty"`  // fencing token of the lease; 0 except in the holder's state
-	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds until the lease expires if not renewed; 0 except in the holder's state
+	FencingToken uint64 `json:"epoch,omitempty"`  // fencing token of the lease; 0 except in the holder's own State
+	RemainingMs  int64  `json:"leftMs,omitempty"` // milliseconds until the lease expires if not renewed; 0 except in the holder's own State
 }
 
 // MemberState describes a running process.
