--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -9,16 +9,17 @@
 	"quincegap/internal/structures/throttle"
 )
 
-// tickQuanta is the number of quanta between two ticks. Each tick checks the pending and the overdue requests.
+// tickQuanta is the time between two ticks, as a multiple of Settings.Quantum. Each tick checks the pending and the overdue
+// requests.
 const tickQuanta = 4
 
 // Tokens of the timers that a Balancer sets.
 const (
-	timerTick uint64 = iota
-	timerWatch
+	timerTick  uint64 = iota // next tick
+	timerWatch               // next subscription to the endpoint list
 )
 
-// randomStream selects the stream of the random generator. Its seed is the one that New is given.
+// randomStream is the second seed of the random generator, which selects its stream. The first seed is the argument of New.
 const randomStream = 0x6a617370
 
 // Balancer makes the decisions of one instance. It is not safe for concurrent use.
@@ -26,25 +27,25 @@
 	settings     Settings
 	host         Host
 	rng          *rand.Rand
-	rateWindow   time.Duration // the time over which rates are smoothed
+	rateWindow   time.Duration // time over which rates are smoothed
 	tickInterval time.Duration
 	tickArmed    bool
-	shutdownAt   time.Duration // when this instance ends; never if that is not known
-	quotaDivisor float64       // the number of instances that share the limits which hold for all of them together
+	shutdownAt   time.Duration // time at which this instance ends; never while that is unknown
+	quotaDivisor float64       // number of instances that a limit shared by all instances is divided by
 
-	// Requests, from their arrival until they have both their final answer and the outcome of their last attempt.
+	// Requests, from arrival until both the final answer and the outcome of the last attempt are known.
 	requests    map[RequestID]*request
 	classes     []*class
 	quotas      quotas
 	pending     []*request                    // requests that wait to be sent
 	pendingTime timeShare                     // share of recent time in which at least one request was pending
-	backoffs    deadlinequeue.Queue[*request] // requests by the end of their backoff, when they become pending again
-	// retryElapsed is the mean time, in seconds, that had elapsed for a client when its retry arrived. Only retries whose
-	// remaining time shows it are counted.
+	backoffs    deadlinequeue.Queue[*request] // requests by the end of their backoff, at which they become pending again
+	// retryElapsed is the mean time, in seconds, that had elapsed for a client when its retry arrived. It is computed from the
+	// retries whose remaining time shows the elapsed time.
 	retryElapsed float64
 
 	// Limits.
-	inFlight    int               // attempts in flight, except those at ejected endpoints
+	inFlight    int               // number of attempts in flight, except those at ejected endpoints
 	concurrency concurrency       // limit on the attempts in flight
 	sends       sendLimiter       // limit on the rate of sends
 	rejections  throttle.Throttle // limit on the attempts that end without having run
@@ -52,13 +53,13 @@
 
 	// Endpoints.
 	endpointsByID   map[EndpointID]*endpoint
-	listed          []*endpoint // in order of their ids
-	added           []*endpoint // endpoints that the list which is being handled names for the first time
+	listed          []*endpoint // listed endpoints, in order of their ids
+	added           []*endpoint // endpoints that the update being handled names for the first time
 	busy            busySet     // endpoints with attempts in flight
 	index           endpointIndex
 	subset          subset
 	pools           drawPools
-	scanLimit       int // the most endpoints that are scanned one by one; of more, candidates are drawn from pools
+	scanLimit       int // number of endpoints above which candidates are drawn from pools instead of found by a scan
 	exhausted       exhaustion
 	candidateBuffer []*endpoint
 
@@ -68,16 +69,16 @@
 	outliers    outliers
 	losses      losses
 	trials      deadlinequeue.Queue[*endpoint] // ejected endpoints without attempts in flight, by the time their next trial is due
-	slowStarts  deadlinequeue.Queue[*endpoint] // endpoints in slow start, by the time their capacity share is checked next
-	// warmSendRate is the rate of requests per second to available endpoints, for each unit of their draw weight.
-	warmSendRate  decayingRate
-	noneAvailable bool // no endpoint of the subset was available at the latest tick
+	slowStarts  deadlinequeue.Queue[*endpoint] // endpoints in slow start, by the time of the next check of their capacity share
+	// availableSendRate is the rate of requests per second to available endpoints, for each unit of their draw weight.
+	availableSendRate decayingRate
+	noneAvailable     bool // no endpoint of the subset was available at the latest tick
 
-	requestRate decayingRate // requests per second
-	servedRate  decayingRate // answers per second
+	requestRate decayingRate // rate of accepted requests, per second
+	servedRate  decayingRate // rate of answers, per second
 
-	nextFetchAt  time.Duration // the earliest time of the next fetch of the list
-	watchBackoff time.Duration // upper bound of the random delay before the next subscription; it doubles with each failure
+	nextFetchAt  time.Duration // earliest time of the next fetch of the list
+	watchBackoff time.Duration // upper bound of the random delay before the next subscription; doubles with each failure
 }
 
 // New returns a Balancer for the settings, or an error that names the first invalid setting. All random choices derive from the
@@ -103,7 +104,7 @@
 		pools:         drawPools{boundSlack: 1},
 		scanLimit:     maxScanned,
 	}
-	// Entries with the same deadline are handled in order of their ids, so that the same events give the same actions.
+	// Entries with the same deadline are handled in order of their ids, so that the same events always give the same actions.
 	byID := func(a, b *endpoint) bool { return a.id < b.id }
 	balancer.slowStarts.Less = byID
 	balancer.trials.Less = byID
@@ -114,7 +115,7 @@
 	return balancer, nil
 }
 
-// HandleTimer handles a timer that has expired.
+// HandleTimer handles the expiry of the timer with a token, and ignores an unknown token.
 func (b *Balancer) HandleTimer(now time.Duration, token uint64) {
 	switch token {
 	case timerTick:
@@ -134,7 +135,7 @@
 	}
 }
 
-// handleTick handles what the passing of time alone changes: backoffs, slow starts, and attempts without a response.
+// handleTick handles state that changes with time alone: backoffs, slow starts, and attempts without a response.
 func (b *Balancer) handleTick(now time.Duration) {
 	b.enqueueDue(now)
 	b.advanceSlowStarts(now)
@@ -148,8 +149,8 @@
 	b.dispatch(now)
 }
 
-// HandleHealthCheck ignores the result of a health check: this Balancer requests none.
+// HandleHealthCheck ignores the result of a health check, as this Balancer requests none.
 func (b *Balancer) HandleHealthCheck(time.Duration, HealthCheckResult) {}
 
-// HandlePeerMessage ignores a message from another instance: this Balancer sends none.
+// HandlePeerMessage ignores a message from another instance, as this Balancer sends none.
 func (b *Balancer) HandlePeerMessage(_ time.Duration, _ int, _ []byte) {}
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -9,12 +9,12 @@
 // This file applies updates of the endpoint list, and decides when lists are fetched.
 
 const (
-	fetchIntervalShare   = 0.5  // of ResubscribeInterval (or SlowStartWindow): mean time between fetches after broken connections
-	maxConcurrentFetches = 16.0 // fetches by all instances in that time, on average
-	watchSpreadShare     = 0.05 // of ResubscribeInterval: bound of the random delay of the first subscription; it doubles with each failure
+	fetchIntervalShare   = 0.5  // mean time between fetches after broken connections, as a share of the interval in fetchRateLimited
+	maxConcurrentFetches = 16.0 // mean number of fetches by all instances in that time
+	watchSpreadShare     = 0.05 // bound of the random delay of the first subscription, as a share of ResubscribeInterval
 )
 
-// HandleEndpoints handles an update of the endpoint list.
+// HandleEndpoints handles an update of the endpoint list. After a failed fetch (ListFailed), the previous list stays in use.
 func (b *Balancer) HandleEndpoints(now time.Duration, list EndpointList) {
 	if list.Kind == ListFailed {
 		b.scheduleWatch()
@@ -43,7 +43,7 @@
 	b.armTick()
 }
 
-// applyEntry applies one entry of a list.
+// applyEntry applies one entry of an update to the state of its endpoint.
 func (b *Balancer) applyEntry(now time.Duration, version uint64, entry ListEntry) {
 	ep := b.endpointsByID[entry.Endpoint]
 	if ep == nil {
@@ -77,15 +77,15 @@
 	}
 }
 
-// syncList updates the list of endpoints after the entries of an update have been applied, and forgets endpoints that were
-// removed. Requests with attempts in flight keep a reference to their endpoint.
+// syncList updates the sorted list of endpoints after the entries of an update have been applied, and deletes the state of
+// endpoints that were removed. Requests with attempts in flight keep a reference to their endpoint.
 func (b *Balancer) syncList(now time.Duration, list EndpointList) {
 	if list.Kind == ListDelta && len(list.Entries) <= maxScanned {
 		b.syncNamed(now, list.Entries)
 	} else {
 		b.syncAll(now)
 	}
-	clear(b.added) // so that the buffer keeps no endpoint reachable
+	clear(b.added) // the buffer must not prevent the garbage collection of endpoints
 	b.added = b.added[:0]
 	if differ := b.index.weightsDiffer(); differ != b.weights.useListed {
 		b.weights.useListed = differ
@@ -93,27 +93,27 @@
 	}
 }
 
-// syncNamed updates the list by the few endpoints that an update names. The list stays in order of the ids.
+// syncNamed updates the list for the endpoints that an update names, which should be few. The list stays in order of the ids.
 func (b *Balancer) syncNamed(now time.Duration, entries []ListEntry) {
 	for _, entry := range entries {
 		ep := b.endpointsByID[entry.Endpoint]
 		switch {
-		case ep == nil: // named twice, and already forgotten
+		case ep == nil: // the update names the endpoint twice, and it has been removed already
 		case ep.listed:
 			b.listed = insertSorted(b.listed, ep)
 		default:
 			b.listed = removeSorted(b.listed, ep)
-			b.forget(now, ep)
+			b.removeEndpoint(now, ep)
 		}
 	}
 }
 
-// syncAll updates the list by all known endpoints.
+// syncAll updates the list for all known endpoints.
 func (b *Balancer) syncAll(now time.Duration) {
 	b.listed = append(b.listed, b.added...)
 	b.listed = slices.DeleteFunc(b.listed, func(ep *endpoint) bool {
 		if !ep.listed {
-			b.forget(now, ep)
+			b.removeEndpoint(now, ep)
 		}
 		return !ep.listed
 	})
@@ -122,15 +122,15 @@
 	}
 }
 
-// forget removes an endpoint that is no longer listed.
-func (b *Balancer) forget(now time.Duration, ep *endpoint) {
+// removeEndpoint deletes the state of an endpoint that is no longer listed.
+func (b *Balancer) removeEndpoint(now time.Duration, ep *endpoint) {
 	b.index.countWeight(ep)
 	b.startDraining(now, ep)
 	delete(b.endpointsByID, ep.id)
 }
 
-// scheduleWatch subscribes to the list after a random delay, so that instances do not subscribe at the same time. The bound of
-// the delay doubles with each failure.
+// scheduleWatch schedules a subscription to the list after a random delay, so that instances do not subscribe at the same time.
+// The bound of the delay doubles with each failure.
 func (b *Balancer) scheduleWatch() {
 	if !b.settings.MustSubscribe {
 		return
@@ -140,10 +140,11 @@
 	b.host.SetTimer(timerWatch, seconds(b.watchBackoff.Seconds()*b.rng.Float64()))
 }
 
-// fetchPaced fetches the list after a broken connection, at a limited rate. A failure may concern many instances at once, and
-// they share one discovery service: of more than maxConcurrentFetches instances, that many fetch on average, chosen at random.
-// The others get the change with the next update of the list.
-func (b *Balancer) fetchPaced(now time.Duration) {
+// fetchRateLimited fetches the list after a broken connection, at a limited rate. A failure may affect many instances at once,
+// which share one discovery service. Of more than maxConcurrentFetches instances, that many fetch the list on average, chosen at
+// random, and the others get the change with the next update of the list. The rate is based on ResubscribeInterval or,
+// without one, on the longer of SlowStartWindow and the rate window.
+func (b *Balancer) fetchRateLimited(now time.Duration) {
 	if now < b.nextFetchAt {
 		return
 	}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -7,7 +7,7 @@
 
 // This file sends pending requests to endpoints.
 
-// dispatch sends pending requests, in order of their priority, while the limits allow it, and sheds those that cannot be sent in
+// dispatch sends pending requests in order of their priority while the limits allow it, and rejects those that cannot be sent in
 // time.
 func (b *Balancer) dispatch(now time.Duration) {
 	b.enqueueDue(now)
@@ -27,14 +27,14 @@
 	b.shedLoad(now)
 }
 
-// dispatchNext sends one pending request. It reports false if no endpoint can take any.
+// dispatchNext sends one pending request. It returns false if no endpoint can take any of them.
 func (b *Balancer) dispatchNext(now time.Duration) bool {
 	first := b.nextPending(now)
 	if b.dispatchTo(now, first) {
 		return true
 	}
-	// A retry is bound to a group of endpoints, or excluded from one, and may find no endpoint where another request does. If a
-	// first attempt finds none, no other request does.
+	// A retry may be limited to some endpoints, or excluded from one, so it may find no endpoint although another request would.
+	// If a first attempt finds none, no other request does.
 	if req := b.pending[first]; req.attempts == 0 && !req.mayHaveRun {
 		return false
 	}
@@ -58,7 +58,7 @@
 	return true
 }
 
-// send sends an attempt of a request to an endpoint.
+// send sends an attempt of a request to an endpoint. A trial is an attempt whose success ends the ejection of the endpoint.
 func (b *Balancer) send(now time.Duration, req *request, ep *endpoint, trial bool) {
 	req.endpoint = ep
 	req.sentAt = now
@@ -86,8 +86,8 @@
 	b.host.Send(req.id, ep.id, b.timeout(now, req))
 }
 
-// timeout returns how long an attempt may take, or 0 for no limit but the client's deadline. Where attempts cannot be cancelled,
-// an attempt that may be retried times out when its endpoint would count as unresponsive.
+// timeout returns how long an attempt may take, or 0 if only the client's deadline limits it. If attempts cannot be cancelled, an
+// attempt that may be retried times out when its endpoint would count as unresponsive.
 func (b *Balancer) timeout(now time.Duration, req *request) time.Duration {
 	timeout := req.attemptTimeout
 	if !b.settings.MayCancel && req.class.Idempotency != NonIdempotent {
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -5,60 +5,61 @@
 	"time"
 )
 
-// availability says which requests an endpoint may get. The order of the values matters: up to warmingUp it may get any request.
+// availability is the state of an endpoint that determines which requests it may get. The order of the values matters: in the
+// states up to warmingUp, an endpoint may get any request.
 type availability uint8
 
 const (
 	available availability = iota
-	warmingUp              // in slow start: drawn less often
-	ejected                // gets only trial requests
-	draining               // draining or removed: gets no new requests
+	warmingUp              // the endpoint is in slow start, and picked less often
+	ejected                // the endpoint gets only trial requests
+	draining               // the endpoint is draining or removed, and gets no new requests
 )
 
 // endpoint is the state that this instance keeps of one endpoint.
 type endpoint struct {
 	id           EndpointID
 	zone, cell   int
-	kind         int     // its machine kind
-	listedWeight float64 // its size relative to other endpoints
+	kind         int     // machine kind
+	listedWeight float64 // listed size relative to other endpoints
 	listed       bool
-	startedAt    time.Duration // start of its process, as listed
-	listVersion  uint64        // of the latest list that names it
+	startedAt    time.Duration // listed start of the endpoint's process
+	listVersion  uint64        // version of the latest list that names the endpoint
 
 	availability availability
-	index        indexEntry    // its position in the index
-	subsetWeight float64       // the part of its weight that is in this instance's subset; 0 if it is outside of it
+	index        indexEntry    // position in the index and in the pools
+	subsetWeight float64       // part of the weight that is in this instance's subset; 0 outside of the subset
 	scanWeight   float64       // draw weight times capacity share; valid during one draw
-	latency      movingAverage // latency of its answers, in mean latencies
-	serviceTime  movingAverage // service time that it reports, in seconds
+	latency      movingAverage // latency of the endpoint's answers, in mean latencies
+	serviceTime  movingAverage // service time that the endpoint reports, in seconds
 
 	calls          []*request      // this instance's attempts in flight, oldest first
-	busyIndex      int             // its position in the busySet, from 1; 0 if it is not in it
-	lostCalls      int             // how many of calls will probably not be answered
-	penalties      []time.Duration // for each recent failed attempt, until when it counts as in flight
+	busyIndex      int             // position in the busySet, from 1; 0 if the endpoint is not in the set
+	lostCalls      int             // number of attempts in calls that will probably not be answered
+	penalties      []time.Duration // times until which recent failed attempts count as in flight
 	lastResponseAt time.Duration
-	rejectsUntil   time.Duration // it gets no requests until then, as it rejected one
-	saturated      bool          // it became far slower than its kind, and has not recovered since
+	rejectsUntil   time.Duration // time until which the endpoint gets no requests, as it rejected one
+	saturated      bool          // the endpoint became far slower than its kind, and has not recovered since
 	errorRate      float64       // smoothed share of answers that are errors
-	lossRate       float64       // smoothed share of attempts that it lost
+	lossRate       float64       // smoothed share of attempts that the endpoint lost
 
-	connectionBroke bool // its process may have restarted; after a trial it begins a complete slow start
-	trialAt         time.Duration
-	trialBackoff    time.Duration
+	connectionBroke bool          // the process may have restarted: after a trial, the endpoint begins a complete slow start
+	trialAt         time.Duration // time from which the next request is a trial, while the endpoint is ejected
+	trialBackoff    time.Duration // mean time until trialAt, from the ejection or the latest failed trial
 
 	slowStartFrom     time.Duration
-	slowStartTokens   float64 // requests that it may get at slowStartTokensAt, in slow start
+	slowStartTokens   float64 // number of requests that the endpoint in slow start may get at slowStartTokensAt
 	slowStartTokensAt time.Duration
 }
 
-// matches reports whether an entry of a list has the zone, cell, machine kind and weight that are known of an endpoint.
+// matches reports whether a list entry has the known zone, cell, machine kind and weight of the endpoint.
 func (e *endpoint) matches(entry ListEntry) bool {
 	return e.zone == entry.Zone && e.cell == entry.Cell && e.kind == max(entry.MachineKind, 0) &&
 		e.listedWeight == max(entry.Weight, 0)
 }
 
-// outstanding returns the number of own attempts in flight, including those that failed recently: an endpoint that fails fast
-// must not attract requests by its few attempts in flight, and work that timed out may still run there.
+// outstanding returns the number of this instance's attempts in flight, including those that failed recently. An endpoint that
+// fails fast must not attract requests by having few attempts in flight, and work that timed out may still run at the endpoint.
 func (e *endpoint) outstanding(now time.Duration) int {
 	e.penalties = slices.DeleteFunc(e.penalties, func(until time.Duration) bool { return until <= now })
 	return len(e.calls) + len(e.penalties)
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -6,35 +6,35 @@
 type RequestID string
 
 // EndpointID identifies an endpoint. If an endpoint keeps its id when its process restarts, ListEntry.StartedAt shows the
-// restart. In the mesh each start has an id of its own.
+// restart. In the mesh, each start of a process gets a new id.
 type EndpointID uint32
 
-// Request is a client's request when it arrives.
+// Request describes a client's request on arrival.
 type Request struct {
 	ID              RequestID
 	Class           int           // index in Settings.Classes, or as returned by AddClass
 	Tenant          int           // index in Settings.Tenants
-	Key             string        // the key of the data that the request concerns; may be empty
-	TimeLeft        time.Duration // until the client abandons this attempt
+	Key             string        // key of the data that the request concerns; may be empty
+	TimeLeft        time.Duration // time until the client abandons this attempt
 	WorkHint        time.Duration // expected work; 0 if unknown
-	Retry           bool          // the client marked it as a retry
-	Write           bool          // it modifies data
-	IdleConnections int           // from callers to this instance, without the connection of this request
+	Retry           bool          // the client marked the request as a retry
+	Write           bool          // the request modifies data
+	IdleConnections int           // number of idle connections from callers to this instance, without that of this request
 
-	Exclude        *EndpointID   // the endpoint that the first attempt avoids; nil for none
-	ValueFactor    float64       // its value relative to other requests of its class; 0 for 1
-	MaxAttempts    int           // 0 for the limit of Settings
-	AttemptTimeout time.Duration // of each attempt; 0 for none beside the deadline
+	Exclude        *EndpointID   // endpoint that the first attempt must not use; nil for none
+	ValueFactor    float64       // value relative to other requests of the class; 0 stands for 1
+	MaxAttempts    int           // maximum number of attempts; 0 for the limit of Settings
+	AttemptTimeout time.Duration // timeout of each attempt; 0 if only the deadline limits it
 
 	Prior PriorAttempt
 }
 
-// PriorAttempt is what is known of an earlier attempt at the same request, by an earlier retry of the client or an earlier
-// incarnation of this instance. The zero value means that nothing is known.
+// PriorAttempt is what is known of an earlier attempt of the same request, which was made for an earlier retry of the client or
+// before this instance restarted. The zero value means that nothing is known.
 type PriorAttempt struct {
 	MayHaveRun bool
-	Served     bool // the client was given an answer to it
-	Zone, Cell int  // of the endpoint, when it was sent
+	Served     bool // the client got an answer to the attempt
+	Zone, Cell int  // zone and cell of the endpoint when the attempt was sent
 	SentAt     time.Duration
 }
 
@@ -44,17 +44,17 @@
 // The statuses of an attempt.
 const (
 	StatusOK              Status = iota
-	StatusError                  // answered with an error; may have run
-	StatusRejected               // rejected before it ran
-	StatusTimeout                // no response in time; may have run
-	StatusConnectFailed          // no connection in time; never ran
-	StatusReset                  // the connection broke; may have run
-	StatusCancelled              // cancelled by this instance; may have run
-	StatusNotSent                // never sent
-	StatusInvalidResponse        // the response was unusable, or only the connection of this attempt broke; may have run
+	StatusError                  // answered with an error; the attempt may have run
+	StatusRejected               // rejected before the attempt ran
+	StatusTimeout                // no response in time; the attempt may have run
+	StatusConnectFailed          // no connection in time; the attempt never ran
+	StatusReset                  // the connection broke; the attempt may have run
+	StatusCancelled              // cancelled by this instance; the attempt may have run
+	StatusNotSent                // the attempt was never sent
+	StatusInvalidResponse        // the response was unusable, or only this attempt's connection broke; the attempt may have run
 )
 
-// NeverRan reports whether the outcome proves that the attempt did not run.
+// NeverRan reports whether the status proves that the attempt did not run.
 func (s Status) NeverRan() bool {
 	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent
 }
@@ -63,19 +63,19 @@
 type Load struct {
 	InFlight    float64
 	Queue       float64
-	Utilization float64       // 1 if all of its capacity is used
-	ServiceTime time.Duration // recent, without time in queues
+	Utilization float64       // used share of the endpoint's capacity, from 0 to 1
+	ServiceTime time.Duration // recent service time, without time in queues
 }
 
 // Outcome reports the end of one attempt.
 type Outcome struct {
 	ID       RequestID
 	Endpoint EndpointID
-	Attempt  int  // from 0
-	Final    bool // the host has finished the request, with this outcome or before
+	Attempt  int  // number of the attempt among those of its request, from 0
+	Final    bool // the host finished the request, with this outcome or earlier
 	Elapsed  time.Duration
 	Status   Status
-	Load     *Load         // nil without a report
+	Load     *Load         // the endpoint's load report; nil for none
 	NoRetry  bool          // the request must not be sent again, even if its class permits it
 	Backoff  time.Duration // delay before a further attempt
 }
@@ -85,7 +85,7 @@
 	Endpoint EndpointID
 	Status   Status
 	Elapsed  time.Duration
-	Load     *Load // nil without a report
+	Load     *Load // the endpoint's load report; nil for none
 }
 
 // EndpointState is an endpoint's state in the list.
@@ -94,8 +94,8 @@
 // The states of a listed endpoint.
 const (
 	EndpointReady    EndpointState = iota
-	EndpointDraining               // finishes its requests; gets no new ones
-	EndpointRemoved                // only in deltas
+	EndpointDraining               // finishes its requests, and gets no new ones
+	EndpointRemoved                // no longer listed; used only in deltas
 )
 
 // ListEntry is one entry of the endpoint list.
@@ -105,11 +105,11 @@
 	MachineKind int
 	Cell        int
 	State       EndpointState
-	Weight      float64       // its size relative to other endpoints; 0 if unknown
-	StartedAt   time.Duration // latest start of its process, on the clock of the events; 0 if long ago
+	Weight      float64       // size relative to other endpoints; 0 if unknown
+	StartedAt   time.Duration // latest start of the endpoint's process, on the clock of the events; 0 if long ago
 }
 
-// ListKind says what the entries of a list stand for.
+// ListKind says which endpoints the entries of a list cover.
 type ListKind int
 
 // The kinds of list.
@@ -117,7 +117,7 @@
 	ListDelta  ListKind = iota // only entries that changed
 	ListFull                   // all endpoints
 	ListCached                 // all endpoints, as this instance last knew them
-	ListFailed                 // the fetch failed; the previous list stays in use
+	ListFailed                 // no entries: the fetch failed, and the previous list stays in use
 )
 
 // EndpointList is an update of the endpoint list.
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -8,34 +8,34 @@
 	"quincegap/internal/structures/weightedring"
 )
 
-// This file keeps the listed endpoints in the forms that decisions need, so that none has to walk the list. It makes no
-// decisions. An endpoint is refreshed after each change of what its position depends on: its availability, its part in the
-// subset, its latency.
+// This file indexes the listed endpoints for the decisions, so that no decision has to iterate over the list. It makes no
+// decisions. An endpoint is refreshed after each change of the values that its position depends on: its availability, its part in
+// the subset, its latency.
 
 // endpointIndex holds the endpoints that may get requests: those that are listed and not draining.
 type endpointIndex struct {
-	ordered weightedring.Ring[*endpoint] // by id, with the weights that subsets are divided by
-	byCell  map[int][]*endpoint          // each in order of the ids
+	ordered weightedring.Ring[*endpoint] // endpoints by id, with the weights by which subsets divide them
+	byCell  map[int][]*endpoint          // endpoints of each cell, in order of their ids
 	perZone map[int]int                  // number of endpoints in each zone
 
 	weightCounts map[float64]int // number of listed endpoints with each listed weight
-	all          []*endpoint     // buffer of endpoints
+	buffer       []*endpoint     // result of the latest call of endpoints
 }
 
 // indexEntry is the position of an endpoint in the index and in the pools.
 type indexEntry struct {
-	indexed bool // it is in ordered, byCell and perZone
-	cell    int  // under which byCell has it
-	zone    int  // under which perZone counts it
+	indexed bool // ordered, byCell and perZone include the endpoint
+	cell    int  // key in byCell
+	zone    int  // key in perZone
 
-	weight float64 // the listed weight under which weightCounts counts it
-	listed bool    // weightCounts counts it
+	weight float64 // key in weightCounts: the listed weight when it was counted
+	listed bool    // weightCounts includes the endpoint
 
-	pool, slot      int     // its pool and its slot there, if it is pooled
-	pooled          bool    // it is in a pool
-	bound           float64 // upper bound of its draw weight, in the pool
-	availableWeight float64 // the draw weight that drawPools.availableWeight includes for it
-	previousWeight  float64 // its subsetWeight before the subset was computed again
+	pool, slot      int     // pool, and slot in the pool, of an endpoint that is pooled
+	pooled          bool    // the endpoint is in a pool
+	bound           float64 // upper bound of the draw weight, as used in the pool
+	availableWeight float64 // draw weight that drawPools.availableWeight includes for the endpoint
+	previousWeight  float64 // subsetWeight of the endpoint before the subset was last recomputed
 }
 
 func newEndpointIndex() endpointIndex {
@@ -44,7 +44,7 @@
 
 func compareIDs(a, b *endpoint) int { return cmp.Compare(a.id, b.id) }
 
-// insertSorted inserts an endpoint into a list that is in order of the ids, unless it is there already.
+// insertSorted inserts an endpoint into a list in order of the ids, unless the list contains it already.
 func insertSorted(list []*endpoint, ep *endpoint) []*endpoint {
 	i, found := slices.BinarySearchFunc(list, ep, compareIDs)
 	if found {
@@ -53,7 +53,7 @@
 	return slices.Insert(list, i, ep)
 }
 
-// removeSorted removes an endpoint from a list that is in order of the ids, if it is there.
+// removeSorted removes an endpoint from a list in order of the ids, if the list contains it.
 func removeSorted(list []*endpoint, ep *endpoint) []*endpoint {
 	if i, found := slices.BinarySearchFunc(list, ep, compareIDs); found {
 		return slices.Delete(list, i, i+1)
@@ -64,13 +64,13 @@
 // len returns the number of endpoints in the index.
 func (i *endpointIndex) len() int { return i.ordered.Len() }
 
-// endpoints returns all endpoints in order of their ids. The list is valid until the next call.
+// endpoints returns all endpoints in order of their ids. The slice is valid until the next call.
 func (i *endpointIndex) endpoints() []*endpoint {
-	i.all = i.ordered.Append(i.all[:0])
-	return i.all
+	i.buffer = i.ordered.Append(i.buffer[:0])
+	return i.buffer
 }
 
-// countWeight updates weightCounts by an endpoint's listed weight.
+// countWeight updates weightCounts after a change of an endpoint's listed weight, or of whether it is listed.
 func (i *endpointIndex) countWeight(ep *endpoint) {
 	if ep.index.listed && (!ep.listed || ep.index.weight != ep.listedWeight) {
 		if i.weightCounts[ep.index.weight]--; i.weightCounts[ep.index.weight] == 0 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// weightsDiffer reports whether the listed weights are all above 0 and not all equal.
+// weightsDiffer reports whether the listed weights are all above 0 and not all equal, so that they can be used.
 func (i *endpointIndex) weightsDiffer() bool {
 	return len(i.weightCounts) > 1 && i.weightCounts[0] == 0
 }
@@ -93,13 +93,13 @@
 // put inserts an endpoint with a weight, or records its move to another cell, zone or weight.
 func (i *endpointIndex) put(ep *endpoint, weight float64) {
 	if ep.index.indexed && ep.index.cell != ep.cell {
-		i.leaveCell(ep)
+		i.removeFromCell(ep)
 	}
 	if !ep.index.indexed || ep.index.cell != ep.cell {
 		i.byCell[ep.cell] = insertSorted(i.byCell[ep.cell], ep)
 	}
 	if ep.index.indexed {
-		i.leaveZone(ep)
+		i.removeFromZone(ep)
 	}
 	i.perZone[ep.zone]++
 	i.ordered.Put(uint32(ep.id), weight, ep)
@@ -113,14 +113,14 @@
 	if !ep.index.indexed {
 		return
 	}
-	i.leaveCell(ep)
-	i.leaveZone(ep)
+	i.removeFromCell(ep)
+	i.removeFromZone(ep)
 	i.ordered.Remove(uint32(ep.id))
 	ep.index.indexed = false
 }
 
-// leaveCell removes an endpoint from the cell that the index has it in.
-func (i *endpointIndex) leaveCell(ep *endpoint) {
+// removeFromCell removes an endpoint from the cell that it was indexed in.
+func (i *endpointIndex) removeFromCell(ep *endpoint) {
 	left := removeSorted(i.byCell[ep.index.cell], ep)
 	i.byCell[ep.index.cell] = left
 	if len(left) == 0 {
@@ -128,14 +128,14 @@
 	}
 }
 
-// leaveZone removes an endpoint from the count of the zone that the index has it in.
-func (i *endpointIndex) leaveZone(ep *endpoint) {
+// removeFromZone removes an endpoint from the count of the zone that it was indexed in.
+func (i *endpointIndex) removeFromZone(ep *endpoint) {
 	if i.perZone[ep.index.zone]--; i.perZone[ep.index.zone] == 0 {
 		delete(i.perZone, ep.index.zone)
 	}
 }
 
-// reindex inserts an endpoint into the index and the subset or removes it, depending on whether it is listed and not draining.
+// reindex inserts an endpoint into the index and the subset if it is listed and not draining, and removes it otherwise.
 func (b *Balancer) reindex(now time.Duration, ep *endpoint) {
 	if ep.listed && ep.availability != draining {
 		weight := b.weights.endpointWeight(ep)
@@ -176,7 +176,7 @@
 
 // refreshKind refreshes the pools for all endpoints of a machine kind.
 func (b *Balancer) refreshKind(now time.Duration, kind int) {
-	b.weights.settleKind(kind)
+	b.weights.markKindRefreshed(kind)
 	for ep := range b.index.ordered.All() {
 		if ep.kind == kind {
 			b.refreshPools(now, ep)
@@ -184,9 +184,9 @@
 	}
 }
 
-// refreshAll refreshes the pools for all endpoints, and computes the sum of their weights and the slack anew.
+// refreshAll refreshes the pools for all endpoints, and recomputes the sum of their weights and the slack.
 func (b *Balancer) refreshAll(now time.Duration) {
-	b.weights.settleAll()
+	b.weights.markAllRefreshed()
 	b.pools.availableWeight = 0
 	b.pools.boundSlack = 1
 	for ep := range b.index.ordered.All() {
@@ -195,10 +195,10 @@
 	}
 }
 
-// updateWeights applies new weights of all endpoints to the index and the subset.
+// updateWeights recomputes the weights of all endpoints in the index and the subset.
 func (b *Balancer) updateWeights(now time.Duration) {
 	b.index.ordered.Reweigh(b.weights.endpointWeight)
-	if b.subset.all || b.subset.byHash {
+	if b.subset.allEndpoints || b.subset.byHash {
 		for _, ep := range b.endpointsIn(inSubset) {
 			ep.subsetWeight = b.weights.endpointWeight(ep)
 		}
--- a/internal/balancer/index_test.go
+++ b/internal/balancer/index_test.go
@@ -147,10 +147,10 @@
 			weight += b.weights.drawWeight(ep)
 		}
 	}
-	if b.subset.byHash && (b.subset.all || !slices.IsSortedFunc(b.subset.members, compareIDs)) {
+	if b.subset.byHash && (b.subset.allEndpoints || !slices.IsSortedFunc(b.subset.members, compareIDs)) {
 		tb.Fatal("a subset by hash is out of order, or has all endpoints")
 	}
-	if !b.subset.all && members != len(b.subset.members) {
+	if !b.subset.allEndpoints && members != len(b.subset.members) {
 		tb.Fatalf("%d have a subset weight, %d are members", members, len(b.subset.members))
 	}
 	if weight > 0 && math.Abs(math.Log(b.pools.availableWeight/weight)) > math.Log(maxDrift*maxDrift) {
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// This file decides by the outcomes of attempts which endpoints are ejected (outlier detection), and by trial requests when an
-// ejection ends.
+// This file decides which endpoints are ejected, by the outcomes of attempts (outlier detection), and when an ejection ends, by
+// trial requests.
 
 const (
 	// An endpoint is unresponsive if it has sent no response of any kind since an attempt was sent to it, while others respond.
 	suspectMeans      = 3.0 // age of that attempt, in mean latencies, from which the endpoint is not picked
-	unresponsiveTails = 4.0 // age of one attempt, in tail latencies, that ejects
-	unresponsiveCalls = 2   // number of attempts that eject at suspectMeans already, if none of them gets a response
-	minOtherResponses = 4   // responses of other endpoints in that time that show that the cause is the endpoint
+	unresponsiveTails = 4.0 // age of that attempt, in tail latencies, from which the endpoint is ejected
+	unresponsiveCalls = 2   // number of attempts for which the age of suspectMeans is enough for an ejection
+	minOtherResponses = 4   // number of other responses since then which show that the cause is the endpoint
 
 	// An endpoint's error rate is compared with the fleet's, as the cause of errors may be the tier below.
-	endpointErrorWeight = 0.3  // weight of one answer in an endpoint's error rate: two errors in a row pass ejectionErrorRate
+	endpointErrorWeight = 0.3  // weight of one answer in an endpoint's error rate: two errors in a row exceed ejectionErrorRate
 	fleetErrorWeight    = 0.02 // weight of one answer in the fleet's error rate
-	ejectionErrorRate   = 0.45 // least error rate that ejects
-	ejectionFleetRatio  = 3.0  // least ratio to the fleet's error rate that ejects
-	maxEjectedShare     = 0.5  // most of the list that may be ejected for errors and unresponsiveness
-	errorPenalty        = 5.0  // base latencies for which a failed attempt still counts as in flight
+	ejectionErrorRate   = 0.45 // lowest error rate for which an endpoint is ejected
+	ejectionFleetRatio  = 3.0  // lowest ratio to the fleet's error rate for which an endpoint is ejected
+	maxEjectedShare     = 0.5  // largest share of the listed endpoints that errors and unresponsiveness may eject
+	errorPenalty        = 5.0  // time for which a failed attempt still counts as in flight, in base latencies
 
-	firstTrialTimeouts = 4.0 // connect timeouts from the ejection to the first trial request
+	firstTrialTimeouts = 4.0 // mean time from the ejection to the first trial request, in connect timeouts
 )
 
-// outliers is the state of the outlier detection that does not belong to one endpoint.
+// outliers is the state of the outlier detection, except for the state of each endpoint.
 type outliers struct {
 	responses int     // number of responses of any kind
 	errorRate float64 // smoothed share of the fleet's answers that are errors
@@ -44,7 +44,8 @@
 	return ep.errorRate >= ejectionErrorRate && ep.errorRate >= ejectionFleetRatio*o.errorRate
 }
 
-// recordOutcome records what an outcome shows of its endpoint and of the fleet.
+// recordOutcome updates the estimates for an endpoint and the fleet by an outcome, and ejects or unejects the endpoint if the
+// outcome requires it.
 func (b *Balancer) recordOutcome(now time.Duration, req *request, ep *endpoint, outcome Outcome) {
 	switch outcome.Status {
 	case StatusOK, StatusError, StatusRejected, StatusReset, StatusInvalidResponse:
@@ -56,7 +57,7 @@
 		b.recordSuccess(now, req, ep, outcome.Elapsed)
 		return
 	case StatusInvalidResponse:
-		return // it shows only that the endpoint responds: every endpoint sends some of these
+		return // the outcome shows only that the endpoint responds, as every endpoint sends some invalid responses
 	case StatusError:
 		b.recordError(now, req, ep)
 	case StatusRejected:
@@ -66,9 +67,9 @@
 	case StatusReset:
 		ep.connectionBroke = true
 		b.eject(now, ep, "connection reset")
-		b.fetchPaced(now)
+		b.fetchRateLimited(now)
 	case StatusTimeout:
-		// A saturated endpoint answers few calls in time. Without the timeouts its latency would appear normal.
+		// A saturated endpoint answers few calls in time. If timeouts did not count, its latency would appear normal.
 		if mean := req.class.latency.mean; mean > 0 {
 			b.recordEndpointLatency(now, ep, outcome.Elapsed.Seconds()/mean)
 		}
@@ -108,29 +109,30 @@
 }
 
 // recordConnectFailure records that no connection could be opened. An endpoint whose connection table is full rejects connections
-// as a dead process does, but its open calls go on.
+// as a dead process does, but continues its calls in flight; it is not ejected.
 func (b *Balancer) recordConnectFailure(now time.Duration, req *request, ep *endpoint) {
 	if len(ep.calls) > 0 || ep.lastResponseAt > req.sentAt {
 		ep.rejectsUntil = now + b.settings.ConnectTimeout
 		return
 	}
 	b.eject(now, ep, "connect failed")
-	b.fetchPaced(now)
+	b.fetchRateLimited(now)
 }
 
-// recordAbandoned records an attempt that ended without a response, and may still run at its endpoint.
+// recordAbandoned records an attempt that ended without a response and may still run at its endpoint.
 func (b *Balancer) recordAbandoned(now time.Duration, req *request, ep *endpoint, elapsed time.Duration) {
 	b.recordPressure(now, req.class, elapsed)
 	ep.penalize(now, req.class, 1)
 }
 
-// ejectionAllowed reports whether errors or unresponsiveness may eject one more endpoint. If they concern a large part of the
-// list, the endpoints have a common cause.
+// ejectionAllowed reports whether errors or unresponsiveness may eject one more endpoint. If a large part of the listed endpoints
+// is affected, there is probably a common cause, and ejections would not help.
 func (b *Balancer) ejectionAllowed() bool {
 	return float64(b.outliers.ejected+1) <= maxEjectedShare*float64(len(b.listed))
 }
 
-// eject ejects an endpoint until a trial request is served, or until a newer list shows a restart.
+// eject ejects an endpoint until a trial request succeeds or a newer list shows a restart. It does nothing if the endpoint is
+// ejected or draining already.
 func (b *Balancer) eject(now time.Duration, ep *endpoint, why string) {
 	if ep.availability > warmingUp {
 		return
@@ -145,33 +147,34 @@
 	b.host.Log(fmt.Sprintf("endpoint %d isolated: %s (list version %d)", ep.id, why, ep.listVersion))
 }
 
-// delayTrial doubles the wait before the next trial request, after one has failed.
+// delayTrial doubles the delay before the next trial request, after one has failed.
 func (b *Balancer) delayTrial(now time.Duration, ep *endpoint) {
 	ep.trialBackoff = min(2*ep.trialBackoff, max(b.settings.SlowStartWindow, b.rateWindow))
 	ep.trialAt = now + b.jitter(ep.trialBackoff)
 	b.refreshPools(now, ep)
 }
 
-// uneject ends an ejection. The endpoint begins a slow start, as it may have restarted.
+// uneject ends an ejection. The endpoint begins a slow start, as it may have restarted. If its connections never broke, a part of
+// the slow start is skipped.
 func (b *Balancer) uneject(now time.Duration, ep *endpoint) {
 	from := now
 	if !ep.connectionBroke {
-		from -= seconds(restoredWarmShare * b.settings.SlowStartWindow.Seconds())
+		from -= seconds(skippedSlowStartShare * b.settings.SlowStartWindow.Seconds())
 	}
 	ep.connectionBroke = false
 	b.startSlowStart(now, ep, from)
 	b.host.Log(fmt.Sprintf("endpoint %d back: trial call served", ep.id))
 }
 
-// startDraining marks an endpoint as draining or removed: it gets no new requests, and its attempts in flight may end.
+// startDraining marks an endpoint as draining or removed: it gets no new requests, and its attempts in flight are not cancelled.
 func (b *Balancer) startDraining(now time.Duration, ep *endpoint) {
 	b.clearEjection(ep)
 	ep.availability = draining
 	b.reindex(now, ep)
 }
 
-// clearEjection counts the attempts in flight at an ejected endpoint again, as its ejection ends. It does nothing for other
-// endpoints.
+// clearEjection updates the counts when the ejection of an endpoint ends: its attempts in flight count towards the limit again. It
+// does nothing for other endpoints.
 func (b *Balancer) clearEjection(ep *endpoint) {
 	if ep.availability == ejected {
 		b.outliers.ejected--
@@ -179,8 +182,8 @@
 	}
 }
 
-// trialEndpoint returns an ejected endpoint whose trial is due, or nil. Only the first attempt of a request that may be retried
-// is used as a trial.
+// trialEndpoint returns an ejected endpoint whose trial is due, or nil. Only the first attempt of a request that may be retried is
+// used as a trial.
 func (b *Balancer) trialEndpoint(now time.Duration, req *request) *endpoint {
 	ep, at, ok := b.trials.Peek()
 	if ok && at <= now && req.attempts == 0 && !req.mayHaveRun && req.class.Idempotency != NonIdempotent {
@@ -189,8 +192,8 @@
 	return nil
 }
 
-// isSuspect reports whether an endpoint's oldest attempt is older than the given number of mean latencies, and the endpoint has
-// sent no response since, while others have.
+// isSuspect reports whether an endpoint's oldest attempt in flight is older than the given number of mean latencies, and the
+// endpoint has sent no response since that attempt, while other endpoints have.
 func (b *Balancer) isSuspect(now time.Duration, ep *endpoint, means float64) bool {
 	if len(ep.calls) == 0 {
 		return false
@@ -201,7 +204,7 @@
 		b.outliers.responses-req.responsesAtSend >= minOtherResponses
 }
 
-// isUnresponsive reports whether an endpoint with attempts in flight has sent no response for so long that it should be ejected.
+// isUnresponsive reports whether an endpoint with attempts in flight has sent no response for long enough to be ejected.
 func (b *Balancer) isUnresponsive(now time.Duration, ep *endpoint) bool {
 	if b.isSuspect(now, ep, unresponsiveTails*ep.calls[0].class.latency.tailRatio) {
 		return true
@@ -234,7 +237,8 @@
 	}
 }
 
-// Ejected reports whether this instance has ejected an endpoint. It is meant for operators and measurements.
+// Ejected reports whether this instance has ejected an endpoint. It is meant for operators and measurements, and returns false for
+// an unknown endpoint.
 func (b *Balancer) Ejected(id EndpointID) bool {
 	ep := b.endpointsByID[id]
 	return ep != nil && ep.availability == ejected
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -8,21 +8,21 @@
 // This file orders the pending requests, and decides which of them are rejected (load shedding).
 
 const (
-	targetSlackMeans     = 1.8  // mean latencies that must be left until the latency target when a request is sent
-	maxPendingSeconds    = 2.0  // most requests that may be pending, in seconds at the current rate of answers
+	targetSlackMeans     = 1.8  // least time until the latency target when a request is sent, in mean latencies
+	maxPendingSeconds    = 2.0  // limit on pending requests, in seconds at the current rate of answers
 	minPendingTime       = 0.2  // least share of recent time with pending requests for which that rate is meaningful
 	retryElapsedWeight   = 0.05 // weight of one retry in the mean time that had elapsed for clients' retries
-	firstAttemptShare    = 0.97 // of the longest remaining time seen: a request with less is a retry
-	deadlineReserveTicks = 2    // ticks before its deadline at which a pending request gets its final answer
+	firstAttemptShare    = 0.97 // share of the longest remaining time seen; a request with less time left is a retry
+	deadlineReserveTicks = 2    // number of ticks before its deadline at which a pending request gets its final answer
 )
 
-// latestSend returns the latest time at which an attempt may be sent so that a slow response still meets the latency target.
+// latestSend returns the latest time at which an attempt can be sent so that a slow response still meets the latency target.
 func (r *request) latestSend() time.Duration {
 	return r.targetAt - seconds(targetSlackMeans*r.class.latency.mean)
 }
 
 // elapsedForClient returns a lower bound of the time that had elapsed for the client when the request arrived. All first attempts
-// of clients have the same remaining time. Less is left for retries, or after work in the tiers above.
+// of clients arrive with the same remaining time. Retries, and requests that spent time in the tiers above, have less.
 func (b *Balancer) elapsedForClient(c *class, incoming *Request) time.Duration {
 	c.maxTimeLeft = max(c.maxTimeLeft, incoming.TimeLeft)
 	switch {
@@ -35,9 +35,9 @@
 		}
 		return elapsed
 	case incoming.Retry:
-		// A marked retry that arrived with its class's whole time left. It is taken to be as old as the retries whose remaining
-		// time shows their age. Treated as new, retries would fill an overloaded tier with requests whose latency target has
-		// passed.
+		// This request is marked as a retry but has the remaining time of a first attempt. It is assumed to be as old as the
+		// retries whose remaining time shows their age. Treated as new, such retries would fill an overloaded tier with requests
+		// whose latency target has passed.
 		return seconds(b.retryElapsed)
 	}
 	return 0
@@ -54,9 +54,9 @@
 	return best
 }
 
-// dispatchedBefore reports whether pending request a is sent before b. In this order: requests that can still get an answer of
-// value (within the latency target, or after it if their class has a late value), requests within their tenant's quota, requests
-// of a class that adds more to the optimized value, and requests that must be sent earlier to be in time.
+// dispatchedBefore reports whether pending request a is sent before b. The criteria are, in this order: requests whose answer can
+// still have a value (within the latency target, or after it if their class has a late value), requests within their tenant's
+// quota, requests that add more to the optimized value, and requests with an earlier latest send time.
 func dispatchedBefore(now time.Duration, a, b *request) bool {
 	if pa, pb := a.priority(now), b.priority(now); pa != pb {
 		return pa > pb
@@ -67,7 +67,7 @@
 	return a.latestSend() < b.latestSend()
 }
 
-// priority returns the rank of a request by its remaining time and its tenant's quota; the highest rank is sent first.
+// priority returns the rank of a request by its remaining time and its tenant's quota. Requests of a higher rank are sent first.
 func (r *request) priority(now time.Duration) int {
 	priority := 0
 	if r.latestSend() > now || r.class.LateValueShare > 0 {
@@ -99,9 +99,9 @@
 	return noValueLeft || now+deadlineReserveTicks*b.tickInterval >= req.deadline
 }
 
-// maxPending returns how many requests may be pending. The rate at which they are answered is known only after some have been
-// pending for a while. With the earlier rate as the limit, requests that arrived in a burst, after a quiet time or at a new
-// instance, were rejected although endpoints were idle.
+// maxPending returns how many requests may be pending. There is no limit until requests have been pending for a while, as only then
+// the rate of answers shows what the endpoints can serve. With a limit by the earlier rate, a burst of requests after a quiet time
+// or at a new instance was rejected although endpoints were idle.
 func (b *Balancer) maxPending(now time.Duration) float64 {
 	if b.pendingTime.share < minPendingTime {
 		return math.Inf(1)
@@ -127,9 +127,9 @@
 	b.finish(now, req)
 }
 
-// retryAfter returns after what time a rejected client should retry: when the requests that are pending and in flight have been
-// answered at the current rate or, if the only instance ends before that, when its successor serves. It is at most MaxRetryAfter;
-// 0 gives no advice. Clients that return sooner find the same queue, or no instance.
+// retryAfter returns the time after which a rejected client should retry: when the requests that are pending and in flight have
+// been answered at the current rate or, if this is the only instance and ends before that, when its successor serves. Clients that
+// retry sooner find the same queue, or no instance. The time is at most MaxRetryAfter, and 0 if the client is given none.
 func (b *Balancer) retryAfter(now time.Duration, c *class) (wait time.Duration) {
 	if rate := b.servedRate.value(now, b.rateWindow); rate > 0 {
 		ahead := float64(len(b.pending) + b.inFlight)
--- a/internal/balancer/picking.go
+++ b/internal/balancer/picking.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// This file decides which endpoint a request is sent to: of two that are drawn at random by their weights, the one with fewer own
-// requests in flight relative to its weight (power of two choices).
+// This file decides which endpoint a request is sent to. Of two endpoints that are drawn at random by their weights, it is the one
+// with fewer of this instance's requests in flight relative to its weight (power of two choices).
 
 // pickChoices is the number of distinct endpoints that are drawn and compared.
 const pickChoices = 2
 
-// pick chooses an endpoint for a request: an ejected one whose trial is due, otherwise the less loaded of two drawn among those
-// with capacity. Endpoints in slow start are drawn less often. If no endpoint is healthy, suspect and ejected ones are used, so
-// that ejections alone never leave a request without an endpoint. It returns nil if the request has to wait, and reports whether the
-// attempt is a trial, which may end an ejection.
+// pick chooses an endpoint for a request: an ejected one whose trial is due, otherwise the less loaded of two that are drawn among
+// those with capacity. Endpoints in slow start are drawn less often. If no endpoint is healthy, suspect and ejected ones are used,
+// so that ejections alone never leave a request without an endpoint. It returns nil if the request has to wait. trial reports
+// whether the attempt is a trial, whose success ends an ejection.
 func (b *Balancer) pick(now time.Duration, req *request) (to *endpoint, trial bool) {
 	if ep := b.trialEndpoint(now, req); ep != nil {
 		return ep, true
@@ -29,7 +29,7 @@
 		others = b.scanUnhealthy(now, req)
 	}
 	to = b.drawLeastLoaded(now, first, others)
-	b.noteExhausted(now, req, within, to)
+	b.recordExhausted(now, req, within, to)
 	return to, !healthy && to != nil && to.availability == ejected
 }
 
@@ -45,17 +45,17 @@
 // subset, but not those in slow start: the retries of all instances together would overload them.
 func (b *Balancer) isHealthy(now time.Duration, req *request, ep *endpoint, within scope) bool {
 	reached := ep.subsetWeight > 0 || within == everywhere && ep.availability == available
-	return ep.availability <= warmingUp && reached && b.retryPermitted(now, req, ep) && !b.isSuspect(now, ep, suspectMeans)
+	return ep.availability <= warmingUp && reached && b.sendPermitted(now, req, ep) && !b.isSuspect(now, ep, suspectMeans)
 }
 
-// canTake reports whether an endpoint has capacity for a request, and is not the one where its last attempt failed. If only one
-// endpoint is listed, the request may return to it.
+// canTake reports whether an endpoint has capacity for a request, and is not the one where the last attempt of the request failed.
+// If only one endpoint is listed, the request may return to it.
 func (b *Balancer) canTake(now time.Duration, req *request, ep *endpoint) bool {
 	return b.hasCapacity(now, ep) && (ep != req.failedEndpoint || len(b.listed) == 1)
 }
 
-// drawCandidates draws two candidates from the pools, by their weights, without a scan of all endpoints. If too many draws fail
-// it returns only one or none, and the caller scans for the others.
+// drawCandidates draws two candidates from the pools by their weights, without a scan of all endpoints. If too many draws fail, it
+// returns only one candidate or none, and the caller scans for the others.
 func (b *Balancer) drawCandidates(now time.Duration, req *request, within scope) (first, second *endpoint) {
 	if !b.usesPools(within) || req.boundToCell() {
 		return nil, nil
@@ -73,8 +73,8 @@
 	return first, nil
 }
 
-// scanCandidates returns the candidates other than the one that has been drawn, which may be nil. It reports whether any endpoint
-// is healthy.
+// scanCandidates returns the candidates other than the one that has been drawn, which may be nil. healthy reports whether any
+// endpoint is healthy.
 func (b *Balancer) scanCandidates(now time.Duration, req *request, within scope, drawn *endpoint) (others []*endpoint, healthy bool) {
 	var endpoints []*endpoint
 	if req.boundToCell() {
@@ -97,12 +97,12 @@
 	return others, healthy
 }
 
-// scanUnhealthy returns the candidates if no endpoint is healthy: all that the rules permit and that are not overloaded.
+// scanUnhealthy returns the candidates if no endpoint is healthy: all endpoints that the rules permit and that are not overloaded.
 func (b *Balancer) scanUnhealthy(now time.Duration, req *request) []*endpoint {
 	candidates := b.candidateBuffer[:0]
 	for _, ep := range b.endpointsIn(everywhere) {
 		overloaded := ep.availability == warmingUp && !b.slowStartAllows(now, ep) || float64(ep.outstanding(now)) >= concurrencySlack
-		if b.retryPermitted(now, req, ep) && !overloaded {
+		if b.sendPermitted(now, req, ep) && !overloaded {
 			candidates = append(candidates, ep)
 		}
 	}
@@ -110,10 +110,10 @@
 	return candidates
 }
 
-// drawLeastLoaded draws distinct candidates at random by their weights, in addition to the first one if that is not nil, and
-// returns the least loaded, or nil if there are none. It reorders the candidates.
+// drawLeastLoaded draws distinct candidates at random by their weights until there are pickChoices of them, including the first
+// one if that is not nil. It returns the least loaded, or nil if there are none. It reorders the candidates.
 func (b *Balancer) drawLeastLoaded(now time.Duration, first *endpoint, candidates []*endpoint) *endpoint {
-	for _, ep := range candidates { // computed once, as drawIndex reads each several times
+	for _, ep := range candidates { // computed once, as drawIndex reads each weight several times
 		ep.scanWeight = b.capacityShare(now, ep) * b.weights.drawWeight(ep)
 	}
 	best := first
@@ -148,10 +148,10 @@
 	return last
 }
 
-// lessLoaded returns the endpoint with fewer own requests in flight relative to its weight, or the first if they are equal. As
-// the first was drawn first, ties are decided at random by the weights. The comparison is relative because the same number of
-// requests is a longer queue at a smaller endpoint; with unweighted ties, both endpoints of a subset of two got the same whatever
-// their weights. The first may be nil.
+// lessLoaded returns the endpoint with fewer of this instance's requests in flight relative to its weight, or the first if both
+// are equal. The first may be nil. As the first was drawn first, ties are decided at random by the weights: when they were decided
+// with equal chances, both endpoints of a subset of two got the same number of requests, whatever their weights. The load is
+// relative to the weight because the same number of requests is a longer queue at a smaller endpoint.
 func (b *Balancer) lessLoaded(now time.Duration, first, second *endpoint) *endpoint {
 	if first == nil || b.relativeLoad(now, second) < b.relativeLoad(now, first) {
 		return second
@@ -159,20 +159,20 @@
 	return first
 }
 
-// relativeLoad returns an endpoint's own requests in flight divided by its draw weight.
+// relativeLoad returns the number of this instance's requests in flight at an endpoint, divided by the draw weight.
 func (b *Balancer) relativeLoad(now time.Duration, ep *endpoint) float64 {
 	return float64(ep.outstanding(now)) / b.weights.drawWeight(ep)
 }
 
-// exhaustion records, until the next tick, that a scan of all endpoints of a scope found none for a request that may use any of
-// them. Until then, similar requests are sent only to an endpoint that has answered since. Otherwise each pending request at a
-// saturated fleet, or at one in slow start, would scan all endpoints at each event.
+// exhaustion records that a scan of all endpoints of a scope found none for a request that may use any of them. Until the next
+// tick or update of the list, similar requests are sent only to an endpoint that had an outcome after the scan. Otherwise, each
+// pending request for a fleet that is saturated or in slow start would scan all endpoints at each event.
 type exhaustion struct {
-	scopes [scopeCount]bool
-	freed  *endpoint // the endpoint of the latest outcome since then
+	scopes [scopeCount]bool // the scopes in which a scan found no endpoint
+	freed  *endpoint        // endpoint of the latest outcome after the scan; nil if there was none
 }
 
-// covers reports whether a scan for a request would find nothing.
+// covers reports whether a scan of a scope for a request would find no endpoint.
 func (e *exhaustion) covers(req *request, within scope) bool {
 	return e.scopes[within] && req.unrestricted()
 }
@@ -180,8 +180,8 @@
 // reset allows scans again.
 func (e *exhaustion) reset() { *e = exhaustion{} }
 
-// noteExhausted records that a scan found no endpoint for a request, if that holds for all similar requests.
-func (b *Balancer) noteExhausted(now time.Duration, req *request, within scope, found *endpoint) {
+// recordExhausted records that a scan of a scope found no endpoint for a request, if the same holds for all similar requests.
+func (b *Balancer) recordExhausted(now time.Duration, req *request, within scope, found *endpoint) {
 	if found != nil || !b.usesPools(within) || !req.unrestricted() {
 		return
 	}
@@ -191,7 +191,7 @@
 	}
 }
 
-// pickFreed returns the endpoint that has answered since all were exhausted, if the request may be sent there, otherwise nil.
+// pickFreed returns the endpoint of the latest outcome after the scan if the request may be sent there, otherwise nil.
 func (b *Balancer) pickFreed(now time.Duration, req *request, within scope) *endpoint {
 	ep := b.exhausted.freed
 	if ep != nil && b.isHealthy(now, req, ep, within) && b.canTake(now, req, ep) {
--- a/internal/balancer/pools.go
+++ b/internal/balancer/pools.go
@@ -11,31 +11,31 @@
 // The pools that endpoints are drawn from, by availability and part in the subset.
 const (
 	noPool        = -1
-	availablePool = iota - 1 // available, in the subset
-	warmingUpPool            // in slow start, in the subset
-	outsidePool              // available, outside of the subset: only for retries
+	availablePool = iota - 1 // available endpoints in the subset
+	warmingUpPool            // endpoints of the subset that are in slow start
+	outsidePool              // available endpoints outside of the subset, used only for retries
 	poolCount
 )
 
-// The draw weights of all endpoints of a machine kind change with each answer from the kind. So a pool holds an upper bound of
-// each weight instead, and an endpoint that is drawn by the bounds is accepted with probability weight / bound, which gives
-// exactly a draw by the weights. A bound is changed when its own endpoint changes. A change of the kind only raises the slack, a
-// factor of all bounds in a draw, until it is so large that the bounds of the whole kind are refreshed.
+// The draw weights of all endpoints of a machine kind change with each answer from the kind. Therefore a pool holds an upper bound
+// of each weight, and an endpoint that is drawn by the bounds is accepted with probability weight / bound, which is equivalent to a
+// draw by the weights (rejection sampling). A bound is updated when its endpoint changes. A change of the kind only raises the
+// slack, a factor of all bounds in a draw. When the change becomes too large, the bounds of the whole kind are refreshed.
 const (
-	boundHeadroom      = 1.2 // factor of a draw weight that gives a new bound
-	maxBoundRatio      = 2.0 // a bound above this multiple of the draw weight is replaced: most draws by it would be rejected
-	maxDrift           = 2.0 // the endpoints of a kind are refreshed when its latency has changed by this ratio
-	slackCheckInterval = 64  // answers after which the slack is computed from all kinds again
-	maxScanned         = 32  // most endpoints that are scanned one by one: with more, draws from the pools are cheaper
-	maxPoolDraws       = 24  // most draws from the pools for a request before all endpoints are scanned
+	boundHeadroom      = 1.2 // ratio of a new bound to the draw weight
+	maxBoundRatio      = 2.0 // ratio to the draw weight above which a bound is replaced, as most draws by it would be rejected
+	maxDrift           = 2.0 // ratio by which the weights of a kind may change before its endpoints are refreshed
+	slackCheckInterval = 64  // number of answers after which the slack is recomputed from all kinds
+	maxScanned         = 32  // largest number of endpoints that are scanned; with more, draws from the pools are cheaper
+	maxPoolDraws       = 24  // largest number of draws from the pools for a request before all endpoints are scanned
 )
 
 // drawPools holds the endpoints that may be drawn, with upper bounds of their draw weights.
 type drawPools struct {
 	pools           [poolCount]weightedsample.Pool[*endpoint]
-	availableWeight float64 // sum of the draw weights in availablePool, each as of its latest refresh
+	availableWeight float64 // sum of the draw weights in availablePool, each as of the endpoint's latest refresh
 	boundSlack      float64 // factor of all bounds, at least 1
-	slackChecks     int     // answers since the slack was computed from all kinds
+	slackChecks     int     // number of answers since the slack was recomputed from all kinds
 }
 
 // poolOf returns the pool that an endpoint belongs to while it is in the index, or noPool.
@@ -59,7 +59,8 @@
 	ep.index.availableWeight = 0
 }
 
-// put adds an endpoint to a pool, or replaces its bound there if the weight exceeds it or is far below it.
+// put adds an endpoint to a pool. If it is in the pool already, its bound is replaced if the weight is above the bound or far below
+// it.
 func (d *drawPools) put(ep *endpoint, pool int, weight float64) {
 	switch {
 	case !ep.index.pooled:
@@ -76,15 +77,15 @@
 // usable returns the number of endpoints of the subset that are available or in slow start.
 func (d *drawPools) usable() int { return d.pools[availablePool].Len() + d.pools[warmingUpPool].Len() }
 
-// in returns the pools of the endpoints in a scope.
-func (d *drawPools) in(within scope) []weightedsample.Pool[*endpoint] {
+// inScope returns the pools of the endpoints in a scope.
+func (d *drawPools) inScope(within scope) []weightedsample.Pool[*endpoint] {
 	if within == everywhere {
 		return d.pools[:]
 	}
 	return d.pools[:outsidePool]
 }
 
-// draw draws one endpoint from some of the pools, by the bounds. It reports false if they are empty.
+// draw draws one endpoint from the given pools by the bounds. It returns false if they are empty.
 func (d *drawPools) draw(rng *rand.Rand, pools []weightedsample.Pool[*endpoint]) (*endpoint, bool) {
 	total := 0.0
 	for i := range pools {
@@ -101,17 +102,17 @@
 	return nil, false
 }
 
-// drawOne draws one endpoint by the bounds, and reports whether it is accepted. The accepted ones are distributed by the draw
+// drawOne draws one endpoint by the bounds, and reports whether it is accepted. Accepted endpoints are distributed by their draw
 // weights.
 func (b *Balancer) drawOne(now time.Duration, within scope) (*endpoint, bool) {
-	ep, ok := b.pools.draw(b.rng, b.pools.in(within))
+	ep, ok := b.pools.draw(b.rng, b.pools.inScope(within))
 	if !ok {
 		return nil, false
 	}
 	return ep, b.rng.Float64()*ep.index.bound*b.pools.boundSlack < b.capacityShare(now, ep)*b.weights.drawWeight(ep)
 }
 
-// refreshBound adds an endpoint to a pool, or replaces its bound there if necessary.
+// refreshBound adds an endpoint to a pool, or updates its bound there if necessary.
 func (b *Balancer) refreshBound(now time.Duration, ep *endpoint, pool int) {
 	weight := b.weights.drawWeight(ep)
 	if pool == availablePool {
@@ -119,21 +120,21 @@
 		ep.index.availableWeight = weight
 	}
 	if pool == warmingUpPool {
-		weight *= b.capacityShare(b.nextBoundCheck(now, ep), ep) // the largest share until the bound is checked again
+		weight *= b.capacityShare(b.nextBoundCheck(now, ep), ep) // the largest capacity share until the next check of the bound
 	}
-	weight *= b.weights.kindDrift(ep.kind) // the drift may be undone
+	weight *= b.weights.kindDrift(ep.kind) // the weight would rise by this factor if the kind changed back
 	b.pools.put(ep, pool, weight)
 }
 
-// recordDrift raises the slack by the drift of a kind, or refreshes the kind's endpoints if the drift is too large. A load report
-// changes a factor of the weights of all kinds, so all kinds are then included in the slack.
+// recordDrift raises the slack to the drift of a kind, or refreshes the kind's endpoints if the drift is too large. A load report
+// (reported) changes a factor of the weights of all kinds, so the slack then covers the drifts of all kinds.
 func (b *Balancer) recordDrift(now time.Duration, kind int, reported bool) {
 	weights := &b.weights
 	drift := weights.kindDrift(kind)
-	// A kind that reports its first service time moves the weights of all kinds.
-	newlyReporting := weights.services.reporting != weights.services.settledReporting
-	// Until it has kindTrustSamples answers the latency of a kind is ignored; then all weights of its endpoints change at once.
-	newlyTrusted := weights.trusted(kind) && weights.latencies[kind].settledMean == 0
+	// The first service time that a kind reports changes the weights of all kinds.
+	newlyReporting := weights.services.reporting != weights.services.reportingAtRefresh
+	// The latency of a kind is ignored until it has kindTrustSamples answers. Then the weights of all its endpoints change at once.
+	newlyTrusted := weights.trusted(kind) && weights.latencies[kind].meanAtRefresh == 0
 	switch {
 	case newlyReporting || weights.services.inverseSum.drift() > math.Sqrt(maxDrift):
 		b.refreshAll(now)
--- a/internal/balancer/pools_test.go
+++ b/internal/balancer/pools_test.go
@@ -39,7 +39,7 @@
 	b.enqueueDue(host.now)
 	b.advanceSlowStarts(host.now)
 	b.updateSubset(host.now)
-	b.warmSendRate.add(host.now, b.rateWindow, 1000/float64(endpoints))
+	b.availableSendRate.add(host.now, b.rateWindow, 1000/float64(endpoints))
 	for _, e := range b.listed {
 		e.slowStartTokens, e.slowStartTokensAt = float64(rng.IntN(3)), host.now
 	}
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -109,10 +109,10 @@
 	checkRate(InstanceGroup{Instances: 4, Ordinal: 3}, 25)
 	checkRate(InstanceGroup{Instances: 20}, 5)
 	for want, g := range map[string]InstanceGroup{
-		"0 instances":   {},
-		"no number":     {Instances: 3, Ordinal: 3},
-		"this one":      {Instances: 2, Members: []uint64{1, 2}, Self: 3},
-		"1 members for": {Instances: 2, Members: []uint64{1}, Self: 1},
+		"0 instances":               {},
+		"ordinal 3 is out of range": {Instances: 3, Ordinal: 3},
+		"self is not":               {Instances: 2, Members: []uint64{1, 2}, Self: 3},
+		"1 members for":             {Instances: 2, Members: []uint64{1}, Self: 1},
 	} {
 		if err := fixture.balancer.UpdateGroup(fixture.now, g); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %q", g, err, want)
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -8,21 +8,21 @@
 
 // This file handles the events of a request, from its arrival to its final answer.
 
-// request is the state of one request, from its arrival until it has both its final answer and its last outcome.
+// request is the state of one request, from its arrival until its final answer has been given and its last attempt has ended.
 type request struct {
 	id             RequestID
 	class          *class
-	overQuota      bool // beyond its tenant's quota
+	overQuota      bool // the request exceeds its tenant's quota
 	deadline       time.Duration
-	targetAt       time.Duration // when the latency target ends: a later answer has little value
-	valueFactor    float64       // its value relative to other requests of its class
-	attempts       int
+	targetAt       time.Duration // end of the latency target; a later answer has little value
+	valueFactor    float64       // value relative to other requests of the class
+	attempts       int           // number of attempts sent so far
 	maxAttempts    int
-	attemptTimeout time.Duration // of each attempt; 0 for none
-	failedEndpoint *endpoint     // where the last attempt failed, or where the first must not go; nil for none
+	attemptTimeout time.Duration // timeout of each attempt; 0 for none
+	failedEndpoint *endpoint     // endpoint that the next attempt avoids: of the last failed attempt, or Request.Exclude; nil for none
 	pending        bool
-	streaming      bool
-	done           bool // it has its final answer
+	streaming      bool // a streamed response has started
+	done           bool // the final answer has been given
 
 	mayHaveRun bool // an attempt may have run
 	// The zone and cell of the endpoint of the first attempt that may have run, and when it was sent.
@@ -33,23 +33,23 @@
 	// The attempt in flight.
 	endpoint        *endpoint // nil if none is in flight
 	sentAt          time.Duration
-	responsesAtSend int  // outliers.responses when it was sent
-	trial           bool // it is a trial, which ends an ejection if it is served
-	cancelled       bool // by this instance; its outcome is still to come
+	responsesAtSend int  // outliers.responses when the attempt was sent
+	trial           bool // the attempt is a trial, whose success ends an ejection
+	cancelled       bool // this instance has cancelled the attempt, and awaits its outcome
 	overtaken       int  // number of attempts that were sent later and answered earlier
-	lost            bool // it will probably not be answered: overtaken, and older than lostTails
-	overdue         bool // overtaken, and older than overdueTails
+	lost            bool // the attempt will probably not be answered: it was overtaken, and is older than lostTails
+	overdue         bool // the attempt was overtaken, and is older than overdueTails
 }
 
-// unrestricted reports whether the rules of its class allow a request to be sent to any endpoint.
+// unrestricted reports whether the rules of the class allow the request to be sent to any endpoint.
 func (r *request) unrestricted() bool { return !r.mayHaveRun || r.class.Idempotency == Idempotent }
 
-// boundToCell reports whether a request may only be sent to the endpoints of one cell.
+// boundToCell reports whether the request may only be sent to the endpoints of one cell.
 func (r *request) boundToCell() bool {
 	return r.mayHaveRun && r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeCell
 }
 
-// recordRun records that an attempt at an endpoint may have run. Only the first such attempt is kept.
+// recordRun records that an attempt at an endpoint may have run. Only the first such attempt is recorded.
 func (r *request) recordRun(ep *endpoint) {
 	if r.mayHaveRun {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// HandleRequest handles the arrival of a request.
+// HandleRequest handles the arrival of a request. It sends the request, makes it pending or gives the final answer.
 func (b *Balancer) HandleRequest(now time.Duration, incoming Request) {
 	overQuota, withinTotal := b.takeQuota(now, &incoming)
 	req := b.newRequest(now, &incoming)
@@ -98,7 +98,8 @@
 	b.armTick()
 }
 
-// HandleResponseStart records that a streamed response has started. From then on the request cannot be retried.
+// HandleResponseStart records that a streamed response has started. From then on, the request cannot be retried. It ignores a
+// request without an attempt in flight.
 func (b *Balancer) HandleResponseStart(now time.Duration, id RequestID, _ int, _ EndpointID) {
 	req := b.requests[id]
 	if req == nil || req.endpoint == nil {
@@ -109,7 +110,7 @@
 	b.outliers.responses++
 }
 
-// HandleOutcome handles the end of an attempt. It ignores an outcome for which no attempt is in flight.
+// HandleOutcome handles the end of an attempt. It ignores an outcome of a request without an attempt in flight.
 func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
 	req := b.requests[outcome.ID]
 	if req == nil || req.endpoint == nil {
@@ -160,7 +161,7 @@
 	}
 }
 
-// HandleClientGone handles the departure of the client: its request needs no answer, and its attempt is cancelled.
+// HandleClientGone handles that the client has abandoned a request: it needs no answer, and its attempt in flight is cancelled.
 func (b *Balancer) HandleClientGone(_ time.Duration, id RequestID) {
 	req := b.requests[id]
 	if req == nil {
@@ -189,8 +190,8 @@
 	b.pending = slices.Delete(b.pending, i, i+1)
 }
 
-// enqueueAfter makes a request pending again at the first tick after a backoff. An instance that shuts down skips the backoff, as
-// it has no time for it.
+// enqueueAfter makes a request pending again after a backoff. An instance that shuts down skips the backoff, as there is no time
+// for it.
 func (b *Balancer) enqueueAfter(now time.Duration, req *request, backoff time.Duration) {
 	if backoff <= 0 || b.shuttingDown() {
 		b.enqueue(req)
@@ -199,7 +200,7 @@
 	b.backoffs.Put(req, now+backoff)
 }
 
-// enqueueDue makes the requests pending whose backoff is over. It drops those whose client has gone.
+// enqueueDue makes requests pending whose backoff is over. It drops those that their client has abandoned.
 func (b *Balancer) enqueueDue(now time.Duration) {
 	for {
 		req, at, ok := b.backoffs.Peek()
@@ -217,7 +218,8 @@
 	}
 }
 
-// takeQuota meters a request against its tenant's quota. Only the first tier does so: what it has accepted is not rejected below.
+// takeQuota meters a request against its tenant's quota. Only the first tier does so, so that requests that it has accepted are not
+// rejected by a lower tier.
 func (b *Balancer) takeQuota(now time.Duration, incoming *Request) (overQuota, withinTotal bool) {
 	if b.settings.Tier > 0 {
 		return false, true
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -5,31 +5,31 @@
 // This file decides which requests are retried, by the rules of their class and the retry budget, and gives the final answer.
 
 const (
-	retryBudgetShare = 0.2  // retries that each answer earns
-	maxRetryBudget   = 10.0 // most retries that the budget holds
+	retryBudgetShare = 0.2  // number of retries that each answer earns
+	maxRetryBudget   = 10.0 // largest number of retries in the budget
 )
 
 // retryBudget limits retries to a share of the answers.
 type retryBudget struct {
-	tokens         float64 // retries that may be made
-	pendingCancels int     // cancelled attempts whose outcome is still to come: each may lead to a retry
+	tokens         float64 // number of retries that may be made
+	pendingCancels int     // number of cancelled attempts without an outcome yet, each of which may lead to a retry
 }
 
-// earn records an answer.
+// earn adds to the budget for an answer.
 func (b *retryBudget) earn() { b.tokens = min(b.tokens+retryBudgetShare, maxRetryBudget) }
 
 // allows reports whether a retry may be made.
 func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
-// take records a retry.
+// take takes one retry from the budget.
 func (b *retryBudget) take() { b.tokens-- }
 
-// coversCancel reports whether the budget covers the retry of one more cancelled attempt. Without this check many slow attempts
+// coversCancel reports whether the budget covers the retry of one more cancelled attempt. Without this check, many slow attempts
 // were cancelled at once, and those whose retry the budget did not cover failed although their answers were about to arrive.
 func (b *retryBudget) coversCancel() bool { return b.tokens-float64(b.pendingCancels) >= 1 }
 
-// retryPermitted reports whether the rules allow a request to be sent to an endpoint.
-func (b *Balancer) retryPermitted(now time.Duration, req *request, ep *endpoint) bool {
+// sendPermitted reports whether the rules of its class allow a request to be sent to an endpoint.
+func (b *Balancer) sendPermitted(now time.Duration, req *request, ep *endpoint) bool {
 	switch {
 	case req.unrestricted():
 		return true
@@ -43,8 +43,8 @@
 	return true
 }
 
-// retrySafe reports whether a request may still be sent. It may not if it may have run and no endpoint recognizes the repeat any
-// more.
+// retrySafe reports whether the rules of its class allow a request to be sent at all. They do not if the request may have run and
+// no endpoint would recognize it as a repeat.
 func (b *Balancer) retrySafe(now time.Duration, req *request) bool {
 	if req.unrestricted() {
 		return true
@@ -52,8 +52,8 @@
 	return req.class.Idempotency == IdempotentWithKey && now-req.ranAt < req.class.KeyWindow-b.tickInterval
 }
 
-// retryOrFinish handles an attempt that was not served: it retries the request if the rules, the budget and the time allow it,
-// and gives the final answer otherwise.
+// retryOrFinish handles the end of an attempt that did not finish its request. It retries the request if the rules, the budget and
+// the time allow it, and gives the final answer otherwise.
 func (b *Balancer) retryOrFinish(now time.Duration, req *request, ep *endpoint, outcome Outcome) {
 	req.failedEndpoint = ep
 	if !outcome.Status.NeverRan() {
@@ -71,7 +71,7 @@
 	b.enqueueAfter(now, req, outcome.Backoff)
 }
 
-// finish gives the final answer: rejected if a retry by the client is proven harmless, failed otherwise.
+// finish gives the final answer to a request: it is rejected if a retry by the client is known to be harmless, and fails otherwise.
 func (b *Balancer) finish(now time.Duration, req *request) {
 	req.done = true
 	if b.retryHarmless(now, req) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// retryHarmless reports whether the client may send a request again, to any instance.
+// retryHarmless reports whether the client can safely send a request again, to any instance.
 func (b *Balancer) retryHarmless(now time.Duration, req *request) bool {
 	switch req.class.Idempotency {
 	case Idempotent:
@@ -97,7 +97,7 @@
 	return !req.mayHaveRun && req.endpoint == nil
 }
 
-// cancelAttempt cancels the attempt in flight, if that is permitted.
+// cancelAttempt cancels a request's attempt in flight, if the settings permit it and no streamed response has started.
 func (b *Balancer) cancelAttempt(req *request) {
 	if !b.settings.MayCancel || req.cancelled || req.streaming {
 		return
@@ -107,8 +107,8 @@
 	b.host.Cancel(req.id, req.attempts-1)
 }
 
-// canRetryInTime reports whether a request could be retried in time after its attempt in flight is cancelled. It could not if no
-// endpoint is left that it may use, such as after the last of its cell has drained.
+// canRetryInTime reports whether a request could be retried in time if its attempt in flight were cancelled. It could not if there
+// is no endpoint that it may use, for example after the last one of its cell has drained.
 func (b *Balancer) canRetryInTime(now time.Duration, req *request) bool {
 	if req.done || req.class.Idempotency == NonIdempotent || req.attempts >= req.maxAttempts {
 		return false
@@ -117,7 +117,7 @@
 	return inTime && b.retries.coversCancel() && b.hasRetryEndpoint(req)
 }
 
-// hasRetryEndpoint reports whether any endpoint is left that a request may use if its attempt in flight has run.
+// hasRetryEndpoint reports whether there is an endpoint that a request may use if its attempt in flight has run.
 func (b *Balancer) hasRetryEndpoint(req *request) bool {
 	if req.class.Idempotency != IdempotentWithKey || req.class.KeyScope == KeyScopeAll {
 		return b.index.len() > 0
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -10,11 +10,11 @@
 // Idempotency says whether requests of a class may be repeated.
 type Idempotency string
 
-// The idempotency of a class. The values are those of settings files.
+// The kinds of idempotency of a class. The values are those of settings files.
 const (
-	Idempotent        Idempotency = "safe"   // may run any number of times
-	IdempotentWithKey Idempotency = "keyed"  // repeats are recognized within KeyScope for KeyWindow
-	NonIdempotent     Idempotency = "unsafe" // must not run twice
+	Idempotent        Idempotency = "safe"   // a request may run any number of times
+	IdempotentWithKey Idempotency = "keyed"  // repeats of a request are recognized within KeyScope for KeyWindow
+	NonIdempotent     Idempotency = "unsafe" // a request must not run twice
 )
 
 // KeyScope is the group of endpoints that recognizes the repeat of a request by its idempotency key.
@@ -30,59 +30,59 @@
 // Class describes one class of request.
 type Class struct {
 	Name           string
-	LatencyTarget  time.Duration // an answer within it has the full value (SLO)
-	Deadline       time.Duration // the longest that the client waits, over all its attempts
-	Value          float64       // of one answer
+	LatencyTarget  time.Duration // time within which an answer has the full value (SLO)
+	Deadline       time.Duration // longest time that the client waits, over all its attempts
+	Value          float64       // value of one answer
 	LateValueShare float64       // share of Value that an answer after LatencyTarget has
 	Idempotency    Idempotency
-	KeyScope       KeyScope      // for IdempotentWithKey
-	KeyWindow      time.Duration // for IdempotentWithKey: how long repeats are recognized
-	Streaming      bool          // responses stream: HandleResponseStart is called
+	KeyScope       KeyScope      // group of endpoints that recognizes repeats, for IdempotentWithKey
+	KeyWindow      time.Duration // time for which repeats are recognized, for IdempotentWithKey
+	Streaming      bool          // responses are streamed, and HandleResponseStart is called for each
 }
 
 // Tenant is one of the customers that share the service.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests per second over all instances
+	QuotaPerSecond float64 // quota of requests per second at all instances together
 }
 
 // Settings holds the settings of an instance.
 type Settings struct {
-	Instances int           // instances in this tier
-	Ordinal   int           // index of this instance among them, from 0
+	Instances int           // number of instances in this tier
+	Ordinal   int           // index of this instance in the tier, from 0
 	Tier      int           // index of the tier that this instance calls, from 0
 	Tiers     int           // number of tiers; a request may wait in each from Tier on
 	Quantum   time.Duration // shortest time between two rounds of events
-	// MaxSubsetSize is the most endpoints that this instance calls, 0 for no limit. If all instances together call fewer
-	// endpoints than are listed, the others get no requests.
+	// MaxSubsetSize is the largest number of endpoints that this instance calls, 0 for no limit. If all instances together call
+	// fewer endpoints than are listed, the others get no requests.
 	MaxSubsetSize int
 
 	Classes             []Class
 	Tenants             []Tenant
-	ValuePerWorkUnit    bool    // a class's Value is for each unit of work, not for each request
+	ValuePerWorkUnit    bool    // the Value of a class is the value of a unit of work, not of a request
 	TotalValueWeight    float64 // weight of the total value of all answers in the optimized value
 	WorstClassWeight    float64 // weight of the worst-served class's answered share in the optimized value
 	OverQuotaValueShare float64 // share of its class's Value that a request over its tenant's quota has
 
-	// What the environment permits and limits.
+	// Permissions and limits of the environment.
 	MayCancel       bool
 	MayHealthCheck  bool
 	MayMessagePeers bool
 	HedgedRequests  bool // two attempts of a request may be in flight at the same time
-	MaxAttempts     int  // of each request; 0 for no limit
+	MaxAttempts     int  // maximum number of attempts of each request; 0 for no limit
 	MaxRetryAfter   time.Duration
 	ConnectTimeout  time.Duration
 
 	// The source of the endpoint list.
 	MustSubscribe       bool          // changes arrive only after WatchEndpoints or FetchEndpoints
-	ResubscribeInterval time.Duration // an instance that has not subscribed or fetched for this long counts as notified
+	ResubscribeInterval time.Duration // time after which an instance that has not subscribed or fetched counts as notified
 
-	// PropagatesDeadline says that a request to the next tier carries the time that its caller has left, rather than its class's
-	// whole Deadline.
+	// PropagatesDeadline reports whether a request to the next tier carries the remaining time of its caller, rather than the full
+	// Deadline of its class.
 	PropagatesDeadline bool
-	ClientsMarkRetries bool // clients flag their retries
+	ClientsMarkRetries bool // clients mark their retries (Request.Retry)
 
-	// Slow start: the share of their capacity that endpoints begin with, and the time until they have all of it.
+	// Slow start: the share of its capacity that an endpoint begins with, and the time until it has its full capacity.
 	SlowStartMinShare float64
 	SlowStartWindow   time.Duration
 	// An endpoint in slow start fails at OverloadMultiple times its current capacity, if that lasts for OverloadDuration.
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// checkEnums returns an error that names the first field of the class with an unknown value, after a prefix.
+// checkEnums returns an error that names the first enum field of the class with an unknown value. The name begins with the prefix.
 func (c *Class) checkEnums(prefix string) error {
 	switch c.Idempotency {
 	case Idempotent, NonIdempotent:
@@ -123,7 +123,7 @@
 	return fmt.Errorf("settings: %sscope: unknown scope %q", prefix, c.KeyScope)
 }
 
-// minimums returns the numeric fields of the class with their least values, named after a prefix.
+// minimums returns the numeric fields of the class with their least valid values. The names begin with the prefix.
 func (c *Class) minimums(prefix string) []minimum {
 	return []minimum{
 		{prefix + "aim", float64(c.LatencyTarget), 0},
@@ -135,7 +135,7 @@
 // classKey returns the prefix of the names of a class's fields in error texts.
 func classKey(index int) string { return fmt.Sprintf("classes[%d].", index) }
 
-// check returns an error that names the first invalid setting by its key in settings files.
+// check returns an error that names the first invalid setting by its key in settings files, or nil if all are valid.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// maxAttempts returns how often a request may be sent.
+// maxAttempts returns the maximum number of attempts of a request: the lower of the limits of the settings and the request.
 func (s *Settings) maxAttempts(r *Request) int {
 	limit := math.MaxInt
 	if s.MaxAttempts > 0 {
@@ -185,28 +185,29 @@
 	return limit
 }
 
-// InstanceGroup is the instances of a tier according to a membership view. It replaces the numbers in Settings.
+// InstanceGroup describes the instances of a tier according to a membership view. It replaces Instances and Ordinal of Settings.
 type InstanceGroup struct {
-	Instances int // number that serve requests of this tier; at least 1
-	Ordinal   int // index of this instance among them, from 0
-	// MaxInstances is the most instances there may be, as far as this one knows. Limits that all instances share, such as
-	// tenants' quotas and attempts at endpoints in slow start, are divided by it. If it is below Instances, Instances is used.
+	Instances int // number of instances that serve requests of this tier; at least 1
+	Ordinal   int // index of this instance in the tier, from 0
+	// MaxInstances is the largest number of instances that may exist, as far as this one knows. Limits that all instances share,
+	// such as tenants' quotas and attempts at endpoints in slow start, are divided by it. If it is below Instances, Instances is
+	// used.
 	MaxInstances int
-	// Members are ids of the instances that all instances agree on, in any order, and Self is the id of this one. With them,
-	// large subsets change by no more than a change of the group requires. If nil, subsets depend on Ordinal.
+	// Members are the ids of the instances, in any order, and Self is the id of this one. All instances must use the same ids. With
+	// Members, a change of the group changes large subsets no more than necessary. If Members is nil, subsets depend on Ordinal.
 	Members []uint64
 	Self    uint64
 }
 
-// check returns an error that says what is inconsistent in the group.
+// check returns an error that says what is invalid in the group, or nil if it is valid.
 func (i *InstanceGroup) check() error {
 	switch {
 	case i.Instances < 1:
-		return fmt.Errorf("group: %d instances", i.Instances)
+		return fmt.Errorf("group: %d instances, want at least 1", i.Instances)
 	case i.Ordinal < 0 || i.Ordinal >= i.Instances:
-		return fmt.Errorf("group: %d is no number among %d instances, counted from 0", i.Ordinal, i.Instances)
+		return fmt.Errorf("group: ordinal %d is out of range for %d instances, counted from 0", i.Ordinal, i.Instances)
 	case i.Members != nil && (len(i.Members) != i.Instances || !slices.Contains(i.Members, i.Self)):
-		return fmt.Errorf("group: %d members for %d instances, or this one is not among them",
+		return fmt.Errorf("group: %d members for %d instances, or self is not among the members",
 			len(i.Members), i.Instances)
 	}
 	return nil
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -3,13 +3,17 @@
 import "time"
 
 // This file limits the requests to endpoints that have just started (slow start). Their capacity begins with a share of the full
-// one, which grows with time.
+// capacity, which grows with time.
 
 const (
-	restoredWarmShare      = 0.75 // share of the slow start that an endpoint skips after an ejection, if its connections never broke
-	slowStartHeadroom      = 0.7  // part of OverloadMultiple by which an endpoint's rate may exceed its share of an available one's
-	slowStartAloneHeadroom = 0.9  // the same while no endpoint is available, as no other can take the requests
-	slowStartStep          = 1.25 // factor by which the capacity share grows between two checks of the bound
+	skippedSlowStartShare = 0.75 // share of slow start skipped after an ejection by an endpoint whose connections never broke
+
+	// The rate limit of an endpoint in slow start is the rate of an available endpoint of the same capacity, times OverloadMultiple
+	// and one of these factors.
+	slowStartHeadroom      = 0.7 // factor while any endpoint is available
+	slowStartAloneHeadroom = 0.9 // factor while no endpoint is available, so that no other can take the requests
+
+	slowStartStep = 1.25 // factor by which the capacity share grows between two checks of the bound
 )
 
 // startSlowStart starts an endpoint's slow start, counted from the given time.
@@ -17,7 +21,7 @@
 	b.clearEjection(ep)
 	ep.availability = warmingUp
 	ep.slowStartFrom = from
-	// The fraction of a token is random, so that the instances which learn of the start at the same time do not all send a
+	// The initial fraction of a token is random, so that instances which learn of the start at the same time do not all send a
 	// request at once.
 	ep.slowStartTokens = b.rng.Float64()
 	ep.slowStartTokensAt = now
@@ -25,7 +29,7 @@
 	b.reindex(now, ep)
 }
 
-// advanceSlowStarts updates the bounds of endpoints in slow start, and ends the slow starts that are over.
+// advanceSlowStarts updates the bounds of endpoints in slow start whose check is due, and ends the slow starts that are over.
 func (b *Balancer) advanceSlowStarts(now time.Duration) {
 	for {
 		ep, at, ok := b.slowStarts.Peek()
@@ -40,7 +44,7 @@
 	}
 }
 
-// capacityShare returns the share of its full capacity that an endpoint is assumed to have: 1 unless it is in slow start.
+// capacityShare returns the share of its full capacity that an endpoint is assumed to have, which is 1 unless it is in slow start.
 func (b *Balancer) capacityShare(now time.Duration, ep *endpoint) float64 {
 	if ep.availability != warmingUp || b.settings.SlowStartWindow == 0 {
 		return 1
@@ -50,8 +54,8 @@
 	return min(max(share, from), 1)
 }
 
-// nextBoundCheck returns when the share of an endpoint in slow start will have grown by slowStartStep, or when its slow start
-// will be over.
+// nextBoundCheck returns the time at which the capacity share of an endpoint in slow start will have grown by the factor
+// slowStartStep, or at which its slow start will be over, whichever is earlier.
 func (b *Balancer) nextBoundCheck(now time.Duration, ep *endpoint) time.Duration {
 	over := ep.slowStartFrom + b.settings.SlowStartWindow
 	if b.settings.SlowStartMinShare >= 1 {
@@ -59,16 +63,16 @@
 	}
 	grown := (b.capacityShare(now, ep)*slowStartStep - b.settings.SlowStartMinShare) / (1 - b.settings.SlowStartMinShare)
 	at := ep.slowStartFrom + seconds(grown*b.settings.SlowStartWindow.Seconds())
-	// The next tick is the earliest, as a share that begins at 0 would be checked without end.
+	// The next tick is the earliest: a share that begins at 0 stays 0 when multiplied, and would be checked in an endless loop.
 	return min(over, max(at, now+b.tickInterval))
 }
 
-// slowStartAllows reports whether an endpoint in slow start may get a request. Its rate is limited to its capacity share of an
-// available endpoint's rate, whatever the others do: if nearly all are in slow start, a draw by capacity share alone would
-// overload them. It scales with the draw weight: otherwise a slow machine, or one with a small weight in many subsets, would get
-// the rate of a fast one.
+// slowStartAllows reports whether an endpoint in slow start may get a request. Its rate is limited relative to its capacity share
+// of an available endpoint's rate, whatever the state of the others: if nearly all endpoints are in slow start, a draw by capacity
+// share alone would overload them. The limit is proportional to the draw weight. Otherwise, a slow machine, or one with a small
+// weight in many subsets, would get the rate of a fast one.
 func (b *Balancer) slowStartAllows(now time.Duration, ep *endpoint) bool {
-	perWeight := b.warmSendRate.peak(now, b.rateWindow)
+	perWeight := b.availableSendRate.peak(now, b.rateWindow)
 	if perWeight == 0 {
 		return len(ep.calls) == 0
 	}
@@ -83,22 +87,22 @@
 	return ep.slowStartTokens >= 1
 }
 
-// countAvailableSend records that an available endpoint of the subset is sent a request. The limits in slow start follow that
-// rate.
+// countAvailableSend records that a request is sent to an endpoint, if that is available and in the subset. The limits in slow
+// start are relative to the rate of these sends.
 func (b *Balancer) countAvailableSend(now time.Duration, ep *endpoint) {
 	if ep.availability != available || ep.subsetWeight <= 0 {
 		return
 	}
 	if weight := b.availableSubsetWeight(); weight > 0 {
-		b.warmSendRate.add(now, b.rateWindow, 1/weight)
+		b.availableSendRate.add(now, b.rateWindow, 1/weight)
 	}
 }
 
-// holdSlowStartRate keeps the limits in slow start as they are while no endpoint of the subset is available. No send renews the
-// rate then; without this it decayed, and the limits with it.
+// holdSlowStartRate keeps the limits in slow start unchanged while no endpoint of the subset is available. As no send updates
+// availableSendRate then, the rate decayed before this was added, and the limits with it.
 func (b *Balancer) holdSlowStartRate(now time.Duration) {
 	b.noneAvailable = b.availableSubsetWeight() == 0
 	if b.noneAvailable {
-		b.warmSendRate.decay(now, b.rateWindow)
+		b.availableSendRate.decay(now, b.rateWindow)
 	}
 }
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -84,7 +84,7 @@
 		fixture.finish(fixture.last(), StatusOK, 10*ms)
 		fixture.advance(10 * ms)
 	}
-	before := fixture.balancer.warmSendRate.peak(fixture.now, fixture.balancer.rateWindow)
+	before := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow)
 	for id := EndpointID(1); id <= 2; id++ {
 		fixture.updateEndpoint(ListEntry{Endpoint: id, Weight: 1, StartedAt: fixture.now})
 	}
@@ -93,17 +93,17 @@
 	if !fixture.balancer.noneAvailable {
 		t.Error("slow starts are limited as if others could take their calls")
 	}
-	if after := fixture.balancer.warmSendRate.peak(fixture.now, fixture.balancer.rateWindow); after < 0.95*before {
+	if after := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow); after < 0.95*before {
 		t.Errorf("%.1f a second, %.1f before the endpoints started anew", after, before)
 	}
 	fixture.finish(fixture.last(), StatusOK, 10*ms)
 	fixture.updateEndpoint(ListEntry{Endpoint: 3, Weight: 1})
-	kept := fixture.balancer.warmSendRate.peak(fixture.now, fixture.balancer.rateWindow)
+	kept := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow)
 	fixture.advance(3 * time.Second)
 	if fixture.balancer.noneAvailable {
 		t.Error("slow starts go on as if there were no available endpoint")
 	}
-	if after := fixture.balancer.warmSendRate.peak(fixture.now, fixture.balancer.rateWindow); after > 0.7*kept {
+	if after := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow); after > 0.7*kept {
 		t.Errorf("%.1f a second after 3 s with an available one that is sent nothing, %.1f before", after, kept)
 	}
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -11,51 +11,51 @@
 	"quincegap/internal/structures/hashring"
 )
 
-// This file decides which endpoints this instance calls. If many instances each call all endpoints, they fill the endpoints'
-// connection tables with idle connections, and each learns little of any endpoint.
+// This file decides which endpoints this instance calls. If many instances each called all endpoints, they would fill the endpoints'
+// connection tables with idle connections, and each instance would learn little about any endpoint.
 
 const (
-	callersPerEndpoint = 3   // instances that call each endpoint; with more instances each calls only a subset, and learns more of it
-	minSubsetSize      = 2.0 // in mean weights of an endpoint: with one endpoint there is nothing to compare
+	callersPerEndpoint = 3   // number of instances that call each endpoint; with more instances, each calls only a subset
+	minSubsetSize      = 2.0 // smallest subset, in mean weights of an endpoint: with one endpoint, there is nothing to compare
 
-	// A subset of more than hashSubsetFrom endpoints depends only on the endpoints' ids, so that a change of one endpoint does
-	// not affect the others. It stays so down to hashSubsetDownTo endpoints. Smaller subsets of this form would differ too much
-	// in size by chance.
+	// A subset of more than hashSubsetFrom endpoints is determined by a hash of the endpoints' ids alone, so that a change of one
+	// endpoint does not affect the others. It remains so down to hashSubsetDownTo endpoints. The sizes of smaller subsets by hash
+	// would vary too much by chance.
 	hashSubsetFrom      = 64.0
 	hashSubsetDownTo    = 48.0
-	hashSubsetMinUsable = 0.5 // share of such a subset that has to be usable, otherwise its size is doubled
+	hashSubsetMinUsable = 0.5 // share of a subset by hash below which too few endpoints are usable, and its size is doubled
 
-	weightTolerance = 1e-9 // share of the total weight that rounding may leave over
+	weightTolerance = 1e-9 // share of the total weight below which a difference is a rounding error
 )
 
-// scope says which endpoints may be picked.
+// scope is the set of endpoints that may be picked.
 type scope uint8
 
 const (
-	inSubset   scope = iota // those of the subset
-	everywhere              // all of them: for retries
+	inSubset   scope = iota // endpoints of the subset
+	everywhere              // all endpoints, for retries
 	scopeCount
 )
 
-// subset is the endpoints that this instance calls.
+// subset holds the endpoints that this instance calls.
 type subset struct {
-	all     bool        // it is all endpoints in the index; members is not used then
-	members []*endpoint // the endpoints in it
-	stale   bool        // it has to be computed again
-	size    float64     // in mean weights of an endpoint
+	allEndpoints bool        // the subset is all endpoints in the index, and members is not used
+	members      []*endpoint // endpoints in the subset
+	stale        bool        // the subset has to be recomputed
+	size         float64     // size in mean weights of an endpoint
 
-	byHash bool            // it depends only on the endpoints' ids
-	share  hashring.Share  // if byHash: the share of all ids whose endpoints are in it
-	group  *hashring.Group // if byHash: the instances that divide the ids; nil to divide them by ordinal
+	byHash bool            // the subset is determined by a hash of the endpoints' ids alone
+	share  hashring.Share  // the share of all ids whose endpoints are in the subset, if byHash
+	group  *hashring.Group // instances that the ids are divided among, if byHash; nil to divide them by ordinal
 
-	previous          []*endpoint // buffer: the members before it was computed again
-	unreachedReported bool        // the log says that the instances together do not reach all endpoints
+	previous          []*endpoint // members before the subset was last recomputed
+	unreachedReported bool        // the latest log message says that the instances together do not reach all endpoints
 }
 
-// admit adds an endpoint that has become listed, if that does not need the subset to be computed again.
+// admit adds an endpoint that has become listed, if that does not require the subset to be recomputed.
 func (s *subset) admit(ep *endpoint, weight float64) {
 	switch {
-	case s.all:
+	case s.allEndpoints:
 		ep.subsetWeight = weight
 	case s.byHash && s.share.Owns(uint32(ep.id)):
 		ep.subsetWeight = weight
@@ -63,7 +63,7 @@
 	}
 }
 
-// drop removes an endpoint.
+// drop removes an endpoint that gets no more requests.
 func (s *subset) drop(ep *endpoint) {
 	ep.subsetWeight = 0
 	if s.byHash {
@@ -79,9 +79,9 @@
 	ep.subsetWeight += weight
 }
 
-// endpointsIn returns the endpoints of a scope. The list is valid until the next call.
+// endpointsIn returns the endpoints of a scope. The slice is valid until the next call.
 func (b *Balancer) endpointsIn(within scope) []*endpoint {
-	if within == inSubset && !b.subset.all {
+	if within == inSubset && !b.subset.allEndpoints {
 		return b.subset.members
 	}
 	return b.index.endpoints()
@@ -89,13 +89,13 @@
 
 // usesPools reports whether a scope has too many endpoints to scan them one by one.
 func (b *Balancer) usesPools(within scope) bool {
-	if within == everywhere || b.subset.all {
+	if within == everywhere || b.subset.allEndpoints {
 		return b.index.len() > b.scanLimit
 	}
 	return len(b.subset.members) > b.scanLimit
 }
 
-// updateSubset computes which endpoints are in this instance's subset, and with which part of their weight.
+// updateSubset recomputes which endpoints are in this instance's subset, and with which part of their weight.
 func (b *Balancer) updateSubset(now time.Duration) {
 	subset := &b.subset
 	listed := float64(b.index.len())
@@ -111,14 +111,14 @@
 	}
 }
 
-// useAllEndpoints makes the subset all endpoints, each with its whole weight.
+// useAllEndpoints makes the subset all endpoints, each with its full weight.
 func (b *Balancer) useAllEndpoints(now time.Duration) {
 	b.reportUnreached()
 	b.subset.stale = false
-	if b.subset.all {
+	if b.subset.allEndpoints {
 		return
 	}
-	b.subset.all = true
+	b.subset.allEndpoints = true
 	b.subset.byHash = false
 	b.subset.members = nil
 	for ep := range b.index.ordered.All() {
@@ -127,9 +127,10 @@
 	}
 }
 
-// useTiledSubset makes the subset a tile of a ring of the listed weights. The ordinal says which, so that all instances together
-// reach each endpoint in proportion to its weight. An instance that has ejected endpoints extends its tile along the ring.
-// Draining endpoints are not on the ring: when many left at once, their shares fell to the few endpoints after them.
+// useTiledSubset makes the subset a contiguous section (tile) of a ring of the weights of all endpoints. The ordinal determines
+// where the tile begins, so that all instances together reach each endpoint in proportion to its weight. An instance that has
+// ejected endpoints of its tile extends the tile along the ring. Draining endpoints are not on the ring: when they were, and many
+// drained at once, the few endpoints after them on the ring got their shares.
 func (b *Balancer) useTiledSubset(now time.Duration) {
 	total := b.index.ordered.Total()
 	listed := float64(b.index.len())
@@ -138,7 +139,7 @@
 	_, begin := math.Modf(float64(b.settings.Ordinal) * b.subset.size / listed)
 	b.clearSubset()
 	cursor, offset := b.index.ordered.Seek(begin*total, tolerance)
-	for range 2 * b.index.len() { // two rounds, as the first may begin inside an endpoint's weight
+	for range 2 * b.index.len() { // two rounds of the ring, as the tile may begin inside an endpoint's weight
 		if missing <= tolerance {
 			break
 		}
@@ -156,7 +157,7 @@
 	b.finishSubset(now)
 }
 
-// useHashSubset makes the subset the endpoints of this instance's hash share, each with its whole weight.
+// useHashSubset makes the subset the endpoints of this instance's hash share, each with its full weight.
 func (b *Balancer) useHashSubset(now time.Duration, widening float64) {
 	subset := &b.subset
 	share := b.hashShareFor(widening)
@@ -176,7 +177,8 @@
 	b.finishSubset(now)
 }
 
-// hashSubsetWidening returns the factor by which a hash share has to be widened because too few of its endpoints are usable.
+// hashSubsetWidening returns the factor by which the hash share has to be widened so that enough of its endpoints are usable. It is
+// a power of 2, and 1 if no widening is needed.
 func (b *Balancer) hashSubsetWidening() float64 {
 	subset := &b.subset
 	widening := 1.0
@@ -186,9 +188,9 @@
 	return widening
 }
 
-// hashShareFor returns this instance's hash share at a widening. If MaxSubsetSize makes it smaller than usual, the number of
-// owners of each endpoint depends on the length of the list, and a change of that number moves all shares. So it is rounded down
-// to a power of the fourth root of 2, and stays the same through most changes of the list.
+// hashShareFor returns this instance's hash share at a widening. If MaxSubsetSize makes the share smaller than usual, the number of
+// owners of each endpoint depends on the length of the list, and a change of that number moves all shares. Therefore it is rounded
+// down to a power of the fourth root of 2, so that most changes of the list do not change it.
 func (b *Balancer) hashShareFor(widening float64) hashring.Share {
 	const rounding = 1e-9
 	replicas := float64(callersPerEndpoint)
@@ -220,7 +222,8 @@
 	return usable
 }
 
-// clearSubset makes the subset empty. subset.add then adds parts of endpoints, and finishSubset ends the change.
+// clearSubset empties the subset before it is recomputed. Endpoints are then added by subset.add, and finishSubset must be called
+// after that.
 func (b *Balancer) clearSubset() {
 	subset := &b.subset
 	subset.previous = append(subset.previous[:0], b.endpointsIn(inSubset)...)
@@ -228,12 +231,12 @@
 		ep.index.previousWeight = ep.subsetWeight
 		ep.subsetWeight = 0
 	}
-	subset.all = false
+	subset.allEndpoints = false
 	subset.byHash = false
 	subset.members = subset.members[:0]
 }
 
-// finishSubset refreshes the endpoints whose part in the subset has changed since clearSubset.
+// finishSubset refreshes the endpoints whose part in the subset has changed since clearSubset was called.
 func (b *Balancer) finishSubset(now time.Duration) {
 	subset := &b.subset
 	subset.stale = false
@@ -255,7 +258,7 @@
 	}
 }
 
-// reportUnreached logs when the limit on subsets begins to leave endpoints without any instance, and when it no longer does.
+// reportUnreached logs when, because of MaxSubsetSize, some endpoints begin to be called by no instance, and when that ends.
 func (b *Balancer) reportUnreached() {
 	listed := b.index.len()
 	reached := int(b.subset.size*float64(b.settings.Instances) + 0.5)
@@ -272,8 +275,8 @@
 		b.settings.Instances, b.settings.MaxSubsetSize, reached, listed))
 }
 
-// Subset returns the endpoints that this instance calls, including ejected ones, each with the share of its weight that belongs
-// to this instance, from 0 to 1. It is meant for operators and measurements.
+// Subset returns the endpoints that this instance calls, including ejected ones, each with the share of its weight that is in this
+// instance's subset, above 0 and up to 1. It is meant for operators and measurements.
 func (b *Balancer) Subset() iter.Seq2[EndpointID, float64] {
 	return func(yield func(EndpointID, float64) bool) {
 		for _, ep := range b.endpointsIn(inSubset) {
@@ -285,8 +288,8 @@
 }
 
 // UpdateGroup replaces Settings.Instances and Ordinal by those of a group. Endpoints that leave the subset get no new first
-// attempts; what is known of them stays. It returns an error, and changes nothing, if the group is invalid. The group should be
-// stable, as each change moves subsets.
+// attempts, but their state is retained. If the group is invalid, UpdateGroup returns an error and changes nothing. The group
+// should change rarely, as each change moves subsets.
 func (b *Balancer) UpdateGroup(now time.Duration, g InstanceGroup) error {
 	if err := g.check(); err != nil {
 		return err
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// This file estimates the relative capacity of endpoints, by their listed weights, the service times that they report and the
+// This file estimates the relative capacity of endpoints from their listed weights, the service times that they report and the
 // latency of their answers.
 
 const (
 	kindLatencyWeight     = 0.02 // weight of one answer in the mean latency of its endpoint's kind
 	endpointLatencyWeight = 0.1  // weight of one answer in the mean latency of its endpoint
 	serviceTimeWeight     = 0.3  // weight of one report in an endpoint's mean service time
-	kindTrustSamples      = 4.0  // answers from which the latency of a kind is used, and as how many it counts beside an endpoint's own
+	// kindTrustSamples is the number of answers of a kind from which its latency is used. It is also the number of an endpoint's own
+	// answers that have the same weight as the latency of its kind.
+	kindTrustSamples = 4.0
 )
 
 // serviceTimes holds the mean service times that the endpoints of each machine kind report, in seconds.
 type serviceTimes struct {
-	kinds            []movingAverage // by kind
-	inverseSum       movingAverage   // sum of 1 / mean over the kinds that report
-	reporting        int             // number of kinds that report
-	settledReporting int             // number of kinds that reported when all endpoints were last refreshed
+	kinds              []movingAverage // mean service time, by kind
+	inverseSum         movingAverage   // inverseSum.mean is the sum of 1 / mean over the kinds that report
+	reporting          int             // number of kinds that report
+	reportingAtRefresh int             // number of kinds that reported when all endpoints were last refreshed
 }
 
-// add adds a service time in seconds. Values below the mean count more.
+// add adds a service time in seconds. Once there are enough samples, values above the mean have a lower weight.
 func (s *serviceTimes) add(kind int, seconds float64) {
 	for len(s.kinds) <= kind {
 		s.kinds = append(s.kinds, movingAverage{})
@@ -46,12 +48,13 @@
 
 // weightModel estimates the relative capacity of endpoints. The zero value treats all as equal.
 type weightModel struct {
-	useListed bool            // the listed weights differ, and are used
-	latencies []movingAverage // in mean latencies, by machine kind
+	useListed bool            // the listed weights differ, and are used for the estimate
+	latencies []movingAverage // latency by machine kind, in mean latencies
 	services  serviceTimes
 }
 
-// kindSpeed returns the speed of an endpoint's kind relative to other kinds, by the service times that they report; 1 if unknown.
+// kindSpeed returns the speed of an endpoint's kind relative to other kinds, by the service times that they report. It is 1 if the
+// kind reports none.
 func (w *weightModel) kindSpeed(ep *endpoint) float64 {
 	if !w.services.reports(ep.kind) {
 		return 1
@@ -59,7 +62,7 @@
 	return float64(w.services.reporting) / w.services.inverseSum.mean / w.services.kinds[ep.kind].mean
 }
 
-// trusted reports whether the latency of a kind is based on enough answers.
+// trusted reports whether the latency of a kind is based on enough answers to be used.
 func (w *weightModel) trusted(kind int) bool {
 	return kind < len(w.latencies) && w.latencies[kind].samples >= kindTrustSamples
 }
@@ -86,22 +89,23 @@
 }
 
 // effectiveWeight returns the estimated relative capacity of an endpoint: its listed weight, corrected by its latency relative to
-// its kind's, or if the listed weights are equal, what its latency and service time show.
+// the latency of its kind. If the listed weights are equal, the estimate is based on the reported service times or, if no endpoint
+// reports any, on the latency.
 func (w *weightModel) effectiveWeight(ep *endpoint) float64 {
 	switch {
 	case w.useListed:
 		return ep.listedWeight * w.kindLatencyRatio(ep) / w.latencyRatio(ep)
 	case len(w.services.kinds) == 0:
 		return 1 / w.latencyRatio(ep)
-	case ep.kind >= len(w.services.kinds): // a kind that has reported nothing
+	case ep.kind >= len(w.services.kinds): // no endpoint of the kind has reported a service time
 		return w.kindSpeed(ep)
 	}
 	return w.kindSpeed(ep) * w.services.kinds[ep.kind].ratioTo(&ep.serviceTime)
 }
 
-// drawWeight returns the weight of an endpoint in a draw: the part of its capacity that is in the subset, or all of it for a
-// retry outside of the subset. In a large fleet an instance has so few requests in flight that the draw, rather than the
-// comparison of loads, keeps small machines from getting as much as large ones.
+// drawWeight returns the weight of an endpoint in a draw: the part of its capacity that is in the subset, or its full capacity if
+// it is outside of the subset, where only retries use it. In a large fleet, an instance has so few requests in flight that the
+// draw, rather than the comparison of loads, prevents small machines from getting as many requests as large ones.
 func (w *weightModel) drawWeight(ep *endpoint) float64 {
 	if ep.subsetWeight > 0 {
 		return w.effectiveWeight(ep) * ep.subsetWeight / w.endpointWeight(ep)
@@ -109,8 +113,8 @@
 	return w.effectiveWeight(ep)
 }
 
-// kindDrift returns the ratio, at least 1, by which the factors that the draw weights of a kind's endpoints share may have
-// changed since these were refreshed.
+// kindDrift returns the largest ratio, at least 1, by which the factors common to the draw weights of a kind's endpoints may have
+// changed since the endpoints were refreshed.
 func (w *weightModel) kindDrift(kind int) float64 {
 	drift := w.services.inverseSum.drift()
 	if w.trusted(kind) {
@@ -122,30 +126,30 @@
 	return drift
 }
 
-// kinds returns the number of machine kinds that anything is known of.
+// kinds returns the number of machine kinds for which latencies or service times have been recorded.
 func (w *weightModel) kinds() int { return max(len(w.latencies), len(w.services.kinds)) }
 
-// settleKind records that the endpoints of a kind have been refreshed.
-func (w *weightModel) settleKind(kind int) {
+// markKindRefreshed records that the endpoints of a kind have been refreshed.
+func (w *weightModel) markKindRefreshed(kind int) {
 	if w.trusted(kind) {
-		w.latencies[kind].settle()
+		w.latencies[kind].markRefreshed()
 	}
 	if kind < len(w.services.kinds) {
-		w.services.kinds[kind].settle()
+		w.services.kinds[kind].markRefreshed()
 	}
 }
 
-// settleAll records that all endpoints have been refreshed.
-func (w *weightModel) settleAll() {
+// markAllRefreshed records that all endpoints have been refreshed.
+func (w *weightModel) markAllRefreshed() {
 	for kind := range w.kinds() {
-		w.settleKind(kind)
+		w.markKindRefreshed(kind)
 	}
-	w.services.inverseSum.settle()
-	w.services.settledReporting = w.services.reporting
+	w.services.inverseSum.markRefreshed()
+	w.services.reportingAtRefresh = w.services.reporting
 }
 
-// addLatency adds the latency of an answer, in mean latencies, to the means of its endpoint and of the endpoint's kind. An
-// endpoint with few answers is estimated by its kind.
+// addLatency adds the latency of an answer, in mean latencies, to the means of its endpoint and of the endpoint's kind. The mean of
+// the kind serves as the estimate for endpoints with few answers.
 func (w *weightModel) addLatency(ep *endpoint, ratio float64) {
 	if missing := ep.kind + 1 - len(w.latencies); missing > 0 {
 		w.latencies = append(w.latencies, make([]movingAverage, missing)...)
@@ -154,7 +158,7 @@
 	ep.latency.add(ratio, endpointLatencyWeight)
 }
 
-// recordLatency records an answer's latency for its class, the limits and the weights.
+// recordLatency updates the estimates of the class, the limits and the weights by the latency of an answer.
 func (b *Balancer) recordLatency(now time.Duration, c *class, ep *endpoint, elapsed time.Duration) {
 	latency := elapsed.Seconds()
 	c.latency.add(now, b.rateWindow, latency)
@@ -164,15 +168,15 @@
 	b.servedRate.add(now, b.rateWindow, 1)
 }
 
-// recordEndpointLatency records an answer's latency, in mean latencies, for the weights.
+// recordEndpointLatency updates the weights by the latency of an answer, in mean latencies.
 func (b *Balancer) recordEndpointLatency(now time.Duration, ep *endpoint, ratio float64) {
 	b.weights.addLatency(ep, ratio)
 	b.recordDrift(now, ep.kind, false)
 	b.refreshPools(now, ep)
 }
 
-// recordLoadReport records the service time that an endpoint reports. It shows the speed of a machine within one or two answers.
-// The latency of answers does not, as it includes the time of the tiers below.
+// recordLoadReport updates the weights by the service time that an endpoint reports, if any. The service time shows the speed of a
+// machine after one or two answers. The latency of answers does not, as it includes the time in the tiers below.
 func (b *Balancer) recordLoadReport(now time.Duration, ep *endpoint, load *Load) {
 	if load == nil || load.ServiceTime <= 0 {
 		return
