--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -12,27 +12,27 @@
 	id := fixture.request(read)
 	fixture.advance(1500 * ms)
 	if !slices.Equal(fixture.rejections, []RequestID{id}) {
-		t.Errorf("rejected %v, want %s, as there is no endpoint", fixture.rejections, id)
+		t.Errorf("no endpoint is listed: rejected %v, want %s", fixture.rejections, id)
 	}
 	fixture = start(t, settings(), 2)
 	fixture.balancer.HandleRequest(fixture.now, Request{ID: "late", TimeLeft: 0})
 	if len(fixture.rejections) != 1 || len(fixture.sent) > 0 {
-		t.Errorf("rejected %v, sent %v for a request with no time left", fixture.rejections, fixture.sent)
+		t.Errorf("request with no time left: rejected %v, sent %v, want only the rejection", fixture.rejections, fixture.sent)
 	}
 }
 
-// Endpoints would be saturated by a burst. Its requests are pending instead, and those that cannot be served in time are rejected.
+// A burst must not saturate the endpoints: its requests become pending, and those that cannot be served in time are rejected.
 func TestBurstIsPendingAndRejectedEarly(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	fixture.serveRequests(200, nil)
 	before := len(fixture.sent)
 	fixture.requestMany(200)
 	if sent := len(fixture.sent) - before; sent > 20 {
-		t.Errorf("%d of a burst of 200 were sent at once to 2 endpoints", sent)
+		t.Errorf("%d of a burst of 200 requests were sent at once to 2 endpoints, want at most 20", sent)
 	}
 	fixture.advance(1100 * ms)
 	if len(fixture.rejections) < 100 {
-		t.Errorf("%d rejected by their latency target, want nearly all", len(fixture.rejections))
+		t.Errorf("%d of 200 rejected by their latency target, want at least 100", len(fixture.rejections))
 	}
 }
 
@@ -44,29 +44,29 @@
 		fixture := start(t, config, 2)
 		fixture.serveRequests(200, nil)
 		fixture.requestMany(burst)
-		fixture.advance(250 * ms) // until the rate shows that none is answered
+		fixture.advance(250 * ms) // until the rate of answers shows that none is answered
 		rate := fixture.balancer.servedRate.value(fixture.now, fixture.balancer.rateWindow)
 		if len(fixture.rejections) == 0 {
-			t.Fatalf("nothing of a burst of %d was rejected", burst)
+			t.Fatalf("no request of a burst of %d was rejected, want some", burst)
 		}
 		queue := seconds(float64(len(fixture.balancer.pending)) / rate)
 		for _, after := range fixture.retryAfter {
 			if after > config.MaxRetryAfter || after < min(queue, config.MaxRetryAfter) {
-				t.Fatalf("of a burst of %d: retry after %v, want %v for the pending requests", burst, after, queue)
+				t.Fatalf("burst of %d: retry after %v, want at least %v for the pending requests, or the maximum", burst, after, queue)
 			}
 		}
 	}
 	fixture := start(t, config, 2)
 	fixture.balancer.HandleRequest(fixture.now, Request{ID: "late", Class: read})
 	if !slices.Equal(fixture.retryAfter, []time.Duration{0}) {
-		t.Errorf("retry after %v, while no rate is known", fixture.retryAfter)
+		t.Errorf("rejection before any answer: retry after %v, want one of 0", fixture.retryAfter)
 	}
 }
 
-// Pending requests are sent in the order of what they add to the goal of the site: their value, and more for the class that is
-// served worst.
+// Pending requests are sent in the order of what they add to the optimized value: the value of their class, and the weight of the
+// worst-served class.
 func TestValuableClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
-	released := func(worstClassWeight float64) (byClass [3]int) {
+	sentByClass := func(worstClassWeight float64) (byClass [3]int) {
 		config := settings()
 		config.Classes[pay].Value, config.TotalValueWeight, config.WorstClassWeight = 5, 1, worstClassWeight
 		fixture := start(t, config, 1)
@@ -93,17 +93,18 @@
 		}
 		return byClass
 	}
-	if n := released(0); n[pay] == 0 || n[read] > 0 {
-		t.Errorf("released %d valuable calls and %d others by value alone, want valuable ones only", n[pay], n[read])
+	if n := sentByClass(0); n[pay] == 0 || n[read] > 0 {
+		t.Errorf("worst-class weight 0: %d valuable requests and %d others sent, want valuable ones only", n[pay], n[read])
 	}
-	if n := released(50); n[read] == 0 || n[pay] > 0 {
-		t.Errorf("released %d valuable calls and %d of the class served worst, want the latter only", n[pay], n[read])
+	if n := sentByClass(50); n[read] == 0 || n[pay] > 0 {
+		t.Errorf("worst-class weight 50: %d valuable requests and %d of the worst-served class sent, want the latter only", n[pay], n[read])
 	}
 }
 
-// The time that has elapsed for a client that retries counts towards its latency target. If its time left does not show that time,
-// what other retries show is assumed. Served as if they were new, retries filled a tier with calls that missed their target.
-func TestRetriesThatCannotMeetTheirTargetGiveWay(t *testing.T) {
+// The time that has elapsed for a client that retries counts towards its latency target. If the remaining time does not show it, the
+// mean of the retries that do show it is assumed. When retries were treated as new requests, they filled a tier with calls that
+// missed their target.
+func TestRetriesThatMissTheirTargetAreRejectedFirst(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	fixture.serveRequests(200, nil)
 	fixture.balancer.HandleRequest(fixture.now, Request{ID: "first", Class: book, TimeLeft: 3 * time.Second})
@@ -116,13 +117,13 @@
 	before := len(fixture.rejections)
 	fixture.balancer.HandleRequest(fixture.now, Request{ID: "repeat", TimeLeft: 1500 * ms, Retry: true})
 	if got := fixture.rejections[before:]; !slices.Equal(got, []RequestID{"repeat"}) {
-		t.Errorf("rejected %v on a full tier, want the retry at once", got)
+		t.Errorf("retry at a full tier: rejected %v, want the retry at once", got)
 	}
 }
 
-// A burst of requests is not rejected if the endpoints serve it fast, after a start and after a time without requests. If nothing is
-// answered, the requests are only pending until the rate shows it.
-func TestCrowd(t *testing.T) {
+// A burst of requests is not rejected if the endpoints serve it fast, both after a start and after a time without requests. If no
+// request is answered, most pending ones are rejected once the rate of answers shows it.
+func TestBurstIsNotRejectedIfServedFast(t *testing.T) {
 	for _, quiet := range []time.Duration{0, time.Minute} {
 		fixture := start(t, settings(), 8)
 		if quiet > 0 {
@@ -138,7 +139,10 @@
 			fixture.advance(200 * ms)
 		}
 		if len(fixture.rejections) > 0 || len(fixture.balancer.requests) > 0 {
-			t.Errorf("after %v: %d of 3,000 were rejected, %d are left", quiet, len(fixture.rejections), len(fixture.balancer.requests))
+			t.Errorf(
+				"after %v without requests: %d of 3,000 rejected, %d unfinished, want none of either",
+				quiet, len(fixture.rejections), len(fixture.balancer.requests),
+			)
 		}
 	}
 	fixture := start(t, settings(), 8)
@@ -146,7 +150,7 @@
 	fixture.advance(1100 * ms) // no response, for longer than the rate's window
 	fixture.request(read)
 	if n := len(fixture.balancer.pending); n > 8 {
-		t.Errorf("%d are pending at endpoints that answer nothing", n)
+		t.Errorf("%d requests are pending while endpoints answer none, want at most 8", n)
 	}
 }
 
@@ -157,7 +161,7 @@
 	}
 }
 
-// serveAll serves all attempts, and those that are sent meanwhile, at eight a millisecond.
+// serveAll serves all attempts, including those that are sent meanwhile, at eight per millisecond.
 func (f *fixture) serveAll() {
 	for i := 0; i < len(f.sent); i++ {
 		if i%8 == 0 {
@@ -175,13 +179,13 @@
 	inFlight    []serialCall
 }
 
-// serialCall is a call and when it will have been served.
+// serialCall is an attempt in flight and the time at which it will have been served.
 type serialCall struct {
 	attempt
 	endsAt time.Duration
 }
 
-// step accepts the attempts that were sent, and finishes those that have been served by now.
+// step accepts the attempts that were sent, and finishes those that have been served by the current time.
 func (s *serialEndpoints) step() {
 	for _, a := range s.sent {
 		endsAt := s.now + s.serviceTime
@@ -202,8 +206,8 @@
 	})
 }
 
-// If there are more requests than the endpoints can serve, the requests of about two seconds are pending, and the others are rejected
-// at once.
+// If there are more requests than the endpoints can serve, as many are pending as are served in about two seconds, and the others are
+// rejected at once.
 func TestOverloadIsRejectedEarly(t *testing.T) {
 	config := settings()
 	config.Classes[read].LatencyTarget, config.Classes[read].Deadline = time.Minute, 2*time.Minute
@@ -221,6 +225,6 @@
 		}
 	}
 	if maxPending > 150 {
-		t.Errorf("%d were pending at a tier that serves 40 a second", maxPending)
+		t.Errorf("up to %d requests were pending at a tier that serves 40 a second, want at most 150", maxPending)
 	}
 }
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// discardHost is a Host that keeps only the endpoint of the last attempt.
+// discardHost is a Host that records only the endpoint of the last attempt, or 0 after a rejection.
 type discardHost struct{ to EndpointID }
 
 func (d *discardHost) Send(_ RequestID, to EndpointID, _ time.Duration) { d.to = to }
@@ -32,7 +32,8 @@
 
 func (d *discardHost) Log(string) {}
 
-// BenchmarkDecision measures a request with its outcome, at a thousand a second with a tick every 5 ms, by the number of endpoints.
+// BenchmarkDecision measures the handling of a request and its outcome, by the number of endpoints. A thousand requests arrive per
+// second, with a tick every 5 ms.
 func BenchmarkDecision(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) { benchmarkDecision(b, endpoints) })
@@ -67,7 +68,7 @@
 		}
 	}
 	if sent*10 < b.N*9 {
-		b.Errorf("%d of %d were sent", sent, b.N)
+		b.Errorf("%d of %d requests were sent, want at least nine in ten", sent, b.N)
 	}
 }
 
@@ -78,7 +79,7 @@
 	return ListEntry{Endpoint: EndpointID(id), Cell: id / 2, Weight: 1, StartedAt: time.Duration(startedAt)}
 }
 
-// benchFullList returns a full list of the IDs from one on.
+// benchFullList returns a full list of benchEndpoints consecutive IDs, beginning with from.
 func benchFullList(from int) EndpointList {
 	list := EndpointList{Kind: ListFull}
 	for i := range benchEndpoints {
@@ -87,14 +88,14 @@
 	return list
 }
 
-// benchState returns the ith update: every even one sets the state of an endpoint, and the next one sets it to ready again.
+// benchState returns the i-th update of a sequence: each even one sets the state of an endpoint, and the next sets it to ready again.
 func benchState(i int, state EndpointState) EndpointList {
 	entry := benchEntry(1+i/2*7919%benchEndpoints, 0)
 	entry.State = []EndpointState{state, EndpointReady}[i%2]
 	return EndpointList{Entries: []ListEntry{entry}}
 }
 
-// benchRestarts returns the ith update, in which a thousand endpoints have restarted.
+// benchRestarts returns the i-th update of a sequence, each of which lists a thousand endpoints that have restarted.
 func benchRestarts(i int) (list EndpointList) {
 	for k := range 1000 {
 		list.Entries = append(list.Entries, benchEntry(1+(i*1000+k)%benchEndpoints, i+1))
@@ -102,8 +103,8 @@
 	return list
 }
 
-// BenchmarkList measures updates of a list with 10,000 endpoints: a change of one entry, of 1,000, the same full list again, and one
-// that replaces all; for the only instance, and for one of 200.
+// BenchmarkList measures updates of a list with 10,000 endpoints, for a single instance and for one of 200 instances: a change of one
+// entry, a change of 1,000, the same full list again, and a full list that replaces all endpoints.
 func BenchmarkList(b *testing.B) {
 	for _, instances := range []int{1, 200} {
 		for _, c := range []struct {
@@ -130,7 +131,7 @@
 		b.Fatal(err)
 	}
 	balancer.HandleEndpoints(0, benchFullList(1))
-	full := [2]EndpointList{update(0), update(1)} // made once, as that takes long
+	full := [2]EndpointList{update(0), update(1)} // created once, as that takes long
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list := full[i%2]
--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The capacity of endpoints is not known beforehand. An endpoint that becomes slow shows that it is saturated, and lowers the limit
-// of calls in flight.
+// The capacity of endpoints is not known in advance. An endpoint that becomes much slower than the others is saturated, and the limit
+// on calls in flight falls.
 func TestSaturatedEndpointShrinksTheQueue(t *testing.T) {
 	sentOfBurst := func(latencyOfFirst time.Duration) int {
 		fixture := start(t, settings(), 16)
@@ -28,11 +28,11 @@
 		return len(fixture.sent) - before
 	}
 	if equal, saturated := sentOfBurst(100*ms), sentOfBurst(500*ms); saturated >= equal {
-		t.Errorf("%d of a burst are sent after one endpoint was saturated, %d without", saturated, equal)
+		t.Errorf("%d of a burst of 100 sent after one endpoint was saturated, %d without, want fewer", saturated, equal)
 	}
 }
 
-// The first answers are those of short calls. A base latency from these alone would reject nearly all requests.
+// The first answers are those of the shortest calls. With a base latency from these alone, nearly all requests would be rejected.
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
 	fixture := start(t, settings(), 10)
 	for i := range 40 {
@@ -42,11 +42,11 @@
 	before := len(fixture.sent)
 	fixture.requestMany(40)
 	if n := len(fixture.sent) - before; n < 40 {
-		t.Errorf("%d of 40 sent at once to 10 endpoints, want all", n)
+		t.Errorf("%d of 40 requests sent at once to 10 endpoints, want all", n)
 	}
 }
 
-// Stuck calls lower the rate of answers. A limit without a minimum would follow it and never recover.
+// Stuck calls lower the rate of answers. Without a minimum, the limit would fall with the rate and never recover.
 func TestLimitRecoversFromStuckCalls(t *testing.T) {
 	fixture := start(t, settings(), 6)
 	fixture.serveRequests(100, nil)
@@ -54,12 +54,12 @@
 	before := len(fixture.sent)
 	fixture.requestMany(6)
 	if n := len(fixture.sent) - before; n < 6 {
-		t.Errorf("%d of 6 sent after a long pause, want all", n)
+		t.Errorf("%d of 6 requests sent 30 s after the last answer, want all", n)
 	}
 }
 
-// Endpoints that reject all calls or are not reachable get no more attempts from many instances than from few, although each
-// instance has to find that out by itself and goes on with the next endpoint at once.
+// Endpoints that reject all calls or are unreachable get no more attempts from many instances than from few, although each instance
+// has to learn their state by its own attempts, and repeats each rejected attempt at another endpoint at once.
 func TestRejectedAttemptsDoNotGrowWithTheInstances(t *testing.T) {
 	const endpoints, perSecond, length = 16, 400, 4 * time.Second
 	for _, status := range []Status{StatusRejected, StatusConnectFailed} {
@@ -74,16 +74,16 @@
 				}
 			}
 			if len(attempts) == 0 {
-				t.Errorf("%v, %d instances: no attempts", status, instances)
+				t.Errorf("status %v, %d instances: no endpoint got an attempt", status, instances)
 				continue
 			}
 			maxAttempts := slices.Max(slices.Collect(maps.Values(attempts)))
-			// On average an endpoint gets an attempt a second, and what may be in flight initially: initialCallsPerEndpoint, and
-			// the slack of each instance. As endpoints are drawn at random, one may get more.
+			// On average, an endpoint gets an attempt per second, plus the attempts that may be in flight initially, which are
+			// initialCallsPerEndpoint and the slack of each instance. As endpoints are drawn at random, one may get more.
 			mean := length.Seconds() + initialCallsPerEndpoint + float64(instances)*(concurrencySlack+rejectionReserve)/endpoints
 			if float64(maxAttempts) > 2*mean+6 {
 				t.Errorf(
-					"%v, %d instances: %d attempts at one endpoint in %v, %.0f on average allowed",
+					"status %v, %d instances: %d attempts at one endpoint in %v, want at most twice the mean %.0f, and 6",
 					status, instances, maxAttempts, length, mean,
 				)
 			}
@@ -91,7 +91,7 @@
 	}
 }
 
-// startInstances starts all instances of a tier, each with its own random numbers.
+// startInstances starts all instances of a tier, each with its own random generator.
 func startInstances(t *testing.T, instances, endpoints int) (all []*fixture) {
 	t.Helper()
 	for i := range instances {
@@ -104,7 +104,8 @@
 	return all
 }
 
-// finishAll finishes all attempts, and those that are sent meanwhile, with a status. It adds them to the attempts by endpoint.
+// finishAll finishes all attempts with a status, including those that are sent meanwhile. It adds their numbers by endpoint to
+// attempts.
 func (f *fixture) finishAll(status Status, attempts map[EndpointID]int) {
 	for len(f.sent) > 0 {
 		a := f.sent[0]
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestDrainingGetsNothingNewAndKeepsItsCalls(t *testing.T) {
+func TestDrainingEndpointKeepsItsCallsAndGetsNoNewOnes(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	for range 4 {
 		fixture.request(read)
@@ -15,21 +15,21 @@
 	running := slices.Clone(fixture.sent)
 	fixture.updateEndpoint(ListEntry{Endpoint: 1, State: EndpointDraining})
 	if len(fixture.cancels) > 0 {
-		t.Error("a running call was cancelled when its endpoint drained")
+		t.Error("a call in flight was cancelled when its endpoint began to drain")
 	}
 	for _, s := range running {
 		fixture.finish(s, StatusOK, 10*ms)
 	}
 	if got := fixture.serveRequests(20, nil); got[1] != 0 || got[2] != 20 {
-		t.Errorf("sends by endpoint %v, want all 20 to 2", got)
+		t.Errorf("while endpoint 1 drains: sends by endpoint %v, want all 20 to 2", got)
 	}
 	fixture.updateEndpoint(ListEntry{Endpoint: 1})
 	if got := fixture.serveRequests(20, nil); got[1] == 0 {
-		t.Error("an endpoint that is ready again gets nothing")
+		t.Error("an endpoint that is ready again got none of 20 requests")
 	}
 }
 
-// Removed endpoints are forgotten, and calls that are still in flight to them end normally.
+// The state of removed endpoints is deleted, and calls that are still in flight to them end normally.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	fixture := start(t, settings(), 1)
 	for i := 2; i < 100; i++ {
@@ -50,35 +50,35 @@
 	b := fixture.balancer
 	if len(b.endpointsByID) != 1 || len(b.listed) != 1 || len(b.requests) != 0 || b.inFlight != 0 {
 		t.Errorf(
-			"%d endpoints, %d listed, %d requests, %d in flight",
+			"state after 98 removals: %d endpoints, %d listed, %d requests, %d in flight; want 1, 1, 0, 0",
 			len(b.endpointsByID), len(b.listed), len(b.requests), b.inFlight,
 		)
 	}
 }
 
-func TestAskSubscribesAndBacksOff(t *testing.T) {
+func TestFailedSubscriptionsBackOff(t *testing.T) {
 	config := settings()
 	config.MustSubscribe = true
 	fixture := start(t, config, 2)
 	if fixture.watches != 0 {
-		t.Error("subscribed at once, so that all instances that start together would subscribe together")
+		t.Error("subscribed without a delay: instances that start together would subscribe together")
 	}
 	fixture.advance(time.Second)
 	if fixture.watches != 1 {
-		t.Fatalf("%d watches in the first second, want 1", fixture.watches)
+		t.Fatalf("%d subscriptions in the first second, want 1", fixture.watches)
 	}
 	for range 40 {
 		fixture.balancer.HandleEndpoints(fixture.now, EndpointList{Kind: ListFailed})
 		fixture.advance(time.Second)
 	}
 	if fixture.watches < 4 || fixture.watches > 30 {
-		t.Errorf("%d watches in 40 s of failures, want a growing backoff", fixture.watches)
+		t.Errorf("%d subscriptions in 40 s of failures, want 4 to 30 by a growing backoff", fixture.watches)
 	}
 }
 
-// A failure may concern many instances at once. The number of lists that they fetch does not grow with the number of instances, as
-// each decides at random.
-func TestListsAreFetchedByLot(t *testing.T) {
+// A failure may affect many instances at once. The number of lists that they fetch does not grow with the number of instances, as
+// each instance decides at random whether to fetch.
+func TestListFetchesDoNotGrowWithTheInstances(t *testing.T) {
 	for instances, want := range map[int][2]int{8: {8, 8}, 200: {4, 40}} {
 		fetches := 0
 		for i := range instances {
@@ -91,7 +91,7 @@
 			fetches += fixture.fetches
 		}
 		if fetches < want[0] || fetches > want[1] {
-			t.Errorf("%d instances fetch %d lists, want %v", instances, fetches, want)
+			t.Errorf("%d instances fetched %d lists, want a number in %v", instances, fetches, want)
 		}
 	}
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/balancer"
 )
 
-// printer is a Host that prints the actions it is asked for.
+// printer is a Host that prints the actions that the Balancer requests.
 type printer struct{}
 
 func (printer) Send(id balancer.RequestID, to balancer.EndpointID, _ time.Duration) {
@@ -24,7 +24,7 @@
 func (printer) CloseIdleConnections(balancer.EndpointID)      {}
 func (printer) Log(text string)                               { fmt.Println("log:", text) }
 
-// A Balancer is fed events with their times, and acts through its Host.
+// A Balancer is passed events with their times, and requests actions through its Host.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Instances: 1, Quantum: time.Millisecond, MaxAttempts: 3, ConnectTimeout: 100 * time.Millisecond,
--- a/internal/balancer/fixture_test.go
+++ b/internal/balancer/fixture_test.go
@@ -13,19 +13,19 @@
 type attempt struct {
 	id      RequestID
 	to      EndpointID
-	number  int // of the attempts of its request, from 0
-	timeout time.Duration
+	number  int           // index among the attempts of the request, from 0
+	timeout time.Duration // 0 if only the deadline limits the attempt
 }
 
-// recorder is a Host that records the calls of its methods. It also has the time of the test.
+// recorder is a Host that records the calls of its methods. It also holds the current time of the test.
 type recorder struct {
 	now               time.Duration
 	sent              []attempt
-	attempts          map[RequestID]int // sent so far
+	attempts          map[RequestID]int // number of attempts sent so far
 	fails, rejections []RequestID
-	retryAfter        []time.Duration          // of each rejection
-	cancels           []attempt                // id and number only
-	timers            map[uint64]time.Duration // time at which each fires, by token
+	retryAfter        []time.Duration          // retryAfter argument of each rejection
+	cancels           []attempt                // cancelled attempts, with id and number only
+	timers            map[uint64]time.Duration // time at which each timer fires, by token
 	watches, fetches  int
 	logs              []string
 }
@@ -95,10 +95,10 @@
 	*recorder
 	t            *testing.T
 	balancer     *Balancer
-	requestCount int // so far, for their IDs
+	requestCount int // number of requests so far, from which request IDs are made
 }
 
-// start returns a Balancer with a number of available endpoints. Their IDs count from 1, and each cell has two of them.
+// start returns a Balancer with a number of available endpoints. Their IDs are consecutive from 1, and each cell has two endpoints.
 func start(t *testing.T, config Settings, endpoints int) *fixture {
 	t.Helper()
 	host := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
@@ -132,14 +132,14 @@
 	return RequestID(fmt.Sprint("r", f.requestCount))
 }
 
-// finish delivers the outcome of an attempt.
+// finish delivers the outcome of an attempt. It is final if the status is StatusOK.
 func (f *fixture) finish(a attempt, status Status, elapsed time.Duration) {
 	f.balancer.HandleOutcome(f.now, Outcome{
 		ID: a.id, Endpoint: a.to, Attempt: a.number, Final: status == StatusOK, Status: status, Elapsed: elapsed,
 	})
 }
 
-// advance lets time pass in steps of 2 ms, and fires timers.
+// advance advances the time in steps of 2 ms, and fires the timers that expire.
 func (f *fixture) advance(by time.Duration) {
 	for until := f.now + by; f.now < until; f.now += 2 * ms {
 		for _, token := range []uint64{timerTick, timerWatch} {
@@ -151,8 +151,8 @@
 	}
 }
 
-// serveRequests delivers n requests one after another. Each attempt takes 20 ms and ends with what status returns for its endpoint,
-// or with StatusOK if status is nil. It returns the number of attempts by endpoint.
+// serveRequests delivers n requests one after another. Each attempt takes 20 ms and ends with the status that the function status
+// returns for its endpoint, or with StatusOK if the function is nil. It returns the number of attempts by endpoint.
 func (f *fixture) serveRequests(n int, status func(to EndpointID) Status) map[EndpointID]int {
 	attempts := map[EndpointID]int{}
 	for range n {
@@ -173,8 +173,9 @@
 	return attempts
 }
 
-// soaked returns the factor by which `make soak` plays more than `make test`: times in the former, 1 in the latter.
-func soaked(times int) int {
+// soakFactor returns the factor by which a test does more work in `make soak` than in `make test`: times in the former, 1 in the
+// latter.
+func soakFactor(times int) int {
 	if os.Getenv("SOAK") == "" {
 		return 1
 	}
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -14,9 +14,9 @@
 	"quincegap/internal/golden"
 )
 
-// The golden files of this package have the actions of a Balancer over random events. The same seed has to give the same actions in
-// the same order, as replayed simulations depend on it. Another order of random draws, of the elements of a map or of the additions
-// of floating-point numbers shows as another digest.
+// The golden files of this package contain a digest of the actions of a Balancer for random events. The same seed has to give the
+// same actions in the same order, as replayed simulations depend on it. A different order of random draws, of the elements of a map
+// or of floating-point additions changes the digest.
 
 // call is an attempt that is in flight.
 type call struct {
@@ -26,21 +26,21 @@
 	sentAt  time.Duration
 	timeout time.Duration // 0 for none
 	endsAt  time.Duration
-	status  balancer.Status
+	status  balancer.Status // status with which the call will end
 }
 
-// recordingHost is a Host that adds each action to a digest, and keeps the calls in flight. The names of the actions in the digest are
-// data.
+// recordingHost is a Host that adds each action to a digest, and keeps the calls in flight. The names of the actions are part of the
+// digest and must not change.
 type recordingHost struct {
 	now      time.Duration
 	digest   hash.Hash
-	counts   map[string]int // by action
-	first    []string       // the first actions, for the reader of a golden file
+	counts   map[string]int // number of actions, by name
+	first    []string       // first actions, which a golden file shows as text
 	inFlight []call
-	rng      *rand.Rand // of the endpoints, not of the Balancer
+	rng      *rand.Rand // random generator of the events, not of the Balancer
 	attempts map[balancer.RequestID]int
 	timers   map[uint64]time.Duration
-	final    map[balancer.RequestID]bool // requests with a final answer
+	final    map[balancer.RequestID]bool // requests that have got their final answer
 }
 
 // firstActions is the number of actions that a golden file shows in full.
@@ -75,7 +75,8 @@
 	r.attempts[id]++
 }
 
-// drawOutcome draws the end of a call. Some endpoints are slower than others, some fail more often, and all are slow at times.
+// drawOutcome draws the end time and the status of a call. Some endpoints are slower than others, some fail more often, and all are
+// slow in one second of four.
 func (r *recordingHost) drawOutcome(sent call) call {
 	latency := time.Duration((0.2 + r.rng.ExpFloat64()) * float64(1+sent.to%3) * float64(5*time.Millisecond))
 	if r.now/time.Second%4 == 2 {
@@ -130,16 +131,16 @@
 func (r *recordingHost) CloseIdleConnections(to balancer.EndpointID) { r.record("closeIdle", to) }
 func (r *recordingHost) Log(text string)                             { r.record("log", text) }
 
-// scenario is a fleet and the events in it.
+// scenario describes a fleet and the events in it.
 type scenario struct {
-	name      string // of the golden file too: data
+	name      string // name of the scenario, which is also part of its golden file's name
 	endpoints int
-	perSecond int // requests
-	change    func(*balancer.Settings)
-	weighted  bool // the listed weights differ
-	reports   bool // endpoints report their load
-	regroups  bool // the group of instances changes
-	leaves    bool // the instance shuts down near the end
+	perSecond int                      // requests per second
+	change    func(*balancer.Settings) // changes goldenSettings for the scenario
+	weighted  bool                     // the listed weights differ
+	reports   bool                     // endpoints report their load
+	regroups  bool                     // the group of instances changes at times
+	leaves    bool                     // the instance shuts down near the end
 }
 
 var scenarios = []scenario{
@@ -171,7 +172,7 @@
 	}},
 }
 
-// goldenSettings returns settings with classes of every kind, and the changes of a scenario.
+// goldenSettings returns settings with classes of every idempotency and key scope, as changed by a scenario.
 func goldenSettings(change func(*balancer.Settings)) balancer.Settings {
 	class := func(name string, idempotency balancer.Idempotency, scope balancer.KeyScope, value float64) balancer.Class {
 		return balancer.Class{
@@ -219,10 +220,10 @@
 	t            *testing.T
 	b            *balancer.Balancer
 	settings     balancer.Settings
-	requestCount int // so far
+	requestCount int // number of requests so far
 }
 
-// entry returns the entry of an endpoint that is ready.
+// entry returns the list entry of an endpoint that is ready.
 func (p *player) entry(id int) balancer.ListEntry {
 	entry := balancer.ListEntry{Endpoint: balancer.EndpointID(id), Zone: id % 3, MachineKind: id % 4, Cell: id / 2, Weight: 1}
 	if p.weighted {
@@ -360,7 +361,7 @@
 	}
 }
 
-// fireTimers delivers the timers that are due, the lowest token first.
+// fireTimers fires the timers that are due, the lowest token first.
 func (p *player) fireTimers() {
 	for token := range uint64(2) {
 		if fireAt, ok := p.timers[token]; ok && fireAt <= p.now {
@@ -395,7 +396,7 @@
 	}
 }
 
-// addClass adds a class that is the same as the first one.
+// addClass adds a copy of the first class.
 func (p *player) addClass() {
 	if _, err := p.b.AddClass(p.settings.Classes[0]); err != nil {
 		p.t.Fatal(err)
@@ -425,7 +426,7 @@
 	}
 }
 
-// lastSend is a Host that keeps only the endpoint of the last attempt, without an allocation.
+// lastSend is a Host that records only the endpoint of the last attempt, without an allocation.
 type lastSend struct{ to balancer.EndpointID }
 
 func (l *lastSend) Send(_ balancer.RequestID, to balancer.EndpointID, _ time.Duration) { l.to = to }
@@ -440,20 +441,20 @@
 func (l *lastSend) CloseIdleConnections(balancer.EndpointID)                           {}
 func (l *lastSend) Log(string)                                                         {}
 
-// A decision, from a request to its outcome, allocates no more than when these limits were measured.
+// The handling of a request and its outcome allocates no more than these limits.
 func TestDecisionAllocations(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		endpoints      int
-		maxAllocations float64 // for each decision
+		maxAllocations float64 // maximum for each decision
 	}{{10, 1}, {100, 1}, {1000, 1}} {
-		t.Run(fmt.Sprint(c.endpoints), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.endpoints), func(t *testing.T) {
 			host := &lastSend{}
 			b, err := balancer.New(goldenSettings(func(*balancer.Settings) {}), 7, host)
 			if err != nil {
 				t.Fatal(err)
 			}
 			list := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
-			for id := range c.endpoints {
+			for id := range test.endpoints {
 				list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id + 1), Cell: id / 2, Weight: 1})
 			}
 			now := time.Second
@@ -466,19 +467,19 @@
 				b.HandleTimer(now, 0)
 			}
 			for range 1000 {
-				decide() // until buffers have grown
+				decide() // lets buffers grow before the measurement
 			}
-			if got := testing.AllocsPerRun(2000, decide); got > c.maxAllocations {
-				t.Errorf("%v allocations a decision, at most %v", got, c.maxAllocations)
+			if got := testing.AllocsPerRun(2000, decide); got > test.maxAllocations {
+				t.Errorf("%v allocations per decision, want at most %v", got, test.maxAllocations)
 			} else {
-				t.Logf("%v allocations a decision", got)
+				t.Logf("%v allocations per decision", got)
 			}
 		})
 	}
 }
 
-// Settings files, the simulator's protocol and operators' tools depend on these values.
-func TestValuesAreData(t *testing.T) {
+// Settings files, the simulator's protocol and operators' tools depend on these values, so they must not change.
+func TestEnumValuesAreStable(t *testing.T) {
 	for got, want := range map[any]any{
 		balancer.Idempotent:            balancer.Idempotency("safe"),
 		balancer.IdempotentWithKey:     balancer.Idempotency("keyed"),
@@ -504,7 +505,7 @@
 		balancer.ListFailed:            balancer.ListKind(3),
 	} {
 		if got != want {
-			t.Errorf("%v, want %v", got, want)
+			t.Errorf("the value of an exported constant is %v, want %v", got, want)
 		}
 	}
 }
--- a/internal/balancer/index_test.go
+++ b/internal/balancer/index_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// verify compares the content of the index, the subset, the pools and the queues with a scan of all endpoints.
+// verify checks the content of the index, the subset, the pools and the queues against a scan of all endpoints.
 func verify(tb testing.TB, b *Balancer, now time.Duration) {
 	tb.Helper()
 	b.enqueueDue(now)
@@ -19,7 +19,7 @@
 	}
 	for i, ep := range b.listed {
 		if i > 0 && b.listed[i-1].id >= ep.id || !ep.listed || b.endpointsByID[ep.id] != ep {
-			tb.Fatalf("the list is out of order at %d", ep.id)
+			tb.Fatalf("the list is out of order, or inconsistent with the known endpoints, at endpoint %d", ep.id)
 		}
 		verifyIndexed(tb, b, ep)
 		verifyPooled(tb, b, now, ep)
@@ -31,12 +31,12 @@
 	verifyWeights(tb, b)
 }
 
-// verifyIndexed checks that the index contains an endpoint if, and only if, requests may be sent to it.
+// verifyIndexed checks that the index contains an endpoint if and only if it is not draining.
 func verifyIndexed(tb testing.TB, b *Balancer, ep *endpoint) {
 	tb.Helper()
 	indexed := ep.availability != draining
 	if ep.index.indexed != indexed || slices.Contains(b.index.byCell[ep.cell], ep) != indexed {
-		tb.Fatalf("endpoint %d: availability %d, indexed %v", ep.id, ep.availability, ep.index.indexed)
+		tb.Fatalf("endpoint %d has availability %d; indexed %v, or its cell differs from that", ep.id, ep.availability, ep.index.indexed)
 	}
 }
 
@@ -59,7 +59,7 @@
 	want := expectedPool(ep)
 	if ep.index.pooled != (want != noPool) || ep.index.pooled && ep.index.pool != want {
 		tb.Fatalf(
-			"endpoint %d: availability %d, subset weight %v; pooled %v in %d",
+			"endpoint %d has availability %d and subset weight %v, which is inconsistent with pooled %v, pool %d",
 			ep.id, ep.availability, ep.subsetWeight, ep.index.pooled, ep.index.pool,
 		)
 	}
@@ -69,13 +69,13 @@
 	weight := b.weights.drawWeight(ep) * b.capacityShare(now, ep)
 	if weight > ep.index.bound*b.pools.boundSlack*(1+1e-9) {
 		tb.Fatalf(
-			"endpoint %d: weight %v over its bound %v, slack %v, pool %d",
+			"endpoint %d has weight %v, above its bound %v with slack %v in pool %d",
 			ep.id, weight, ep.index.bound, b.pools.boundSlack, want,
 		)
 	}
 }
 
-// verifyHashShare checks that a subset by hash contains an endpoint if, and only if, the hash share owns it.
+// verifyHashShare checks that a subset by hash contains an endpoint if and only if the hash share owns it.
 func verifyHashShare(tb testing.TB, b *Balancer, ep *endpoint) {
 	tb.Helper()
 	if !b.subset.byHash {
@@ -84,13 +84,14 @@
 	owned := ep.availability != draining && b.subset.share.Owns(uint32(ep.id))
 	if (ep.subsetWeight > 0) != (owned && b.weights.endpointWeight(ep) > 0) {
 		tb.Fatalf(
-			"endpoint %d: availability %d, subset weight %v, in this instance's hash share %v",
+			"endpoint %d has availability %d and subset weight %v, which is inconsistent with being in the hash share %v",
 			ep.id, ep.availability, ep.subsetWeight, owned,
 		)
 	}
 }
 
-// verifyQueued checks that an endpoint is in the queues of slow starts and of trials if, and only if, it is in that state.
+// verifyQueued checks that an endpoint is in the queue of slow starts if and only if it is in slow start, and in the queue of trials
+// if and only if it awaits a trial.
 func verifyQueued(tb testing.TB, b *Balancer, ep *endpoint) {
 	tb.Helper()
 	_, slowStart := b.slowStarts.Deadline(ep)
@@ -98,7 +99,7 @@
 	awaitsTrial := ep.availability == ejected && ep.subsetWeight > 0 && len(ep.calls) == 0
 	if slowStart != (ep.availability == warmingUp) || trial != awaitsTrial || trial && trialAt != ep.trialAt {
 		tb.Fatalf(
-			"endpoint %d: availability %d, subset weight %v, slow start %v, trial %v",
+			"endpoint %d has availability %d and subset weight %v, which is inconsistent with queued for slow start %v, for a trial %v",
 			ep.id, ep.availability, ep.subsetWeight, slowStart, trial,
 		)
 	}
@@ -123,14 +124,14 @@
 		}
 	}
 	if b.index.ordered.Len() != indexed || len(b.busy) < busy {
-		tb.Fatalf("%d indexed, want %d; %d busy, want %d", b.index.ordered.Len(), indexed, len(b.busy), busy)
+		tb.Fatalf("%d endpoints indexed, want %d; %d busy, want at least %d", b.index.ordered.Len(), indexed, len(b.busy), busy)
 	}
 	if !maps.Equal(b.index.perZone, perZone) {
-		tb.Fatalf("by zone %v, want %v", b.index.perZone, perZone)
+		tb.Fatalf("indexed endpoints by zone: %v, want %v", b.index.perZone, perZone)
 	}
 	for pool, want := range pooled {
 		if got := b.pools.pools[pool].Len(); got != want {
-			tb.Fatalf("pool %d has %d, want %d", pool, got, want)
+			tb.Fatalf("pool %d has %d endpoints, want %d", pool, got, want)
 		}
 	}
 }
@@ -148,13 +149,13 @@
 		}
 	}
 	if b.subset.byHash && (b.subset.allEndpoints || !slices.IsSortedFunc(b.subset.members, compareIDs)) {
-		tb.Fatal("a subset by hash is out of order, or has all endpoints")
+		tb.Fatal("a subset by hash is out of order, or marked as containing all endpoints")
 	}
 	if !b.subset.allEndpoints && members != len(b.subset.members) {
-		tb.Fatalf("%d have a subset weight, %d are members", members, len(b.subset.members))
+		tb.Fatalf("%d endpoints have a subset weight, %d are members of the subset", members, len(b.subset.members))
 	}
 	if weight > 0 && math.Abs(math.Log(b.pools.availableWeight/weight)) > math.Log(maxDrift*maxDrift) {
-		tb.Fatalf("the sum of the available weights is %v, want %v", b.pools.availableWeight, weight)
+		tb.Fatalf("the sum of the available endpoints' weights is %v, want about %v", b.pools.availableWeight, weight)
 	}
 }
 
@@ -165,14 +166,14 @@
 	for weight, n := range b.index.weightCounts {
 		counted += n
 		if n <= 0 {
-			tb.Fatalf("weight %v: %d", weight, n)
+			tb.Fatalf("listed weight %v is counted %d times, want at least once", weight, n)
 		}
 	}
 	differs := func(ep *endpoint) bool { return ep.listedWeight != b.listed[0].listedWeight }
 	isZero := func(ep *endpoint) bool { return ep.listedWeight <= 0 }
 	weighted := slices.ContainsFunc(b.listed, differs) && !slices.ContainsFunc(b.listed, isZero)
 	if counted != len(b.listed) || weighted != b.weights.useListed {
-		tb.Fatalf("%d weights of %d; weighted %v", counted, len(b.listed), b.weights.useListed)
+		tb.Fatalf("%d listed weights counted for %d endpoints, useListed %v", counted, len(b.listed), b.weights.useListed)
 	}
 }
 
@@ -180,7 +181,7 @@
 type fleetEvents struct {
 	*fixture
 	rng       *rand.Rand
-	instances int // initially
+	instances int // initial number of instances
 	endpoints int
 	weighted  bool // the listed weights differ
 	reports   bool // endpoints report their load
@@ -198,7 +199,7 @@
 	}
 	endpoints := 60
 	if config.Instances == 4 {
-		endpoints = 96 // a subset by hash, while most are listed
+		endpoints = 96 // the subset is by hash while most are listed
 	}
 	fixture := start(t, config, endpoints)
 	fixture.balancer.scanLimit = []int{0, maxScanned}[seed/4%2]
@@ -212,7 +213,7 @@
 	}
 }
 
-// step delivers one event, and lets time pass.
+// step delivers one event, and sometimes advances the time.
 func (f *fleetEvents) step() {
 	switch f.rng.IntN(9) {
 	case 0, 1, 2:
@@ -235,7 +236,7 @@
 	f.sent = f.sent[:0]
 }
 
-// randomOutcome ends one of the attempts in flight.
+// randomOutcome ends one of the attempts in flight with a random outcome.
 func (f *fleetEvents) randomOutcome() {
 	i := f.rng.IntN(len(f.inFlight))
 	ended := f.inFlight[i]
@@ -257,7 +258,7 @@
 	f.balancer.HandleOutcome(f.now, outcome)
 }
 
-// randomEntry returns an entry of the endpoint list.
+// randomEntry returns a random entry of the endpoint list.
 func (f *fleetEvents) randomEntry() ListEntry {
 	id := EndpointID(1 + f.rng.IntN(f.endpoints))
 	entry := ListEntry{
@@ -286,7 +287,7 @@
 	f.balancer.HandleEndpoints(f.now, list)
 }
 
-// randomRegroup delivers another group of instances.
+// randomRegroup delivers a random group of instances.
 func (f *fleetEvents) randomRegroup() {
 	group := InstanceGroup{Instances: 1 + f.rng.IntN(2*f.instances)}
 	group.Ordinal, group.MaxInstances = f.rng.IntN(group.Instances), f.rng.IntN(2*group.Instances)
@@ -301,11 +302,11 @@
 	}
 }
 
-// After any events, the index agrees with a scan of all endpoints.
+// After any events, the index is consistent with a scan of all endpoints.
 func TestIndexMatchesAFullScan(t *testing.T) {
-	for seed := range uint64(40 * soaked(20)) {
+	for seed := range uint64(40 * soakFactor(20)) {
 		fixture := newFleetEvents(t, seed)
-		for range 150 * soaked(4) {
+		for range 150 * soakFactor(4) {
 			fixture.step()
 			verify(t, fixture.balancer, fixture.now)
 		}
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -17,7 +17,7 @@
 		t.Errorf("%d lists fetched after a broken connection, want 1", fixture.fetches)
 	}
 	if retry := fixture.last(); retry.id != id || retry.to == lost.to {
-		t.Errorf("retry %v, want %s on another endpoint than %d", retry, id, lost.to)
+		t.Errorf("last attempt %v, want a retry of %s at another endpoint than %d", retry, id, lost.to)
 	}
 	fixture.finish(fixture.last(), StatusOK, 20*ms)
 	failAtLost := func(to EndpointID) Status {
@@ -27,32 +27,32 @@
 		return StatusOK
 	}
 	if got := fixture.serveRequests(100, failAtLost); got[lost.to] == 0 || got[lost.to] > 5 {
-		t.Errorf("%d trials in 2 s, want a few", got[lost.to])
+		t.Errorf("%d trials of an unreachable endpoint in 2 s, want 1 to 5", got[lost.to])
 	}
 	if fixture.fetches != 1 {
-		t.Errorf("%d lists fetched, want the next one only after a backoff", fixture.fetches)
+		t.Errorf("%d lists fetched after failed trials, want 1 until a backoff is over", fixture.fetches)
 	}
 	got := fixture.serveRequests(500, nil)
 	if got[lost.to] == 0 || got[lost.to] > 80 {
-		t.Errorf("%d of 500 sends to the unejected endpoint, want few in its slow start", got[lost.to])
+		t.Errorf("%d of 500 sends to the unejected endpoint, want 1 to 80 in its slow start", got[lost.to])
 	}
 }
 
-// Every endpoint sends some invalid responses. The call may have run, and the response does not count against the endpoint: it is
-// neither ejected nor put into slow start.
-func TestInvalidResponseCostsTheEndpointNothing(t *testing.T) {
+// Every endpoint sends some invalid responses. Such a call may have run, and does not count against the endpoint, which is neither
+// ejected nor put into slow start.
+func TestInvalidResponseDoesNotCountAgainstTheEndpoint(t *testing.T) {
 	fixture := start(t, settings(), 4)
 	fixture.serveRequests(40, nil)
 	id := fixture.request(read)
 	fixture.finish(fixture.last(), StatusInvalidResponse, 5*ms)
 	if retry := fixture.last(); retry.id != id || retry.number != 1 {
-		t.Errorf("retry %v, want %s once more", retry, id)
+		t.Errorf("after an invalid response: last attempt %v, want the second of %s", retry, id)
 	}
 	fixture.finish(fixture.last(), StatusOK, 20*ms)
 	fixture.request(pay)
 	fixture.finish(fixture.last(), StatusInvalidResponse, 5*ms)
 	if len(fixture.fails) != 1 || len(fixture.rejections) != 0 {
-		t.Errorf("a call that is not idempotent and may have run: %d failed, %d rejected", len(fixture.fails), len(fixture.rejections))
+		t.Errorf("non-idempotent call that may have run: %d failed, %d rejected; want 1 and 0", len(fixture.fails), len(fixture.rejections))
 	}
 	invalid := fixture.last().to // the endpoint that sends invalid responses
 	for range 3 {
@@ -64,11 +64,14 @@
 		fixture.finish(fixture.last(), StatusOK, 20*ms)
 	}
 	if got := fixture.serveRequests(100, nil); got[invalid] < 10 || fixture.fetches != 0 || len(fixture.logs) > 0 {
-		t.Errorf("%d of 100 sends to it, %d lists fetched, logs %q", got[invalid], fixture.fetches, fixture.logs)
+		t.Errorf(
+			"endpoint with invalid responses: %d of 100 sends to it, %d lists fetched, logs %q; want at least 10, 0 and none",
+			got[invalid], fixture.fetches, fixture.logs,
+		)
 	}
 }
 
-func TestNewStartInTheListEndsEjection(t *testing.T) {
+func TestListedRestartEndsEjection(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	fixture.request(read)
 	lost := fixture.last()
@@ -86,18 +89,19 @@
 	t.Error("a restarted endpoint got no call in 3 s")
 }
 
-// A full connection table rejects connections as a process that has ended does. Calls in flight to the endpoint show that it runs.
-func TestConnectFailureBesideOpenCallsEjectsNone(t *testing.T) {
+// An endpoint whose connection table is full rejects connections as if its process had ended. Calls in flight to the endpoint show
+// that the process runs.
+func TestConnectFailureWithCallsInFlightDoesNotEject(t *testing.T) {
 	fixture := start(t, settings(), 1)
 	fixture.request(read)
 	fixture.request(read)
 	fixture.finish(fixture.sent[1], StatusConnectFailed, ms)
 	if slices.ContainsFunc(fixture.logs, func(s string) bool { return strings.Contains(s, "isolated") }) {
-		t.Errorf("ejected: %v", fixture.logs)
+		t.Errorf("connect failure with another call in flight: logs %v, want no ejection", fixture.logs)
 	}
 }
 
-func TestEjectionNeverEmptiesTheSet(t *testing.T) {
+func TestRequestsAreSentThoughAllEndpointsAreEjected(t *testing.T) {
 	fixture := start(t, settings(), 3)
 	for range 12 {
 		fixture.request(read)
@@ -109,11 +113,11 @@
 	fixture.request(read)
 	fixture.advance(100 * ms)
 	if len(fixture.sent) == before {
-		t.Error("nothing is sent once all are ejected")
+		t.Error("no request is sent after all endpoints were ejected")
 	}
 }
 
-// An endpoint that fails fast has few calls in flight, and would attract more if it was not ejected.
+// An endpoint that fails fast has few calls in flight, and would attract more if it were not ejected.
 func TestFastErrorsEject(t *testing.T) {
 	fixture := start(t, settings(), 4)
 	got := fixture.serveRequests(300, func(to EndpointID) Status {
@@ -123,11 +127,12 @@
 		return StatusOK
 	})
 	if got[1] > 30 {
-		t.Errorf("%d of 300 sends to the failing endpoint", got[1])
+		t.Errorf("%d of 300 sends to the failing endpoint, want at most 30", got[1])
 	}
 }
 
-// If all endpoints fail at the same rate, the cause is in the tier below, and none is ejected for it.
+// If all endpoints fail at the same rate, the cause is probably in the tier below, and the errors eject no endpoint. One ejection by
+// chance is tolerated.
 func TestAllFailingAlikeEjectsNone(t *testing.T) {
 	fixture := start(t, settings(), 4)
 	fixture.serveRequests(60, nil)
@@ -146,11 +151,11 @@
 		}
 	}
 	if ejections > 1 {
-		t.Errorf("%d of 4 endpoints ejected when all fail half their calls", ejections)
+		t.Errorf("%d of 4 endpoints ejected while all fail half of their calls, want at most 1", ejections)
 	}
 }
 
-func TestUnresponsiveEndpointIsPassedOver(t *testing.T) {
+func TestUnresponsiveEndpointIsNotPicked(t *testing.T) {
 	fixture := start(t, settings(), 4)
 	fixture.serveRequests(60, nil)
 	stuck := 0 // calls without a response
@@ -168,15 +173,15 @@
 	}
 }
 
-// A call with an idempotency key can only be retried in its cell. If its endpoint is the last one there and drains, the call is not
-// cancelled although the endpoint is unresponsive: without an endpoint for a retry it would fail.
-func TestUnresponsiveCallOfALastOneInItsCellIsWaitedFor(t *testing.T) {
+// A call with an idempotency key can only be retried in its cell. If its endpoint is the last one of the cell and drains, the call is
+// not cancelled although the endpoint is unresponsive: as no endpoint is left for a retry, it would fail.
+func TestCallIsNotCancelledIfItCannotBeRetriedInItsCell(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		fixture := start(t, settings(), 4)
 		fixture.serveRequests(60, nil)
 		id := fixture.request(book)
 		call := fixture.last()
-		other := call.to + 1 // of the same cell
+		other := call.to + 1 // other endpoint of the same cell
 		if call.to%2 == 0 {
 			other = call.to - 1
 		}
@@ -192,17 +197,17 @@
 			fixture.advance(20 * ms)
 		}
 		if cancelled := slices.ContainsFunc(fixture.cancels, func(a attempt) bool { return a.id == id }); cancelled == drains {
-			t.Errorf("drains %v: cancelled %v", drains, fixture.cancels)
+			t.Errorf("endpoint drains %v: cancelled %v, want the call cancelled only if it does not drain", drains, fixture.cancels)
 		}
 		if slices.Contains(fixture.fails, id) {
-			t.Errorf("drains %v: it failed", drains)
+			t.Errorf("endpoint drains %v: the call failed", drains)
 		}
 	}
 }
 
-// A call that goes to an ejected endpoint because there is no other, before the trial of the endpoint is due, does not delay the
-// trial.
-func TestCallsForWantOfOthersDelayNoTrial(t *testing.T) {
+// A call that is sent to an ejected endpoint because there is no other, before the endpoint's trial is due, does not delay the trial
+// when it fails.
+func TestCallsBeforeATrialIsDueDoNotDelayIt(t *testing.T) {
 	fixture := start(t, settings(), 1)
 	fixture.request(read)
 	fixture.finish(fixture.last(), StatusReset, ms)
@@ -210,17 +215,20 @@
 	trialAt := endpoint.trialAt
 	for range 3 { // the retries
 		if fixture.last().to != 1 || fixture.now >= trialAt {
-			t.Fatalf("sent to %d at %v, trial due %v", fixture.last().to, fixture.now, trialAt)
+			t.Fatalf(
+				"last attempt was sent to endpoint %d at %v, trial due at %v; want endpoint 1 before the trial is due",
+				fixture.last().to, fixture.now, trialAt,
+			)
 		}
 		fixture.finish(fixture.last(), StatusConnectFailed, ms)
 	}
 	if endpoint.trialAt != trialAt {
-		t.Errorf("the trial is due %v later", endpoint.trialAt-trialAt)
+		t.Errorf("failed calls before the trial was due delayed it by %v", endpoint.trialAt-trialAt)
 	}
 	fixture.now = trialAt + ms
 	fixture.request(read)
 	fixture.finish(fixture.last(), StatusConnectFailed, ms)
 	if endpoint.trialAt <= trialAt {
-		t.Error("a trial that failed does not delay the next one")
+		t.Error("a failed trial did not delay the next one")
 	}
 }
--- a/internal/balancer/pools_test.go
+++ b/internal/balancer/pools_test.go
@@ -10,7 +10,7 @@
 )
 
 // mixedStates returns a Balancer with endpoints in many states: some are in slow start, at various shares of their capacity, some
-// are ejected, draining, full or slow, or have calls in flight. Their kinds differ, and their weights if weighted is true.
+// are ejected, draining, full or slow, or have calls in flight. The endpoints' kinds differ and, if weighted is true, their weights.
 func mixedStates(tb testing.TB, endpoints, instances int, weighted bool) (*Balancer, *recorder) {
 	tb.Helper()
 	host := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: 100 * time.Second}
@@ -46,7 +46,7 @@
 	return b, host
 }
 
-// listMixedStates lists endpoints, of which some have started recently and some are draining.
+// listMixedStates lists endpoints, some of which have started recently and some of which are draining.
 func listMixedStates(b *Balancer, host *recorder, rng *rand.Rand, endpoints int, weighted bool) {
 	list := EndpointList{Kind: ListFull, Version: 1}
 	for i := 1; i <= endpoints; i++ {
@@ -80,25 +80,25 @@
 	}
 }
 
-// samplePicks picks endpoints for requests with a number of earlier attempts, and returns how often each was picked. With more
+// samplePicks picks endpoints for requests with a number of earlier attempts, and returns how often each was picked. If there are more
 // endpoints than scanLimit, they are drawn from the pools.
 func samplePicks(t *testing.T, b *Balancer, now time.Duration, attempts, scanLimit int) map[EndpointID]float64 {
 	t.Helper()
 	b.scanLimit = scanLimit
 	picks := map[EndpointID]float64{}
-	for range 20_000 * soaked(3) {
+	for range 20_000 * soakFactor(3) {
 		r := &request{class: b.classes[read], attempts: attempts, failedEndpoint: b.listed[1]}
 		e, trial := b.pick(now, r)
 		if e == nil || trial {
-			t.Fatal("no endpoint, or a trial")
+			t.Fatal("pick returned no endpoint, or a trial")
 		}
 		picks[e.id]++
 	}
 	return picks
 }
 
-// sameDistribution returns the probability, by a chi-square test, that two samples of the same size and distribution differ as much
-// as x and y. At least minDrawn endpoints more than one must have been drawn.
+// sameDistribution returns the probability, by a chi-square test, that two samples of the same size and distribution differ at least
+// as much as x and y. The test fails if the number of drawn endpoints, less one, is below minDrawn.
 func sameDistribution(t *testing.T, b *Balancer, minDrawn float64, x, y map[EndpointID]float64) (p float64) {
 	t.Helper()
 	sum, degrees := 0.0, -1.0
@@ -109,39 +109,39 @@
 		}
 	}
 	if degrees < minDrawn {
-		t.Fatalf("only %v were drawn", degrees+1)
+		t.Fatalf("only %v endpoints were drawn, too few for a comparison", degrees+1)
 	}
 	return distuv.ChiSquared{K: degrees}.Survival(sum)
 }
 
-// Draws from the pools follow the same weights as a scan of all endpoints: two samples of 20,000 picks with a fixed seed have the
+// Draws from the pools follow the same weights as a scan of all endpoints. Two samples of 20,000 picks with a fixed seed have the
 // same distribution by a chi-square test, for first attempts and for retries.
 func TestDrawsFromPoolsAreByWeight(t *testing.T) {
 	const pooled, scanned = 0, 1 << 30 // scan limits
-	for _, c := range []struct {
+	for _, test := range []struct {
 		instances int
 		weighted  bool
 		attempts  int
 	}{{1, false, 0}, {1, true, 0}, {4, true, 0}, {30, true, 1}, {30, false, 1}} {
-		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			b, host := mixedStates(t, 120, c.instances, c.weighted)
+		t.Run(fmt.Sprint(test), func(t *testing.T) {
+			b, host := mixedStates(t, 120, test.instances, test.weighted)
 			sample := func(scanLimit int) map[EndpointID]float64 {
-				return samplePicks(t, b, host.now, c.attempts, scanLimit)
+				return samplePicks(t, b, host.now, test.attempts, scanLimit)
 			}
-			minDrawn := 20 / float64(c.instances)
+			minDrawn := 20 / float64(test.instances)
 			draws, scans := sample(pooled), sample(scanned)
 			if p := sameDistribution(t, b, minDrawn, draws, scans); p < 0.001 {
-				t.Errorf("p = %v", p)
+				t.Errorf("probability that draws and scans have the same distribution: %v, want at least 0.001", p)
 			}
-			if c.attempts > 0 {
+			if test.attempts > 0 {
 				return
 			}
-			// The test fails if the weights of some endpoints exceed their bounds.
+			// The comparison detects wrong draws: with bounds below the weights of some endpoints, the distribution differs.
 			for _, e := range b.listed[:60] {
 				e.index.bound /= 3
 			}
 			if p := sameDistribution(t, b, minDrawn, sample(pooled), scans); p > 0.001 {
-				t.Errorf("wrong weights are not noticed: p = %v", p)
+				t.Errorf("bounds below the weights are not detected: probability %v, want at most 0.001", p)
 			}
 		})
 	}
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// With many instances, each has only a call or two in flight, and a limit of these cannot prevent that all endpoints of a tier are
-// saturated. Latencies far above the normal ones have to slow down the calls.
-func TestPressurePacesCallsWhereInstancesOutnumberEndpoints(t *testing.T) {
+// With many instances, each has only one or two calls in flight, and a limit on their number cannot prevent the saturation of all
+// endpoints of a tier. Latencies far above the usual ones must lower the rate of calls.
+func TestPressureLimitsSendsIfInstancesOutnumberEndpoints(t *testing.T) {
 	sends := func(instances int, latency time.Duration) int {
 		config := settings()
 		config.Instances = instances
@@ -31,12 +31,12 @@
 		return len(fixture.sent) - sentBefore
 	}
 	if n := sends(100, 100*ms); n != 200 {
-		t.Errorf("%d of 200 requests sent to a tier at its normal latency, want all", n)
+		t.Errorf("%d of 200 requests sent to a tier at its usual latency, want all", n)
 	}
 	if n := sends(100, 700*ms); n > 150 {
-		t.Errorf("%d of 200 requests sent while calls take seven times as long, want far fewer", n)
+		t.Errorf("%d of 200 requests sent while calls take seven times as long, want at most 150", n)
 	}
 	if n := sends(10, 700*ms); n < 190 {
-		t.Errorf("%d of 200 requests sent by one of few instances, want nearly all", n)
+		t.Errorf("%d of 200 requests sent by one of ten instances, want at least 190", n)
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestTenantBeyondItsQuotaGivesWay(t *testing.T) {
+func TestTenantOverQuotaIsServedLast(t *testing.T) {
 	config := settings()
 	config.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 100}}
 	fixture := start(t, config, 1)
@@ -22,17 +22,17 @@
 			fixture.finish(attempt{id: r.id, to: 1, number: r.attempts - 1}, StatusOK, 20*ms)
 		}
 	}
-	served := map[bool]int{} // by whether the tenant is the one beyond its quota
+	served := map[bool]int{} // number of sends, by whether the tenant is the one over its quota
 	for _, s := range fixture.sent[100:] {
 		served[(s.id[len(s.id)-1]-'0')%2 == 0]++
 	}
 	if served[true] >= served[false] {
-		t.Errorf("%d calls of the tenant beyond its quota, %d of the one within", served[true], served[false])
+		t.Errorf("%d sends for the tenant over its quota, %d for the other, want fewer", served[true], served[false])
 	}
 }
 
-// A tenant with a request every three seconds at an instance is within its quota. A bucket for the quota of one second would never
-// have a complete token, so that each request would be beyond the quota.
+// A tenant with a request every three seconds at an instance is within its quota. A bucket with a capacity of one second of the quota
+// would never contain a complete token, so that each request would exceed the quota.
 func TestSmallTenantIsWithinItsQuota(t *testing.T) {
 	config := settings()
 	config.Instances = 100
@@ -50,12 +50,13 @@
 		fixture.advance(2980 * ms)
 	}
 	if overQuota > 6 {
-		t.Errorf("%d of 60 requests beyond a quota that is never exceeded", overQuota)
+		t.Errorf("%d of 60 requests count as over a quota that is never exceeded, want at most 6", overQuota)
 	}
 }
 
-// Requests beyond a quota are served from what the other tenants leave of all quotas together, and rejected beyond that.
-func TestBeyondQuotaTakesOnlyWhatOthersLeave(t *testing.T) {
+// Requests over their tenant's quota are served as long as the other tenants leave a part of the sum of all quotas unused, and
+// rejected otherwise.
+func TestRequestsOverQuotaUseOnlyUnusedQuota(t *testing.T) {
 	config := settings()
 	config.Tenants = []Tenant{{Name: "a", QuotaPerSecond: 5}, {Name: "b", QuotaPerSecond: 45}}
 	fixture := start(t, config, 50)
@@ -73,20 +74,20 @@
 					fixture.finish(fixture.last(), StatusOK, 20*ms)
 				}
 			}
-			fixture.advance(22 * ms) // 45 requests a second of tenant a, and up to as many of b
+			fixture.advance(22 * ms) // 45 requests per second of tenant a, and up to as many of b
 		}
 		return len(fixture.rejections) - before
 	}
 	if n := rejected(0); n > 40 {
-		t.Errorf("%d of 2000 rejected while the other tenant has no requests", n)
+		t.Errorf("%d of 2000 requests rejected while the other tenant has none, want at most 40", n)
 	}
 	if n := rejected(10); n < 1500 {
-		t.Errorf("%d of 2000 rejected while the other tenant uses all of its quota, want most", n)
+		t.Errorf("%d of 2000 requests rejected while the other tenant uses all of its quota, want at least 1500", n)
 	}
 }
 
-// Quotas are divided by the number of instances that may exist, not by the number of reachable ones. A bucket that grows starts
-// without additional tokens.
+// Quotas are divided by the number of instances that may exist, not by the number of reachable ones. A bucket whose capacity grows
+// gets no additional tokens.
 func TestGroupUpdateDividesQuotas(t *testing.T) {
 	config := settings()
 	config.Instances, config.Tenants = 10, []Tenant{{Name: "a", QuotaPerSecond: 100}}
@@ -99,10 +100,10 @@
 		}
 		tenant, total := &fixture.balancer.quotas.tenants[0], &fixture.balancer.quotas.total
 		if tenant.rate != want || math.Abs(total.rate-want) > 1e-9 {
-			t.Errorf("%+v: %v and %v a second, want %v", g, tenant.rate, total.rate, want)
+			t.Errorf("group %+v: tenant's rate %v and total rate %v per second, want %v", g, tenant.rate, total.rate, want)
 		}
 		if tenant.tokens > tokensBefore {
-			t.Errorf("%+v: %v tokens, %v before", g, tenant.tokens, tokensBefore)
+			t.Errorf("group %+v: tenant's bucket has %v tokens, want at most the %v before", g, tenant.tokens, tokensBefore)
 		}
 	}
 	checkRate(InstanceGroup{Instances: 3, MaxInstances: 10}, 10)
@@ -115,7 +116,7 @@
 		"1 members for":             {Instances: 2, Members: []uint64{1}, Self: 1},
 	} {
 		if err := fixture.balancer.UpdateGroup(fixture.now, g); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v, want %q", g, err, want)
+			t.Errorf("UpdateGroup with the invalid group %+v returned %v, want an error with %q", g, err, want)
 		}
 	}
 	if fixture.balancer.settings.Instances != 20 {
--- a/internal/balancer/request_test.go
+++ b/internal/balancer/request_test.go
@@ -11,15 +11,15 @@
 	id := fixture.request(read)
 	fixture.balancer.HandleClientGone(fixture.now, id)
 	if len(fixture.cancels) != 1 || fixture.cancels[0].id != id {
-		t.Errorf("cancelled %v, want %s", fixture.cancels, id)
+		t.Errorf("after the client has gone: cancelled %v, want %s", fixture.cancels, id)
 	}
 	fixture.finish(fixture.last(), StatusCancelled, ms)
 	if len(fixture.sent) != 1 || len(fixture.fails)+len(fixture.rejections) > 0 {
-		t.Error("more was done for a client that had gone")
+		t.Error("a request whose client has gone was sent again or answered")
 	}
 }
 
-func TestStreamBelongsToTheClient(t *testing.T) {
+func TestStartedStreamIsNeitherRetriedNorAnswered(t *testing.T) {
 	config := settings()
 	config.Classes[read].Streaming = true
 	fixture := start(t, config, 2)
@@ -28,11 +28,11 @@
 	fixture.advance(10 * time.Second)
 	fixture.balancer.HandleOutcome(fixture.now, Outcome{ID: id, Endpoint: fixture.last().to, Final: true, Status: StatusReset})
 	if len(fixture.sent) != 1 || len(fixture.fails)+len(fixture.rejections)+len(fixture.cancels) > 0 {
-		t.Error("a stream that had begun was answered, retried or cancelled")
+		t.Error("a request whose stream had started was answered, retried or cancelled")
 	}
 }
 
-func TestUnknownEventsAreTakenInStride(t *testing.T) {
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	fixture.balancer.HandleOutcome(fixture.now, Outcome{ID: "unknown", Status: StatusOK})
 	fixture.balancer.HandleClientGone(fixture.now, "unknown")
@@ -48,7 +48,7 @@
 	fixture.finish(call, StatusOK, ms)
 	fixture.advance(2 * time.Second)
 	if len(fixture.rejections) != 1 {
-		t.Errorf("rejected %v, want the one request that lost its endpoint and has no other", fixture.rejections)
+		t.Errorf("rejected %v, want the one request whose endpoint was removed and which has no other", fixture.rejections)
 	}
 }
 
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// rulesRequest is the state of a request in the test of the rules.
+// rulesRequest is the state of a request, as tracked by rules.
 type rulesRequest struct {
 	class    int
-	inFlight int // attempts
-	answers  int // final ones
+	inFlight int // number of attempts in flight
+	answers  int // number of final answers
 	deadline time.Duration
-	ran      *attempt // the first attempt that may have run; nil for none
+	ran      *attempt // first attempt that may have run; nil for none
 	ranAt    time.Duration
 }
 
@@ -22,14 +22,14 @@
 	*fixture
 	seed     uint64
 	rng      *rand.Rand
-	scope    KeyScope      // of the keys of book
-	window   time.Duration // of the keys of book
+	scope    KeyScope      // scope of the idempotency keys of class book
+	window   time.Duration // window of the idempotency keys of class book
 	requests map[RequestID]*rulesRequest
-	notReady map[EndpointID]bool // endpoints that are draining or removed, as the Balancer was notified
+	notReady map[EndpointID]bool // endpoints that are draining or removed according to the Balancer's list
 	sentAt   map[attempt]time.Duration
 	inFlight []attempt
 
-	// How many of the recorded actions were checked.
+	// Numbers of recorded actions that have been checked.
 	checkedSends, checkedFails, checkedRejections int
 }
 
@@ -40,7 +40,7 @@
 	config.Classes[book].KeyScope = []KeyScope{KeyScopeCell, KeyScopeZone, KeyScopeAll}[seed%3]
 	fixture := start(t, config, 8)
 	if seed >= 30 {
-		fixture.balancer.scanLimit = 0 // only draws from the pools
+		fixture.balancer.scanLimit = 0 // endpoints are always drawn from the pools
 	}
 	return &rules{
 		fixture:  fixture,
@@ -54,7 +54,7 @@
 	}
 }
 
-// randomEvent delivers one event.
+// randomEvent delivers a random event, or none.
 func (r *rules) randomEvent() {
 	switch r.rng.IntN(6) {
 	case 0, 1:
@@ -71,7 +71,7 @@
 	}
 }
 
-// randomRequest delivers a request.
+// randomRequest delivers a request of a random class with a random remaining time.
 func (r *rules) randomRequest() {
 	id, class := r.nextID(), r.rng.IntN(3)
 	timeLeft := time.Duration(1+r.rng.IntN(1500)) * ms
@@ -79,7 +79,7 @@
 	r.balancer.HandleRequest(r.now, Request{ID: id, Class: class, TimeLeft: timeLeft})
 }
 
-// randomOutcome ends one of the attempts in flight.
+// randomOutcome ends one of the attempts in flight with a random status.
 func (r *rules) randomOutcome() {
 	i := r.rng.IntN(len(r.inFlight))
 	ended := r.inFlight[i]
@@ -102,7 +102,7 @@
 	})
 }
 
-// expire times out the attempts in flight of requests whose deadline has passed, as a Host does.
+// expire ends the attempts in flight of requests whose deadline has passed by a timeout, as a Host does.
 func (r *rules) expire() {
 	for i := 0; i < len(r.inFlight); i++ {
 		expired := r.inFlight[i]
@@ -123,7 +123,7 @@
 	}
 }
 
-// check checks the actions since the last check.
+// check checks the actions that were recorded since it was last called.
 func (r *rules) check() {
 	r.t.Helper()
 	for ; r.checkedSends < len(r.sent); r.checkedSends++ {
@@ -133,7 +133,7 @@
 		r.sentAt[sent] = r.now
 		r.inFlight = append(r.inFlight, sent)
 		if violated := r.ruleViolatedBy(sent, request); violated != "" {
-			r.t.Fatalf("seed %d: %v: %s", r.seed, sent, violated)
+			r.t.Fatalf("seed %d: attempt %v violates a rule: %s", r.seed, sent, violated)
 		}
 	}
 	for ; r.checkedFails < len(r.fails); r.checkedFails++ {
@@ -144,12 +144,12 @@
 		request := r.requests[id]
 		request.answers++
 		if request.ran != nil && (request.class == pay || request.class == book && r.scope != KeyScopeAll) {
-			r.t.Fatalf("seed %d: %s rejected though it may have run", r.seed, id)
+			r.t.Fatalf("seed %d: request %s was rejected although it may have run", r.seed, id)
 		}
 	}
 }
 
-// ruleViolatedBy describes the rule that an attempt violates. It returns an empty string for none.
+// ruleViolatedBy describes the rule that an attempt violates, or returns an empty string if it violates none.
 func (r *rules) ruleViolatedBy(sent attempt, request *rulesRequest) string {
 	switch {
 	case request.answers > 0:
@@ -175,7 +175,7 @@
 	r.t.Helper()
 	for id, request := range r.requests {
 		if request.answers > 1 || request.answers == 0 && r.now > request.deadline+20*ms {
-			r.t.Fatalf("seed %d: %s has %d final answers past its deadline", r.seed, id, request.answers)
+			r.t.Fatalf("seed %d: request %s has %d final answers, want one by its deadline", r.seed, id, request.answers)
 		}
 		if request.answers > 0 && request.inFlight == 0 {
 			delete(r.requests, id)
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNewNamesTheSettingItCannotActOn(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for key, makeInvalid := range map[string]func(*Settings){
 		"classes":           func(s *Settings) { s.Classes = nil },
 		"classes[0].effect": func(s *Settings) { s.Classes[0].Idempotency = "maybe" },
@@ -25,7 +25,7 @@
 		config := settings()
 		makeInvalid(&config)
 		if _, err := New(config, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name it", key, err)
+			t.Errorf("New with an invalid %s returned %v, want an error that names it", key, err)
 		}
 	}
 }
--- a/internal/balancer/shutdown_test.go
+++ b/internal/balancer/shutdown_test.go
@@ -23,28 +23,32 @@
 		return len(fixture.sent) - sends, len(fixture.rejections) - rejections
 	}
 	if sends, _ := requestWithIdle(minIdleConnections); sends != 1 {
-		t.Error("in time: not sent")
+		t.Error("a request that can be answered before the shutdown was not sent")
 	}
 	if sends, rejections := requestWithIdle(minIdleConnections - 1); sends != 0 || rejections != 1 {
-		t.Errorf("with too few idle connections: %d sends, %d rejections", sends, rejections)
+		t.Errorf("request with too few idle connections: %d sends, %d rejections; want 0 and 1", sends, rejections)
 	}
 	fixture.advance(180 * ms)
 	if sends, rejections := requestWithIdle(minIdleConnections); sends != 0 || rejections != 1 {
-		t.Errorf("too late: %d sends, %d rejections", sends, rejections)
+		t.Errorf("request too late before the shutdown: %d sends, %d rejections; want 0 and 1", sends, rejections)
 	}
 	if got, want := fixture.retryAfter[len(fixture.retryAfter)-1], endsAt+seconds(successorDelay)-fixture.now; got != want {
-		t.Errorf("retry after %v, the successor serves after %v", got, want)
+		t.Errorf("retry after %v, want %v, when the successor serves", got, want)
 	}
 	fixture.advance(20 * ms)
 	sends := len(fixture.sent)
 	fixture.finish(inFlight, StatusCancelled, 200*ms)
 	if len(fixture.sent) != sends || len(fixture.fails) != 1 || fixture.fails[0] != inFlight.id {
-		t.Errorf("the call in flight at the end: %d more sends, failed %v", len(fixture.sent)-sends, fixture.fails)
+		t.Errorf(
+			"call in flight at the end: %d more sends, failed %v; want no retry, and it failed",
+			len(fixture.sent)-sends, fixture.fails,
+		)
 	}
 }
 
-// If other instances serve, the Retry-After is only the time for the pending requests, since the client may reach another instance.
-func TestShutdownAmongOthers(t *testing.T) {
+// If other instances serve, the Retry-After covers only the time for the pending requests, since the client may reach another
+// instance.
+func TestShutdownOfOneOfSeveralInstances(t *testing.T) {
 	config := settings()
 	config.Instances, config.MaxRetryAfter = 2, 5*time.Second
 	fixture := start(t, config, 4)
@@ -53,11 +57,14 @@
 	fixture.balancer.ShutDownAt(fixture.now, fixture.now+200*ms)
 	fixture.request(read)
 	if len(fixture.sent) != sends+1 {
-		t.Error("in time: not sent")
+		t.Error("a request that can be answered before the shutdown was not sent")
 	}
 	fixture.advance(190 * ms)
 	fixture.request(read)
 	if len(fixture.rejections) != 1 || fixture.retryAfter[0] >= time.Second {
-		t.Errorf("too late: rejected %v, retry after %v", fixture.rejections, fixture.retryAfter)
+		t.Errorf(
+			"request too late before the shutdown: rejected %v, retry after %v; want one, below 1 s",
+			fixture.rejections, fixture.retryAfter,
+		)
 	}
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -9,7 +9,7 @@
 	skippedSlowStartShare = 0.75 // share of slow start skipped after an ejection by an endpoint whose connections never broke
 
 	// The rate limit of an endpoint in slow start is the rate of an available endpoint of the same capacity, times OverloadMultiple
-	// and one of these factors.
+	// and one of these factors, but no less than that rate.
 	slowStartHeadroom      = 0.7 // factor while any endpoint is available
 	slowStartAloneHeadroom = 0.9 // factor while no endpoint is available, so that no other can take the requests
 
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// If all endpoints are in slow start, an instance sends each of them no more than a share of the rate that available ones served.
+// If all endpoints are in slow start, an instance sends each of them requests at no more than a share of the rate that available ones
+// served.
 func TestSlowStartIsCapped(t *testing.T) {
 	fixture := start(t, settings(), 10)
-	fixture.serveRequests(300, nil) // 50 a second, 5 to each
+	fixture.serveRequests(300, nil) // 50 per second, 5 to each
 	for id := EndpointID(1); id <= 10; id++ {
 		fixture.updateEndpoint(ListEntry{Endpoint: id, StartedAt: fixture.now})
 	}
@@ -23,8 +24,8 @@
 		}
 	}
 	for id, n := range attempts {
-		if n > 8 { // 3 times a fifth of ten a second, and a little for randomness
-			t.Errorf("%d sends in its first second to endpoint %d in slow start", n, id)
+		if n > 8 { // 3 times a fifth of ten per second, and a margin for randomness
+			t.Errorf("%d sends in the first second to endpoint %d in slow start, want at most 8", n, id)
 		}
 	}
 	if len(attempts) == 0 {
@@ -32,9 +33,9 @@
 	}
 }
 
-// An endpoint in slow start is overloaded by retries of instances whose subset does not contain it, and if each instance whose subset
-// has a small weight of it sends as much as to a complete endpoint.
-func TestSlowStartGoesByTheSubsetAndTakesNoRetriesFromOutside(t *testing.T) {
+// Instances whose subset does not contain an endpoint in slow start send it no retries, as those would overload it. An instance whose
+// subset contains only a small part of the endpoint's weight sends it accordingly fewer requests.
+func TestSlowStartLimitFollowsSubsetWeightAndExcludesOutsideRetries(t *testing.T) {
 	config := settings()
 	config.Instances = 60
 	fixture := start(t, config, 20)
@@ -50,7 +51,7 @@
 		fixture.request(read)
 		fixture.finish(fixture.last(), StatusRejected, ms)
 		if to := fixture.last().to; to == outside.id {
-			t.Fatal("a retry went to an endpoint in slow start outside the subset")
+			t.Fatal("a retry was sent to an endpoint in slow start outside of the subset")
 		}
 		fixture.finish(fixture.last(), StatusOK, 20*ms)
 		fixture.advance(100 * ms)
@@ -71,12 +72,15 @@
 		return inside.slowStartTokens
 	}
 	if all, tenth := tokens(1), tokens(0.1); all == 0 || tenth > 0.11*all {
-		t.Errorf("%.3f sends allowed for a tenth of an endpoint in slow start, %.3f for all of it", tenth, all)
+		t.Errorf(
+			"%.3f sends allowed for a tenth of the weight of an endpoint in slow start, %.3f for all of it, want about a tenth",
+			tenth, all,
+		)
 	}
 }
 
-// While no endpoint is available, the rate that limits slow starts does not decay, since nothing could renew it. It decays as soon as
-// one is available.
+// While no endpoint is available, the rate that limits slow starts does not decay, since no sends would update it. It decays as soon
+// as an endpoint is available.
 func TestSlowStartsKeepTheirRateWhileNoneIsAvailable(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	for range 200 {
@@ -91,19 +95,22 @@
 	fixture.request(read) // keeps the ticks running
 	fixture.advance(3 * time.Second)
 	if !fixture.balancer.noneAvailable {
-		t.Error("slow starts are limited as if others could take their calls")
+		t.Error("noneAvailable is false while all endpoints are in slow start")
 	}
 	if after := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow); after < 0.95*before {
-		t.Errorf("%.1f a second, %.1f before the endpoints started anew", after, before)
+		t.Errorf("rate of available endpoints %.1f per second, want at least 0.95 of the %.1f before all restarted", after, before)
 	}
 	fixture.finish(fixture.last(), StatusOK, 10*ms)
 	fixture.updateEndpoint(ListEntry{Endpoint: 3, Weight: 1})
 	kept := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow)
 	fixture.advance(3 * time.Second)
 	if fixture.balancer.noneAvailable {
-		t.Error("slow starts go on as if there were no available endpoint")
+		t.Error("noneAvailable is true although an endpoint is available")
 	}
 	if after := fixture.balancer.availableSendRate.peak(fixture.now, fixture.balancer.rateWindow); after > 0.7*kept {
-		t.Errorf("%.1f a second after 3 s with an available one that is sent nothing, %.1f before", after, kept)
+		t.Errorf(
+			"rate of available endpoints %.1f per second after 3 s with an available one that gets no requests, %.1f before; want a decay",
+			after, kept,
+		)
 	}
 }
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -9,7 +9,7 @@
 )
 
 // With many instances, each calls only a subset of the endpoints. If all called each endpoint, its connection table would be full.
-func TestSubsetWhereManyInstancesCall(t *testing.T) {
+func TestSubsetsOfManyInstances(t *testing.T) {
 	config := settings()
 	config.Instances = 30
 	callers := map[EndpointID]int{}
@@ -31,8 +31,8 @@
 	}
 }
 
-// With more instances than endpoints, the subsets of all instances together have each endpoint in proportion to its weight. With one
-// endpoint for each instance, small machines would get as many calls as large ones.
+// With more instances than endpoints, the subsets of all instances together contain each endpoint in proportion to its weight. With
+// one endpoint for each instance, small machines would get as many calls as large ones.
 func TestSmallSubsetsReachEndpointsByWeight(t *testing.T) {
 	config := settings()
 	config.Instances = 120
@@ -54,20 +54,20 @@
 			}
 		}
 		if called < 2 || called > 8 {
-			t.Fatalf("instance %d calls %d endpoints, want a few", ordinal, called)
+			t.Fatalf("instance %d calls %d endpoints, want 2 to 8", ordinal, called)
 		}
 	}
 	for id, got := range subsetWeights {
 		want := total * []float64{3, 0.5}[id%2] / 35
 		if got < 0.95*want || got > 1.05*want {
-			t.Errorf("endpoint %d is reached by %.2f, want %.2f", id, got, want)
+			t.Errorf("the subsets contain endpoint %d with a weight of %.2f, want %.2f", id, got, want)
 		}
 	}
 }
 
-// If many endpoints drain at once, all others share their load. If only the next few on the ring did, these would get four times the
-// mean.
-func TestSharesOfDrainingEndpointsFallToAll(t *testing.T) {
+// If many endpoints drain at once, all others share their load. If only the next few on the ring took it, these would get four times
+// the mean load.
+func TestAllEndpointsShareTheLoadOfDrainingOnes(t *testing.T) {
 	config := settings()
 	config.Instances = 80
 	subsetWeights := map[EndpointID]float64{}
@@ -93,28 +93,28 @@
 }
 
 // A subset by hash keeps its endpoints while others are added or removed. It grows while most of its endpoints are ejected. While the
-// list is short, the subset is by tiles instead.
+// list is short, the subset is a tile instead.
 func TestSubsetsByIDs(t *testing.T) {
-	const n, instances = 2000, 40 // 150 each
+	const n, instances = 2000, 40 // 150 endpoints for each instance
 	config := settings()
 	config.Instances, config.Ordinal = instances, 7
 	fixture := start(t, config, n)
 	verify(t, fixture.balancer, fixture.now)
 	if size := len(fixture.balancer.subset.members); !fixture.balancer.subset.byHash || size < 100 || size > 200 {
-		t.Fatalf("by hash %v, %d endpoints", fixture.balancer.subset.byHash, size)
+		t.Fatalf("subset: by hash %v, %d endpoints; want true, 100 to 200", fixture.balancer.subset.byHash, size)
 	}
 	subsetMovesNoOthers(t, fixture, n)
 	subsetGrowsWhileEjected(t, fixture)
 	subsetIsTiledWhileFew(t, fixture)
 }
 
-// subsetIDs returns the endpoints of the subset, and checks that the subset has all of their weight.
+// subsetIDs returns the endpoints of the subset, and checks that the subset contains their full weight.
 func (f *fixture) subsetIDs() map[EndpointID]bool {
 	f.t.Helper()
 	ids := map[EndpointID]bool{}
 	for id, weight := range f.balancer.Subset() {
 		if weight != 1 {
-			f.t.Fatalf("endpoint %d: a weight of %v", id, weight)
+			f.t.Fatalf("endpoint %d is in the subset with a share of %v of its weight, want 1", id, weight)
 		}
 		ids[id] = true
 	}
@@ -134,16 +134,16 @@
 	}
 	for id := range fixture.subsetIDs() {
 		if int(id) <= n && !before[id] {
-			t.Fatalf("endpoint %d joined when others were removed", id)
+			t.Fatalf("endpoint %d joined the subset when others were removed", id)
 		}
 		delete(before, id)
 	}
 	if len(before) > 0 {
-		t.Fatalf("%v left when others were removed", before)
+		t.Fatalf("endpoints %v left the subset when others were removed", before)
 	}
 }
 
-// subsetGrowsWhileEjected ejects two thirds of the subset, and unejects them.
+// subsetGrowsWhileEjected ejects two thirds of the subset, ends the ejections, and checks the size of the subset each time.
 func subsetGrowsWhileEjected(t *testing.T, fixture *fixture) {
 	t.Helper()
 	b := fixture.balancer
@@ -156,7 +156,10 @@
 	}
 	b.subset.stale = true
 	if verify(t, b, fixture.now); len(b.subset.members) < size*3/2 || b.subset.share.Widening != 2 {
-		t.Fatalf("%d endpoints after two thirds of %d were ejected", len(b.subset.members), size)
+		t.Fatalf(
+			"the subset has %d endpoints after two thirds of %d were ejected, want at least half as many more, by a widening of 2",
+			len(b.subset.members), size,
+		)
 	}
 	for _, e := range b.listed {
 		if e.availability == ejected {
@@ -165,11 +168,11 @@
 	}
 	b.subset.stale = true
 	if verify(t, b, fixture.now); len(b.subset.members) != size || b.subset.share.Widening != 1 {
-		t.Fatalf("%d endpoints after the ejections, %d before", len(b.subset.members), size)
+		t.Fatalf("the subset has %d endpoints after the ejections ended, want %d as before", len(b.subset.members), size)
 	}
 }
 
-// subsetIsTiledWhileFew removes most endpoints, and lists them again.
+// subsetIsTiledWhileFew removes most endpoints, lists them again, and checks the form of the subset each time.
 func subsetIsTiledWhileFew(t *testing.T, fixture *fixture) {
 	t.Helper()
 	b := fixture.balancer
@@ -179,7 +182,10 @@
 	}
 	b.HandleEndpoints(fixture.now, list)
 	if verify(t, b, fixture.now); b.subset.byHash || len(b.subset.members) > 45 {
-		t.Fatalf("by hash %v with %d endpoints of %d", b.subset.byHash, len(b.subset.members), len(b.listed))
+		t.Fatalf(
+			"subset of a short list: by hash %v, %d endpoints of %d; want false, at most 45",
+			b.subset.byHash, len(b.subset.members), len(b.listed),
+		)
 	}
 	for i := range list.Entries {
 		list.Entries[i].State, list.Entries[i].Weight = EndpointReady, 1
@@ -187,7 +193,7 @@
 	list.Version = 4
 	b.HandleEndpoints(fixture.now, list)
 	if verify(t, b, fixture.now); !b.subset.byHash {
-		t.Fatal("not by hash again")
+		t.Fatal("the subset is not by hash after the endpoints are listed again")
 	}
 }
 
@@ -195,7 +201,7 @@
 func (f *fixture) checkLogged(text string) {
 	f.t.Helper()
 	if !strings.Contains(strings.Join(f.logs, "; "), text) {
-		f.t.Errorf("%q was not logged: %q", text, f.logs)
+		f.t.Errorf("%q is not in the logs %q", text, f.logs)
 	}
 }
 
@@ -208,11 +214,11 @@
 		b := fixture.balancer
 		verify(t, b, fixture.now)
 		low, high := float64(maxSize), float64(maxSize)
-		if maxSize > hashSubsetFrom { // the size of a subset by hash is random
+		if maxSize > hashSubsetFrom { // the size of a subset by hash varies by chance
 			low, high = 0.84*low-3*math.Sqrt(low), high+3*math.Sqrt(high)
 		}
 		if n := float64(len(b.subset.members)); n < low || n > high+1 {
-			t.Errorf("%v endpoints, %d at most", n, maxSize)
+			t.Errorf("the subset has %v endpoints, want about the maximum of %d", n, maxSize)
 		}
 		fixture.checkLogged(fmt.Sprintf("reach at most %d of 3000", 12*maxSize))
 		list := EndpointList{Kind: ListDelta, Version: 2}
@@ -226,11 +232,11 @@
 	config := settings()
 	config.MaxSubsetSize = -1
 	if _, err := New(config, 1, nil); err == nil || !strings.Contains(err.Error(), "subsetMost") {
-		t.Errorf("a negative maximum: %v", err)
+		t.Errorf("New with a negative MaxSubsetSize returned %v, want an error that names subsetMost", err)
 	}
 }
 
-// instanceSet is the instances of a tier, with their numbers in an InstanceGroup.
+// instanceSet holds the instances of a tier, with their ids in InstanceGroup.Members.
 type instanceSet struct {
 	t         *testing.T
 	instances []*fixture
@@ -250,7 +256,7 @@
 	return all
 }
 
-// regroup updates the group of the instances that are alive.
+// regroup passes the group of the instances that are alive to each of them. alive has their indexes.
 func (i *instanceSet) regroup(alive []int) {
 	i.t.Helper()
 	group := InstanceGroup{Instances: len(alive)}
@@ -267,7 +273,7 @@
 	}
 }
 
-// called returns the endpoints in the subsets of some instances.
+// called returns the endpoints in the subsets of the instances with the given indexes.
 func (i *instanceSet) called(indexes ...int) map[EndpointID]bool {
 	ids := map[EndpointID]bool{}
 	for _, index := range indexes {
@@ -278,7 +284,7 @@
 	return ids
 }
 
-// When instances fail, the others call the endpoints that only the failed ones have called, and keep nearly all of their own.
+// When instances fail, the others call the endpoints that only the failed ones called before, and keep their own.
 func TestGroupUpdateLeavesNoEndpointUncalled(t *testing.T) {
 	const instances, endpoints = 20, 600
 	all := newInstanceSet(t, instances, endpoints)
@@ -297,14 +303,17 @@
 		}
 	}
 	if n := len(after); lost > 0 || n > len(before)+endpoints/instances/2 {
-		t.Errorf("one of %d failed: another lost %d of its %d endpoints, and has %d", instances, lost, len(before), n)
+		t.Errorf(
+			"after one of %d instances failed: another lost %d of its %d endpoints, and has %d; want none lost and few added",
+			instances, lost, len(before), n,
+		)
 	}
 	alive := []int{0, 3, 7, 8, 13, 19}
 	if len(all.called(alive...)) == endpoints {
-		t.Error("seven of ten failed, and every endpoint is still called: nothing is tested")
+		t.Error("every endpoint is still called before the group is updated, so that the update is not tested")
 	}
 	all.regroup(alive)
 	if n := endpoints - len(all.called(alive...)); n > 0 {
-		t.Errorf("%d endpoints are not called by any instance", n)
+		t.Errorf("%d endpoints are not called by any instance after the group was updated, want 0", n)
 	}
 }
--- a/internal/balancer/weights_test.go
+++ b/internal/balancer/weights_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// In a list without weights, machines that report different service times get calls accordingly. With equal weights the slow ones
-// would be saturated.
+// If the listed weights are equal, machines that report different service times get calls in proportion to their speed. With equal
+// shares, the slow ones would be saturated.
 func TestReportedServiceTimesSetTheWeights(t *testing.T) {
 	fixture := start(t, settings(), 0)
 	list := EndpointList{Kind: ListFull, Version: 2}
@@ -14,7 +14,7 @@
 		list.Entries = append(list.Entries, ListEntry{Endpoint: id, MachineKind: int(id % 2), Weight: 1})
 	}
 	fixture.balancer.HandleEndpoints(fixture.now, list)
-	calls := [2]int{} // by machine kind
+	calls := [2]int{} // number of calls by machine kind
 	for i := range 600 {
 		fixture.request(read)
 		call := fixture.last()
@@ -28,6 +28,6 @@
 		fixture.advance(20 * ms)
 	}
 	if ratio := float64(calls[0]) / float64(calls[1]); ratio < 2 || ratio > 4 {
-		t.Errorf("fast machines got %d calls and slow ones %d, want three times as many", calls[0], calls[1])
+		t.Errorf("fast machines got %d calls and slow ones %d, want a ratio of 2 to 4", calls[0], calls[1])
 	}
 }
