--- a/internal/balancer/losses.go
+++ b/internal/balancer/losses.go
@@ -10,7 +10,7 @@
 	lossRateWeight = 0.05 // weight of one attempt in an endpoint's share of lost attempts: three losses in a row exceed lossyRate
 	lossyRate      = 0.12 // share of lost attempts above which an endpoint is assumed to lose attempts, not to be slow at times
 
-	// Ages, in tail latencies, of an attempt after which at least minOtherResponses later attempts have been answered.
+	// Ages, in tail latencies, of an attempt that at least minOtherResponses later attempts have overtaken: they were answered first.
 	stuckTails   = 0.6 // age from which the attempt does not count towards the limits
 	lostTails    = 1.1 // age from which the attempt counts as lost
 	overdueTails = 1.5 // age from which the attempt is overdue
--- a/internal/balancer/pools.go
+++ b/internal/balancer/pools.go
@@ -93,11 +93,11 @@
 	}
 	x := rng.Float64() * total
 	for i := range pools {
-		own := pools[i].Total()
-		if x < own {
-			return pools[i].Draw(x / own)
+		poolTotal := pools[i].Total()
+		if x < poolTotal {
+			return pools[i].Draw(x / poolTotal)
 		}
-		x -= own
+		x -= poolTotal
 	}
 	return nil, false
 }
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// HandleClientGone handles that the client has abandoned a request: it needs no answer, and its attempt in flight is cancelled.
+// HandleClientGone handles a request that its client has abandoned: it needs no answer, and its attempt in flight is cancelled.
 func (b *Balancer) HandleClientGone(_ time.Duration, id RequestID) {
 	req := b.requests[id]
 	if req == nil {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -28,7 +28,7 @@
 // were cancelled at once, and those whose retry the budget did not cover failed although their answers were about to arrive.
 func (b *retryBudget) coversCancel() bool { return b.tokens-float64(b.pendingCancels) >= 1 }
 
-// sendPermitted reports whether the rules of its class allow a request to be sent to an endpoint.
+// sendPermitted reports whether the rules of a request's class allow it to be sent to an endpoint.
 func (b *Balancer) sendPermitted(now time.Duration, req *request, ep *endpoint) bool {
 	switch {
 	case req.unrestricted():
@@ -43,7 +43,7 @@
 	return true
 }
 
-// retrySafe reports whether the rules of its class allow a request to be sent at all. They do not if the request may have run and
+// retrySafe reports whether the rules of a request's class allow it to be sent at all. They do not if the request may have run and
 // no endpoint would recognize it as a repeat.
 func (b *Balancer) retrySafe(now time.Duration, req *request) bool {
 	if req.unrestricted() {
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// holdSlowStartRate keeps the limits in slow start unchanged while no endpoint of the subset is available. As no send updates
-// availableSendRate then, the rate decayed before this was added, and the limits with it.
+// holdSlowStartRate keeps the limits in slow start unchanged while no endpoint of the subset is available. No send updates
+// availableSendRate then. If the rate were not held, it would decay, and the limits with it.
 func (b *Balancer) holdSlowStartRate(now time.Duration) {
 	b.noneAvailable = b.availableSubsetWeight() == 0
 	if b.noneAvailable {
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -99,8 +99,8 @@
 func (b *Balancer) updateSubset(now time.Duration) {
 	subset := &b.subset
 	listed := float64(b.index.len())
-	fair := max(callersPerEndpoint*listed/float64(b.settings.Instances), minSubsetSize)
-	subset.size = min(fair, cmp.Or(float64(b.settings.MaxSubsetSize), listed), listed)
+	fairSize := max(callersPerEndpoint*listed/float64(b.settings.Instances), minSubsetSize)
+	subset.size = min(fairSize, cmp.Or(float64(b.settings.MaxSubsetSize), listed), listed)
 	switch {
 	case subset.size >= listed:
 		b.useAllEndpoints(now)
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -27,22 +27,22 @@
 	for len(s.kinds) <= kind {
 		s.kinds = append(s.kinds, movingAverage{})
 	}
-	own := &s.kinds[kind]
-	if own.samples == 0 {
+	kindTime := &s.kinds[kind]
+	if kindTime.samples == 0 {
 		s.reporting++
 	} else {
-		s.inverseSum.mean -= 1 / own.mean
+		s.inverseSum.mean -= 1 / kindTime.mean
 	}
-	if own.samples*kindLatencyWeight < 0.5 || seconds < own.mean {
-		own.add(seconds, kindLatencyWeight)
+	if kindTime.samples*kindLatencyWeight < 0.5 || seconds < kindTime.mean {
+		kindTime.add(seconds, kindLatencyWeight)
 	} else {
-		own.add(seconds, kindLatencyWeight/8)
+		kindTime.add(seconds, kindLatencyWeight/8)
 	}
-	s.inverseSum.mean += 1 / own.mean
+	s.inverseSum.mean += 1 / kindTime.mean
 }
 
-// reports reports whether endpoints of a kind have reported service times.
-func (s *serviceTimes) reports(kind int) bool {
+// reported reports whether endpoints of a kind have reported service times.
+func (s *serviceTimes) reported(kind int) bool {
 	return kind < len(s.kinds) && s.kinds[kind].samples > 0
 }
 
@@ -56,7 +56,7 @@
 // kindSpeed returns the speed of an endpoint's kind relative to other kinds, by the service times that they report. It is 1 if the
 // kind reports none.
 func (w *weightModel) kindSpeed(ep *endpoint) float64 {
-	if !w.services.reports(ep.kind) {
+	if !w.services.reported(ep.kind) {
 		return 1
 	}
 	return float64(w.services.reporting) / w.services.inverseSum.mean / w.services.kinds[ep.kind].mean
