--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -3,70 +3,76 @@
 import "time"
 
 const (
-	tokenValidity     = 450 * time.Millisecond // from the time of the request for the tokens, by the sidecar's clock
-	unresponsiveAfter = 300 * time.Millisecond // without a request; the allocator then assumes that a sidecar uses its fallback share
-	shareLease        = 10 * time.Second       // lease of a fallback share
-	forgetAfter       = 2 * shareLease         // without a request; the allocator then forgets a sidecar
-	sweepInterval     = time.Second            // between two sweeps of sidecars and tenants to forget
-	maxSidecars       = 8192                   // that an allocator knows, at most
-
-	// newAllocatorDelay is how long a new allocator reserves the shares that no sidecar has reported, even if all known sidecars
-	// have reported theirs: it may not know all sidecars yet.
+	// tokenValidity is how long granted tokens may be used. The sidecar counts it from the time at which it sent the request.
+	tokenValidity = 450 * time.Millisecond
+
+	// unresponsiveAfter is the time without a request after which the allocator assumes that a sidecar admits requests from its
+	// fallback share.
+	unresponsiveAfter = 300 * time.Millisecond
+
+	shareLease    = 10 * time.Second // lease duration of a fallback share
+	forgetAfter   = 2 * shareLease   // time without a request after which the allocator removes a sidecar
+	sweepInterval = time.Second      // time between two removals of silent sidecars and deleted tenants
+	maxSidecars   = 8192             // maximum number of sidecars that an allocator serves
+
+	// newAllocatorDelay is how long a new allocator reserves unreported shares even if all known sidecars have reported theirs:
+	// it may not know all sidecars yet.
 	newAllocatorDelay = time.Second
 )
 
-// Limit is a tenant's limit, as the configuration has it.
+// Limit is the rate limit that the configuration sets for a tenant.
 type Limit struct {
-	Rate    float64 // requests a second; a tenant without a rate is not limited
-	Burst   float64 // requests that may come at once
-	Overage float64 // requests that may pass beyond rate and burst in a window of the quota
+	Rate    float64 // requests per second; 0 means that the tenant is not limited
+	Burst   float64 // requests that may arrive at once
+	Overage float64 // requests that one quota window allows in addition to rate and burst
 }
 
-// Allocator owns the token buckets of all tenants while this process plays the role. It is not safe for concurrent use.
+// Allocator holds the token buckets of all tenants while this process is the allocator. It is not safe for concurrent use.
 type Allocator struct {
-	startedAt    time.Duration
-	initialStart bool // the whole system starts for the first time: nothing was granted before startedAt
-	limits       func(tenant string) (Limit, bool)
-	buckets      map[string]*bucket    // by tenant
-	sidecars     map[string]*requester // by address
-	unreported   int                   // sidecars that have not reported their shares yet
-	lastSweep    time.Duration
+	startedAt          time.Duration
+	initialStart       bool // true if the whole system starts for the first time: nothing was granted before startedAt
+	limits             func(tenant string) (Limit, bool)
+	buckets            map[string]*bucket       // token buckets by tenant
+	sidecars           map[string]*sidecarState // known sidecars by address
+	unreportedSidecars int                      // number of sidecars that have not reported their shares yet
+	lastSweep          time.Duration
 }
 
-// requester is a sidecar that requests tokens.
-type requester struct {
-	incarnation uint64        // of the sidecar's process
-	lastSeen    time.Duration // time of its newest request
+// sidecarState is the state of one sidecar that requests tokens.
+type sidecarState struct {
+	incarnation uint64        // identifies the sidecar's process; it changes when the process restarts
+	lastSeen    time.Duration // time of the sidecar's newest request
 }
 
-// NewAllocator returns an allocator that starts now. limits returns a tenant's limit, and whether the tenant exists. At the
-// system's initial start the buckets are full. Otherwise they start nearly empty, as the previous allocator may just have
-// granted all tokens.
+// NewAllocator returns an allocator that starts at the time now. limits returns a tenant's limit, and whether the tenant
+// exists. initialStart says that the whole system starts for the first time: the buckets then start full. Otherwise they start
+// nearly empty, as the previous allocator may just have granted all tokens.
 func NewAllocator(now time.Duration, initialStart bool, limits func(string) (Limit, bool)) *Allocator {
 	return &Allocator{
 		startedAt:    now,
 		initialStart: initialStart,
 		limits:       limits,
 		buckets:      map[string]*bucket{},
-		sidecars:     map[string]*requester{},
+		sidecars:     map[string]*sidecarState{},
 	}
 }
 
-// SetSidecars sets the addresses of the sidecars that are members or were recently (LastSeen). Those that have not reported
-// their shares yet may hold shares of any size.
+// SetSidecars sets the addresses of the sidecars that are members or were members recently, as LastSeen.Update returns them.
+// A sidecar that has not sent a request to this allocator yet may hold shares of any size.
 func (a *Allocator) SetSidecars(addresses []string) {
-	a.unreported = 0
+	a.unreportedSidecars = 0
 	for _, address := range addresses {
 		if a.sidecars[address] == nil {
-			a.unreported++
+			a.unreportedSidecars++
 		}
 	}
 }
 
-// Allocate returns the grants for a sidecar's requests, without those for tenants that have no limit. It is the only method that
-// grants tokens and shares.
+// Allocate returns the grants for a sidecar's token requests, except requests for unknown tenants and for tenants without a
+// limit. It returns nil if the sidecar is unknown and there are maxSidecars already. It is the only method that grants tokens
+// and shares.
 func (a *Allocator) Allocate(now time.Duration, request *AllocationRequest) []TokenGrant {
-	sidecar := a.requester(request.Sidecar)
+	sidecar := a.findOrAddSidecar(request.Sidecar)
 	if sidecar == nil {
 		return nil
 	}
@@ -84,18 +90,20 @@
 	return grants
 }
 
-// requester returns the sidecar of an address, which it adds if necessary; nil if there are maxSidecars already.
-func (a *Allocator) requester(address string) *requester {
+// findOrAddSidecar returns the state of the sidecar with the given address, and adds it if it is unknown. It returns nil if the
+// sidecar is unknown and there are maxSidecars already.
+func (a *Allocator) findOrAddSidecar(address string) *sidecarState {
 	sidecar := a.sidecars[address]
 	if sidecar == nil && len(a.sidecars) < maxSidecars {
-		sidecar = &requester{}
+		sidecar = &sidecarState{}
 		a.sidecars[address] = sidecar
-		a.unreported = max(a.unreported-1, 0)
+		a.unreportedSidecars = max(a.unreportedSidecars-1, 0)
 	}
 	return sidecar
 }
 
-// sweep forgets sidecars without a request for forgetAfter, and tenants that no longer exist.
+// sweep removes the sidecars that have sent no request for forgetAfter, and the buckets of tenants that no longer exist. It
+// does so once every sweepInterval at most.
 func (a *Allocator) sweep(now time.Duration) {
 	if now-a.lastSweep < sweepInterval {
 		return
@@ -113,12 +121,12 @@
 	}
 }
 
-// grant answers one of a sidecar's requests with tokens from the tenant's bucket and a fallback share.
+// grant returns tokens from the tenant's bucket and a fallback share for one token request of a sidecar.
 func (a *Allocator) grant(now time.Duration, from *AllocationRequest, request TokenRequest, limit Limit) TokenGrant {
-	bucket := a.bucket(request.Tenant, limit)
+	bucket := a.findOrAddBucket(request.Tenant, limit)
 	bucket.recomputeSums(now, a.sidecars)
-	share := bucket.shareOf(from.Sidecar)
-	reported := 0.0 // the share that the sidecar holds by its own report, which is authoritative
+	share := bucket.findOrAddShare(from.Sidecar)
+	reported := 0.0 // the share that the sidecar says it holds; its report overrides what the allocator has recorded
 	if request.ShareRemaining > 0 {
 		reported = max(request.FallbackShare, 0)
 	}
@@ -127,13 +135,13 @@
 	grant := a.grantTokens(now, bucket, request, limit)
 	grant.FallbackShare = a.allotShare(now, bucket, share, limit)
 	grant.ShareRemaining = shareLease
-	bucket.setShare(share, max(reported, grant.FallbackShare), share.demand) // the sidecar may hold either until it reports the new one
+	bucket.setShare(share, max(reported, grant.FallbackShare), share.demand) // until the sidecar reports the new share, it may hold either
 	share.expiresAt = now + shareLease
 	return grant
 }
 
-// bucket returns the bucket of a tenant, which it makes if necessary.
-func (a *Allocator) bucket(tenant string, limit Limit) *bucket {
+// findOrAddBucket returns the token bucket of a tenant, and creates it if there is none.
+func (a *Allocator) findOrAddBucket(tenant string, limit Limit) *bucket {
 	b := a.buckets[tenant]
 	if b == nil {
 		b = newBucket(a.startedAt, a.initialStart, limit)
@@ -142,16 +150,17 @@
 	return b
 }
 
-// isNew reports whether sidecars may still hold shares that the previous allocator granted.
+// isNew reports whether this allocator started so recently that sidecars may still hold shares of the previous one.
 func (a *Allocator) isNew(now time.Duration) bool {
 	return !a.initialStart && now-a.startedAt < shareLease
 }
 
-// grantTokens grants tokens from a tenant's bucket, which fills at the rate that is not reserved for shares of other sidecars.
+// grantTokens grants tokens from a tenant's bucket. The bucket refills at the part of the limit's rate that is not reserved for
+// the fallback shares of unresponsive sidecars and for unreported shares.
 func (a *Allocator) grantTokens(now time.Duration, bucket *bucket, request TokenRequest, limit Limit) TokenGrant {
 	reserved := bucket.unresponsiveShares
-	if a.isNew(now) && (a.unreported > 0 || now-a.startedAt < newAllocatorDelay) {
-		reserved += max(limit.Rate-bucket.totalShares, 0) // unreported shares, granted by the previous allocator
+	if a.isNew(now) && (a.unreportedSidecars > 0 || now-a.startedAt < newAllocatorDelay) {
+		reserved += max(limit.Rate-bucket.totalShares, 0) // shares that the previous allocator granted
 	}
 	rate := max(limit.Rate-reserved, 0)
 	bucket.refill(now, rate, request.UnusedTokens, limit)
@@ -163,15 +172,16 @@
 	return grant
 }
 
-// allotShare returns the fallback share that a sidecar may have: by its demand, and no more than the other sidecars leave.
+// allotShare returns the fallback share to grant to a sidecar, in requests per second. It depends on the sidecar's part of the
+// total demand, and is limited to the part of the rate that the shares of the other sidecars leave.
 func (a *Allocator) allotShare(now time.Duration, bucket *bucket, own *fallbackShare, limit Limit) float64 {
-	if a.isNew(now) && a.unreported > 0 {
+	if a.isNew(now) && a.unreportedSidecars > 0 {
 		return min(own.rate, limit.Rate) // the shares of the unreported sidecars are unknown
 	}
-	even := limit.Rate / float64(max(len(a.sidecars)+a.unreported, 1))
-	wanted := even
+	evenShare := limit.Rate / float64(max(len(a.sidecars)+a.unreportedSidecars, 1))
+	wantedShare := evenShare
 	if bucket.totalDemand > 0 {
-		wanted = evenFraction*even + (1-evenFraction)*limit.Rate*own.demand/bucket.totalDemand
+		wantedShare = evenFraction*evenShare + (1-evenFraction)*limit.Rate*own.demand/bucket.totalDemand
 	}
-	return max(min(wanted, limit.Rate-(bucket.totalShares-own.rate)), 0)
+	return max(min(wantedShare, limit.Rate-(bucket.totalShares-own.rate)), 0)
 }
--- a/internal/mesh/control/ratelimit/allocator_bench_test.go
+++ b/internal/mesh/control/ratelimit/allocator_bench_test.go
@@ -8,8 +8,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// BenchmarkAllocator measures the allocator's work for one request of a sidecar, without the network. Each sidecar sends a request
-// every 200 ms, with token requests for some tenants, so a second has five requests for each sidecar.
+// BenchmarkAllocator measures the allocator's work for one sidecar's request, without the network. As in production, each sidecar
+// sends a request every 200 ms, five per second.
 func BenchmarkAllocator(b *testing.B) {
 	for _, sidecars := range []int{20, 200, 2000} {
 		for _, tenants := range []int{1, 8} {
@@ -30,7 +30,7 @@
 		now += interval
 		reply := AllocationReply{Granted: true, FencingToken: 3, Allocator: "10.0.0.1:7301", Grants: allocator.Allocate(now, request)}
 		if len(reply.Grants) != tenants {
-			b.Fatalf("%d grants for %d requests", len(reply.Grants), tenants)
+			b.Fatalf("Allocate returned %d grants for %d token requests, want one for each", len(reply.Grants), tenants)
 		}
 		return &reply
 	}
--- a/internal/mesh/control/ratelimit/bucket.go
+++ b/internal/mesh/control/ratelimit/bucket.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// sumInterval is the time between two recomputations of a bucket's sums.
+	// sumInterval is the time between two recomputations of a bucket's sums over all shares.
 	sumInterval = 100 * time.Millisecond
 
-	// evenFraction is the part of the rate that is divided evenly among sidecars; the rest is divided by demand.
+	// evenFraction is the part of the rate that is divided evenly among sidecars. The rest is divided in proportion to demand.
 	evenFraction = 0.2
 
-	// initialOverageFraction is the part of Limit.Overage with which a bucket starts, except at the system's first start. It is
-	// small because several allocators may follow one another within a window.
+	// initialOverageFraction is the part of Limit.Overage that a bucket contains at first, except at the system's first start. It
+	// is small because several allocators may succeed each other within one quota window.
 	initialOverageFraction = 0.25
 )
 
 // bucket is the token bucket of one tenant, with the fallback shares of all sidecars. Its sums are recomputed every sumInterval
-// and updated in between, so that the cost of a request does not grow with the number of sidecars.
+// and updated incrementally in between, so that the cost of a request does not grow with the number of sidecars.
 type bucket struct {
-	level              float64 // tokens
+	level              float64 // number of tokens in the bucket
 	refilledAt         time.Duration
-	shares             map[string]*fallbackShare // by the sidecar's address
-	totalDemand        float64                   // of all sidecars, in requests a second
-	totalShares        float64                   // the same of shares
-	unresponsiveShares float64                   // of sidecars without a request for unresponsiveAfter
-	summedAt           time.Duration
-	initialised        bool // the sums were computed once
+	shares             map[string]*fallbackShare // fallback shares by the sidecar's address
+	totalDemand        float64                   // sum of all sidecars' demand, in requests per second
+	totalShares        float64                   // sum of all shares, in requests per second
+	unresponsiveShares float64                   // sum of the shares of sidecars without a request for unresponsiveAfter
+	summedAt           time.Duration             // time of the newest recomputation of the sums
+	sumsComputed       bool                      // true once the sums have been computed
 }
 
-// fallbackShare is the share of one sidecar in one tenant's limit.
+// fallbackShare is the part of one tenant's rate that one sidecar may use while it reaches no allocator.
 type fallbackShare struct {
-	incarnation  uint64  // of the sidecar
-	rate, demand float64 // in requests a second
-	expiresAt    time.Duration
+	incarnation  uint64        // process of the sidecar that holds the share
+	rate, demand float64       // granted and requested rate, in requests per second
+	expiresAt    time.Duration // end of the share's lease
 }
 
+// newBucket returns a bucket that is full at the system's initial start, and nearly empty otherwise.
 func newBucket(startedAt time.Duration, initialStart bool, limit Limit) *bucket {
 	level := min(limit.Burst, initialOverageFraction*limit.Overage)
 	if initialStart {
@@ -46,8 +47,8 @@
 	return &bucket{level: level, refilledAt: startedAt, shares: map[string]*fallbackShare{}}
 }
 
-// shareOf returns the share of a sidecar, which it adds if necessary.
-func (b *bucket) shareOf(sidecar string) *fallbackShare {
+// findOrAddShare returns the share of a sidecar, and adds an empty one if there is none.
+func (b *bucket) findOrAddShare(sidecar string) *fallbackShare {
 	share := b.shares[sidecar]
 	if share == nil {
 		share = &fallbackShare{}
@@ -56,13 +57,13 @@
 	return share
 }
 
-// recomputeSums recomputes the sums if sumInterval has passed, and drops shares that have ended. It adds up in the order of
-// addresses, so that floating point sums are the same in every run.
-func (b *bucket) recomputeSums(now time.Duration, sidecars map[string]*requester) {
-	if b.initialised && now-b.summedAt < sumInterval {
+// recomputeSums removes expired shares and recomputes the sums if sumInterval has passed since it last did so. It adds in the
+// order of addresses, so that the floating-point sums are the same in every run.
+func (b *bucket) recomputeSums(now time.Duration, sidecars map[string]*sidecarState) {
+	if b.sumsComputed && now-b.summedAt < sumInterval {
 		return
 	}
-	b.initialised = true
+	b.sumsComputed = true
 	b.summedAt = now
 	b.totalDemand = 0
 	b.totalShares = 0
@@ -70,7 +71,7 @@
 	for _, address := range slices.Sorted(maps.Keys(b.shares)) {
 		share := b.shares[address]
 		sidecar := sidecars[address]
-		restarted := sidecar != nil && sidecar.incarnation != share.incarnation // it holds no earlier share any more
+		restarted := sidecar != nil && sidecar.incarnation != share.incarnation // the new process does not hold the share
 		if now >= share.expiresAt || restarted {
 			delete(b.shares, address)
 			continue
@@ -83,7 +84,7 @@
 	}
 }
 
-// setShare changes a share and updates the sums.
+// setShare sets the rate and the demand of a share and updates the sums.
 func (b *bucket) setShare(share *fallbackShare, rate, demand float64) {
 	b.totalShares += rate - share.rate
 	b.totalDemand += demand - share.demand
@@ -91,14 +92,16 @@
 	share.demand = demand
 }
 
-// refill adds the tokens of the time since the last refill, and those that a sidecar gives back.
+// refill adds the tokens that accrued at the given rate since the last refill, and those that a sidecar returns unused. The
+// bucket has room for limit.Burst tokens, and for at least one.
 func (b *bucket) refill(now time.Duration, rate, unused float64, limit Limit) {
 	added := rate*(now-b.refilledAt).Seconds() + min(max(unused, 0), limit.Burst)
 	b.level = min(b.level+added, max(limit.Burst, 1))
 	b.refilledAt = now
 }
 
-// take takes the wanted number of tokens from the bucket, or all complete tokens if there are fewer, and returns how many.
+// take removes the wanted number of tokens from the bucket, or all whole tokens if there are fewer, and returns how many it
+// removed.
 func (b *bucket) take(wanted float64) float64 {
 	taken := 0.0
 	switch {
@@ -112,8 +115,8 @@
 	return taken
 }
 
-// timeUntil returns the time until the lacking tokens are there, rounded up by one token at most, at a rate of refill in tokens a second.
-// It is shareLease at most.
+// timeUntil returns the time until the lacking tokens will be in the bucket, at most shareLease. rate is the refill rate in tokens
+// per second. The result is rounded up by the time of at most one token.
 func (b *bucket) timeUntil(lacking, rate float64) time.Duration {
 	if rate <= 0 {
 		return shareLease
--- a/internal/mesh/control/ratelimit/demand.go
+++ b/internal/mesh/control/ratelimit/demand.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// prefetchSpan is the time for whose expected demand a sidecar requests tokens in advance.
+	// prefetchSpan is how far ahead a sidecar requests tokens: for the demand that it expects within this time.
 	prefetchSpan = 300 * time.Millisecond
 
-	// demandSpan is the time over which demand is smoothed to request tokens; longTermSpan is that for fallback shares. It is
-	// longer because many tenants have less than one request a second.
+	// demandSpan and longTermSpan are the time constants over which demand is smoothed: demandSpan to request tokens, longTermSpan
+	// to divide the fallback shares. The latter is longer because many tenants send less than one request per second.
 	demandSpan   = time.Second
 	longTermSpan = 8 * time.Second
 )
 
-// demand is a tenant's demand at one sidecar, smoothed over two spans of time.
+// demand estimates the request rate of a tenant at one sidecar, smoothed over two time spans.
 type demand struct {
-	rate      float64       // requests a second over demandSpan, as of updatedAt
-	longTerm  float64       // the same over longTermSpan
-	updatedAt time.Duration // time of the newest request
+	rate            float64       // requests per second smoothed over demandSpan, as of updatedAt
+	longTermAverage float64       // requests per second smoothed over longTermSpan, as of updatedAt
+	updatedAt       time.Duration // time of the newest request
 }
 
-// record adds n requests.
+// record counts n requests at the time now.
 func (d *demand) record(now time.Duration, n float64) {
 	elapsed := float64(now - d.updatedAt)
 	d.rate = d.rate/(1+elapsed/float64(demandSpan)) + n/demandSpan.Seconds()
-	d.longTerm = d.longTerm/(1+elapsed/float64(longTermSpan)) + n/longTermSpan.Seconds()
+	d.longTermAverage = d.longTermAverage/(1+elapsed/float64(longTermSpan)) + n/longTermSpan.Seconds()
 	d.updatedAt = now
 }
 
@@ -32,7 +32,7 @@
 	return d.rate / (1 + float64(now-d.updatedAt)/float64(demandSpan)) * prefetchSpan.Seconds()
 }
 
-// longTermRate returns the demand, smoothed over longTermSpan, in requests a second.
+// longTermRate returns the demand smoothed over longTermSpan, in requests per second.
 func (d *demand) longTermRate(now time.Duration) float64 {
-	return d.longTerm / (1 + float64(now-d.updatedAt)/float64(longTermSpan))
+	return d.longTermAverage / (1 + float64(now-d.updatedAt)/float64(longTermSpan))
 }
--- a/internal/mesh/control/ratelimit/example_test.go
+++ b/internal/mesh/control/ratelimit/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/control/ratelimit"
 )
 
-// A client's request waits until the sidecar's cache has drawn tokens from the allocator.
+// Clients' requests wait until the allocator has granted tokens to the sidecar's cache.
 func Example() {
 	limit := ratelimit.Limit{Rate: 10, Burst: 5}
 	limits := func(string) (ratelimit.Limit, bool) { return limit, true }
@@ -39,7 +39,7 @@
 	// 6 false 510ms
 }
 
-// Retries are a fraction of the sidecar's own requests, and of the fleet's slack.
+// The retry budget is a fraction of the sidecar's own requests. Without slack, a ratio of 0.2 allows 8 retries for 100 requests.
 func ExampleRetryBudget() {
 	budget := ratelimit.NewRetryBudget(10 * time.Second)
 	for range 100 {
--- a/internal/mesh/control/ratelimit/fallback.go
+++ b/internal/mesh/control/ratelimit/fallback.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// maxFallbackTokens is how many requests a sidecar with a small share may save up while it reaches no allocator.
+	// maxFallbackTokens is how many tokens of a small fallback share a sidecar may accumulate.
 	maxFallbackTokens = 2.0
 
-	// initialShareFraction is the part of a tenant's rate that a sidecar without a share uses, at most.
+	// initialShareFraction is the greatest part of a tenant's rate that a sidecar without a fallback share uses.
 	initialShareFraction = 0.08
 
-	// maxFallbackRetryAfter is the longest retry-after of a client that is rejected while no allocator is reached.
+	// maxFallbackRetryAfter is the longest retry-after of a client that is rejected while the sidecar reaches no allocator.
 	maxFallbackRetryAfter = 250 * time.Millisecond
 )
 
-// fallback is a sidecar's fallback share of one tenant's rate, and the token bucket that it fills. The bucket has room for
-// one request at least.
+// fallback is a sidecar's fallback share of one tenant's rate, and the token bucket that is refilled at the rate of the share.
+// The bucket has room for at least one token.
 type fallback struct {
-	share      float64       // in requests a second
-	shareUntil time.Duration // end of the share's lease
-	level      float64       // requests that may be admitted now
-	refilledAt time.Duration
+	share          float64       // requests per second
+	shareExpiresAt time.Duration // end of the share's lease
+	level          float64       // number of tokens in the bucket
+	refilledAt     time.Duration
 }
 
-// admit admits or rejects a request by the share. A sidecar without a share, because it never reached an allocator or not within
-// the lease of its share, uses a small even share. If no sidecar reaches an allocator, as after a restart of all processes or
-// during a long outage of the core, these shares add up to no more than the limit. If only a few sidecars reach none, not even
-// through others, the sum may exceed it by these small shares.
+// admit takes a token of the fallback share, and reports whether there was one; otherwise the client may retry after retryAfter.
+// A sidecar whose share has expired, or that never had one because it has not reached an allocator, uses an even part of the
+// rate instead, at most initialShareFraction. If no sidecar reaches an allocator, as after a restart of all processes or during a
+// long outage of the control plane, these parts add up to no more than the limit. If only a few sidecars reach none, not even
+// through others, the sum may exceed the limit by their parts.
 func (f *fallback) admit(now time.Duration, limit Limit, sidecars int) (ok bool, retryAfter time.Duration) {
 	sidecars = max(sidecars, 1)
-	if now >= f.shareUntil {
+	if now >= f.shareExpiresAt {
 		f.share = limit.Rate * min(initialShareFraction, 1/float64(sidecars))
 	}
 	f.refill(now, limit, sidecars)
@@ -40,11 +41,11 @@
 		return false, maxRetryAfter
 	}
 	seconds := (1 - f.level) / f.share
-	return false, min(time.Duration(seconds*float64(time.Second)), maxFallbackRetryAfter) // an allocator may be back by then
+	return false, min(time.Duration(seconds*float64(time.Second)), maxFallbackRetryAfter) // by then the sidecar may reach an allocator again
 }
 
-// refill adds the requests of the time since the last refill. A sidecar saves up its part of what the limit allows beyond its
-// rate, at most maxFallbackTokens, or what it needs for prefetchSpan, and in any case one request.
+// refill adds the tokens that accrued since the last refill. The bucket's capacity is the greatest of: the sidecar's even part of
+// overage and burst, at most maxFallbackTokens; the tokens that accrue in prefetchSpan; and one token.
 func (f *fallback) refill(now time.Duration, limit Limit, sidecars int) {
 	allowance := (limit.Overage + limit.Burst) / float64(sidecars)
 	capacity := max(f.share*prefetchSpan.Seconds(), min(allowance, maxFallbackTokens), 1)
@@ -52,5 +53,5 @@
 	f.refilledAt = now
 }
 
-// remaining returns how long the share's lease still lasts.
-func (f *fallback) remaining(now time.Duration) time.Duration { return max(f.shareUntil-now, 0) }
+// remaining returns the remaining time of the share's lease, 0 if it has expired.
+func (f *fallback) remaining(now time.Duration) time.Duration { return max(f.shareExpiresAt-now, 0) }
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A sidecar rejects grants of an allocator whose lease has ended, once it has accepted those of a newer one.
+// Once a sidecar has accepted grants of a newer allocator, it rejects those of an older one, whose lease has ended.
 func TestGrantsOfADepartedAllocatorAreRejected(t *testing.T) {
 	c := qt.New(t)
 	limit := Limit{Rate: 10, Burst: 10}
@@ -28,26 +28,26 @@
 	c.Assert(cache.HandleReply(0, 0, grants(8, 3)), qt.IsTrue) // the newer allocator continues
 }
 
-// zoneRun is a run of sidecars in two zones. One zone is partitioned together with the allocator, and leaves the new allocator's
-// view two seconds later. The new allocator starts after a second and a half.
+// zoneRun simulates sidecars in two zones. One zone is partitioned together with the allocator. A new allocator starts 1.5 s after
+// the partition, and the partitioned sidecars leave its membership 2 s after the partition.
 type zoneRun struct {
-	now       time.Duration
-	cut       time.Duration // time of the partition
-	limit     Limit
-	allocator *Allocator
-	lastSeen  LastSeen
-	names     []string
-	caches    []*TokenCache
-	admitted  []time.Duration
+	now         time.Duration
+	partitionAt time.Duration
+	limit       Limit
+	allocator   *Allocator
+	lastSeen    LastSeen
+	names       []string
+	caches      []*TokenCache
+	admitted    []time.Duration // times of the admitted requests
 }
 
 const (
-	zoneSidecars  = 9
-	cutOffSidecar = zoneSidecars / 2 // sidecars with lower numbers are in the partitioned zone
+	zoneSidecars     = 9
+	partitionedCount = zoneSidecars / 2 // sidecars with lower numbers are in the partitioned zone
 )
 
-func newZoneRun(cut time.Duration, limit Limit) *zoneRun {
-	z := &zoneRun{cut: cut, limit: limit}
+func newZoneRun(partitionAt time.Duration, limit Limit) *zoneRun {
+	z := &zoneRun{partitionAt: partitionAt, limit: limit}
 	z.allocator = NewAllocator(0, true, z.limits)
 	for i := range zoneSidecars {
 		cache := NewTokenCache()
@@ -60,16 +60,16 @@
 
 func (z *zoneRun) limits(string) (Limit, bool) { return z.limit, true }
 
-// step simulates the events of one moment.
+// step simulates the events at the time now.
 func (z *zoneRun) step() {
-	const takeover = 1500 * time.Millisecond
-	hasAllocator := z.now < z.cut || z.now >= z.cut+takeover
-	if z.now == z.cut+takeover {
+	const takeoverDelay = 1500 * time.Millisecond
+	hasAllocator := z.now < z.partitionAt || z.now >= z.partitionAt+takeoverDelay
+	if z.now == z.partitionAt+takeoverDelay {
 		z.allocator = NewAllocator(z.now, false, z.limits)
 	}
 	members := z.names
-	if z.now >= z.cut+2*time.Second {
-		members = z.names[cutOffSidecar:]
+	if z.now >= z.partitionAt+2*time.Second {
+		members = z.names[partitionedCount:]
 	}
 	z.allocator.SetSidecars(z.lastSeen.Update(z.now, members))
 	for i, cache := range z.caches {
@@ -80,10 +80,10 @@
 			}
 		})
 		requests, due := cache.Tick(z.now)
-		isCutOff := z.now >= z.cut && i < cutOffSidecar
+		isPartitioned := z.now >= z.partitionAt && i < partitionedCount
 		switch {
 		case !due:
-		case !hasAllocator || isCutOff:
+		case !hasAllocator || isPartitioned:
 			cache.HandleFailure(z.now)
 		default:
 			request := &AllocationRequest{Sidecar: z.names[i], Incarnation: 1, Requests: requests}
@@ -93,17 +93,18 @@
 	}
 }
 
-// The sidecars of a partitioned zone hold most of the shares. Both zones together stay within the limit until the shares have ended.
+// After a partition, the sidecars of the partitioned zone still hold fallback shares. Both zones together stay within the limit until
+// the leases of these shares have ended.
 func TestSharesOfACutOffZoneAreReserved(t *testing.T) {
 	limit := Limit{Rate: 60, Burst: 20, Overage: 30}
-	for cut := 2 * time.Second; cut <= 10*time.Second; cut += 2 * time.Second {
-		run := newZoneRun(cut, limit)
+	for partitionAt := 2 * time.Second; partitionAt <= 10*time.Second; partitionAt += 2 * time.Second {
+		run := newZoneRun(partitionAt, limit)
 		for ; run.now < 16*time.Second; run.now += 5 * time.Millisecond {
 			run.step()
 		}
 		most := mostWithin(5*time.Second, run.admitted)
 		bound := limit.Rate*5 + limit.Burst + limit.Overage
-		t.Logf("cut at %v: %d within five seconds, %v allowed", cut, most, bound)
-		qt.Check(t, float64(most) <= bound, qt.IsTrue)
+		t.Logf("partition at %v: %d requests admitted within five seconds, at most %v allowed", partitionAt, most, bound)
+		qt.Check(t, float64(most) <= bound, qt.IsTrue, qt.Commentf("%d admitted, at most %v allowed", most, bound))
 	}
 }
--- a/internal/mesh/control/ratelimit/golden_test.go
+++ b/internal/mesh/control/ratelimit/golden_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Messages are encoded as other versions encode them, and theirs are read.
+// The messages have the same encoding as in other versions of the program, and that encoding is decoded.
 func TestGoldenMessages(t *testing.T) {
 	request := TokenRequest{
 		Tenant:         "tenant-1",
@@ -63,7 +63,7 @@
 	}
 }
 
-// Values that allocators and sidecars of two versions must agree on.
+// Allocators and sidecars of different versions must use the same values of these constants.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]time.Duration{
@@ -90,8 +90,8 @@
 	c.Check([]int{maxSidecars, maxWaiters, windowSlots}, qt.DeepEquals, []int{8192, 1024, 20})
 }
 
-// goldenRun is a run of three sidecars that draw tokens of two tenants. Messages are late or lost; the allocator is down for some time,
-// and then a new one starts. It records each decision and each message, with numbers to six decimal places.
+// goldenRun simulates three sidecars that request tokens for two tenants. Messages are delayed or lost; the allocator is down for
+// some time, and then a new one starts. The run records each decision and each message, with numbers to six decimal places.
 type goldenRun struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -99,18 +99,19 @@
 	lastSeen  LastSeen
 	caches    []*TokenCache
 	messages  []goldenRunMessage
-	decisions []string // of the current step
+	events    []string // records of the decisions and messages of the current step
 	admitted  int
-	refused   int
+	rejected  int
 }
 
 type goldenRunMessage struct {
 	arrivesAt, sent time.Duration
 	sidecar         int
 	request         *AllocationRequest
-	reply           *AllocationReply // nil in a request
+	reply           *AllocationReply // nil while the message is a request
 }
 
+// goldenLimits are the limits of the two tenants, by name.
 var goldenLimits = map[string]Limit{"even": {Rate: 60, Burst: 20, Overage: 30}, "slow": {Rate: 2, Burst: 4, Overage: 1}}
 
 func goldenLimit(tenant string) (Limit, bool) {
@@ -128,24 +129,24 @@
 	return run
 }
 
-// note records a decision or a message.
-func (g *goldenRun) note(format string, args ...any) {
-	g.decisions = append(g.decisions, fmt.Sprintf(format, args...))
+// record adds a decision or a message to the events of the current step.
+func (g *goldenRun) record(format string, args ...any) {
+	g.events = append(g.events, fmt.Sprintf(format, args...))
 }
 
-// request makes a client's request at a sidecar.
+// request sends a client's request to a sidecar.
 func (g *goldenRun) request(sidecar int, tenant string) {
 	g.caches[sidecar].Admit(g.now, tenant, goldenLimits[tenant], func(ok bool, retryAfter time.Duration) {
 		if ok {
 			g.admitted++
 		} else {
-			g.refused++
+			g.rejected++
 		}
-		g.note("%d %s %v %v", sidecar, tenant, ok, retryAfter.Round(time.Microsecond))
+		g.record("%d %s %v %v", sidecar, tenant, ok, retryAfter.Round(time.Microsecond))
 	})
 }
 
-// send puts a message in flight, or loses it.
+// send sends a message with a random delay of up to 19 ms, or loses it: one message in 20 on average.
 func (g *goldenRun) send(message goldenRunMessage) {
 	if g.rng.IntN(20) == 0 {
 		return
@@ -154,6 +155,7 @@
 	g.messages = append(g.messages, message)
 }
 
+// deliver delivers the messages that have arrived, and sends the allocator's replies.
 func (g *goldenRun) deliver() {
 	due := g.messages
 	g.messages = nil
@@ -163,8 +165,8 @@
 		case message.arrivesAt > g.now:
 			g.messages = append(g.messages, message)
 		case message.reply != nil:
-			g.note("%d took %v", message.sidecar, cache.HandleReply(g.now, message.sent, message.reply))
-		case g.now >= 4*time.Second && g.now < 6*time.Second: // no allocator
+			g.record("%d took %v", message.sidecar, cache.HandleReply(g.now, message.sent, message.reply))
+		case g.now >= 4*time.Second && g.now < 6*time.Second: // there is no allocator
 			cache.HandleFailure(g.now)
 		default:
 			message.reply = g.reply(message.sidecar, message.request)
@@ -177,13 +179,13 @@
 func (g *goldenRun) reply(sidecar int, request *AllocationRequest) *AllocationReply {
 	grants := g.allocator.Allocate(g.now, request)
 	for _, grant := range grants {
-		g.note("%d %s granted %.6f %.6f %v %v", sidecar, grant.Tenant, grant.Tokens, grant.FallbackShare, grant.ShareRemaining,
+		g.record("%d %s granted %.6f %.6f %v %v", sidecar, grant.Tenant, grant.Tokens, grant.FallbackShare, grant.ShareRemaining,
 			grant.RetryAfter.Round(time.Microsecond))
 	}
 	return &AllocationReply{Granted: true, FencingToken: 1 + uint64(g.now/(6*time.Second)), Grants: grants}
 }
 
-// step simulates 5 ms. The caller sorts the decisions of a step, as the order of tenants within it is random.
+// step simulates 5 ms. The caller sorts the events of a step, because the order of tenants within it is random.
 func (g *goldenRun) step() {
 	g.now += 5 * time.Millisecond
 	if g.now == 6*time.Second {
@@ -206,22 +208,22 @@
 		if requests, due := cache.Tick(g.now); due {
 			g.sendRequests(i, requests)
 		}
-		g.note("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(g.now), cache.HasWaiters(), cache.HighestFencingToken(), recent)
+		g.record("%d reached %v, waiting %v, newest %d of %v", i, cache.Reached(g.now), cache.HasWaiters(), cache.HighestFencingToken(), recent)
 	}
 }
 
-// sendRequests sends a sidecar's token requests, in the order of their tenants.
+// sendRequests sends a sidecar's token requests in one message, sorted by tenant.
 func (g *goldenRun) sendRequests(sidecar int, requests []TokenRequest) {
 	slices.SortFunc(requests, func(a, b TokenRequest) int { return strings.Compare(a.Tenant, b.Tenant) })
 	for _, request := range requests {
-		g.note("%d %s wants %.6f %.6f %.6f %.6f %v", sidecar, request.Tenant, request.Tokens, request.Demand, request.FallbackShare,
+		g.record("%d %s wants %.6f %.6f %.6f %.6f %v", sidecar, request.Tenant, request.Tokens, request.Demand, request.FallbackShare,
 			request.UnusedTokens, request.ShareRemaining)
 	}
 	request := &AllocationRequest{Sidecar: fmt.Sprint(sidecar), Incarnation: 1, Requests: requests}
 	g.send(goldenRunMessage{sent: g.now, sidecar: sidecar, request: request})
 }
 
-// The same seed gives the same run of caches and allocators, and the same use of a retry budget.
+// A run of caches and allocators, and a run of a retry budget, have the same results for the same seed as in earlier versions.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(8) {
@@ -229,12 +231,12 @@
 		digest := sha256.New()
 		for run.now < 20*time.Second {
 			run.step()
-			slices.Sort(run.decisions)
-			digest.Write(fmt.Appendln(nil, run.now, strings.Join(run.decisions, "\n")))
-			run.decisions = nil
+			slices.Sort(run.events)
+			digest.Write(fmt.Appendln(nil, run.now, strings.Join(run.events, "\n")))
+			run.events = nil
 		}
 		fmt.Fprintf(&text, "seed %d: decisions %x, %d admitted, %d refused, next draw %d\n", seed, digest.Sum(nil)[:8], run.admitted,
-			run.refused, run.rng.Uint64())
+			run.rejected, run.rng.Uint64())
 	}
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 8))
--- a/internal/mesh/control/ratelimit/last_seen.go
+++ b/internal/mesh/control/ratelimit/last_seen.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// LastSeen remembers which sidecars were members recently. A partitioned sidecar leaves the membership within seconds, but may
-// admit requests by its fallback share until the share's lease ends. A new allocator reserves what such sidecars may hold.
+// LastSeen records which sidecars were members recently. A partitioned sidecar leaves the membership within seconds, but may
+// admit requests from its fallback share until the share's lease ends. A new allocator reserves the shares of such sidecars.
 // The zero LastSeen is empty and ready to use. It is not safe for concurrent use.
 type LastSeen struct {
-	byAddress map[string]time.Duration // time of the last Update that had the address
+	byAddress map[string]time.Duration // time of the newest Update call whose argument contained the address
 }
 
-// Update takes the addresses of the current members, and returns the addresses of all sidecars that were members within
-// shareLease, sorted.
+// Update records the addresses of the current members, and returns the sorted addresses of all sidecars that were members
+// within the last shareLease.
 func (l *LastSeen) Update(now time.Duration, addresses []string) (recent []string) {
 	if l.byAddress == nil {
 		l.byAddress = map[string]time.Duration{}
--- a/internal/mesh/control/ratelimit/message.go
+++ b/internal/mesh/control/ratelimit/message.go
@@ -9,11 +9,11 @@
 // TokenRequest is a sidecar's request for the tokens of one tenant.
 type TokenRequest struct {
 	Tenant         string
-	Tokens         float64       // wanted: for waiting requests, and for those expected within prefetchSpan
-	Demand         float64       // requests a second, smoothed over longTermSpan
-	FallbackShare  float64       // that the sidecar holds, in requests a second
-	ShareRemaining time.Duration // of the share's lease
-	UnusedTokens   float64       // that expired since the last request; the allocator returns them to the bucket
+	Tokens         float64       // number of wanted tokens: for waiting requests and those expected within prefetchSpan
+	Demand         float64       // requests per second, smoothed over longTermSpan
+	FallbackShare  float64       // share that the sidecar holds, in requests per second
+	ShareRemaining time.Duration // remaining time of the share's lease
+	UnusedTokens   float64       // number of tokens that expired since the last request; they go back to the bucket
 }
 
 // Fields implements codec.Message.
@@ -26,14 +26,14 @@
 	visitor.Float64(6, &t.UnusedTokens)
 }
 
-// AllocationRequest has all token requests of a sidecar, or none: it is sent at least every maxRequestInterval, so that the allocator
-// knows which sidecars reach it.
+// AllocationRequest contains the token requests of a sidecar. A sidecar sends one every maxRequestInterval even if it has no token
+// requests, so that the allocator knows which sidecars reach it.
 type AllocationRequest struct {
-	Sidecar             string // its address
-	Incarnation         uint64 // of the sidecar's process
+	Sidecar             string // address of the sidecar
+	Incarnation         uint64 // identifies the sidecar's process; it changes when the process restarts
 	Requests            []TokenRequest
-	Forwarded           bool   // by another sidecar
-	HighestFencingToken uint64 // of all allocators whose grants the sidecar has accepted
+	Forwarded           bool   // true if another sidecar forwards the request
+	HighestFencingToken uint64 // highest fencing token of the allocators whose grants the sidecar has accepted
 }
 
 // Fields implements codec.Message.
@@ -48,10 +48,10 @@
 // TokenGrant answers a TokenRequest.
 type TokenGrant struct {
 	Tenant         string
-	Tokens         float64       // valid for tokenValidity from the time of the request; extends what is left of earlier ones
-	FallbackShare  float64       // in requests a second
-	ShareRemaining time.Duration // lease of the share, from the time of the request
-	RetryAfter     time.Duration // time until more tokens are there, if fewer were granted than requested; else 0
+	Tokens         float64       // tokens valid for tokenValidity from the request; also extends the validity of earlier ones
+	FallbackShare  float64       // granted share in requests per second
+	ShareRemaining time.Duration // lease duration of the share, counted from the time of the request
+	RetryAfter     time.Duration // time until the bucket has the missing tokens; 0 if all wanted tokens were granted
 }
 
 // Fields implements codec.Message.
@@ -65,9 +65,9 @@
 
 // AllocationReply answers an AllocationRequest.
 type AllocationReply struct {
-	Granted      bool   // false: this process is not the allocator
-	FencingToken uint64 // of the allocator's lease
-	Allocator    string // its address, if the replying process knows it; else empty
+	Granted      bool   // false if the replying process is not the allocator
+	FencingToken uint64 // fencing token of the allocator's lease
+	Allocator    string // address of the allocator; empty if the replying process does not know it
 	Grants       []TokenGrant
 }
 
--- a/internal/mesh/control/ratelimit/retry_budget.go
+++ b/internal/mesh/control/ratelimit/retry_budget.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// The nested calls of a retried request are retries too, at the services that they go to, but no sidecar can see that. Calls are
-// nested up to three deep, so each sidecar uses only a fraction of the ratio, and of the slack, at each service.
+// A sidecar uses only these fractions of a service's ratio and slack. The calls that a service makes on behalf of a retried request
+// are retries as well, at the services that it calls, but the sidecars there cannot recognize them. Calls are nested up to three
+// deep.
 const (
 	ratioFraction = 0.4
 	slackFraction = 0.6
 )
 
-// RetryBudget is this sidecar's part of one service's budget of retries and hedged requests: a ratio of its own requests, and a
-// part of the fleet's slack. It is not safe for concurrent use.
+// RetryBudget is this sidecar's part of the budget for retries and hedged requests to one service: a ratio of its own requests,
+// plus a part of the slack that all sidecars share. It is not safe for concurrent use.
 type RetryBudget struct {
 	requests, retries window
 }
 
-// NewRetryBudget returns a budget over a sliding window of the given length.
+// NewRetryBudget returns a budget for a sliding window of the given length.
 func NewRetryBudget(over time.Duration) *RetryBudget {
 	slotWidth := max(over/windowSlots, time.Millisecond)
 	return &RetryBudget{requests: window{slotWidth: slotWidth}, retries: window{slotWidth: slotWidth}}
 }
 
-// CountRequest counts one of this sidecar's own requests for the service.
+// CountRequest counts one of this sidecar's own requests to the service.
 func (r *RetryBudget) CountRequest(now time.Duration) { r.requests.add(now, 1) }
 
-// Acquire takes one retry from the budget, and reports whether there was one. The fleet's budget is ratio, in retries for each
-// request, and slack, in retries in a window, which the given number of sidecars share.
+// Acquire takes one retry from the budget, and reports whether the budget allowed it. ratio is in retries per request. slack is in
+// retries per window, and is divided evenly among the given number of sidecars.
 func (r *RetryBudget) Acquire(now time.Duration, ratio, slack float64, sidecars int) bool {
 	r.requests.advance(now)
 	r.retries.advance(now)
--- a/internal/mesh/control/ratelimit/window.go
+++ b/internal/mesh/control/ratelimit/window.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// windowSlots is the number of complete slots in a sliding window; one more slot is being filled.
+// windowSlots is the number of completed slots in a sliding window. One further slot counts the current events.
 const windowSlots = 20
 
-// window counts events within a sliding window of time. The zero window needs a slotWidth.
+// window counts events within a sliding time window of windowSlots*slotWidth. A zero window is ready once slotWidth is set.
 type window struct {
 	slotWidth time.Duration
-	counts    [windowSlots + 1]float64 // a ring: by slot number modulo its length
-	slot      int64                    // number of the slot that is being filled
-	total     float64                  // of counts
+	counts    [windowSlots + 1]float64 // ring buffer of counts, indexed by slot number modulo its length
+	slot      int64                    // number of the current slot
+	total     float64                  // sum of counts
 }
 
-// advance empties the slots that have left the window.
+// advance moves the window to the time now, and resets the slots that it leaves behind.
 func (w *window) advance(now time.Duration) {
 	current := int64(now / w.slotWidth)
 	if current-w.slot > windowSlots {
@@ -29,7 +29,7 @@
 	}
 }
 
-// add counts n events.
+// add counts n events at the time now.
 func (w *window) add(now time.Duration, n float64) {
 	w.advance(now)
 	w.counts[w.slot%(windowSlots+1)] += n
