--- a/internal/mesh/control/configuration/parse.go
+++ b/internal/mesh/control/configuration/parse.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// parseLimits parses limitSet. A limit that is missing or not above 0 gets its default.
+// parseLimits parses limitSet. Missing limits, sizes below 1 byte and durations that are not above 0 get their defaults.
 func (p *parser) parseLimits(config *Config, value gjson.Result) {
 	if isPresent(value) && !value.IsObject() {
 		p.addFault(fieldLimitSet, "an object, not %s", describe(value))
--- a/internal/mesh/control/storage/database.go
+++ b/internal/mesh/control/storage/database.go
@@ -6,7 +6,7 @@
 	"github.com/syndtr/goleveldb/leveldb/opt"
 )
 
-// databaseOptions returns options that keep the database's memory small, as it holds few records.
+// databaseOptions returns options that keep the memory use of the database small, as it contains few records.
 func databaseOptions() *opt.Options {
 	return &opt.Options{
 		WriteBuffer:                  256 * opt.KiB,
@@ -15,12 +15,12 @@
 		OpenFilesCacheCapacity:       16,
 		CompactionTableSize:          512 * opt.KiB,
 		DisableBufferPool:            true,
-		DisableLargeBatchTransaction: true, // which would write a table for every large record
+		DisableLargeBatchTransaction: true, // a large batch would write a table for every large record
 	}
 }
 
-// openDatabase opens the database in a folder's files. If its list of files (manifest) is corrupt, or missing while there are files, it
-// makes a new list from the files.
+// openDatabase opens the database in the given files. If the manifest, goleveldb's list of the files in use, is corrupt, or is missing
+// while other files exist, it creates a new manifest from the files.
 func openDatabase(files *durableFiles) (*leveldb.DB, error) {
 	db, err := leveldb.Open(files, databaseOptions())
 	if !lerrors.IsCorrupted(err) {
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	if err := files.applyDeferred(); err != nil {
-		_ = db.Close() // err says what went wrong
+		_ = db.Close() // the caller gets err, the cause
 		return nil, err
 	}
 	return db, nil
--- a/internal/mesh/control/storage/durable_files.go
+++ b/internal/mesh/control/storage/durable_files.go
@@ -7,32 +7,35 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// durableFiles writes goleveldb's files in an order that stays valid if power is lost at any moment. Each name that was made, removed or
-// set in a folder since its last sync may be kept or lost independently. goleveldb 1.0.0 alone does not handle that:
+// durableFiles writes goleveldb's files in an order that keeps the database valid if power is lost at any moment. A loss of power may keep
+// or undo, independently of the others, each file creation, removal and renaming since the folder's last sync. goleveldb 1.0.0 alone does
+// not handle that:
 //
-//   - A journal's content is synced with each write, but its name in the folder only after the journal before it is compacted.
-//   - A table's name may be lost while the list of files, which is synced at once, names the table.
-//   - A new list of files (manifest) is put in use before its content is synced, and the files that the old one needs are then removed.
-//   - leveldb.Recover first puts an empty list in use and fills it later. If power is lost in between, the next start finds an empty
+//   - It syncs the content of a journal with each write, but the journal's name in the folder only after the previous journal is
+//     compacted.
+//   - A table's name may be lost although the manifest (the list of the files in use), which is synced at once, names the table.
+//   - A new manifest is activated before its content is synced, and the files that the previous manifest needs are then removed.
+//   - leveldb.Recover activates an empty manifest first and fills it later. If power is lost in between, the next start finds an empty
 //     database and removes all tables.
 //
-// It is safe for concurrent use, as goleveldb needs it.
+// durableFiles is safe for concurrent use, which goleveldb requires.
 type durableFiles struct {
 	lstorage.Storage
 	syncFolder func() error
 
 	mu               sync.Mutex
-	manifests        map[lstorage.FileDesc]lstorage.Writer // those that are open
-	deferring        bool                                  // SetMeta and Remove take effect at applyDeferred
-	deferredMeta     lstorage.FileDesc                     // the manifest to put in use; zero for none
-	deferredRemovals []lstorage.FileDesc
+	manifests        map[lstorage.FileDesc]lstorage.Writer // writers of the open manifests
+	deferring        bool                                  // true while SetMeta and Remove are deferred until applyDeferred
+	deferredMeta     lstorage.FileDesc                     // manifest that applyDeferred activates; zero for none
+	deferredRemovals []lstorage.FileDesc                   // files that applyDeferred removes
 }
 
+// newDurableFiles returns durableFiles on top of files. syncFolder must sync the names of the files to the disk.
 func newDurableFiles(files lstorage.Storage, syncFolder func() error) *durableFiles {
 	return &durableFiles{Storage: files, syncFolder: syncFolder, manifests: map[lstorage.FileDesc]lstorage.Writer{}}
 }
 
-// Create creates a file. A journal's name is on disk when Create returns, and a table's name when the table is synced.
+// Create creates a file. The name of a journal is on disk when Create returns, and the name of a table when the table's Sync returns.
 func (d *durableFiles) Create(fd lstorage.FileDesc) (lstorage.Writer, error) {
 	writer, err := d.Storage.Create(fd)
 	if err != nil {
@@ -41,7 +44,7 @@
 	switch fd.Type {
 	case lstorage.TypeJournal:
 		if err := d.syncFolder(); err != nil {
-			_ = writer.Close() // err says what went wrong
+			_ = writer.Close() // the caller gets err, the cause
 			return nil, err
 		}
 	case lstorage.TypeTable:
@@ -55,7 +58,7 @@
 	return writer, nil
 }
 
-// SetMeta syncs a manifest and then puts it in use, or defers the latter.
+// SetMeta syncs a manifest and then activates it. After deferChanges it only syncs it; applyDeferred activates it.
 func (d *durableFiles) SetMeta(fd lstorage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +74,7 @@
 	return d.Storage.SetMeta(fd)
 }
 
-// Remove removes a file, or defers that.
+// Remove removes a file. After deferChanges, applyDeferred removes it.
 func (d *durableFiles) Remove(fd lstorage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,14 +85,15 @@
 	return d.Storage.Remove(fd)
 }
 
-// deferChanges keeps the manifest in use, and all files, until applyDeferred is called.
+// deferChanges leaves the active manifest and all files in place until applyDeferred is called.
 func (d *durableFiles) deferChanges() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deferring = true
 }
 
-// applyDeferred puts the newest manifest in use, and then removes the files that are not needed any more.
+// applyDeferred activates the newest manifest, and then removes the files whose removal was deferred. It fails if the manifest cannot be
+// activated.
 func (d *durableFiles) applyDeferred() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,13 +104,13 @@
 		}
 	}
 	for _, fd := range d.deferredRemovals {
-		_ = d.Storage.Remove(fd) // a file that remains is removed at the next start
+		_ = d.Storage.Remove(fd) // goleveldb removes a remaining file at the next start
 	}
 	d.deferredRemovals = nil
 	return nil
 }
 
-// tableWriter writes a table. Its Sync also syncs the folder, so that a manifest may name the table from then on.
+// tableWriter writes a table. Its Sync also syncs the folder, so that a manifest can safely name the table afterwards.
 type tableWriter struct {
 	lstorage.Writer
 	syncFolder func() error
@@ -120,7 +124,7 @@
 	return t.syncFolder()
 }
 
-// manifestWriter writes a manifest. While it is open, SetMeta syncs it.
+// manifestWriter writes a manifest. SetMeta syncs the manifest if its writer is open.
 type manifestWriter struct {
 	lstorage.Writer
 	files *durableFiles
--- a/internal/mesh/control/storage/example_test.go
+++ b/internal/mesh/control/storage/example_test.go
@@ -21,7 +21,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(store.Put("vote", []byte("for the first one"))) // on disk once it returns
+	fmt.Println(store.Put("vote", []byte("for the first one"))) // the record is on disk when Put returns
 	data, err := store.Get("vote")
 	fmt.Printf("%s, %v\n", data, err)
 	_, err = store.Get("owner")
--- a/internal/mesh/control/storage/folder.go
+++ b/internal/mesh/control/storage/folder.go
@@ -8,8 +8,8 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// createFolder creates a folder if it is missing, and syncs its parent. Without that a loss of power could remove the new folder with
-// all its files.
+// createFolder creates a folder if it is missing, and then syncs its parent. Without that sync, a loss of power could remove the new folder
+// with all of its files.
 func createFolder(folder string) error {
 	if _, err := os.Stat(folder); err == nil {
 		return nil
@@ -20,20 +20,20 @@
 	return syncFolder(filepath.Dir(folder))
 }
 
-// syncFolder syncs the names of a folder's files to the disk.
+// syncFolder syncs a folder to the disk, so that the names of its files are durable.
 func syncFolder(folder string) error {
 	file, err := os.Open(folder)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	if err := file.Sync(); err != nil {
-		_ = file.Close() // err says what went wrong
+		_ = file.Close() // the caller gets err, the cause
 		return trace.ConvertSystemError(err)
 	}
 	return trace.ConvertSystemError(file.Close())
 }
 
-// openFiles opens and locks a folder's files. The error is syscall.EWOULDBLOCK if another process has the folder open.
+// openFiles opens a folder and locks it. The error is syscall.EWOULDBLOCK if another process has the folder open.
 func openFiles(folder string) (*durableFiles, error) {
 	files, err := lstorage.OpenFile(folder, false)
 	if err != nil {
--- a/internal/mesh/control/storage/golden_test.go
+++ b/internal/mesh/control/storage/golden_test.go
@@ -13,14 +13,14 @@
 	"quincegap/internal/golden"
 )
 
-// The golden files: a folder and its records as earlier versions of the program have written them. In the folder older records are in a
-// table and newer ones in the journal.
+// The golden files are a folder and its records as earlier versions of the program wrote them. The older records of the folder are in a
+// table, the newer ones in the journal.
 const (
 	goldenFolder  = "testdata/golden/folder"
 	goldenRecords = "records.txt"
 )
 
-// goldenContent are the records of the golden folder, in the order in which they were written.
+// goldenContent lists the records of the golden folder in the order in which they are written.
 var goldenContent = []struct{ key, data string }{
 	{"owner", "10.0.0.1:7001"},
 	{"standing", "first"},
@@ -30,7 +30,7 @@
 	{"long", strings.Repeat("0123456789", 20)},
 }
 
-// writeGoldenFolder writes the content, and closes and opens the folder once in between.
+// writeGoldenFolder writes goldenContent to a folder, and closes and reopens the folder after half of the records.
 func writeGoldenFolder(c *qt.C, folder string) {
 	store, err := Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -45,7 +45,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// dump returns the keys of an open folder with their records, as they are on disk, in hexadecimal.
+// dump returns the keys of an open folder, each with its record in hexadecimal as it is on disk, header included.
 func dump(c *qt.C, store *Store) []byte {
 	var text strings.Builder
 	records := store.db.NewIterator(nil, nil)
@@ -57,7 +57,7 @@
 	return []byte(text.String())
 }
 
-// Records are written as earlier versions wrote them.
+// Records are written in the same format as by earlier versions.
 func TestGoldenRecordsAreWritten(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -65,7 +65,7 @@
 	golden.Text(t, goldenRecords, dump(c, open(t, folder)))
 }
 
-// A folder that an earlier version wrote is read and checked, and more records are written to it.
+// A folder that an earlier version wrote can be read and checked, and further records can be written to it.
 func TestGoldenFolderIsRead(t *testing.T) {
 	c := qt.New(t)
 	if flag.Lookup("update-golden").Value.String() == "true" {
@@ -93,8 +93,8 @@
 	c.Assert(string(got), qt.Equals, "another")
 }
 
-// The header of a record on disk.
-func TestHeaderIsAFormat(t *testing.T) {
+// The header of a record on disk does not change.
+func TestRecordHeaderFormat(t *testing.T) {
 	c := qt.New(t)
 	c.Assert([]int{recordFormat, maxRecordFormat, headerBytes}, qt.DeepEquals, []int{0x71, 0x7f, 5})
 	c.Assert(fmt.Sprintf("%x", encodeRecord([]byte("data"))), qt.Equals, "71"+"d17dd8ae"+"64617461")
--- a/internal/mesh/control/storage/record.go
+++ b/internal/mesh/control/storage/record.go
@@ -7,16 +7,16 @@
 	"github.com/gravitational/trace"
 )
 
-// The header of a record: the format's number, then the CRC32C of the data. Formats up to maxRecordFormat keep this header.
+// A record begins with a header: the number of its format, followed by the CRC32C of the data.
 const (
-	recordFormat    = 0x71
-	maxRecordFormat = 0x7f
-	headerBytes     = 1 + 4
+	recordFormat    = 0x71  // format that this program writes
+	maxRecordFormat = 0x7f  // greatest number that a later format with this header may have
+	headerBytes     = 1 + 4 // length of the header
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeRecord returns the data with its header.
+// encodeRecord returns a record: the header followed by the data.
 func encodeRecord(data []byte) []byte {
 	record := make([]byte, headerBytes, headerBytes+len(data))
 	record[0] = recordFormat
@@ -24,8 +24,8 @@
 	return append(record, data...)
 }
 
-// decodeRecord checks the header and returns the data, which shares record's memory. The error is a trace.NotImplemented for an intact
-// record of a later format, and a trace.CompareFailed for any other fault.
+// decodeRecord verifies the header of a record and returns the data, which shares the memory of record. The error is a
+// trace.NotImplemented for an intact record of a later format, and a trace.CompareFailed for any other invalid record.
 func decodeRecord(record []byte) ([]byte, error) {
 	if len(record) < headerBytes {
 		return nil, trace.CompareFailed("%d bytes, expected %d at least", len(record), headerBytes)
--- a/internal/mesh/control/storage/storage_test.go
+++ b/internal/mesh/control/storage/storage_test.go
@@ -18,9 +18,9 @@
 	lstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// killed returns a copy of a folder as a killed process would leave it: all files as they were at one moment, while the database may be
-// writing and removing tables.
-func killed(t *testing.T, folder string) string {
+// copyAsKilled returns a copy of a folder as a killed process would leave it: all files as of the same moment. The database may be
+// writing and removing tables meanwhile, so copyAsKilled copies again until no file changes during the copy.
+func copyAsKilled(t *testing.T, folder string) string {
 	t.Helper()
 	for range 100 {
 		before := files(t, folder)
@@ -32,11 +32,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the folder changes all the time")
+	t.Fatal("the files of the folder changed during each of 100 attempts to copy them")
 	return ""
 }
 
-// files returns the sizes of a folder's files by name; -1 for a file that is being removed.
+// files returns the sizes of a folder's files by name. The size of a file that is being removed is -1.
 func files(t *testing.T, folder string) map[string]int64 {
 	t.Helper()
 	sizes := map[string]int64{}
@@ -52,7 +52,7 @@
 	return sizes
 }
 
-// must returns a value that a test needs, and panics if there was an error.
+// must returns value, and panics if err is not nil.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -65,11 +65,11 @@
 	t.Helper()
 	store, err := Open(folder)
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = store.Close() }) // tests of Close check its error themselves
+	t.Cleanup(func() { _ = store.Close() }) // tests that need the error of Close call it themselves
 	return store
 }
 
-// All records are read after a kill, and the folder does not grow with the number of writes.
+// After the process is killed, all records are read. The folder does not grow with the number of writes.
 func TestRecordsSurviveAKill(t *testing.T) {
 	c := qt.New(t)
 	folder := filepath.Join(t.TempDir(), "a", "b")
@@ -81,24 +81,25 @@
 		c.Assert(store.Put("vote", append(large, byte(i))), qt.IsNil)
 		c.Assert(store.Put("standing", []byte{byte(i)}), qt.IsNil)
 	}
-	c.Assert(store.Close(), qt.IsNil) // so that killed copies files that do not change
+	c.Assert(store.Close(), qt.IsNil) // otherwise the files might change while copyAsKilled copies them
 	store = open(t, folder)
 	c.Assert(store.Put("empty", nil), qt.IsNil)
-	store = open(t, killed(t, folder))
+	store = open(t, copyAsKilled(t, folder))
 	for key, want := range map[string][]byte{"vote": append(large, 11), "standing": {11}, "empty": {}} {
 		data, err := store.Get(key)
 		c.Assert(err, qt.IsNil)
-		c.Assert(bytes.Equal(data, want), qt.IsTrue)
+		c.Assert(bytes.Equal(data, want), qt.IsTrue,
+			qt.Commentf("record %q: read %d bytes that differ from the %d written", key, len(data), len(want)))
 	}
 	c.Assert(store.Check(), qt.IsNil)
 	size := int64(0)
 	for _, n := range files(t, folder) {
 		size += max(n, 0)
 	}
-	c.Assert(size < 8<<20, qt.IsTrue, qt.Commentf("%d bytes", size)) // the space of overwritten records is freed
+	c.Assert(size < 8<<20, qt.IsTrue, qt.Commentf("size of the folder: %d bytes", size)) // the space of overwritten records is freed
 }
 
-// If the last write is torn at any byte, the folder opens and has the last record or the one before it.
+// If the last write is incomplete, at whichever byte it ends, the folder opens and contains the last record or the one before it.
 func TestTornWrites(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -109,21 +110,22 @@
 	c.Assert(store.Put("vote", bytes.Repeat([]byte("second"), 20)), qt.IsNil)
 	complete := must(os.ReadFile(log))
 	for n := len(synced); n <= len(complete); n = min(n+5, max(n+1, len(complete))) {
-		for _, zeros := range []int{0, len(complete) - n} { // the file may have its new length without the bytes
-			torn := killed(t, folder)
+		for _, zeros := range []int{0, len(complete) - n} { // the file system may have set the new length without writing the bytes
+			torn := copyAsKilled(t, folder)
 			left := append(slices.Clone(complete[:n]), make([]byte, zeros)...)
 			c.Assert(os.WriteFile(filepath.Join(torn, filepath.Base(log)), left, 0o600), qt.IsNil)
 			again := open(t, torn)
 			data, err := again.Get("vote")
-			c.Assert(err, qt.IsNil, qt.Commentf("%d of %d", n, len(complete)))
-			c.Assert(string(data) == "first" || n >= len(complete)-1, qt.IsTrue, qt.Commentf("%d of %d: %q", n, len(complete), data))
+			c.Assert(err, qt.IsNil, qt.Commentf("%d of %d bytes written", n, len(complete)))
+			c.Assert(string(data) == "first" || n >= len(complete)-1, qt.IsTrue,
+				qt.Commentf("%d of %d bytes written: record is %q", n, len(complete), data))
 			c.Assert(again.Put("vote", []byte("third")), qt.IsNil)
 			c.Assert(again.Close(), qt.IsNil)
 		}
 	}
 }
 
-// The errors of Get and Check name a corrupt record; other records are read.
+// The errors of Get and Check name the corrupt record, and other records can be read.
 func TestCorruptRecordsAreNamed(t *testing.T) {
 	c := qt.New(t)
 	store := open(t, t.TempDir())
@@ -134,14 +136,14 @@
 	for key, record := range map[string][]byte{"corrupt": corrupt, "short": {recordFormat}, "other": otherFormat} {
 		c.Assert(store.db.Put([]byte(key), record, nil), qt.IsNil)
 		_, err := store.Get(key)
-		c.Assert(trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("%v", err))
+		c.Assert(trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("record %q: error %v, want a CompareFailed", key, err))
 		c.Assert(store.Check(), qt.ErrorMatches, `(?s).*"`+key+`".*`)
 	}
 	_, err := store.Get("good")
 	c.Assert(err, qt.IsNil)
 }
 
-// After an error of the database, the next calls work. So they do after its list of files was corrupted.
+// After an error of the database, the next calls succeed. They also succeed after the manifest was corrupted.
 func TestWritesGoOn(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -163,14 +165,14 @@
 	c.Assert(string(data), qt.Equals, "3")
 }
 
-// volatileFiles are a folder's files on a machine that may lose power: written data stay in memory until the file is synced, and a
-// file's name until the folder is synced. While there is a gate, the creation of tables waits, so that no compaction syncs the folder.
+// volatileFiles simulates a folder's files on a machine that may lose power: written data is in memory until the file is synced, and a
+// file's name until the folder is synced. While gate is not nil, the creation of tables blocks, so that no compaction syncs the folder.
 type volatileFiles struct {
 	lstorage.Storage
-	mu      sync.Mutex
-	unnamed map[lstorage.FileDesc]bool // files whose names are not synced
-	gated   bool                       // the creation of a journal makes a gate
-	gate    chan struct{}              // closed to let tables be created; nil for no gate
+	mu            sync.Mutex
+	unsyncedNames map[lstorage.FileDesc]bool // files whose names are not synced
+	blockTables   bool                       // true if the creation of a journal sets gate
+	gate          chan struct{}              // closed to unblock the creation of tables; nil if it does not block
 }
 
 // volatileFile is a file of volatileFiles.
@@ -191,8 +193,8 @@
 	writer, err := v.Storage.Create(fd)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.unnamed[fd] = true
-	if v.gated && fd.Type == lstorage.TypeJournal {
+	v.unsyncedNames[fd] = true
+	if v.blockTables && fd.Type == lstorage.TypeJournal {
 		v.gate = make(chan struct{})
 	}
 	return &volatileFile{Writer: writer, files: v, fd: fd}, err
@@ -206,11 +208,11 @@
 func (v *volatileFiles) syncFolder() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	clear(v.unnamed)
+	clear(v.unsyncedNames)
 }
 
-// closeGate removes the gate, so that waiting tables are created.
-func (v *volatileFiles) closeGate() {
+// unblockTables unblocks the creation of tables.
+func (v *volatileFiles) unblockTables() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.gate != nil {
@@ -233,14 +235,14 @@
 	return err
 }
 
-// powerLost returns a copy of the folder after a loss of power by which everything is lost that may be lost.
-func (v *volatileFiles) powerLost(t *testing.T, folder string) string {
+// copyAfterPowerLoss returns a copy of the folder after the worst loss of power, in which all unsynced data and names are lost.
+func (v *volatileFiles) copyAfterPowerLoss(t *testing.T, folder string) string {
 	t.Helper()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	left := t.TempDir()
 	qt.Assert(t, os.CopyFS(left, os.DirFS(folder)), qt.IsNil)
-	for fd := range v.unnamed {
+	for fd := range v.unsyncedNames {
 		if err := os.Remove(filepath.Join(left, fd.String())); err != nil {
 			qt.Assert(t, errors.Is(err, fs.ErrNotExist), qt.IsTrue)
 		}
@@ -248,40 +250,40 @@
 	return left
 }
 
-// After a loss of power every record for which Put returned is read, also from a journal that was just created.
+// After a loss of power, each record for which Put returned no error is read, even from a journal that was created just before.
 func TestSyncedRecordsSurviveLossOfPower(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
 	var files *volatileFiles
 	store := &Store{folder: folder, openFiles: func(folder string) (*durableFiles, error) {
 		opened, err := lstorage.OpenFile(folder, false)
-		files = &volatileFiles{Storage: opened, unnamed: map[lstorage.FileDesc]bool{}}
+		files = &volatileFiles{Storage: opened, unsyncedNames: map[lstorage.FileDesc]bool{}}
 		return newDurableFiles(files, func() error { files.syncFolder(); return nil }), err
 	}}
 	c.Assert(store.open(), qt.IsNil)
 	defer func() { c.Check(store.Close(), qt.IsNil) }()
 	files.mu.Lock()
-	files.gated = true
+	files.blockTables = true
 	files.mu.Unlock()
 	journals := map[string]bool{}
 	body := bytes.Repeat([]byte("0123456789abcdef"), 4<<10)
 	for i := range 20 {
 		c.Assert(store.Put("vote", append(body, byte(i))), qt.IsNil)
-		left := files.powerLost(t, folder)
-		files.closeGate()
+		left := files.copyAfterPowerLoss(t, folder)
+		files.unblockTables()
 		for _, name := range must(filepath.Glob(filepath.Join(folder, "*.log"))) {
 			journals[name] = true
 		}
 		again := open(t, left)
 		data, err := again.Get("vote")
 		c.Assert(err, qt.IsNil)
-		c.Assert(len(data) > 0 && data[len(data)-1] == byte(i), qt.IsTrue, qt.Commentf("record %d is lost", i))
+		c.Assert(len(data) > 0 && data[len(data)-1] == byte(i), qt.IsTrue, qt.Commentf("record read is not record %d, the last one written", i))
 		c.Assert(again.Close(), qt.IsNil)
 	}
-	c.Assert(len(journals) > 2, qt.IsTrue)
+	c.Assert(len(journals) > 2, qt.IsTrue, qt.Commentf("%d journals were created, want more than 2", len(journals)))
 }
 
-// A record of a later format has another error than a corrupt one, and is not changed.
+// Get returns a different error for a record of a later format than for a corrupt one, and does not change the record.
 func TestRecordOfALaterFormat(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -290,7 +292,7 @@
 	later[0] = recordFormat + 1
 	c.Assert(store.db.Put([]byte("vote"), later, nil), qt.IsNil)
 	_, err := store.Get("vote")
-	c.Assert(trace.IsNotImplemented(err), qt.IsTrue, qt.Commentf("%v", err))
+	c.Assert(trace.IsNotImplemented(err), qt.IsTrue, qt.Commentf("error %v, want a NotImplemented", err))
 	c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*format 0x72, this program reads 0x71.*`)
 	c.Assert(must(store.db.Get([]byte("vote"), nil)), qt.DeepEquals, later)
 	later[len(later)-1] ^= 1
@@ -299,13 +301,13 @@
 	c.Assert(trace.IsCompareFailed(err), qt.IsTrue)
 }
 
-// The second of two processes that open a folder gets an error that names it, and the first one continues.
+// If a folder is already open, a second Open returns an error that names the folder, and the first Store continues to work.
 func TestFolderInUse(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
 	first := open(t, folder)
 	_, err := Open(folder)
-	c.Assert(trace.IsAlreadyExists(err), qt.IsTrue, qt.Commentf("%v", err))
+	c.Assert(trace.IsAlreadyExists(err), qt.IsTrue, qt.Commentf("error %v, want an AlreadyExists", err))
 	c.Assert(err, qt.ErrorMatches, "(?s).*folder "+folder+" is in use by another process.*")
 	c.Assert(first.Put("vote", []byte("1")), qt.IsNil)
 	c.Assert(first.Close(), qt.IsNil)
@@ -314,7 +316,8 @@
 	c.Assert(string(data), qt.Equals, "1")
 }
 
-// A folder with truncated or missing files returns the newest record, or an error that names the folder, but no older record.
+// A folder in which a file is truncated or missing returns the newest record, or an error that names the folder. It returns an older record
+// only if a journal is damaged, as after an incomplete write.
 func TestTruncatedFolder(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
@@ -324,7 +327,7 @@
 	}
 	c.Assert(store.Close(), qt.IsNil)
 	for name, size := range files(t, folder) {
-		for _, keep := range []int64{-1, 0, size / 2} { // bytes; -1: the file is missing
+		for _, keep := range []int64{-1, 0, size / 2} { // remaining size in bytes; -1 if the file is missing
 			t.Run(fmt.Sprintf("%s of %d bytes, cut to %d", name, size, keep), func(t *testing.T) {
 				damaged := t.TempDir()
 				qt.Assert(t, os.CopyFS(damaged, os.DirFS(folder)), qt.IsNil)
@@ -342,7 +345,7 @@
 // largeRecord is as large as the write buffer of the database. Tests append a byte that identifies the record.
 var largeRecord = bytes.Repeat([]byte("0123456789abcdef"), 1<<14)
 
-// checkTruncated checks a folder to which TestTruncatedFolder wrote eight records, and of which one file is truncated or missing.
+// checkTruncated checks a folder to which TestTruncatedFolder wrote eight records, and in which the given file is truncated or missing.
 func checkTruncated(t *testing.T, folder, file string) {
 	t.Helper()
 	c := qt.New(t)
@@ -353,26 +356,27 @@
 	}
 	data, err := store.Get("vote")
 	if err == nil {
-		c.Assert(len(data) == len(largeRecord)+1 && bytes.Equal(data[:len(largeRecord)], largeRecord), qt.IsTrue)
+		c.Assert(len(data) == len(largeRecord)+1 && bytes.Equal(data[:len(largeRecord)], largeRecord), qt.IsTrue,
+			qt.Commentf("record of %d bytes is not one of those written", len(data)))
 	} else {
-		c.Assert(trace.IsNotFound(err) || trace.IsCompareFailed(err), qt.IsTrue)
+		c.Assert(trace.IsNotFound(err) || trace.IsCompareFailed(err), qt.IsTrue, qt.Commentf("error %v, want a NotFound or CompareFailed", err))
 		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*`)
 	}
 	if file == "CURRENT" {
-		c.Assert(err, qt.IsNil) // it only names the list of files
+		c.Assert(err, qt.IsNil) // the file CURRENT only names the manifest
 	}
-	if err == nil && filepath.Ext(file) != ".log" { // a truncated journal equals a torn write
+	if err == nil && filepath.Ext(file) != ".log" { // a truncated journal is like one with an incomplete write
 		c.Assert(data[len(largeRecord)], qt.Equals, byte(7))
 	}
 	if err := store.Put("vote", []byte("next")); err != nil {
 		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`, record "vote".*file=`+file+`.*`)
 	}
-	if err := store.Close(); err != nil { // a compaction may have read the damaged table
+	if err := store.Close(); err != nil { // a compaction may have failed to read the damaged table
 		c.Assert(err, qt.ErrorMatches, `(?s).*folder `+folder+`.*file=`+file+`.*`)
 	}
 }
 
-// If the files that name the list of files are missing, a new list is made from the tables.
+// If the files that name the manifest are missing, a new manifest is created from the tables.
 func TestListOfFilesIsGone(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
