--- a/internal/mesh/control/configuration/configuration_test.go
+++ b/internal/mesh/control/configuration/configuration_test.go
@@ -101,37 +101,37 @@
 // Match returns the route with the longest matching prefix, as a comparison with each prefix finds it, for all paths of up to five pieces.
 func TestMatchIsTheLongestPrefix(t *testing.T) {
 	prefixes := []string{"/", "/a/", "/a/b/", "/a/b", "/a/bb", "/b/c/d/", "//", "/a//"}
-	var b strings.Builder
-	b.WriteString(`{"configVersion":"r1","serviceTable":[{"name":"s"}],"routeTable":[`)
-	for i, p := range prefixes {
+	var text strings.Builder
+	text.WriteString(`{"configVersion":"r1","serviceTable":[{"name":"s"}],"routeTable":[`)
+	for i, prefix := range prefixes {
 		if i > 0 {
-			b.WriteString(",")
+			text.WriteString(",")
 		}
-		b.WriteString(`{"hostName":"h","serviceName":"s","timeout":"1s","pathPrefix":"` + p + `"}`)
+		text.WriteString(`{"hostName":"h","serviceName":"s","timeout":"1s","pathPrefix":"` + prefix + `"}`)
 	}
-	b.WriteString(`]}`)
-	cfg, err := Parse([]byte(b.String()))
+	text.WriteString(`]}`)
+	cfg, err := Parse([]byte(text.String()))
 	qt.Assert(t, err, qt.IsNil)
 	pieces := []string{"", "/", "a", "b", "/c", "//"}
-	var paths func(path string, n int)
-	paths = func(path string, n int) {
+	var checkPaths func(path string, morePieces int)
+	checkPaths = func(path string, morePieces int) {
 		best, got := "none", "none"
-		for _, p := range prefixes {
-			if strings.HasPrefix(path, p) && (best == "none" || len(p) > len(best)) {
-				best = p
+		for _, prefix := range prefixes {
+			if strings.HasPrefix(path, prefix) && (best == "none" || len(prefix) > len(best)) {
+				best = prefix
 			}
 		}
-		if r := cfg.Match("h", path); r != nil {
-			got = r.Prefix
+		if route := cfg.Match("h", path); route != nil {
+			got = route.Prefix
 		}
 		qt.Assert(t, got, qt.Equals, best, qt.Commentf("prefix of the route that matches path %q", path))
-		for _, p := range pieces {
-			if n > 0 {
-				paths(path+p, n-1)
+		for _, piece := range pieces {
+			if morePieces > 0 {
+				checkPaths(path+piece, morePieces-1)
 			}
 		}
 	}
-	paths("", 5)
+	checkPaths("", 5)
 }
 
 // ParseVersion parses valid versions and rejects other texts, and String returns the same form.
--- a/internal/mesh/control/ratelimit/fence_test.go
+++ b/internal/mesh/control/ratelimit/fence_test.go
@@ -47,15 +47,15 @@
 )
 
 func newZoneRun(partitionAt time.Duration, limit Limit) *zoneRun {
-	z := &zoneRun{partitionAt: partitionAt, limit: limit}
-	z.allocator = NewAllocator(0, true, z.limits)
+	run := &zoneRun{partitionAt: partitionAt, limit: limit}
+	run.allocator = NewAllocator(0, true, run.limits)
 	for i := range zoneSidecars {
 		cache := NewTokenCache()
 		cache.SetSidecarCount(zoneSidecars)
-		z.caches = append(z.caches, cache)
-		z.names = append(z.names, fmt.Sprint(i))
+		run.caches = append(run.caches, cache)
+		run.names = append(run.names, fmt.Sprint(i))
 	}
-	return z
+	return run
 }
 
 func (z *zoneRun) limits(string) (Limit, bool) { return z.limit, true }
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -36,19 +36,19 @@
 
 func newPartitionRun(seed uint64, limit Limit) *partitionRun {
 	const sidecars = 10
-	r := &partitionRun{
+	run := &partitionRun{
 		rng:              rand.New(rand.NewPCG(seed, 1)),
 		limit:            limit,
 		withFaults:       seed%4 != 0,
 		partitionedUntil: make([]time.Duration, sidecars),
 	}
-	r.allocator = NewAllocator(0, true, r.limits)
+	run.allocator = NewAllocator(0, true, run.limits)
 	for i := range sidecars {
-		r.names = append(r.names, strconv.Itoa(i))
-		r.caches = append(r.caches, NewTokenCache())
+		run.names = append(run.names, strconv.Itoa(i))
+		run.caches = append(run.caches, NewTokenCache())
 	}
-	r.allocator.SetSidecars(r.names)
-	return r
+	run.allocator.SetSidecars(run.names)
+	return run
 }
 
 func (r *partitionRun) limits(string) (Limit, bool) { return r.limit, true }
--- a/internal/mesh/control/ratelimit/retry_budget.go
+++ b/internal/mesh/control/ratelimit/retry_budget.go
@@ -17,8 +17,8 @@
 }
 
 // NewRetryBudget returns a budget for a sliding window of the given length.
-func NewRetryBudget(over time.Duration) *RetryBudget {
-	slotWidth := max(over/windowSlots, time.Millisecond)
+func NewRetryBudget(windowLength time.Duration) *RetryBudget {
+	slotWidth := max(windowLength/windowSlots, time.Millisecond)
 	return &RetryBudget{requests: window{slotWidth: slotWidth}, retries: window{slotWidth: slotWidth}}
 }
 
