--- a/internal/mesh/control/configuration/fields.go
+++ b/internal/mesh/control/configuration/fields.go
@@ -8,8 +8,8 @@
 	fieldLimitSet      = "limitSet"
 	fieldTenantTable   = "tenantTable"
 
-	fieldName     = "name"     // in a route, a service and a tenant
-	fieldPriority = "priority" // in a route and a tenant
+	fieldName     = "name"     // field of a route, a service and a tenant
+	fieldPriority = "priority" // field of a route and a tenant
 
 	fieldHostName     = "hostName"
 	fieldPathPrefix   = "pathPrefix"
@@ -19,7 +19,7 @@
 	fieldMaxAttempts  = "maxAttempts"
 	fieldPublicAccess = "publicAccess"
 	fieldTrafficSplit = "trafficSplit"
-	fieldServiceName  = "serviceName" // in a route and in an entry of its trafficSplit
+	fieldServiceName  = "serviceName" // field of a route and of an entry of its trafficSplit
 	fieldWeight       = "weight"
 
 	fieldHealthPath    = "healthPath"
--- a/internal/mesh/control/configuration/parser.go
+++ b/internal/mesh/control/configuration/parser.go
@@ -45,7 +45,7 @@
 type parser struct {
 	faults   []string          // path of each invalid field, with what was expected
 	route    fieldSet          // fields of the current route; reused for the next one
-	interned map[string]string // one copy of each string, so that strings do not hold the memory of the JSON text
+	interned map[string]string // the single copy of each string, which does not refer to the memory of the JSON text
 }
 
 // addFault records that the field at a path is not what was expected.
--- a/internal/mesh/control/ratelimit/fallback.go
+++ b/internal/mesh/control/ratelimit/fallback.go
@@ -41,7 +41,7 @@
 		return false, maxRetryAfter
 	}
 	seconds := (1 - f.level) / f.share
-	return false, min(time.Duration(seconds*float64(time.Second)), maxFallbackRetryAfter) // by then the sidecar may reach an allocator again
+	return false, min(time.Duration(seconds*float64(time.Second)), maxFallbackRetryAfter) // the sidecar may reach an allocator again by then
 }
 
 // refill adds the tokens that accrued since the last refill. The bucket's capacity is the greatest of: the sidecar's even part of
