--- a/internal/mesh/control/controlplane/acceptor.go
+++ b/internal/mesh/control/controlplane/acceptor.go
@@ -11,17 +11,17 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// maxQueuedJobs is how many jobs wait for the disk, at most; further ones are rejected.
+// maxQueuedJobs is the maximum number of jobs that wait for the disk; further jobs are rejected.
 const maxQueuedJobs = 64
 
-// errRecordExists is the error of install if the acceptor has a record already.
+// errRecordExists is the error of install if the acceptor already has a record.
 var errRecordExists = &trace.AlreadyExistsError{Message: "the acceptor has a record already"}
 
-// acceptor owns this process's record: what it promised and accepted. Only its goroutine (run) uses the record and the disk. Other
-// goroutines submit jobs to it, and read a copy of its status.
+// acceptor owns this process's record: its promised ballot, its vote and the decided voter set. Only its goroutine (run) uses the record
+// and the disk. Other goroutines submit jobs to it, and read a copy of its status.
 //
-// State and vote are written separately, as a promise would otherwise write the whole configuration. After a failed write the disk
-// may hold the old part or the new one. The acceptor must not continue with the old part in memory: it could promise a higher
+// State and vote are written separately, because otherwise each promise would write the whole configuration. After a failed write the
+// disk may hold the old part or the new one. The acceptor must not continue with the old part in memory: it could promise a higher
 // ballot without reporting a vote that is on disk; if it found that vote at its next start, a reader could consider it committed.
 // So both parts are read and written again before any other request is answered.
 type acceptor struct {
@@ -30,66 +30,67 @@
 	backoff        *backoff
 	learner        *learner
 	observeBallot  func(consensus.Ballot)
-	startRecoverer func(diskIncarnation uint64, blankDisk bool) // starts a recovery, which installs a record later
+	startRecoverer func(diskIncarnation uint64, blankDisk bool) // starts a recovery in the background; it calls install
 	self           string
-	initialStart   bool     // the whole system starts for the first time
-	initialVoters  []string // of that start
+	initialStart   bool     // whether the whole system starts for the first time
+	initialVoters  []string // voters at the first start of the whole system
 	jobs           chan *acceptorJob
 
-	// Only run uses these.
+	// Only the goroutine of run uses the following fields.
 	disk            recordDisk
 	record          consensus.Record
-	loaded          bool   // what is on disk is known: record equals it, or needsRecord is set
-	hadRecord       bool   // since the start of the process; if the disk is empty after that, it was lost
-	needsRecord     bool   // the record is lost, or was never made: it must not vote
-	blankDisk       bool   // with needsRecord: the disk was completely empty
-	diskIncarnation uint64 // with needsRecord: of the recovery in progress
+	loaded          bool   // whether the contents of the disk are known: record equals them, or needsRecord is true
+	hadRecord       bool   // whether there was a record since the process started; if the disk is empty after that, it was lost
+	needsRecord     bool   // whether the record is lost or was never created; the acceptor must not vote then
+	blankDisk       bool   // whether the disk was completely empty; set only with needsRecord
+	diskIncarnation uint64 // disk incarnation of the recovery in progress; set only with needsRecord
 
 	mu        sync.Mutex
 	published acceptorStatus
 }
 
-// acceptorStatus is the part of an acceptor's state that others may read without waiting for its disk.
+// acceptorStatus is the part of an acceptor's state that other goroutines may read without waiting for the disk.
 type acceptorStatus struct {
-	decidedEpoch  uint64    // of the voter set that the record on disk shows to be decided
-	acceptedEpoch uint64    // of the voter set in the vote on disk
-	ready         bool      // the record was complete at the last write
-	readySince    time.Time // zero while it was never ready
+	decidedEpoch  uint64    // epoch of the newest voter set that is decided according to the record on disk
+	acceptedEpoch uint64    // epoch of the voter set in the vote on disk
+	ready         bool      // whether the record was complete at the last write
+	readySince    time.Time // time since which ready is true; zero while it was never true
 }
 
 // acceptorJob is work for the acceptor. Exactly one of request, recovered and decided is set.
 type acceptorJob struct {
 	ctx       context.Context
 	request   *consensus.Request
-	recovered *consensus.Record   // made by a recovery, to be installed
-	decided   *consensus.VoterSet // decided, to be written to disk
-	result    chan acceptorResult // has room for one result
+	recovered *consensus.Record   // recovered record to install
+	decided   *consensus.VoterSet // decided voter set to write to disk
+	result    chan acceptorResult // channel of capacity one that receives the result
 }
 
+// acceptorResult is the result of an acceptorJob.
 type acceptorResult struct {
 	reply *consensus.Reply
 	err   error
 }
 
-// handle submits a request and returns the acceptor's reply, which may have to wait for the disk.
+// handle submits a request and returns the acceptor's reply. It may wait for the disk, and fails as submit does.
 func (a *acceptor) handle(ctx context.Context, request *consensus.Request) (*consensus.Reply, error) {
 	return a.submit(ctx, &acceptorJob{request: request})
 }
 
-// learnDecided submits a decided voter set and waits until it is on disk.
+// learnDecided submits a decided voter set and waits until it is on disk. It fails as submit does.
 func (a *acceptor) learnDecided(ctx context.Context, voters consensus.VoterSet) error {
 	_, err := a.submit(ctx, &acceptorJob{decided: &voters})
 	return trace.Wrap(err)
 }
 
-// install submits the record that a recovery made and waits until it is on disk. The error is errRecordExists if the acceptor has
-// one already.
+// install submits a recovered record and waits until it is on disk. The error is errRecordExists if the acceptor already has a record.
 func (a *acceptor) install(ctx context.Context, record consensus.Record) error {
 	_, err := a.submit(ctx, &acceptorJob{recovered: &record})
 	return trace.Wrap(err)
 }
 
-// submit hands a job to the acceptor's goroutine and waits for its result. The error is a trace.LimitExceeded if too many jobs wait.
+// submit passes a job to the acceptor's goroutine and waits for its result. The error is a trace.LimitExceeded if maxQueuedJobs jobs
+// already wait, that of a context if ctx or the Server ends first, and otherwise that of the disk.
 func (a *acceptor) submit(ctx context.Context, job *acceptorJob) (*consensus.Reply, error) {
 	job.ctx = ctx
 	job.result = make(chan acceptorResult, 1)
@@ -115,10 +116,10 @@
 	return a.published
 }
 
-// run loads the record and processes jobs until ctx ends.
+// run loads the record, retrying until that succeeds, and then processes jobs until ctx ends.
 func (a *acceptor) run(ctx context.Context) {
 	defer a.disk.close()
-	if !a.loadUntilDone(ctx) {
+	if !a.loadWithRetry(ctx) {
 		return
 	}
 	for {
@@ -127,19 +128,19 @@
 			return
 		case job := <-a.jobs:
 			if job.ctx.Err() != nil {
-				continue // the caller gave up while the disk was slow
+				continue // the caller has given up, for example because the disk was slow
 			}
-			reply, err := a.do(job)
+			reply, err := a.process(job)
 			if err != nil {
-				a.log.WithError(err).Warn("the voter's record can't be kept")
+				a.log.WithError(err).Warn("the acceptor failed to process a job")
 			}
 			job.result <- acceptorResult{reply, err}
 		}
 	}
 }
 
-// do processes a job. After an error the record is read again before the next one.
-func (a *acceptor) do(job *acceptorJob) (*consensus.Reply, error) {
+// process executes a job. If the record is not loaded, as after a failed write, it first reads the record again.
+func (a *acceptor) process(job *acceptorJob) (*consensus.Reply, error) {
 	if !a.loaded {
 		if err := a.load(); err != nil {
 			return nil, trace.Wrap(err)
@@ -149,7 +150,7 @@
 	case job.recovered != nil:
 		return nil, trace.Wrap(a.installRecovered(job.recovered))
 	case a.needsRecord && job.decided != nil:
-		return nil, nil // the recovery learns the newest voter set itself
+		return nil, nil // no write is needed: the recovery learns the newest voter set
 	case a.needsRecord:
 		return a.notReady(job.request), nil
 	case job.decided != nil:
@@ -164,7 +165,7 @@
 	return &reply, nil
 }
 
-// notReady returns the reply of an acceptor without a record.
+// notReady returns the reply to a request while the acceptor has no record.
 func (a *acceptor) notReady(request *consensus.Request) *consensus.Reply {
 	return &consensus.Reply{Kind: consensus.NotReady, Ballot: request.Ballot, BlankDisk: a.blankDisk, DiskIncarnation: a.diskIncarnation}
 }
@@ -175,14 +176,14 @@
 		return trace.Wrap(errRecordExists)
 	}
 	if err := a.disk.replace(record); err != nil {
-		return a.failedWrite(err)
+		return a.invalidateRecord(err)
 	}
 	a.needsRecord = false
 	a.adopt(*record)
 	return nil
 }
 
-// handleCommit learns the committed value, if it is that of the acceptor's vote, and the decided voter set.
+// handleCommit learns the committed value if the acceptor's vote has the request's ballot, and learns the decided voter set.
 func (a *acceptor) handleCommit(request *consensus.Request) (*consensus.Reply, error) {
 	if vote := a.record.Vote; vote.Ballot == request.Ballot {
 		a.learner.learnVote(vote)
@@ -196,31 +197,32 @@
 	return &consensus.Reply{Kind: consensus.Reported}, nil
 }
 
-// learnVoterSet writes a decided voter set to the record, if it is newer.
+// learnVoterSet writes a decided voter set to the record if it is newer than the one there.
 func (a *acceptor) learnVoterSet(voters consensus.VoterSet) error {
 	next, changed := a.record.LearnVoters(voters)
 	return trace.Wrap(a.persist(next, changed))
 }
 
-// persist writes the changed parts of the next record, and then makes it the current one.
+// persist writes the changed parts of the next record to disk, and then makes it the current record.
 func (a *acceptor) persist(next consensus.Record, changed consensus.Unsynced) error {
 	if !changed.Any() {
 		return nil
 	}
 	if err := a.disk.save(&next, changed); err != nil {
-		return a.failedWrite(err)
+		return a.invalidateRecord(err)
 	}
 	a.setRecord(next)
 	return nil
 }
 
-// failedWrite has the record read again before the next job: the disk may hold the old record, the new one, or parts of both.
-func (a *acceptor) failedWrite(err error) error {
+// invalidateRecord causes the record to be read again before the next job, and returns the error of the failed write: the disk may hold
+// the old record, the new one, or parts of both.
+func (a *acceptor) invalidateRecord(err error) error {
 	a.loaded = false
 	return trace.Wrap(err)
 }
 
-// setRecord makes a record that is on disk the current one, and publishes its status.
+// setRecord makes a record that is on disk the current one, and publishes the acceptor's new status.
 func (a *acceptor) setRecord(record consensus.Record) {
 	a.record = record
 	a.loaded = true
@@ -235,7 +237,8 @@
 	a.published.acceptedEpoch = record.Vote.Value.VoterSet.Epoch
 }
 
-// adopt makes a record that was read or recovered the current one, and passes its contents to the learner and the proposer.
+// adopt makes a record that was read, recovered or newly created the current one, and passes its contents to the learner and the
+// proposer.
 func (a *acceptor) adopt(record consensus.Record) {
 	a.setRecord(record)
 	a.learner.learnSystem(record.State.System)
--- a/internal/mesh/control/controlplane/acceptor_load.go
+++ b/internal/mesh/control/controlplane/acceptor_load.go
@@ -9,9 +9,9 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// loadUntilDone loads the record for the first time, and retries until that succeeds. It logs each reason for a failure once. It
-// returns false if ctx ends first.
-func (a *acceptor) loadUntilDone(ctx context.Context) bool {
+// loadWithRetry loads the record for the first time, and retries until that succeeds. It logs an error only if it differs from the one
+// before. It returns false if ctx ends first.
+func (a *acceptor) loadWithRetry(ctx context.Context) bool {
 	delay := minBackoff
 	logged := ""
 	for {
@@ -20,7 +20,7 @@
 			return true
 		}
 		if reason := err.Error(); reason != logged {
-			a.log.WithError(err).Warn("the replica's record can't be read")
+			a.log.WithError(err).Warn("failed to load the acceptor's record; retrying")
 			logged = reason
 		}
 		if a.backoff.wait(ctx, &delay) != nil {
@@ -29,9 +29,10 @@
 	}
 }
 
-// load reads the record and writes it again: after a failed write, what is read may come from a cache and not be on the disk itself. A
-// missing or corrupt record was lost, except at the first start of the system, and has to be recovered. A record of a later
-// format and a folder of another process are errors; nothing is written there.
+// load reads the record and writes it again: after a failed write, the data that is read may come from a cache and not be on the disk
+// itself. A missing or corrupt record has to be recovered; a missing one is created only at the first start of the system. load fails if
+// the disk fails, if the record has a later format, and if the folder belongs to another process; in the last two cases it leaves
+// the record on disk unchanged.
 func (a *acceptor) load() error {
 	if err := a.disk.open(); err != nil {
 		return trace.Wrap(err)
@@ -42,20 +43,21 @@
 	}
 	switch {
 	case damage.blank() && a.initialStart && !a.hadRecord && !a.needsRecord:
-		return trace.Wrap(a.makeInitialRecord())
+		return trace.Wrap(a.createInitialRecord())
 	case damage.state != nil || trace.IsCompareFailed(damage.vote) || !record.State.Ready:
 		if !a.needsRecord {
-			a.log.WithField(stateKey, damage.state).WithField(voteKey, damage.vote).Warn("there is no voter's record")
+			a.log.WithField(stateKey, damage.state).WithField(voteKey, damage.vote).
+				Warn("the acceptor has no complete record; starting a recovery")
 		}
 		a.learner.learnVoterSet(record.DecidedVoters())
 		a.startRecovery(damage.blank())
 		return nil
 	}
-	return trace.Wrap(a.keep(record))
+	return trace.Wrap(a.rewriteRecord(record))
 }
 
-// makeInitialRecord writes and adopts the record of a voter of the system's first start. Any other process starts a recovery.
-func (a *acceptor) makeInitialRecord() error {
+// createInitialRecord writes and adopts the first record of an initial voter. A process that is not an initial voter starts a recovery.
+func (a *acceptor) createInitialRecord() error {
 	initial := consensus.InitialRecord(a.self, a.initialVoters)
 	if !initial.State.Ready {
 		a.learner.learnSystem(initial.State.System)
@@ -70,8 +72,8 @@
 	return nil
 }
 
-// keep writes a record that was read to disk again, and adopts it.
-func (a *acceptor) keep(record consensus.Record) error {
+// rewriteRecord writes a record that was read from disk again, and adopts it.
+func (a *acceptor) rewriteRecord(record consensus.Record) error {
 	if record.State.System == 0 && record.DecidedVoters().Epoch == 0 { // written by a version without system IDs
 		record.State.System = consensus.NewSystemID(record.State.Voters)
 	}
@@ -82,10 +84,10 @@
 	return nil
 }
 
-// startRecovery starts to recover the record, or to make the first one of a process that never voted. Until that is done the acceptor
-// answers NotReady.
+// startRecovery starts to recover the record, or to create the first record of a process that never voted. Until that is done, the
+// acceptor answers NotReady.
 func (a *acceptor) startRecovery(blankDisk bool) {
-	a.loaded = true // there is nothing to load
+	a.loaded = true // there is no record to load
 	if a.needsRecord {
 		return // a recovery is in progress
 	}
--- a/internal/mesh/control/controlplane/failure_detector.go
+++ b/internal/mesh/control/controlplane/failure_detector.go
@@ -8,23 +8,23 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// failureDetector tracks which core processes answer Describe, and which voters they report as unresponsive. Its methods take the time
-// as an argument. It is not safe for concurrent use.
+// failureDetector tracks which core processes answer Describe requests, and which voters these processes report as unresponsive. Its
+// methods take the current time as an argument. It is not safe for concurrent use.
 type failureDetector struct {
-	peers map[string]*peerState // by name
+	peers map[string]*peerState // tracked processes by name
 }
 
-// peerState is the state of another core process, by its replies to Describe.
+// peerState is the state of another core process according to its replies to Describe requests.
 type peerState struct {
-	awaitedSince    time.Time // when it was first tracked, or this process was resumed
-	lastReply       time.Time // zero before the first reply
-	responsiveSince time.Time // when it began to answer without a gap of consensus.ReplaceDelay
-	probing         bool      // a probe is in flight
-	ready           bool      // it may vote
-	unresponsive    []string  // voters that do not answer it
+	awaitedSince    time.Time // time at which tracking began, or at which this process resumed after a suspension
+	lastReply       time.Time // time of the last reply; zero before the first reply
+	responsiveSince time.Time // time since which there was no gap of consensus.ReplaceDelay between replies
+	probing         bool      // whether a probe is in flight
+	ready           bool      // whether the process has a complete record and may vote
+	unresponsive    []string  // voters that do not answer the process
 }
 
-// track sets the processes to probe, and forgets all others.
+// track sets the processes to probe, and discards the state of all others.
 func (f *failureDetector) track(now time.Time, nodes []string) {
 	if f.peers == nil {
 		f.peers = map[string]*peerState{}
@@ -41,7 +41,7 @@
 	}
 }
 
-// resetTimeouts restarts all timeouts, after this process itself was suspended and could not receive replies.
+// resetTimeouts restarts all timeouts. It is called after this process itself was suspended and could not receive replies.
 func (f *failureDetector) resetTimeouts(now time.Time) {
 	for _, peer := range f.peers {
 		peer.awaitedSince = now
@@ -52,8 +52,8 @@
 	}
 }
 
-// startProbes marks a probe as in flight to each process that has none, and returns these processes, sorted. The caller ends each probe
-// with observeReply.
+// startProbes marks a probe as in flight for each process without one, and returns these processes, sorted by name. The caller sends the
+// probes, and ends each of them with observeReply.
 func (f *failureDetector) startProbes() (nodes []string) {
 	for node, peer := range f.peers {
 		if !peer.probing {
@@ -65,7 +65,7 @@
 	return nodes
 }
 
-// observeReply ends a probe. reply is nil if there was none.
+// observeReply ends a probe. reply is nil if the process did not reply.
 func (f *failureDetector) observeReply(now time.Time, node string, reply *consensus.Reply) {
 	peer := f.peers[node]
 	if peer == nil {
@@ -91,9 +91,9 @@
 	return now.Sub(p.awaitedSince)
 }
 
-// unresponsive returns the nodes that have not answered for consensus.ReplaceDelay, of those in a list.
-func (f *failureDetector) unresponsive(now time.Time, list []string) (nodes []string) {
-	for _, node := range list {
+// unresponsive returns those of the candidates that have not answered for consensus.ReplaceDelay.
+func (f *failureDetector) unresponsive(now time.Time, candidates []string) (nodes []string) {
+	for _, node := range candidates {
 		if peer := f.peers[node]; peer != nil && peer.unresponsiveFor(now) >= consensus.ReplaceDelay {
 			nodes = append(nodes, node)
 		}
@@ -101,9 +101,9 @@
 	return nodes
 }
 
-// peerStatuses returns the statuses of all tracked processes, sorted by name, as the planner of voter changes needs them. reported are
-// the voters that this process itself reports as unresponsive; it is empty unless this process is a voter. removed reports whether a
-// process was removed from the operator's seeds.
+// peerStatuses returns the statuses of all tracked processes, sorted by name, for consensus.PlanVoterChange. reported contains the voters
+// that this process itself reports as unresponsive; it is empty unless this process is a voter. removed tells whether a process was
+// removed from the operator's seeds.
 func (f *failureDetector) peerStatuses(
 	now time.Time, voters, reported []string, removed func(node string) bool,
 ) (list []consensus.PeerStatus) {
@@ -113,7 +113,7 @@
 			Ready:               peer.ready,
 			RemovedFromSeeds:    removed(node),
 			StateDuration:       peer.unresponsiveFor(now),
-			UnresponsiveReports: f.reports(now, voters, node),
+			UnresponsiveReports: f.countReports(now, voters, node),
 		}
 		if slices.Contains(reported, node) {
 			status.UnresponsiveReports++
@@ -128,8 +128,8 @@
 	return list
 }
 
-// reports returns how many of the responsive voters report a node as unresponsive.
-func (f *failureDetector) reports(now time.Time, voters []string, node string) (n int) {
+// countReports returns the number of responsive voters that report a node as unresponsive.
+func (f *failureDetector) countReports(now time.Time, voters []string, node string) (n int) {
 	for _, voter := range voters {
 		peer := f.peers[voter]
 		if peer != nil && peer.unresponsiveFor(now) < consensus.ReplaceDelay && slices.Contains(peer.unresponsive, node) {
--- a/internal/mesh/control/controlplane/growth.go
+++ b/internal/mesh/control/controlplane/growth.go
@@ -10,46 +10,47 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// How long after its start a process expects more voters.
+// The times after its start for which a process waits for more voters.
 const (
-	discoveryTime = time.Second     // within which it may not know all processes yet
-	maxGrowthWait = 5 * time.Second // after which it does not wait any more for processes to become voters
+	discoveryTime = time.Second     // time within which the process may not know all other processes yet
+	maxGrowthWait = 5 * time.Second // time after which the process no longer waits for others to become voters
 )
 
-// growth delays the acknowledgement of changes while there are fewer voters than wanted. That is so at the system's first start: all
-// processes know the same three voters, of which two are a majority. Where two disks may be lost at once, a change that only two
-// voters hold must not be acknowledged. growth does not wait for processes that do not run, and not beyond maxGrowthWait after this
-// process's start.
-type growth struct {
+// growthWaiter delays the acknowledgement of changes while there are fewer voters than consensus.TargetVoters. At the system's first start
+// all processes know the same three voters, of which two are a majority. If two disks may be lost at once, a change that only two voters
+// have stored must not be acknowledged. growthWaiter does not wait for processes that do not run, and stops waiting at maxGrowthWait after
+// this process's start.
+type growthWaiter struct {
 	startedAt    time.Time
-	initialStart bool // of the whole system
-	tolerated    int  // losses of machines
+	initialStart bool // whether the whole system starts for the first time
+	tolerated    int  // number of machines that may be lost at once
 	backoff      *backoff
 	learner      *learner
 	directory    *coreDirectory
 	proposer     *proposer
 }
 
-// await waits until there are as many voters as wanted, or no more are expected. If it had to wait and returns no error, a majority of
-// the voters has the newest value and the voter set on disk.
-func (g *growth) await(ctx context.Context) error {
-	first := g.initialStart && time.Since(g.startedAt) < maxGrowthWait
-	if g.directory.running == nil || !first && !g.expected() {
+// wait returns once there are enough voters or no more are expected. If it had to wait and returns no error, a majority of the voters has
+// the newest value and the voter set on disk. It fails only if ctx or the Server ends.
+func (g *growthWaiter) wait(ctx context.Context) error {
+	growing := g.initialStart && time.Since(g.startedAt) < maxGrowthWait
+	if g.directory.running == nil || !growing && !g.growthExpected() {
 		return nil
 	}
-	for g.expected() {
+	for g.growthExpected() {
 		delay := minBackoff
 		if err := g.backoff.wait(ctx, &delay); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	// The voters may have grown since the change was committed: a round under the current set makes a majority of that set hold it.
+	// The voter set may have grown since the change was committed. After a read under the current set, a majority of that set has stored
+	// the change.
 	_, err := g.proposer.read(ctx)
 	return trace.Wrap(err)
 }
 
-// expected reports whether there are fewer voters than wanted and more may join soon.
-func (g *growth) expected() bool {
+// growthExpected reports whether there are fewer voters than consensus.TargetVoters and more may join soon.
+func (g *growthWaiter) growthExpected() bool {
 	voters := g.learner.voterSet()
 	age := time.Since(g.startedAt)
 	if len(voters.Voters) >= consensus.TargetVoters(g.tolerated) || age >= maxGrowthWait {
--- a/internal/mesh/control/controlplane/learner.go
+++ b/internal/mesh/control/controlplane/learner.go
@@ -10,19 +10,19 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// learner owns what this process knows to be decided: the voter set, the committed value and the system's ID. Each of them only
-// moves forward, and may be older than what other processes know. They are in memory only; after a restart they are learned
-// again from the acceptor's record, from peers and from rounds.
+// learner owns what this process knows to be decided: the voter set, the committed value and the system's ID. A newer value or voter set
+// is never replaced by an older one, but other processes may know newer ones. All of it is in memory only; after a restart it is
+// learned again from the acceptor's record, from peers and from rounds.
 type learner struct {
 	log      *logrus.Logger
 	onCommit func(consensus.Value) // may be nil
-	updated  chan struct{}         // signals newer committed values; one signal may stand for several
+	updated  chan struct{}         // signal that there is a newer committed value; one signal may stand for several values
 
 	mu        sync.Mutex
-	voters    consensus.VoterSet // without voters while unknown
+	voters    consensus.VoterSet // newest decided voter set; empty while unknown
 	systemID  consensus.SystemID // 0 while unknown
-	vote      consensus.Vote     // the newest committed one whose ballot is known
-	committed consensus.Value    // the newest; may be newer than that of vote, if it was learned without a ballot
+	vote      consensus.Vote     // newest committed vote whose ballot is known
+	committed consensus.Value    // newest committed value; newer than that of vote if it was learned without a ballot
 }
 
 func newLearner(log *logrus.Logger, onCommit func(consensus.Value)) *learner {
@@ -36,7 +36,7 @@
 	return l.voters
 }
 
-// learnVoterSet adopts a decided voter set if it is newer than the one known.
+// learnVoterSet adopts a decided voter set if it is newer than the newest known one.
 func (l *learner) learnVoterSet(voters consensus.VoterSet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,14 +54,14 @@
 	}
 }
 
-// system returns the ID of the system that this process belongs to, 0 while it is unknown.
+// system returns the ID of the system that this process belongs to, or 0 while it is unknown.
 func (l *learner) system() consensus.SystemID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.systemID
 }
 
-// learnSystem sets the ID of the system, unless it is known: it never changes.
+// learnSystem sets the ID of the system if it is unknown. A known ID never changes.
 func (l *learner) learnSystem(id consensus.SystemID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,8 @@
 	return l.committed, l.committed.Version > 0
 }
 
-// learnVote adopts those parts of a committed vote that are newer than what is known. A vote whose ballot is unknown has the zero ballot.
+// learnVote adopts the vote, the voter set and the value of a committed vote, each only if it is newer than the newest known one. A vote
+// whose ballot is unknown has the zero ballot.
 func (l *learner) learnVote(vote consensus.Vote) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +104,7 @@
 }
 
 // runNotifications calls onCommit with committed values, in the order of their versions, until ctx ends. Of several values that are
-// learned in quick succession it may skip all but the newest.
+// learned in quick succession, it may skip all but the newest.
 func (l *learner) runNotifications(ctx context.Context) {
 	var notified configuration.Version
 	for {
--- a/internal/mesh/control/controlplane/lifetime.go
+++ b/internal/mesh/control/controlplane/lifetime.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// lifetime owns the goroutines that a Server's parts start, and waits for them when the Server is closed.
+// lifetime starts the goroutines of a Server's components, and waits for them when the Server is closed.
 type lifetime struct {
 	ctx    context.Context // cancelled by close
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
-	closed     bool
+	closed     bool // whether close was called; no goroutine starts after that
 	goroutines sync.WaitGroup
 }
 
@@ -21,8 +21,8 @@
 	return l
 }
 
-// start runs f in a goroutine. f has to return soon after close has cancelled its context. After a call of close, start returns false
-// and does not run f.
+// start runs f in a goroutine and returns true. f has to return soon after close has cancelled its context. After a call of close, start
+// returns false and does not run f.
 func (l *lifetime) start(f func(ctx context.Context)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,14 +30,14 @@
 		return false
 	}
 	l.goroutines.Add(1)
-	go func() { // not WaitGroup.Go, which would allocate once more for each request to a peer
+	go func() { // WaitGroup.Go would make one more allocation for each request to a peer
 		defer l.goroutines.Done()
 		f(l.ctx)
 	}()
 	return true
 }
 
-// close cancels ctx and waits for all goroutines.
+// close cancels ctx and waits until all goroutines have returned.
 func (l *lifetime) close() {
 	l.cancel()
 	l.mu.Lock()
--- a/internal/mesh/control/controlplane/operator_api.go
+++ b/internal/mesh/control/controlplane/operator_api.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// The operators' calls, and the header with the version that a change is based on. The users' pages define them.
+// The operators' calls, and the header with the version that a change is based on. The user documentation defines them.
 const (
 	replacePattern    = "POST /configuration/replace"
 	retrievePattern   = "GET /configuration/retrieve"
@@ -22,18 +22,19 @@
 )
 
 const (
-	maxBodyBytes      = 32 << 20               // of a configuration
-	callTimeout       = 900 * time.Millisecond // of a call; operators wait for a second
+	maxBodyBytes      = 32 << 20               // maximum size of a configuration
+	callTimeout       = 900 * time.Millisecond // timeout of a call; below the second for which operators wait
 	retryAfterSeconds = "0.2"                  // value of the header Retry-After
 )
 
-// operatorAPI serves the operators' calls over HTTP. It has no state. The statuses 200, 400, 404, 412 and 413 are final. 408 means that
-// the body was incomplete. 503 means that the outcome is unknown, and has a Retry-After header.
+// operatorAPI serves the operators' calls over HTTP. It is stateless. The statuses 200, 400, 404, 412 and 413 are final. Status 408 means
+// that the body was incomplete. Status 503 means that the outcome is unknown, and comes with a Retry-After header.
 type operatorAPI struct {
 	register *register
 	log      *logrus.Logger
 }
 
+// handler returns the HTTP handler of the operators' calls.
 func (o *operatorAPI) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(replacePattern, o.serveReplace)
@@ -41,7 +42,7 @@
 	return mux
 }
 
-// serveReplace answers 200 for a change that is or was in force, and 412 or 400 for one that never was and never will be.
+// serveReplace answers 200 for a change that is or was active, and 412 or 400 for one that never was and never will be.
 func (o *operatorAPI) serveReplace(w http.ResponseWriter, request *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -50,10 +51,11 @@
 		writeResult(w, http.StatusRequestEntityTooLarge, trace.LimitExceeded("the body: expected %d bytes at most", tooLarge.Limit))
 		return
 	case err != nil:
-		writeResult(w, http.StatusRequestTimeout, trace.Wrap(err, "the body")) // a fault of the connection, not of the configuration
+		// The connection failed; the configuration is not at fault.
+		writeResult(w, http.StatusRequestTimeout, trace.Wrap(err, "the body"))
 		return
 	}
-	// The body is read before the header is checked: a client that still sends its body may not receive the answer.
+	// The header is checked only after the body is read, because a client that is still sending its body may not receive the answer.
 	base, err := configuration.ParseVersion(request.Header.Get(baseVersionHeader))
 	if err != nil {
 		writeResult(w, http.StatusBadRequest, trace.Wrap(err, baseVersionHeader))
@@ -62,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
 	result := o.register.replace(ctx, base, raw)
-	o.log.WithField("outcome", result.Outcome).WithField("base", base).WithField("reason", result.Reason).Info("configuration sent")
+	o.log.WithField("outcome", result.Outcome).WithField("base", base).WithField("reason", result.Reason).Info("answered a request to replace the configuration")
 	writeResult(w, result.Outcome.status(), result.Reason)
 }
 
@@ -96,7 +98,7 @@
 	}
 }
 
-// writeResult answers with a status and a JSON object, which has the reason unless that is nil.
+// writeResult answers with a status and a JSON object, which contains the reason unless the reason is nil.
 func writeResult(w http.ResponseWriter, status int, reason error) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
--- a/internal/mesh/control/controlplane/proposer.go
+++ b/internal/mesh/control/controlplane/proposer.go
@@ -12,43 +12,44 @@
 )
 
 const (
-	minPhaseTimeout = 400 * time.Millisecond // how long a phase of the first round waits for replies
-	maxPhaseTimeout = time.Second            // the same of any later round, at most
-	rejectionMargin = 20 * time.Millisecond  // added to twice the time until the first rejection, for the remaining replies
+	minPhaseTimeout = 400 * time.Millisecond // time for which a phase of the first round waits for replies
+	maxPhaseTimeout = time.Second            // upper limit of that time, which grows from round to round
+	rejectionMargin = 20 * time.Millisecond  // time to wait for further replies, in addition to twice the time until the first rejection
 )
 
-// proposer runs this process's rounds, which read and change the register, in the goroutines of its callers. Any number of reads runs at
-// a time, but only one round with a ballot, as two would preempt each other.
+// proposer runs this process's rounds, which read and change the configuration, in the goroutines of its callers. Any number of reads may
+// run concurrently, but only one round with a ballot, because two such rounds would preempt each other.
 type proposer struct {
-	id        string // identifies this start of the process in its ballots
+	id        string // name of this process in its ballots, different at each start
 	backoff   *backoff
 	learner   *learner
 	directory *coreDirectory
 	client    *peerClient
-	slot      chan struct{} // a semaphore with room for one round with a ballot
+	slot      chan struct{} // semaphore of capacity one, held by the round with a ballot
 
 	mu      sync.Mutex
-	highest uint64 // number of the highest ballot seen
+	highest uint64 // highest ballot number seen
 }
 
-// read runs rounds until one has read the newest committed value. A majority has answered after the call began.
+// read runs rounds until one has read the newest committed value, from a majority that answered after the call began. It fails only if
+// ctx or the Server ends.
 func (p *proposer) read(ctx context.Context) (*consensus.Round, error) {
 	return p.runUntilDone(ctx, true, nil)
 }
 
-// propose runs rounds until one has a verdict on the change.
+// propose runs rounds until one has a verdict on the change. It fails only if ctx or the Server ends.
 func (p *proposer) propose(ctx context.Context, change *consensus.Change) (*consensus.Round, error) {
 	return p.runUntilDone(ctx, false, change)
 }
 
-// observeBallot records a ballot, so that the next one of this process is higher.
+// observeBallot records the number of a ballot, so that the next ballot of this process is higher.
 func (p *proposer) observeBallot(ballot consensus.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.highest = max(p.highest, ballot.Number)
 }
 
-// nextBallot returns a ballot that was never used.
+// nextBallot returns a ballot that was never used before and is higher than all that this process has seen.
 func (p *proposer) nextBallot() consensus.Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,8 +57,8 @@
 	return consensus.Ballot{Number: p.highest, Proposer: p.id}
 }
 
-// runUntilDone runs rounds until one is Done or ctx ends. A read first runs a round without a ballot, which writes nothing. If the votes differ,
-// a round with a ballot follows at once; if that is preempted, the next round has no ballot again.
+// runUntilDone runs rounds until one is Done or ctx ends. A read first runs a round without a ballot, which writes nothing to disk. If the
+// votes differ, a round with a ballot follows immediately; if that is preempted, the next round has no ballot again.
 func (p *proposer) runUntilDone(ctx context.Context, isRead bool, change *consensus.Change) (*consensus.Round, error) {
 	delay := minBackoff
 	timeout := minPhaseTimeout
@@ -84,7 +85,7 @@
 	}
 }
 
-// attempt runs one round under a voter set.
+// attempt runs one round under a voter set. It fails if ctx ends before a round with a ballot can begin.
 func (p *proposer) attempt(
 	ctx context.Context, voters consensus.VoterSet, withoutBallot bool, change *consensus.Change, timeout time.Duration,
 ) (*consensus.Round, error) {
@@ -108,7 +109,8 @@
 	return round, nil
 }
 
-// runRound runs a round to its end, and learns what it found. timeout is how long each phase waits for replies.
+// runRound runs all phases of a round, and passes the ballots, votes and voter sets that it found to the proposer and the learner. timeout
+// limits how long each phase waits for replies.
 func (p *proposer) runRound(ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration) {
 	for request != nil {
 		request = p.runPhase(ctx, round, request, timeout)
@@ -121,8 +123,8 @@
 	}
 }
 
-// runPhase sends a request to the round's recipients and hands their replies to the round. It returns the request of the next phase,
-// or nil if the round has ended, all replies are there, or the time is over. After a rejection it waits for a shorter time, as
+// runPhase sends a request to the round's recipients and passes their replies to the round. It returns the request of the next phase,
+// or nil if the round has ended, all replies have arrived, or the timeout has expired. After a rejection the timeout is shorter, because
 // the round is likely to fail.
 func (p *proposer) runPhase(
 	ctx context.Context, round *consensus.Round, request *consensus.Request, timeout time.Duration,
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// announceCommit notifies a round's recipients that its value is committed. If the value has a new voter set, it notifies all core
-// processes.
+// announceCommit notifies a round's recipients that the round's value is committed. If this process now knows a newer voter set than the
+// round's, it notifies all core processes.
 func (p *proposer) announceCommit(round *consensus.Round) {
 	nodes := round.Recipients()
 	voters := p.learner.voterSet()
--- a/internal/mesh/control/controlplane/record_disk.go
+++ b/internal/mesh/control/controlplane/record_disk.go
@@ -9,20 +9,21 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// The keys of the records in a process's folder. Folders of earlier versions have them: they never change.
+// The keys of the records in a process's folder. They never change, because folders of earlier versions use them.
 const (
-	stateKey = "standing" // consensus.ReplicaState
-	voteKey  = "vote"     // consensus.Vote
-	ownerKey = "owner"    // the name of the process whose records these are
+	stateKey = "standing" // key of the consensus.ReplicaState
+	voteKey  = "vote"     // key of the consensus.Vote
+	ownerKey = "owner"    // key of the name of the process that owns the records
 )
 
-// recordStore stores records by key. Put returns once the record is on disk. Errors are those of storage.Store.
+// recordStore stores records by key. Put returns once the record is on disk. Its errors have the kinds of those of storage.Store.
 type recordStore interface {
 	Get(key string) ([]byte, error)
 	Put(key string, data []byte) error
 	Close() error
 }
 
+// openStorage opens a store of package storage.
 func openStorage(folder string) (recordStore, error) {
 	store, err := storage.Open(folder)
 	return store, trace.Wrap(err)
@@ -34,17 +35,17 @@
 	folder    string
 	log       *logrus.Logger
 	openStore func(folder string) (recordStore, error)
-	store     recordStore // nil until open
+	store     recordStore // nil until open has succeeded
 }
 
-// recordDamage holds, for each part of a record, why it could not be read: a trace.NotFound if it is missing, a trace.CompareFailed if
-// it is corrupt, nil if it was read.
+// recordDamage holds for each part of a record the error with which reading it failed: a trace.NotFound if the part is missing, a
+// trace.CompareFailed if it is corrupt, and nil if it was read.
 type recordDamage struct{ state, vote error }
 
 // blank reports whether both parts are missing.
 func (r recordDamage) blank() bool { return trace.IsNotFound(r.state) && trace.IsNotFound(r.vote) }
 
-// open opens the folder, unless it is open, and claims it for this process.
+// open opens the folder if it is not open yet, and claims it for this process.
 func (r *recordDisk) open() error {
 	if r.store == nil {
 		store, err := r.openStore(r.folder)
@@ -56,8 +57,8 @@
 	return trace.Wrap(r.claim())
 }
 
-// claim writes this process's name to the folder as its owner. If the folder belongs to another process, it does not change it and
-// returns a trace.BadParameter: to vote with that process's records would count its votes twice.
+// claim writes this process's name to the folder as its owner. If the folder belongs to another process, claim leaves it unchanged and
+// returns a trace.BadParameter: if this process voted with the records of another process, the votes of that process would count twice.
 func (r *recordDisk) claim() error {
 	owner, err := r.store.Get(ownerKey)
 	switch {
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// read returns those parts of the record that are on disk and intact, and the damage of the others.
+// read returns the parts of the record that are on disk and intact, and for each other part why it could not be read. The error is that
+// of the store if it is neither a trace.NotFound nor a trace.CompareFailed.
 func (r *recordDisk) read() (consensus.Record, recordDamage, error) {
 	var record consensus.Record
 	damage := recordDamage{state: r.get(stateKey, &record.State), vote: r.get(voteKey, &record.Vote)}
@@ -83,7 +85,8 @@
 	return record, damage, nil
 }
 
-// get reads one part. The error is a trace.CompareFailed if it cannot be decoded.
+// get reads and decodes one part of the record. The error is a trace.NotFound if the part is missing, and a trace.CompareFailed if it is
+// corrupt or cannot be decoded.
 func (r *recordDisk) get(key string, part codec.Message) error {
 	data, err := r.store.Get(key)
 	if err != nil {
@@ -95,8 +98,8 @@
 	return nil
 }
 
-// save writes the changed parts of a record, the vote first. If only the vote is written, its ballot counts as promised; if only the
-// promise were written, the vote that was accepted with it would be forgotten.
+// save writes the changed parts of a record, the vote before the state. If only the vote reaches the disk, its ballot counts as promised.
+// In the other order the disk could hold only the promise, and the vote that was accepted with it would be lost.
 func (r *recordDisk) save(record *consensus.Record, changed consensus.Unsynced) error {
 	if changed.Vote {
 		if err := r.put(voteKey, &record.Vote); err != nil {
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// replace overwrites what is left of an old record with a complete new one. Until all of it is written, the state on disk is not ready.
+// replace overwrites the remains of an old record with a complete new one. Until all of it is written, the state on disk is not ready.
 func (r *recordDisk) replace(record *consensus.Record) error {
 	unready := record.State
 	unready.Ready = false
@@ -119,16 +122,17 @@
 	return trace.Wrap(r.save(record, consensus.Unsynced{Vote: true, State: true}))
 }
 
+// put encodes and writes one part of the record.
 func (r *recordDisk) put(key string, part codec.Message) error {
 	return trace.Wrap(r.store.Put(key, codec.MarshalAppend(nil, part)))
 }
 
-// close closes the folder. Every record was synced when it was written, so an error is only logged.
+// close closes the folder. An error is only logged, because every record was synced when it was written.
 func (r *recordDisk) close() {
 	if r.store == nil {
 		return
 	}
 	if err := r.store.Close(); err != nil {
-		r.log.WithError(err).Debug("the folder was closed with an error")
+		r.log.WithError(err).Debug("failed to close the folder of the acceptor's record")
 	}
 }
--- a/internal/mesh/control/controlplane/recovery.go
+++ b/internal/mesh/control/controlplane/recovery.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	minRecoveryBackoff = 20 * time.Millisecond
-	recoveryTimeout    = 600 * time.Millisecond // of one attempt
-	maxRecoveryPeers   = 64                     // that one attempt asks, at most
+	minRecoveryBackoff = 20 * time.Millisecond  // delay after the first failed attempt
+	recoveryTimeout    = 600 * time.Millisecond // timeout of one attempt
+	maxRecoveryPeers   = 64                     // maximum number of processes that one attempt asks
 )
 
-// recoverer makes the record of an acceptor that has none. It learns the voter set from any peer, and what was promised and accepted from
-// enough of the voters (consensus.Recovery). Its state is local to its goroutine (run).
+// recoverer creates the record of an acceptor that has none. It learns the voter set from any peer, and the promises and votes from enough
+// of the voters (consensus.Recovery). Its state is local to its goroutine (run).
 type recoverer struct {
 	self      string
 	log       *logrus.Logger
@@ -26,15 +26,16 @@
 	learner   *learner
 	directory *coreDirectory
 	client    *peerClient
-	install   func(context.Context, consensus.Record) error // hands the record to the acceptor
+	install   func(context.Context, consensus.Record) error // passes the record to the acceptor
 }
 
-// start makes the record in the background. blankDisk is true if the disk was completely empty.
+// start recovers the record in the background. blankDisk is true if the disk was completely empty.
 func (r *recoverer) start(diskIncarnation uint64, blankDisk bool) {
 	r.lifetime.start(func(ctx context.Context) { r.run(ctx, diskIncarnation, blankDisk) })
 }
 
-// run makes attempts until the acceptor has a record or ctx ends. After that a process that is not a voter may become one.
+// run makes recovery attempts until the acceptor has a record or ctx ends. Once it has a record, a process that is not a voter may become
+// one.
 func (r *recoverer) run(ctx context.Context, diskIncarnation uint64, blankDisk bool) {
 	delay := minRecoveryBackoff
 	for ; ctx.Err() == nil; _ = r.backoff.wait(ctx, &delay) {
@@ -43,21 +44,21 @@
 			r.findVoterSet(ctx)
 			continue
 		}
-		attempt, request := consensus.NewRecovery(r.self, voters, diskIncarnation, blankDisk)
-		record, ok := r.attempt(attempt, request)
+		recovery, request := consensus.NewRecovery(r.self, voters, diskIncarnation, blankDisk)
+		record, ok := r.attempt(recovery, request)
 		if !ok {
-			diskIncarnation = attempt.NextDiskIncarnation()
+			diskIncarnation = recovery.NextDiskIncarnation()
 			continue
 		}
-		diskIncarnation = 0 // if the record cannot be written, voters reject the next attempt, and report a usable incarnation
+		diskIncarnation = 0 // if install fails, the voters reject the next attempt and report an incarnation that can be used
 		if err := r.install(ctx, record); err == nil || errors.Is(err, errRecordExists) {
-			r.log.WithField("incarnation", record.State.DiskIncarnation).Info("the voter's record is made")
+			r.log.WithField("incarnation", record.State.DiskIncarnation).Info("the recovery has written the acceptor's record")
 			return
 		}
 	}
 }
 
-// findVoterSet asks all peers for the voter set, and learns the first one that is reported.
+// findVoterSet asks all peers for the voter set, and learns the first voter set that is reported.
 func (r *recoverer) findVoterSet(ctx context.Context) {
 	peers := r.directory.peers()
 	replies := r.client.broadcast(peers, &consensus.Request{Kind: consensus.Describe})
@@ -75,14 +76,15 @@
 	}
 }
 
-// attempt makes one attempt to recover the record. Each reply may add nodes to ask.
-func (r *recoverer) attempt(attempt *consensus.Recovery, request *consensus.Request) (record consensus.Record, ok bool) {
+// attempt makes one attempt to recover the record. Each reply may add recipients of the request. ok is false if no record was recovered
+// before all asked processes replied or recoveryTimeout expired.
+func (r *recoverer) attempt(recovery *consensus.Recovery, request *consensus.Request) (record consensus.Record, ok bool) {
 	timer := time.NewTimer(recoveryTimeout)
 	defer timer.Stop()
 	replies := make(chan peerReply, maxRecoveryPeers)
 	asked := map[string]bool{}
 	for pending := 0; ; pending-- {
-		for _, node := range attempt.Recipients() {
+		for _, node := range recovery.Recipients() {
 			if !asked[node] && len(asked) < maxRecoveryPeers {
 				asked[node] = true
 				pending++
@@ -97,7 +99,7 @@
 			if answer.reply == nil {
 				continue
 			}
-			if record, ok := attempt.Step(answer.node, answer.reply); ok {
+			if record, ok := recovery.Step(answer.node, answer.reply); ok {
 				return record, true
 			}
 		case <-timer.C:
--- a/internal/mesh/control/controlplane/register.go
+++ b/internal/mesh/control/controlplane/register.go
@@ -14,28 +14,28 @@
 
 // The outcomes.
 const (
-	Unknown   Outcome = iota // it may be in force, or come into force later, or neither
-	Committed                // it is committed, or was before a later version
-	Conflict                 // it never was in force and never will be: another version has taken its place
-	Invalid                  // it never was in force and never will be: it is not a valid configuration
+	Unknown   Outcome = iota // the change may be active, may become active later, or may never become active
+	Committed                // the change is committed, or was committed before a later version replaced it
+	Conflict                 // the change never was and never will be active, because another version replaced its base
+	Invalid                  // the change never was and never will be active, because its body is not a valid configuration
 )
 
-// String returns the outcome's name, as it is logged.
+// String returns the outcome's name for the log.
 func (o Outcome) String() string { return [...]string{"unknown", "applied", "conflict", "invalid"}[o] }
 
-// ReplaceResult is an outcome, and the reason for it; Reason is nil if the outcome is Committed.
+// ReplaceResult is the result of Server.Replace: the outcome and the reason for it. Reason is nil if the outcome is Committed.
 type ReplaceResult struct {
 	Outcome Outcome
 	Reason  error
 }
 
-// register reads and replaces the configuration on which the core processes agree. It has no state of its own.
+// register reads and replaces the configuration on which the core processes agree. It is stateless.
 type register struct {
 	proposer *proposer
-	growth   *growth
+	growth   *growthWaiter
 }
 
-// readLatest is described at Server.ReadLatest.
+// readLatest implements Server.ReadLatest.
 func (r *register) readLatest(ctx context.Context) (consensus.Value, error) {
 	round, err := r.proposer.read(ctx)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return round.Value, nil
 }
 
-// replace is described at Server.Replace.
+// replace implements Server.Replace.
 func (r *register) replace(ctx context.Context, base configuration.Version, raw []byte) ReplaceResult {
 	config, err := configuration.Parse(raw)
 	if err != nil {
@@ -55,7 +55,7 @@
 	case err != nil:
 		return ReplaceResult{Unknown, trace.Wrap(err)}
 	case round.Verdict == consensus.Committed:
-		if err := r.growth.await(ctx); err != nil {
+		if err := r.growth.wait(ctx); err != nil {
 			return ReplaceResult{Unknown, trace.Wrap(err, "%v is in force, but too few voters hold it yet", config.Version)}
 		}
 		return ReplaceResult{Outcome: Committed}
--- a/internal/mesh/control/controlplane/replacement_limiter.go
+++ b/internal/mesh/control/controlplane/replacement_limiter.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	minReplaceInterval = time.Second     // between two replacements
-	replaceWindow      = 4 * time.Second // in which no more voters are replaced than may be lost at once, but always one
+	// minReplaceInterval is the shortest time between two replacements.
+	minReplaceInterval = time.Second
+	// replaceWindow is the time within which at most as many voters are replaced as may be lost at once, but always one.
+	replaceWindow = 4 * time.Second
 )
 
-// replacementLimiter limits how many voters are replaced within replaceWindow, and how soon after one another. Its methods take the
-// time as an argument.
+// replacementLimiter limits how many voters are replaced within replaceWindow, and enforces minReplaceInterval between replacements. Its
+// methods take the current time as an argument. It is not safe for concurrent use.
 type replacementLimiter struct {
-	epoch      uint64 // of voters
-	voters     []string
-	replacedAt []time.Time // within the last replaceWindow, oldest first
+	epoch      uint64      // epoch of the newest observed voter set
+	voters     []string    // voters of the newest observed voter set
+	replacedAt []time.Time // times of the replacements within the last replaceWindow, oldest first
 }
 
-// observe records the newest voter set, and whether it replaced a voter.
+// observe records the newest voter set. If a voter of the set before is missing in it, observe counts that as a replacement.
 func (r *replacementLimiter) observe(now time.Time, voters consensus.VoterSet) {
 	newer := voters.Epoch > r.epoch
 	if newer && slices.ContainsFunc(r.voters, func(voter string) bool { return !voters.Contains(voter) }) {
@@ -33,7 +35,7 @@
 	r.replacedAt = slices.DeleteFunc(r.replacedAt, func(at time.Time) bool { return now.Sub(at) >= replaceWindow })
 }
 
-// allows reports whether one more voter may be replaced now. tolerated is the number of machines that may be lost at once.
+// allows reports whether another voter may be replaced now. tolerated is the number of machines that may be lost at once.
 func (r *replacementLimiter) allows(now time.Time, tolerated int) bool {
 	n := len(r.replacedAt)
 	return n == 0 || n < max(1, tolerated) && now.Sub(r.replacedAt[n-1]) >= minReplaceInterval
--- a/internal/mesh/control/controlplane/responder.go
+++ b/internal/mesh/control/controlplane/responder.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// responder answers the requests of core processes. It has no state of its own.
+// responder answers the requests of core processes, including this one. It is stateless.
 type responder struct {
 	log      *logrus.Logger
 	learner  *learner
@@ -19,7 +19,7 @@
 	voters   *voterManager
 }
 
-// serve answers an encoded request. The error is a trace.BadParameter if the request cannot be decoded.
+// serve answers an encoded request with an encoded reply. The error is a trace.BadParameter if the request cannot be decoded.
 func (r *responder) serve(ctx context.Context, raw []byte) ([]byte, error) {
 	var request consensus.Request
 	if err := codec.Unmarshal(raw, &request); err != nil {
@@ -36,7 +36,7 @@
 func (r *responder) answer(ctx context.Context, request *consensus.Request) (*consensus.Reply, error) {
 	if own := r.learner.system(); !own.Matches(request.System) {
 		r.log.WithField("peer", request.Sender).
-			Error("controlplane: a request of another system is refused; is a folder or an address in use twice?")
+			Error("rejected a request from another system; a folder or an address may be in use twice")
 		return &consensus.Reply{Kind: consensus.ForeignSystem, Ballot: request.Ballot, System: own}, nil
 	}
 	r.proposer.observeBallot(request.Ballot)
@@ -47,12 +47,12 @@
 	reply, err := r.acceptor.handle(ctx, request)
 	if err == nil && reply.Kind == consensus.ConflictingVoters {
 		r.log.WithField("peer", request.Sender).WithField("epoch", request.VoterSet.Epoch).WithField("voters", request.VoterSet.Voters).
-			WithField("own", reply.VoterSet.Voters).Error("controlplane: a request under another list of voters for the same epoch is refused")
+			WithField("own", reply.VoterSet.Voters).Error("rejected a request with other voters for the same epoch")
 	}
 	return reply, trace.Wrap(err)
 }
 
-// describe returns the reply to Describe, which does not wait for the disk.
+// describe returns the reply to a Describe request, without waiting for the disk.
 func (r *responder) describe() *consensus.Reply {
 	return &consensus.Reply{
 		Kind:         consensus.Reported,
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// maxInitialVoters is how many of the seeds become the voters at the system's first start, at most.
+// maxInitialVoters is the maximum number of seeds that become voters at the system's first start.
 const maxInitialVoters = 3
 
 // Options configure a Server. Self, Transport and Log are required.
@@ -24,41 +24,44 @@
 	Self string
 
 	// Seeds are the names of the core processes in the operator's settings. At the first start of the whole system the first
-	// three of them, sorted, become the voters; later they are asked for the current voters.
+	// three of them, sorted by name, become the voters; later this process asks the seeds for the current voters.
 	Seeds []string
 
-	// Tolerated is the number of machines that may be lost at once. It sets the number of voters (consensus.TargetVoters): more
-	// voters tolerate more losses, and every change of the configuration waits for a larger majority.
+	// Tolerated is the number of machines that may be lost at once. It sets the number of voters (consensus.TargetVoters): with more
+	// voters the system tolerates more losses, but every change of the configuration waits for a larger majority.
 	Tolerated int
 
-	// Cores returns the names of the core processes that run, as membership reports them. If it is nil, the voter set only
-	// changes by AddVoter and RetireVoter.
+	// Cores returns the names of the running core processes, as the membership protocol reports them. If it is nil, only AddVoter,
+	// RetireVoter and HandOver change the voter set.
 	Cores func() []string
 
-	// InitialStart is true only if the whole system starts for the first time: a voter whose folder is empty may then vote at
-	// once. At any other start an empty folder means that the disk was lost. A process that wrongly has it set may vote against
-	// its own earlier promises.
+	// InitialStart is true only if the whole system starts for the first time: a voter whose folder is empty may then vote
+	// immediately. At any other start an empty folder means that the disk was lost. If InitialStart is wrongly true, the process may
+	// break promises that it made before the loss.
 	InitialStart bool
 
-	// Folder is the path of the folder that holds the acceptor's record. It is made if it is missing.
+	// Folder is the path of the folder that holds the acceptor's record. It is created if it is missing.
 	Folder string
 
 	// Transport carries requests to the other core processes.
 	Transport Transport
 
+	// Log receives the log entries of this process.
 	Log *logrus.Logger
 
-	// Seed is the seed of random waits and of the names in ballots; the time of the start is mixed in.
+	// Seed and the time of the start together seed the random number generator for backoff and for the proposer's ID in ballots.
 	Seed uint64
 
-	// OnCommit is called with each newer committed value, by one goroutine; values in quick succession may be skipped. It may
-	// be nil.
+	// OnCommit is called from one goroutine with committed values, each newer than the one before. Of several values that are
+	// committed in quick succession, all but the newest may be skipped. OnCommit may be nil.
 	OnCommit func(consensus.Value)
 
-	openStore func(folder string) (recordStore, error) // nil for package storage; tests replace it
+	// openStore opens the store of the acceptor's record. If it is nil, package storage is used. Tests replace it.
+	openStore func(folder string) (recordStore, error)
 }
 
-// Server is a core process's part in the agreement on the configuration. It connects the parts and has no state of its own.
+// Server is the part of a core process that agrees with the other core processes on the configuration. It connects the components
+// and holds no other state.
 type Server struct {
 	lifetime  *lifetime
 	learner   *learner
@@ -90,7 +93,7 @@
 	return s, nil
 }
 
-// newServer connects the parts. It draws the proposer's name before any other random number.
+// newServer creates and connects the components. The first random number that it draws is the one in the proposer's ID.
 func newServer(options *Options) *Server {
 	startedAt := time.Now()
 	random := rand.New(rand.NewPCG(options.Seed, uint64(startedAt.UnixNano())))
@@ -107,30 +110,30 @@
 		lifetime:  s.lifetime,
 		learner:   s.learner,
 	}
-	waits := &backoff{ctx: s.lifetime.ctx, random: random}
+	retryBackoff := &backoff{ctx: s.lifetime.ctx, random: random}
 	s.proposer = &proposer{
 		id:        fmt.Sprintf("%s#%x", options.Self, random.Uint64()),
-		backoff:   waits,
+		backoff:   retryBackoff,
 		learner:   s.learner,
 		directory: s.directory,
 		client:    client,
 		slot:      make(chan struct{}, 1),
 	}
-	s.acceptor = s.newAcceptor(options, client, waits)
-	s.voters = s.newVoterManager(options, client, waits)
+	s.acceptor = s.newAcceptor(options, client, retryBackoff)
+	s.voters = s.newVoterManager(options, client, retryBackoff)
 	s.responder = &responder{log: s.log, learner: s.learner, acceptor: s.acceptor, proposer: s.proposer, voters: s.voters}
 	client.local = s.responder.answer
-	s.register = &register{proposer: s.proposer, growth: s.newGrowth(options, startedAt, waits)}
+	s.register = &register{proposer: s.proposer, growth: s.newGrowthWaiter(options, startedAt, retryBackoff)}
 	s.api = &operatorAPI{register: s.register, log: s.log}
 	return s
 }
 
-// newAcceptor returns an acceptor with the recoverer that makes its record if it has none.
-func (s *Server) newAcceptor(options *Options, client *peerClient, waits *backoff) *acceptor {
+// newAcceptor returns an acceptor with a recoverer, which creates the acceptor's record if there is none.
+func (s *Server) newAcceptor(options *Options, client *peerClient, retryBackoff *backoff) *acceptor {
 	a := &acceptor{
 		log:           s.log,
 		lifetime:      s.lifetime,
-		backoff:       waits,
+		backoff:       retryBackoff,
 		learner:       s.learner,
 		observeBallot: s.proposer.observeBallot,
 		self:          options.Self,
@@ -148,7 +151,7 @@
 		self:      options.Self,
 		log:       s.log,
 		lifetime:  s.lifetime,
-		backoff:   waits,
+		backoff:   retryBackoff,
 		learner:   s.learner,
 		directory: s.directory,
 		client:    client,
@@ -158,13 +161,13 @@
 	return a
 }
 
-// newVoterManager returns the manager of the voters that this process proposes and votes for.
-func (s *Server) newVoterManager(options *Options, client *peerClient, waits *backoff) *voterManager {
+// newVoterManager returns the component through which this process proposes changes of the voter set.
+func (s *Server) newVoterManager(options *Options, client *peerClient, retryBackoff *backoff) *voterManager {
 	return &voterManager{
 		self:      options.Self,
 		tolerated: options.Tolerated,
 		lifetime:  s.lifetime,
-		backoff:   waits,
+		backoff:   retryBackoff,
 		learner:   s.learner,
 		directory: s.directory,
 		client:    client,
@@ -173,20 +176,20 @@
 	}
 }
 
-// newGrowth returns what delays acknowledgements after this process's start.
-func (s *Server) newGrowth(options *Options, startedAt time.Time, waits *backoff) *growth {
-	return &growth{
+// newGrowthWaiter returns the component that delays acknowledgements after this process's start.
+func (s *Server) newGrowthWaiter(options *Options, startedAt time.Time, retryBackoff *backoff) *growthWaiter {
+	return &growthWaiter{
 		startedAt:    startedAt,
 		initialStart: options.InitialStart,
 		tolerated:    options.Tolerated,
-		backoff:      waits,
+		backoff:      retryBackoff,
 		learner:      s.learner,
 		directory:    s.directory,
 		proposer:     s.proposer,
 	}
 }
 
-// initialVoters returns the voters of the system's first start: the first seeds in the order of their names.
+// initialVoters returns the voters of the system's first start: the first maxInitialVoters seeds, sorted by name.
 func initialVoters(seeds []string) []string {
 	voters := slices.Clone(seeds)
 	slices.Sort(voters)
@@ -194,73 +197,75 @@
 	return voters[:min(len(voters), maxInitialVoters)]
 }
 
-// Close ends the server's goroutines and waits for them, the disk included.
+// Close ends the server's goroutines, waits until they have returned, and closes the disk.
 func (s *Server) Close() { s.lifetime.close() }
 
-// Handler serves the operators' calls, POST /configuration/replace and GET /configuration/retrieve.
+// Handler returns the HTTP handler of the operators' calls, POST /configuration/replace and GET /configuration/retrieve.
 func (s *Server) Handler() http.Handler { return s.api.handler() }
 
-// Serve answers a request that another core process sent with its Transport.
+// Serve answers an encoded request that another core process sent with its Transport. The error is a trace.BadParameter if the
+// request cannot be decoded.
 func (s *Server) Serve(ctx context.Context, request []byte) ([]byte, error) {
 	return s.responder.serve(ctx, request)
 }
 
-// ReadLatest is a linearizable read: it returns the newest value that was committed when it was called, or a newer one. A majority
-// of the voters has to answer after the call began. If ctx ends before that, the error is that of ctx.
+// ReadLatest returns the newest value that was committed when ReadLatest was called, or a newer one; the read is linearizable. A
+// majority of the voters has to answer after the call began. If ctx ends before that, ReadLatest returns the error of ctx.
 func (s *Server) ReadLatest(ctx context.Context) (consensus.Value, error) {
 	return s.register.readLatest(ctx)
 }
 
-// Replace replaces version base of the configuration. It is idempotent: the same call may be repeated, at any process and any
-// number of times. The outcome is Unknown if no majority answers before ctx ends, and for a repeat of a change that is older than
-// the register's history.
+// Replace replaces version base of the configuration by raw. It is idempotent: the same call may be repeated at any process, any
+// number of times. The outcome is Unknown if no majority answers before ctx ends, or if the call repeats a change that is older than
+// the history that is stored with the value.
 func (s *Server) Replace(ctx context.Context, base configuration.Version, raw []byte) ReplaceResult {
 	return s.register.replace(ctx, base, raw)
 }
 
 // Committed returns the newest value that this process knows to be committed; ok is false if it knows none. It does not ask other
-// processes, so newer values may be committed already.
+// processes, so newer values may already be committed.
 func (s *Server) Committed() (value consensus.Value, ok bool) { return s.learner.newestValue() }
 
-// LearnCommitted adopts a value that another process reports as committed, if it is newer than the one known.
+// LearnCommitted adopts a value that another process reports as committed, if it is newer than the newest known one.
 func (s *Server) LearnCommitted(value consensus.Value) {
 	s.learner.learnVote(consensus.Vote{Value: value})
 }
 
-// VoterSet returns the newest voter set that this process knows to be decided. It has no voters while none is known.
+// VoterSet returns the newest voter set that this process knows to be decided, or a set without voters while none is known.
 func (s *Server) VoterSet() consensus.VoterSet { return s.learner.voterSet() }
 
-// Voters returns the names of the voters; none while this process does not know them.
+// Voters returns the names of the voters, or none while this process does not know them.
 func (s *Server) Voters() []string { return s.VoterSet().Voters }
 
-// Accepted returns the epoch of the voter set in this process's newest vote. ready is true from when the record was first complete on
-// disk; it stays true while the disk fails, and while a record that was lost later is recovered.
+// Accepted returns the epoch of the voter set in this process's newest vote. ready becomes true once the acceptor's record is complete
+// on disk; it stays true while the disk fails, and while a record that was lost later is recovered.
 func (s *Server) Accepted() (epoch uint64, ready bool) {
 	status := s.acceptor.status()
 	return status.acceptedEpoch, status.ready
 }
 
-// SetSeeds replaces the seeds, after a change of the operator's settings.
+// SetSeeds replaces the seeds after a change of the operator's settings.
 func (s *Server) SetSeeds(seeds []string) { s.directory.setSeeds(seeds) }
 
-// AddVoter makes a core process a voter, also one that was retired. It retries until the change is committed or ctx ends. No program calls
-// it yet.
+// AddVoter makes a core process a voter, even one that was retired. It retries until the change is committed or ctx ends. No program
+// calls it yet.
 func (s *Server) AddVoter(ctx context.Context, node string) error { return s.voters.add(ctx, node) }
 
-// RetireVoter removes a voter, which is not made a voter again except by AddVoter. A standby takes its place in the same step, or,
-// if there is none yet, as soon as there is one. It retries until the change is committed or ctx ends. No program calls it yet.
+// RetireVoter removes a voter; only AddVoter can make it a voter again. A standby (a ready process that is not a voter) takes its place
+// in the same change, or, if there is none yet, as soon as there is one. It retries until the change is committed or ctx ends. No
+// program calls it yet.
 func (s *Server) RetireVoter(ctx context.Context, node string) error {
 	return s.voters.retire(ctx, node)
 }
 
-// HandOver gives this process's place among the voters to a standby, before the process shuts down. If there is no standby that is
-// ready, or will be soon, the process stays a voter; that is not an error.
+// HandOver replaces this process by a standby in the voter set, before the process shuts down. If no standby is ready or becomes ready
+// within maxStandbyWait, the process stays a voter, and HandOver returns no error.
 func (s *Server) HandOver(ctx context.Context) error { return s.voters.handOver(ctx) }
 
-// logLatest reads and logs the newest version when the process starts.
+// logLatest reads the newest value once, when the process starts, and logs its version.
 func (s *Server) logLatest(ctx context.Context) {
 	value, err := s.ReadLatest(ctx)
 	if err == nil {
-		s.log.WithField("version", value.Version).Info("newest configuration known")
+		s.log.WithField("version", value.Version).Info("read the newest configuration")
 	}
 }
--- a/internal/mesh/control/controlplane/voter_manager.go
+++ b/internal/mesh/control/controlplane/voter_manager.go
@@ -11,13 +11,13 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// standbyWait is how long a leaving voter waits for a standby that is not ready yet, at most.
-const standbyWait = 2 * time.Second
+// maxStandbyWait is the longest time for which a voter that shuts down waits until a standby is ready.
+const maxStandbyWait = 2 * time.Second
 
-// voterManager changes the voter set, on request and as the voterMonitor plans. It owns the findings of the monitor's last tick.
+// voterManager changes the voter set, on request and as the voterMonitor plans. It owns the results of the monitor's last tick.
 type voterManager struct {
 	self      string
-	tolerated int // losses of machines
+	tolerated int // number of machines that may be lost at once
 	lifetime  *lifetime
 	backoff   *backoff
 	learner   *learner
@@ -28,11 +28,11 @@
 
 	mu           sync.Mutex
 	unresponsive []string               // voters that do not answer this process
-	peers        []consensus.PeerStatus // of the other core processes
-	persisting   bool                   // a newer voter set is being written to disk
+	peers        []consensus.PeerStatus // statuses of the other core processes
+	persisting   bool                   // whether a newer voter set is being written to disk
 }
 
-// unresponsiveVoters returns the voters that do not answer this process.
+// unresponsiveVoters returns the voters that did not answer this process as of the monitor's last tick.
 func (v *voterManager) unresponsiveVoters() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -58,9 +58,9 @@
 	v.peers = peers
 }
 
-// add is described at Server.AddVoter.
+// add implements Server.AddVoter.
 func (v *voterManager) add(ctx context.Context, node string) error {
-	return trace.Wrap(v.apply(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
+	return trace.Wrap(v.applyUntilDone(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
 		if voters.Contains(node) {
 			return consensus.VoterChange{}
 		}
@@ -68,9 +68,9 @@
 	}))
 }
 
-// retire is described at Server.RetireVoter.
+// retire implements Server.RetireVoter.
 func (v *voterManager) retire(ctx context.Context, node string) error {
-	return trace.Wrap(v.apply(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
+	return trace.Wrap(v.applyUntilDone(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
 		if !voters.Contains(node) {
 			return consensus.VoterChange{}
 		}
@@ -79,45 +79,46 @@
 	}))
 }
 
-// handOver is described at Server.HandOver.
+// handOver implements Server.HandOver.
 func (v *voterManager) handOver(ctx context.Context) error {
 	began := time.Now()
-	return trace.Wrap(v.apply(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
+	return trace.Wrap(v.applyUntilDone(ctx, func(voters consensus.VoterSet) consensus.VoterChange {
 		for ctx.Err() == nil && voters.Contains(v.self) {
 			if change := consensus.PlanHandover(voters, v.knownPeers(), v.self); change != (consensus.VoterChange{}) {
 				return change
 			}
-			if !v.standbyExists(voters) || time.Since(began) > standbyWait {
+			if !v.standbyExists(voters) || time.Since(began) > maxStandbyWait {
 				break
 			}
 			delay := minBackoff
-			_ = v.backoff.wait(ctx, &delay) // the next probe may report a standby as ready; the loop ends with ctx
+			_ = v.backoff.wait(ctx, &delay) // a standby may be ready at the next probe; if ctx ends, so does the loop
 		}
 		return consensus.VoterChange{}
 	}))
 }
 
-// standbyExists reports whether a running process may take this one's place, even if it is not ready yet.
+// standbyExists reports whether a running process may replace this one as a voter, even if it is not ready yet.
 func (v *voterManager) standbyExists(voters consensus.VoterSet) bool {
 	return slices.ContainsFunc(v.directory.runningCores(), func(node string) bool {
 		return node != v.self && mayJoin(voters, node)
 	})
 }
 
-// mayJoin reports whether a process is not a voter and may become one.
+// mayJoin reports whether a process is neither a voter nor retired, so that it may become a voter.
 func mayJoin(voters consensus.VoterSet, node string) bool {
 	return !voters.Contains(node) && !slices.Contains(voters.Retired, node)
 }
 
-// apply repeatedly makes the change that wanted returns for the newest voter set, until it returns the zero change.
-func (v *voterManager) apply(ctx context.Context, wanted func(consensus.VoterSet) consensus.VoterChange) error {
+// applyUntilDone repeatedly makes the change that plan returns for the newest voter set, until plan returns the zero change. It retries
+// failed changes, and returns an error only if ctx or the Server ends.
+func (v *voterManager) applyUntilDone(ctx context.Context, plan func(consensus.VoterSet) consensus.VoterChange) error {
 	delay := minBackoff
 	for {
 		if _, err := v.proposer.read(ctx); err != nil {
 			return trace.Wrap(err)
 		}
 		voters := v.learner.voterSet()
-		change := wanted(voters)
+		change := plan(voters)
 		if change == (consensus.VoterChange{}) {
 			return nil
 		}
@@ -135,8 +136,8 @@
 }
 
 // change makes one change to a voter set. Once it returns without an error, a majority of the new voters has the new set and the newest
-// value on disk, so that a removed voter may be switched off. The error is a trace.CompareFailed if the change cannot be made now: the
-// process to add is not ready, or the voters are not those that the change is based on.
+// value on disk, so that a removed voter may be switched off. The error is a trace.CompareFailed if the process to add is not ready, or if
+// voters, on which the change is based, is no longer the current voter set.
 func (v *voterManager) change(ctx context.Context, voters consensus.VoterSet, change consensus.VoterChange) error {
 	if change.Add != "" {
 		reply, err := v.client.describe(ctx, change.Add)
@@ -156,13 +157,14 @@
 		return trace.Wrap(err)
 	}
 	if round.Verdict != consensus.Committed {
-		return trace.CompareFailed("the voters have changed since epoch %d", voters.Epoch)
+		return trace.CompareFailed("the voter set has changed since epoch %d", voters.Epoch)
 	}
 	_, err = v.proposer.read(ctx)
 	return trace.Wrap(err)
 }
 
-// persist starts to write a decided voter set to disk if the record there has an older one. A later call repeats a failed write.
+// persist writes a decided voter set to disk in the background, if the record on disk has an older one and no such write is in progress.
+// If the write fails, a later call retries it.
 func (v *voterManager) persist(voters consensus.VoterSet) {
 	status := v.acceptor.status()
 	if voters.Epoch <= status.decidedEpoch || !status.ready || !v.beginPersisting() {
@@ -171,12 +173,12 @@
 	v.lifetime.start(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		_ = v.acceptor.learnDecided(ctx, voters) // the acceptor has logged what went wrong
+		_ = v.acceptor.learnDecided(ctx, voters) // the acceptor logs the error
 		v.endPersisting()
 	})
 }
 
-// beginPersisting marks a write as in progress, and returns false if one already is.
+// beginPersisting marks a write of a voter set as in progress. It returns false if one is in progress already.
 func (v *voterManager) beginPersisting() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/mesh/control/controlplane/voter_monitor.go
+++ b/internal/mesh/control/controlplane/voter_monitor.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	reconfigureInterval = 250 * time.Millisecond // between two ticks of a voterMonitor
-	reconfigureTimeout  = 2 * time.Second        // of one change of the voters
-	probeTicks          = 2                      // ticks between two probes of a process
-	rankDelay           = 500 * time.Millisecond // a core process waits this much longer than the one before it in rank
-	suspendThreshold    = time.Second            // between two ticks; after more than this the process was suspended
-	maxQueuedReplies    = 64                     // to probes
+	reconfigureInterval = 250 * time.Millisecond // time between two ticks of a voterMonitor
+	reconfigureTimeout  = 2 * time.Second        // timeout of one change of the voters
+	probeTicks          = 2                      // number of ticks from one probe of a process to the next
+	rankDelay           = 500 * time.Millisecond // additional delay before a change for each rank
+	suspendThreshold    = time.Second            // time between two ticks above which the process was suspended
+	maxQueuedReplies    = 64                     // capacity of the queue of replies to probes
 )
 
 // voterMonitor probes the core processes, adds voters while there are too few, and replaces lost ones. Each core process has a
-// voterMonitor. The first of the processes that run acts at once; each next one waits longer (rankDelay), and acts only if the change is
-// still needed. Two that act at once compete like any proposers. Only its goroutine (run) uses its state.
+// voterMonitor. The responsive process whose name sorts first has rank 0 and makes a change immediately. Each next one waits longer
+// (rankDelay), and makes the change only if it is still needed. Two that act at the same time compete like any proposers. Only the
+// goroutine of run uses the state of a voterMonitor.
 type voterMonitor struct {
 	self      string
-	tolerated int // losses of machines
+	tolerated int // number of machines that may be lost at once
 	log       *logrus.Logger
 	lifetime  *lifetime
 	learner   *learner
@@ -35,14 +36,14 @@
 
 	detector     failureDetector
 	limiter      replacementLimiter
-	replies      chan peerReply // to probes
-	changeDone   chan struct{}  // the change in progress has ended
-	changing     bool           // a change is in progress
-	seedsSeen    []string       // all that the settings have named since the start
-	lastTick     time.Time
-	ticks        int                   // since the start
-	planned      consensus.VoterChange // at the newest tick; zero for none
-	plannedSince time.Time
+	replies      chan peerReply        // replies to probes
+	changeDone   chan struct{}         // signal that the change in progress has ended
+	changing     bool                  // whether a change is in progress
+	seedsSeen    []string              // all seeds that the settings have contained since the start
+	lastTick     time.Time             // time of the last tick
+	ticks        int                   // number of ticks since the start
+	planned      consensus.VoterChange // change that was planned at the last tick; zero if none was
+	plannedSince time.Time             // time since which planned has its value
 }
 
 func newVoterMonitor(manager *voterManager, log *logrus.Logger) *voterMonitor {
@@ -62,7 +63,7 @@
 	}
 }
 
-// run ticks at each interval until ctx ends.
+// run calls tick every reconfigureInterval, and processes replies to probes, until ctx ends.
 func (v *voterMonitor) run(ctx context.Context) {
 	ticker := time.NewTicker(reconfigureInterval)
 	defer ticker.Stop()
@@ -80,7 +81,8 @@
 	}
 }
 
-// tick probes the other processes, publishes their statuses, plans a change of the voters, and starts it.
+// tick probes the other processes, publishes their statuses, plans a change of the voters, and starts the change once this process's
+// delay has passed.
 func (v *voterMonitor) tick(now time.Time) {
 	if now.Sub(v.lastTick) > suspendThreshold {
 		v.detector.resetTimeouts(now)
@@ -113,7 +115,7 @@
 		ctx, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 		defer cancel()
 		if err := v.manager.change(ctx, voters, change); err != nil {
-			v.log.WithError(err).WithField("add", change.Add).WithField("remove", change.Remove).Warn("voters can't be changed")
+			v.log.WithError(err).WithField("add", change.Add).WithField("remove", change.Remove).Warn("failed to change the voters")
 		}
 		v.changeDone <- struct{}{}
 	})
@@ -136,8 +138,8 @@
 	}
 }
 
-// peerStatuses returns the statuses of the core processes, including this one if it may become a voter. It publishes those of the
-// others at the voterManager.
+// peerStatuses returns the statuses of the core processes, including this one if it may become a voter. It passes the statuses of the
+// others, and the unresponsive voters, to the voterManager.
 func (v *voterMonitor) peerStatuses(now time.Time, voters consensus.VoterSet) []consensus.PeerStatus {
 	seeds := v.directory.currentSeeds()
 	v.recordSeeds(seeds)
@@ -158,7 +160,7 @@
 	return append(slices.Clone(peers), self)
 }
 
-// recordSeeds adds the seeds to those that the settings have named since the start.
+// recordSeeds adds seeds to seedsSeen.
 func (v *voterMonitor) recordSeeds(seeds []string) {
 	for _, seed := range seeds {
 		if !slices.Contains(v.seedsSeen, seed) {
@@ -167,7 +169,7 @@
 	}
 }
 
-// ownStatus returns this process's own status, but for RemovedFromSeeds; ok is false if it is a voter, or may not become one.
+// ownStatus returns the status of this process, except RemovedFromSeeds. ok is false if the process is already a voter or is not ready.
 func (v *voterMonitor) ownStatus(now time.Time, voters consensus.VoterSet) (self consensus.PeerStatus, ok bool) {
 	status := v.acceptor.status()
 	if voters.Contains(v.self) || !status.ready {
@@ -181,7 +183,7 @@
 	}, true
 }
 
-// plan returns the change that is needed, or the zero change if none is, or if voters were replaced too recently.
+// plan returns the change that is needed. It returns the zero change if none is needed, or if the limiter does not allow a replacement now.
 func (v *voterMonitor) plan(now time.Time, voters consensus.VoterSet, peers []consensus.PeerStatus) consensus.VoterChange {
 	var change consensus.VoterChange
 	if len(voters.Voters) > 0 {
@@ -197,7 +199,7 @@
 	return change
 }
 
-// rank returns how many responsive processes precede this one by name.
+// rank returns the number of responsive processes whose name sorts before that of this process.
 func rank(self string, peers []consensus.PeerStatus) (before int) {
 	for _, peer := range peers {
 		if peer.Responsive && peer.Node < self {
