--- a/internal/mesh/control/controlplane/controlplane_test.go
+++ b/internal/mesh/control/controlplane/controlplane_test.go
@@ -20,13 +20,13 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// A change is applied once, however often it is sent, and every server answers a repeat alike.
+// A change is applied once, however often it is sent, and every server gives the same answer to a repeat.
 func TestChangesAreTakenOnce(t *testing.T) {
 	runCore(t, 4, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(0))
 		for i, change := range []struct {
-			base, v configuration.Version
-			outcome Outcome
+			base, version configuration.Version
+			outcome       Outcome
 		}{
 			{0, 3, Committed},
 			{0, 3, Committed},
@@ -40,13 +40,14 @@
 			{4, 10, Conflict},
 			{4, 11, Committed},
 		} {
-			core.c.Assert(core.replace(ctx, i%4, change.base, change.v), qt.Equals, change.outcome, qt.Commentf("%v", change))
+			core.c.Assert(core.replace(ctx, i%4, change.base, change.version), qt.Equals, change.outcome,
+				qt.Commentf("step %d: base, version and wanted outcome %v", i, change))
 		}
 		core.c.Assert(core.server(1).Replace(ctx, 11, config(11, "other")).Outcome, qt.Equals, Conflict)
 		core.c.Assert(core.server(1).Replace(ctx, 11, []byte("{")).Outcome, qt.Equals, Invalid)
 		core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(11))
 		synctest.Wait()
-		for i := range 3 { // the voters are notified
+		for i := range 3 { // the voters know the newest version
 			value, ok := core.server(i).Committed()
 			core.c.Assert(ok && value.Version == 11, qt.IsTrue)
 		}
@@ -59,8 +60,8 @@
 	})
 }
 
-// Of changes on the same base that are sent to all servers at the same time, exactly one is applied, and at most one if requests and
-// replies are late or lost.
+// Changes on the same base are sent to all servers at the same time. Exactly one of them is applied, and at most one if requests and
+// replies are delayed or lost.
 func TestOneOfManyWins(t *testing.T) {
 	for _, loss := range []float64{0, 0.2} {
 		t.Run(fmt.Sprintf("loss %v", loss), func(t *testing.T) {
@@ -83,48 +84,49 @@
 	}
 }
 
-// race sends a change on the same base to each of n servers at the same time. Each body has the server's number.
+// race sends a change on the same base to each of n servers at the same time, and returns the outcomes. Each body contains the server's
+// number.
 func (t *testCore) race(ctx context.Context, n int) []Outcome {
 	base := t.newest(ctx, 3)
 	outcomes := make([]Outcome, n)
-	short, cancel := context.WithTimeout(ctx, callTimeout)
+	shortCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	for i := range outcomes {
 		calls.Go(func() {
 			body := config(base+1+configuration.Version(i%2), strconv.Itoa(i))
-			outcomes[i] = t.server(i).Replace(short, base, body).Outcome
+			outcomes[i] = t.server(i).Replace(shortCtx, base, body).Outcome
 		})
 	}
 	calls.Wait()
 	return outcomes
 }
 
-// checkRace compares the outcomes of a race with the current value, and returns how many changes were applied.
+// checkRace compares the outcomes of a race with the current value, and returns the number of changes whose outcome is Committed.
 func (t *testCore) checkRace(ctx context.Context, outcomes []Outcome) (applied int) {
 	value, err := t.server(3).ReadLatest(ctx)
 	t.c.Assert(err, qt.IsNil)
 	for i, outcome := range outcomes {
-		inForce := strings.Contains(string(value.Body), fmt.Sprintf(`"x":"%d"`, i))
+		active := strings.Contains(string(value.Body), fmt.Sprintf(`"x":"%d"`, i))
 		if outcome == Committed {
 			applied++
 		}
-		t.c.Assert(outcome == Committed && inForce || outcome == Conflict && !inForce || outcome == Unknown, qt.IsTrue,
-			qt.Commentf("%v %s", outcome, value.Body))
+		t.c.Assert(outcome == Committed && active || outcome == Conflict && !active || outcome == Unknown, qt.IsTrue,
+			qt.Commentf("server %d answered %v, and the current configuration is %s", i, outcome, value.Body))
 	}
 	return applied
 }
 
-// Changes are applied while one voter is cut off, or while its disk hangs or fails. With two such voters the outcome is Unknown, until
-// one of them is back.
+// Changes are applied while one voter is cut off, or while its disk blocks or fails. With a second voter cut off the outcome is Unknown,
+// until the first voter works again.
 func TestFaultyVoters(t *testing.T) {
 	const faulty = 2
-	configure := func(core *testCore, f func(m *memoryStore)) {
-		m := core.disks[node(faulty)]
-		m.configure(func() { f(m) })
+	configure := func(core *testCore, f func(disk *memoryStore)) {
+		disk := core.disks[node(faulty)]
+		disk.configure(func() { f(disk) })
 	}
-	endFault := func(core *testCore) { configure(core, func(m *memoryStore) { m.fault = nil }) }
-	var gate chan struct{}
+	endFault := func(core *testCore) { configure(core, func(disk *memoryStore) { disk.fault = nil }) }
+	var unblock chan struct{}
 	for name, fault := range map[string]struct{ begin, end func(core *testCore) }{
 		"cut": {
 			func(core *testCore) { core.isolate(faulty, true) },
@@ -132,21 +134,21 @@
 		},
 		"stalled": {
 			func(core *testCore) {
-				gate = make(chan struct{})
-				configure(core, func(m *memoryStore) { m.gate = gate })
+				unblock = make(chan struct{})
+				configure(core, func(disk *memoryStore) { disk.unblock = unblock })
 			},
 			func(core *testCore) {
-				configure(core, func(m *memoryStore) { m.gate = nil })
-				close(gate)
+				configure(core, func(disk *memoryStore) { disk.unblock = nil })
+				close(unblock)
 			},
 		},
 		"full": {
-			func(core *testCore) { configure(core, func(m *memoryStore) { m.fault = io.ErrShortWrite }) },
+			func(core *testCore) { configure(core, func(disk *memoryStore) { disk.fault = io.ErrShortWrite }) },
 			endFault,
 		},
 		"failing late": {
 			func(core *testCore) {
-				configure(core, func(m *memoryStore) { m.fault, m.torn = io.ErrShortWrite, true })
+				configure(core, func(disk *memoryStore) { disk.fault, disk.torn = io.ErrShortWrite, true })
 			},
 			endFault,
 		},
@@ -154,20 +156,20 @@
 		t.Run(name, func(t *testing.T) {
 			runCore(t, 4, func(ctx context.Context, core *testCore) {
 				core.newest(ctx, 0)
-				time.Sleep(time.Second) // of the bubble's time: the first records are written, that of server 3, too
-				for _, m := range core.disks {
-					m.configure(func() { m.slow = 50 * time.Millisecond })
+				time.Sleep(time.Second) // until the first records are written, including that of server 3
+				for _, disk := range core.disks {
+					disk.configure(func() { disk.latency = 50 * time.Millisecond })
 				}
 				began := time.Now()
 				core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
-				core.c.Assert(time.Since(began), qt.Equals, 100*time.Millisecond) // a promise and a vote
+				core.c.Assert(time.Since(began), qt.Equals, 100*time.Millisecond) // a write of the promise and a write of the vote
 				fault.begin(core)
 				core.c.Assert(core.replace(ctx, 3, 1, 2), qt.Equals, Committed)
 				core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(2))
 
 				core.isolate(1, true)
-				short, cancel := context.WithTimeout(ctx, callTimeout)
-				core.c.Assert(core.replace(short, 3, 2, 3), qt.Equals, Unknown)
+				shortCtx, cancel := context.WithTimeout(ctx, callTimeout)
+				core.c.Assert(core.replace(shortCtx, 3, 2, 3), qt.Equals, Unknown)
 				cancel()
 				fault.end(core)
 				core.c.Assert(core.replace(ctx, 3, 2, 3), qt.Equals, Committed)
@@ -179,40 +181,41 @@
 	}
 }
 
-// After an acknowledgement all servers are killed, and one loses its disk or a part of it. Later another one is cut off. The
-// acknowledged version is still read everywhere.
+// After an acknowledgement all servers are stopped, and one of them loses its disk or a record on it. Later another server is cut off.
+// All servers still return the acknowledged version.
 func TestLostDisk(t *testing.T) {
 	for mode := range 6 {
-		away := mode % 2                                // the voter that is cut off at the end; 1-away is during the change
-		part := []string{"", stateKey, voteKey}[mode/2] // the record that is corrupt; "": the disk is lost
+		cutOffLast := mode % 2                                // voter that is cut off at the end; the other one of 0 and 1 is during the change
+		corruptKey := []string{"", stateKey, voteKey}[mode/2] // key of the record that is corrupt; "" if the disk is lost
 		runCore(t, 4, func(ctx context.Context, core *testCore) {
-			core.isolate(1-away, true)
-			core.c.Assert(core.replace(ctx, 3, 0, 5), qt.Equals, Committed) // by two voters, of whom one loses its disk
-			core.isolate(1-away, false)
+			core.isolate(1-cutOffLast, true)
+			core.c.Assert(core.replace(ctx, 3, 0, 5), qt.Equals, Committed) // by two voters, one of which loses its disk
+			core.isolate(1-cutOffLast, false)
 			for i := range 4 {
 				core.stop(i)
 			}
 			core.disks[node(3)] = nil
-			if core.disks[node(2)].records[part] = []byte("corrupt"); part == "" {
+			if core.disks[node(2)].records[corruptKey] = []byte("corrupt"); corruptKey == "" {
 				core.disks[node(2)] = nil
 			}
 			core.notified = map[string][]configuration.Version{}
 			for i := range 4 {
 				core.start(i, false)
 			}
-			time.Sleep(5 * time.Second) // of the bubble's time: longer than any backoff
+			time.Sleep(5 * time.Second) // longer than any backoff
 			synctest.Wait()
 			for i := range 4 {
-				core.c.Assert(core.notified[node(i)], qt.DeepEquals, []configuration.Version{5}, qt.Commentf("server %d", i))
+				core.c.Assert(core.notified[node(i)], qt.DeepEquals, []configuration.Version{5},
+					qt.Commentf("versions that server %d was notified of", i))
 			}
-			core.isolate(away, true)
+			core.isolate(cutOffLast, true)
 			core.c.Assert(core.newest(ctx, 2), qt.Equals, configuration.Version(5))
 			core.c.Assert(core.replace(ctx, 2, 5, 6), qt.Equals, Committed)
 		})
 	}
 }
 
-// A replica that lost its disk does not vote until it has read from both other voters.
+// A voter that lost its disk does not vote until it has received replies from both other voters.
 func TestVoterWithoutRecordIsNotReady(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.replace(ctx, 0, 0, 5), qt.Equals, Committed)
@@ -220,15 +223,15 @@
 		core.disks[node(2)] = nil
 		core.isolate(0, true)
 		core.start(2, false)
-		short, cancel := context.WithTimeout(ctx, 20*time.Second)
+		shortCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 1, 5, 6), qt.Equals, Unknown)
+		core.c.Assert(core.replace(shortCtx, 1, 5, 6), qt.Equals, Unknown)
 		core.isolate(0, false)
 		core.c.Assert(core.replace(ctx, 1, 5, 6), qt.Equals, Committed)
 	})
 }
 
-// A vote that was written although the write returned an error counts at once, not only after the next start.
+// A vote that was written although the write returned an error counts immediately, and not only after the next start.
 func TestFailedWriteIsReadAgain(t *testing.T) {
 	runCore(t, 1, func(ctx context.Context, core *testCore) {
 		core.stop(0)
@@ -237,10 +240,10 @@
 		core.start(0, true)
 		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 		disk := core.disks[node(0)]
-		disk.configure(func() { disk.fault, disk.only, disk.torn = io.ErrShortWrite, voteKey, true })
-		short, cancel := context.WithTimeout(ctx, callTimeout)
+		disk.configure(func() { disk.fault, disk.faulty, disk.torn = io.ErrShortWrite, voteKey, true })
+		shortCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		core.c.Assert(core.replace(short, 0, 1, 2), qt.Equals, Unknown)
+		core.c.Assert(core.replace(shortCtx, 0, 1, 2), qt.Equals, Unknown)
 		disk.configure(func() { disk.fault = nil })
 		core.c.Assert(core.newest(ctx, 0), qt.Equals, configuration.Version(2))
 		core.stop(0)
@@ -249,7 +252,7 @@
 	})
 }
 
-// A single voter on a real disk reads after each start what was acknowledged before.
+// After each start, a single voter with a real disk reads the version that was acknowledged before.
 func TestRealDisk(t *testing.T) {
 	c := qt.New(t)
 	log := logrus.New()
@@ -266,7 +269,7 @@
 	}
 }
 
-// The statuses and headers of the operators' calls.
+// The operators' calls are answered with the right statuses, headers and bodies.
 func TestOperatorsCalls(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		handler := core.server(0).Handler()
--- a/internal/mesh/control/controlplane/core_test.go
+++ b/internal/mesh/control/controlplane/core_test.go
@@ -20,8 +20,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// testCore is several servers in one process, with disks in memory, in a synctest bubble: its time passes only while all goroutines
-// are blocked.
+// testCore is a set of servers in one process, with disks in memory. They run in a synctest bubble, whose simulated time advances only
+// while all goroutines are blocked.
 type testCore struct {
 	c         *qt.C
 	seeds     []string
@@ -29,29 +29,29 @@
 	servers   map[string]*Server
 	disks     map[string]*memoryStore
 	isolated  map[string]bool
-	notified  map[string][]configuration.Version // by OnCommit, by server
-	tolerated int                                // Options.Tolerated; 0: no changes of the voters are planned
+	notified  map[string][]configuration.Version // versions that OnCommit was called with, by server
+	tolerated int                                // Options.Tolerated; if it is 0, no changes of the voters are planned
 
 	rng      *rand.Rand
-	maxDelay float64 // of a request or a reply, as a time.Duration
-	lossRate float64 // part of the requests and replies that are lost
+	maxDelay float64 // maximum delay of a request or a reply, in nanoseconds
+	lossRate float64 // fraction of the requests and replies that are lost
 
-	blocked map[[2]string]bool    // pairs of servers between which nothing passes, by their names
-	drops   consensus.RequestKind // requests of this kind are lost; 0 for none
+	blocked     map[[2]string]bool    // pairs of server names between which all messages are lost
+	droppedKind consensus.RequestKind // kind of requests that are lost; 0 for none
 }
 
-// memoryStore is a disk in memory whose writes may be slow, blocked, or fail.
+// memoryStore is a disk in memory whose writes can be made to take long, block or fail.
 type memoryStore struct {
 	mu      sync.Mutex
 	records map[string][]byte
-	gate    chan struct{} // writes wait until it is closed; nil: they do not wait
-	slow    time.Duration // duration of a write
-	fault   error         // result of a write; nil: it succeeds
-	only    string        // fault is only for keys with this prefix
-	torn    bool          // a failed write changes the record all the same
+	unblock chan struct{} // channel whose close ends the wait of writes; nil if writes do not wait
+	latency time.Duration // duration of a write
+	fault   error         // error that writes return; nil if they succeed
+	faulty  string        // prefix of the keys whose writes return fault
+	torn    bool          // whether a write that returns an error changes the record nevertheless
 }
 
-// configure changes the store under its lock.
+// configure calls f, which may change the store, under the store's lock.
 func (m *memoryStore) configure(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,16 +68,16 @@
 }
 
 func (m *memoryStore) Put(key string, data []byte) error {
-	var gate chan struct{}
-	var slow time.Duration
-	m.configure(func() { gate, slow = m.gate, m.slow })
-	if gate != nil {
-		<-gate
+	var unblock chan struct{}
+	var latency time.Duration
+	m.configure(func() { unblock, latency = m.unblock, m.latency })
+	if unblock != nil {
+		<-unblock
 	}
-	time.Sleep(slow) // of the bubble's time
+	time.Sleep(latency)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fails := m.fault != nil && strings.HasPrefix(key, m.only)
+	fails := m.fault != nil && strings.HasPrefix(key, m.faulty)
 	if !fails || m.torn {
 		m.records[key] = data
 	}
@@ -89,7 +89,7 @@
 
 func (m *memoryStore) Close() error { return nil }
 
-// link carries the requests of one server to the others.
+// link is the Transport of one server.
 type link struct {
 	core *testCore
 	from string
@@ -101,31 +101,31 @@
 	lost := server == nil || l.core.isolated[node] || l.core.isolated[l.from] ||
 		l.core.blocked[[2]string{l.from, node}] || l.core.blocked[[2]string{node, l.from}]
 	var sent consensus.Request
-	lost = lost || l.core.drops != 0 && codec.Unmarshal(request, &sent) == nil && sent.Kind == l.core.drops
+	lost = lost || l.core.droppedKind != 0 && codec.Unmarshal(request, &sent) == nil && sent.Kind == l.core.droppedKind
 	l.core.mu.Unlock()
-	if !lost && l.passes() {
-		if reply, err := server.Serve(ctx, request); l.passes() {
+	if !lost && l.deliver() {
+		if reply, err := server.Serve(ctx, request); l.deliver() {
 			return reply, err
 		}
 	}
 	<-ctx.Done() // the sender does not learn that the message was lost
-	return nil, trace.ConnectionProblem(ctx.Err(), "no way from %s to %s", l.from, node)
+	return nil, trace.ConnectionProblem(ctx.Err(), "message from %s to %s was lost", l.from, node)
 }
 
-// passes reports whether a message arrives, after its delay.
-func (l link) passes() bool {
+// deliver waits for the delay of a message, and reports whether the message arrives.
+func (l link) deliver() bool {
 	l.core.mu.Lock()
-	late := time.Duration(l.core.maxDelay * l.core.rng.Float64())
+	delay := time.Duration(l.core.maxDelay * l.core.rng.Float64())
 	lost := l.core.rng.Float64() < l.core.lossRate
 	l.core.mu.Unlock()
-	time.Sleep(late) // of the bubble's time
+	time.Sleep(delay)
 	return !lost
 }
 
 // node returns the name of a server.
 func node(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// runCore runs a test in a bubble, with n servers of which the first three are voters.
+// runCore runs a test in a synctest bubble, with n servers of which the first three are voters.
 func runCore(t *testing.T, n int, test func(ctx context.Context, core *testCore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -149,14 +149,14 @@
 					core.stop(i)
 				}
 			}
-			time.Sleep(requestTimeout) // of the bubble's time: all requests have ended
+			time.Sleep(requestTimeout) // until all requests have ended
 		}()
 		test(ctx, core)
 	})
 }
 
-// start starts a server on its disk. first is Options.InitialStart.
-func (t *testCore) start(i int, first bool) {
+// start starts a server on its disk.
+func (t *testCore) start(i int, initialStart bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	self := node(i)
@@ -175,7 +175,7 @@
 		Seeds:        t.seeds,
 		Tolerated:    t.tolerated,
 		Cores:        cores,
-		InitialStart: first,
+		InitialStart: initialStart,
 		Transport:    link{t, self},
 		Log:          log,
 		Seed:         1,
@@ -190,7 +190,7 @@
 	t.servers[self] = server
 }
 
-// stop kills a server. Its disk stays.
+// stop stops a server. Its disk is retained.
 func (t *testCore) stop(i int) {
 	t.mu.Lock()
 	server := t.servers[node(i)]
@@ -199,6 +199,7 @@
 	server.Close()
 }
 
+// server returns a running server; nil if it does not run.
 func (t *testCore) server(i int) *Server { return t.servers[node(i)] }
 
 // isolate cuts a server off from all others, or connects it again.
@@ -208,24 +209,24 @@
 	t.isolated[node(i)] = cut
 }
 
-// config returns a configuration; more distinguishes configurations of one version.
-func config(v configuration.Version, more string) []byte {
-	return fmt.Appendf(nil, `{"configVersion":"%v","routeTable":[],"x":%q}`, v, more)
+// config returns a configuration. extra makes configurations of the same version different.
+func config(v configuration.Version, extra string) []byte {
+	return fmt.Appendf(nil, `{"configVersion":"%v","routeTable":[],"x":%q}`, v, extra)
 }
 
 // replace sends a change to a server and returns the outcome.
-func (t *testCore) replace(ctx context.Context, i int, base, v configuration.Version) Outcome {
-	return t.server(i).Replace(ctx, base, config(v, "")).Outcome
+func (t *testCore) replace(ctx context.Context, i int, base, version configuration.Version) Outcome {
+	return t.server(i).Replace(ctx, base, config(version, "")).Outcome
 }
 
-// newest returns the version that a server reads.
+// newest returns the newest version, as a server reads it.
 func (t *testCore) newest(ctx context.Context, i int) configuration.Version {
 	value, err := t.server(i).ReadLatest(ctx)
 	t.c.Assert(err, qt.IsNil)
 	return value.Version
 }
 
-// cores returns the servers that a server can reach, itself included.
+// cores returns the servers that a server can reach, including itself. It is the server's Options.Cores.
 func (t *testCore) cores(self string) (list []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,7 +238,7 @@
 	return list
 }
 
-// runGrown runs a test with n servers, once the voters have grown to the number that tolerates the losses.
+// runGrown starts n servers, waits until each of them knows the given number of voters, and then runs a test.
 func runGrown(t *testing.T, n, tolerated, voters int, test func(ctx context.Context, core *testCore)) {
 	t.Helper()
 	runCore(t, 0, func(ctx context.Context, core *testCore) {
@@ -260,20 +261,20 @@
 	return true
 }
 
-// await waits until done returns true, at most for timeout of the bubble's time.
+// await waits until done returns true, and fails the test if that takes longer than timeout in simulated time.
 func (t *testCore) await(timeout time.Duration, done func() bool) {
 	for began := time.Now(); !done(); time.Sleep(100 * time.Millisecond) {
-		t.c.Assert(time.Since(began) < timeout, qt.IsTrue, qt.Commentf("not after %v", timeout))
+		t.c.Assert(time.Since(began) < timeout, qt.IsTrue, qt.Commentf("the awaited condition is still false after %v", timeout))
 	}
 }
 
-// loseMachine kills a server and loses its disk.
+// loseMachine stops a server and deletes its disk.
 func (t *testCore) loseMachine(i int) {
 	t.stop(i)
 	t.disks[node(i)] = nil
 }
 
-// runGrownWithChange runs a test with four servers, of which three vote, after a first change to version 1.
+// runGrownWithChange runs a test with four servers, of which three are voters, after a first change, to version 1.
 func runGrownWithChange(t *testing.T, test func(ctx context.Context, core *testCore)) {
 	t.Helper()
 	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
--- a/internal/mesh/control/controlplane/example_test.go
+++ b/internal/mesh/control/controlplane/example_test.go
@@ -12,14 +12,14 @@
 	"quincegap/internal/mesh/control/controlplane"
 )
 
-// noPeers is the transport of a process that is alone.
+// noPeers is the Transport of a process without peers.
 type noPeers struct{}
 
 func (noPeers) Ask(context.Context, string, []byte) ([]byte, error) {
-	return nil, errors.New("there is no other process")
+	return nil, errors.New("no other core process is running")
 }
 
-// A core process that is the only voter agrees with itself.
+// A system with a single core process commits changes without any other process.
 func ExampleServer() {
 	folder, err := os.MkdirTemp("", "controlplane")
 	if err != nil {
--- a/internal/mesh/control/controlplane/exchange_test.go
+++ b/internal/mesh/control/controlplane/exchange_test.go
@@ -16,14 +16,14 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// catchUp is the shortest time between the start of a successor and the next loss that docs/control-safety.md allows.
-const catchUp = 4 * time.Second
+// minLossInterval is the shortest time between the start of a successor and the next loss of a disk that docs/control-safety.md allows.
+const minLossInterval = 4 * time.Second
 
-// secondLoss is a loss during, or soon after, the replacement of a voter that was lost before.
+// secondLoss is a failure during, or soon after, the replacement of a voter that was lost before.
 type secondLoss struct {
-	name string
-	wipe bool // it loses a disk, so it may only come catchUp after the successor's start
-	do   func(core *testCore, victim int, running []int)
+	name      string
+	losesDisk bool // whether a disk is lost; if so, the loss may happen only minLossInterval after the successor's start
+	cause     func(core *testCore, victim int, running []int)
 }
 
 var secondLosses = []secondLoss{
@@ -60,14 +60,14 @@
 	}},
 }
 
-// A voter is lost for good, and an empty machine starts at another address. Then another voter is lost, at any moment at which the pages
-// allow it. What was acknowledged is still read, and the next change is applied.
+// A voter is lost permanently, and a machine with an empty disk starts at another address. Then another voter fails, at any time at which
+// the documentation allows it. The acknowledged version is still read, and the next change is applied.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	for _, loss := range secondLosses {
 		t.Run(loss.name, func(t *testing.T) {
-			for after := time.Duration(0); after <= catchUp; after += 500 * time.Millisecond {
-				if loss.wipe {
-					after = catchUp
+			for after := time.Duration(0); after <= minLossInterval; after += 500 * time.Millisecond {
+				if loss.losesDisk {
+					after = minLossInterval
 				}
 				for victim := 1; victim <= 3; victim++ {
 					runSecondLoss(t, loss, victim, after)
@@ -77,7 +77,7 @@
 	}
 }
 
-// runSecondLoss replaces the lost server 0 by the empty server 3, and loses another server some time after the start of 3.
+// runSecondLoss replaces the lost server 0 by the empty server 3, and causes the second loss some time after the start of server 3.
 func runSecondLoss(t *testing.T, loss secondLoss, victim int, after time.Duration) {
 	t.Helper()
 	runCore(t, 0, func(ctx context.Context, core *testCore) {
@@ -90,21 +90,22 @@
 		core.start(3, false)
 		time.Sleep(after)
 		version := configuration.Version(1)
-		if loss.wipe {
+		if loss.losesDisk {
 			core.c.Assert(core.server(2).Voters(), qt.DeepEquals, []string{node(1), node(2), node(3)})
 			core.c.Assert(core.replace(ctx, 1, 1, 2), qt.Equals, Committed)
 			version = 2
 		}
-		loss.do(core, victim, []int{1, 2, 3})
+		loss.cause(core, victim, []int{1, 2, 3})
 		at := victim%3 + 1
-		core.c.Assert(core.newest(ctx, at), qt.Equals, version, qt.Commentf("%v, node %d", at, victim))
+		core.c.Assert(core.newest(ctx, at), qt.Equals, version,
+			qt.Commentf("version that server %v reads after the failure of server %d", at, victim))
 		core.c.Assert(core.replace(ctx, at, version, version+1), qt.Equals, Committed)
-		core.await(2*catchUp, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
+		core.await(2*minLossInterval, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
 	})
 }
 
-// A voter that shuts down gives its place to a standby, and may be switched off at once: if another disk is lost after that, nothing
-// that was acknowledged is lost.
+// A voter that shuts down is replaced by a standby, and may be switched off immediately: if another disk is lost after that, no
+// acknowledged change is lost.
 func TestHandOver(t *testing.T) {
 	for leaving := range 3 {
 		for victim := range 4 {
@@ -112,9 +113,9 @@
 				continue
 			}
 			runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
-				time.Sleep(2 * time.Second) // they know each other
+				time.Sleep(2 * time.Second) // until all servers know each other's status
 				other := (leaving + 1) % 3
-				core.isolate(other, true) // so that only the leaving voter and one more accept the change
+				core.isolate(other, true) // so that only the leaving voter and one other accept the change
 				core.c.Assert(core.replace(ctx, leaving, 0, 1), qt.Equals, Committed)
 				core.isolate(other, false)
 				began := time.Now()
@@ -126,7 +127,8 @@
 				core.start(victim, false)
 				ctx, cancel := context.WithTimeout(ctx, time.Minute)
 				defer cancel()
-				core.c.Assert(core.newest(ctx, victim), qt.Equals, configuration.Version(1), qt.Commentf("%d leaves, %d is lost", leaving, victim))
+				core.c.Assert(core.newest(ctx, victim), qt.Equals, configuration.Version(1),
+					qt.Commentf("version read after server %d left and server %d lost its disk", leaving, victim))
 				core.c.Assert(core.replace(ctx, victim, 1, 2), qt.Equals, Committed)
 				core.c.Assert(len(core.server(victim).Voters()), qt.Equals, 3)
 				core.c.Assert(slices.Contains(core.server(victim).Voters(), node(leaving)), qt.IsFalse)
@@ -135,8 +137,8 @@
 	}
 }
 
-// Two of five voters are lost for good, or shut down, at the same time, and two empty machines start. After catchUp any two of the
-// remaining disks are lost.
+// Two of five voters are lost permanently, or shut down, at the same time, and two machines with empty disks start. After minLossInterval
+// two of the remaining disks are lost. The acknowledged version is still read, and the next change is applied.
 func TestTwoReplacedThenTwoLost(t *testing.T) {
 	for _, handOver := range []bool{false, true} {
 		for _, victims := range [][2]int{{2, 3}, {3, 4}, {2, 5}, {5, 6}, {4, 6}} {
@@ -144,7 +146,7 @@
 				runGrown(t, 5, 2, 5, func(ctx context.Context, core *testCore) {
 					core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Committed)
 					core.replaceFirstTwo(ctx, handOver)
-					time.Sleep(catchUp)
+					time.Sleep(minLossInterval)
 					core.c.Assert(core.server(4).Voters(), qt.DeepEquals, []string{node(2), node(3), node(4), node(5), node(6)})
 					core.c.Assert(core.replace(ctx, 4, 1, 2), qt.Equals, Committed)
 					for _, victim := range victims {
@@ -161,23 +163,23 @@
 	}
 }
 
-// replaceFirstTwo replaces servers 0 and 1 by the empty servers 5 and 6. If handOver is true, 0 and 1 hand over to them; otherwise they
-// are lost before 5 and 6 start.
+// replaceFirstTwo replaces servers 0 and 1 by the empty servers 5 and 6. If handOver is true, servers 0 and 1 hand over to them;
+// otherwise servers 0 and 1 are lost before 5 and 6 start.
 func (t *testCore) replaceFirstTwo(ctx context.Context, handOver bool) {
 	if handOver {
 		t.start(5, false)
 		t.start(6, false)
 		time.Sleep(time.Second)
-		var both sync.WaitGroup
+		var handOvers sync.WaitGroup
 		for i := range 2 {
 			leaving := t.server(i)
-			both.Go(func() {
-				short, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
+			handOvers.Go(func() {
+				shortCtx, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
 				defer cancel()
-				t.c.Check(leaving.HandOver(short), qt.IsNil)
+				t.c.Check(leaving.HandOver(shortCtx), qt.IsNil)
 			})
 		}
-		both.Wait()
+		handOvers.Wait()
 	}
 	t.loseMachine(0)
 	t.loseMachine(1)
@@ -188,7 +190,8 @@
 	}
 }
 
-// Without a standby, a voter that shuts down stays a voter and does not wait. One that reaches no other process gets an error in time.
+// Without a standby, a voter that shuts down stays a voter and does not wait. A voter that reaches no other process gets an error when its
+// context ends.
 func TestHandOverToNobody(t *testing.T) {
 	runGrown(t, 3, 1, 3, func(ctx context.Context, core *testCore) {
 		began := time.Now()
@@ -198,13 +201,13 @@
 		core.c.Assert(core.server(1).VoterSet().Epoch, qt.Equals, uint64(0))
 
 		core.isolate(0, true)
-		short, cancel := context.WithTimeout(ctx, time.Second)
+		shortCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		core.c.Assert(core.server(0).HandOver(short), qt.IsNotNil)
+		core.c.Assert(core.server(0).HandOver(shortCtx), qt.IsNotNil)
 	})
 }
 
-// A voter that only one process cannot reach is not replaced, and a process that reaches no other one replaces nobody.
+// A voter that is unreachable for only one process is not replaced, and a process that reaches no other process replaces no voter.
 func TestOneProcessCantReplace(t *testing.T) {
 	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
 		core.mu.Lock()
@@ -224,7 +227,7 @@
 	})
 }
 
-// However often voters become unresponsive, the number of replacements in a minute is limited.
+// The number of replacements in a minute is limited, however often voters become unresponsive.
 func TestReplacementsAreBounded(t *testing.T) {
 	runGrown(t, 9, 2, 5, func(ctx context.Context, core *testCore) {
 		initialEpoch := core.server(0).VoterSet().Epoch
@@ -240,17 +243,17 @@
 			core.isolate(second, false)
 			time.Sleep(500 * time.Millisecond)
 		}
-		time.Sleep(catchUp)
+		time.Sleep(minLossInterval)
 		epochs := core.server(0).VoterSet().Epoch - initialEpoch
 		t.Logf("%d changes of the voters in a minute", epochs)
-		core.c.Assert(epochs <= uint64(2*time.Minute/replaceWindow)+1, qt.IsTrue, qt.Commentf("%d", epochs))
+		core.c.Assert(epochs <= uint64(2*time.Minute/replaceWindow)+1, qt.IsTrue, qt.Commentf("changes of the voters in a minute: %d", epochs))
 		core.c.Assert(len(core.server(0).Voters()), qt.Equals, 5)
 		core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(1))
 	})
 }
 
-// The time from a successor's start until it is a voter, with messages that are late and lost, is below the time after which the pages
-// allow the next loss.
+// With delayed and lost messages, the time from a successor's start until it is a voter is below the time after which the documentation
+// allows the next loss.
 func TestTimeToReplace(t *testing.T) {
 	runs := 10
 	if os.Getenv("SOAK") != "" {
@@ -273,17 +276,17 @@
 			core.start(3, false)
 			began := time.Now()
 			at := (victim + 1) % 3
-			core.await(2*catchUp, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
+			core.await(2*minLossInterval, func() bool { return slices.Contains(core.server(at).Voters(), node(3)) })
 			core.c.Assert(core.newest(ctx, 3), qt.Equals, configuration.Version(1))
 			took = append(took, time.Since(began))
 		})
 	}
 	slices.Sort(took)
-	t.Logf("from the successor's start until it votes, %d runs: p50 %v, max %v", runs, took[runs/2], took[runs-1])
-	qt.Assert(t, took[runs-1] < catchUp, qt.IsTrue)
+	t.Logf("time from the successor's start until it is a voter, %d runs: p50 %v, max %v", runs, took[runs/2], took[runs-1])
+	qt.Assert(t, took[runs-1] < minLossInterval, qt.IsTrue)
 }
 
-// Probes, replies and timeouts of the failure detector, at given times.
+// The failure detector handles probes, replies and timeouts correctly at given times.
 func TestFailureDetector(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
@@ -304,34 +307,34 @@
 		{Node: "a", Responsive: true, StateDuration: 1990 * time.Millisecond, Ready: true},
 		{Node: "b", StateDuration: 2 * time.Second, UnresponsiveReports: 2},
 	})
-	detector.resetTimeouts(at(60000)) // this process was suspended: nobody is unresponsive yet
+	detector.resetTimeouts(at(60000)) // this process was suspended: no other one is unresponsive yet
 	c.Assert(detector.unresponsive(at(61000), []string{"a", "b"}), qt.HasLen, 0)
 	detector.observeReply(at(61000), "b", &consensus.Reply{})
 	c.Assert(detector.unresponsive(at(62000), []string{"a", "b"}), qt.DeepEquals, []string{"a"})
 	detector.track(at(62000), []string{"b"})
-	detector.observeReply(at(62000), "a", &consensus.Reply{}) // not tracked any more
+	detector.observeReply(at(62000), "a", &consensus.Reply{}) // no longer tracked
 	c.Assert(len(detector.peerStatuses(at(62000), nil, nil, never)), qt.Equals, 1)
 }
 
-// When a change of the voters returns, a majority of the new voters has the new set on disk, even if no Commit arrived.
+// When a change of the voters returns, a majority of the new voters has the new set on disk, even if all Commit requests were lost.
 func TestChangeReturnsWithTheListOnDisk(t *testing.T) {
 	runGrownWithChange(t, func(ctx context.Context, core *testCore) {
 		core.mu.Lock()
-		core.drops = consensus.Commit
+		core.droppedKind = consensus.Commit
 		core.mu.Unlock()
-		old := core.server(0).VoterSet()
-		core.c.Assert(core.server(0).voters.change(ctx, old, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
+		oldSet := core.server(0).VoterSet()
+		core.c.Assert(core.server(0).voters.change(ctx, oldSet, consensus.VoterChange{Add: node(3), Remove: node(0)}), qt.IsNil)
 		onDisk := 0
 		for i := 1; i <= 3; i++ {
-			if core.server(i).acceptor.status().decidedEpoch == old.Epoch+1 {
+			if core.server(i).acceptor.status().decidedEpoch == oldSet.Epoch+1 {
 				onDisk++
 			}
 		}
-		core.c.Assert(onDisk >= 2, qt.IsTrue, qt.Commentf("%d have it", onDisk))
+		core.c.Assert(onDisk >= 2, qt.IsTrue, qt.Commentf("new voters with the new voter set on disk: %d", onDisk))
 	})
 }
 
-// After its own suspension a process considers no other one unresponsive, and plans no change.
+// After a suspension a process considers no other process unresponsive, and plans no change of the voters.
 func TestSuspensionIsNoTimeout(t *testing.T) {
 	runGrownWithChange(t, func(_ context.Context, core *testCore) {
 		server := core.server(1)
@@ -350,7 +353,7 @@
 	})
 }
 
-// One voter may be replaced in a window, or as many as may be lost at once, with a pause in between.
+// Within replaceWindow as many voters may be replaced as may be lost at once, but always one, and at least minReplaceInterval apart.
 func TestReplacementsAllowed(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
@@ -362,7 +365,7 @@
 		var limiter replacementLimiter
 		limiter.observe(start, voterSet(4, "a", "b", "c"))
 		c.Assert(limiter.allows(start, tolerated), qt.IsTrue)
-		limiter.observe(start, voterSet(5, "a", "b", "c", "d")) // nobody was replaced
+		limiter.observe(start, voterSet(5, "a", "b", "c", "d")) // a voter was added and none replaced
 		c.Assert(limiter.allows(start, tolerated), qt.IsTrue)
 		limiter.observe(start, voterSet(6, "a", "b", "d"))
 		c.Assert(limiter.allows(at(minReplaceInterval-1), tolerated), qt.IsFalse)
--- a/internal/mesh/control/controlplane/golden_test.go
+++ b/internal/mesh/control/controlplane/golden_test.go
@@ -28,15 +28,16 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// The golden files: what earlier versions of the program have written and answered.
+// The golden files. They contain records and answers of earlier versions of the program.
 const (
-	goldenStanding = "standing.hex"       // a voter's state with every field
-	goldenVote     = "vote.hex"           // a vote with every field
-	goldenFolder   = "core-folder"        // the folder of a process that was started twice
-	goldenRecords  = "core-folder.txt"    // its records, by key
-	goldenCalls    = "operator-calls.txt" // the operators' calls and their answers
+	goldenStanding = "standing.hex"       // state of a voter with every field set
+	goldenVote     = "vote.hex"           // vote with every field set
+	goldenFolder   = "core-folder"        // folder of a process that was started twice
+	goldenRecords  = "core-folder.txt"    // records in goldenFolder, by key
+	goldenCalls    = "operator-calls.txt" // operators' calls and their answers
 )
 
+// goldenSelf is the name of the process that wrote the golden files.
 const goldenSelf = "10.0.0.1:7001"
 
 // goldenRecord returns a record in which every field is set, of a system whose only voter is goldenSelf.
@@ -71,7 +72,7 @@
 	return consensus.Record{State: state, Vote: consensus.Vote{Ballot: ballot, Value: value, Learned: true}}
 }
 
-// Both parts of a record are written as earlier versions wrote them, and theirs are read.
+// Both parts of a record are written in the format of earlier versions, and parts that earlier versions wrote are read.
 func TestGoldenRecords(t *testing.T) {
 	c := qt.New(t)
 	want := goldenRecord()
@@ -89,7 +90,7 @@
 	c.Assert(got, qt.DeepEquals, want)
 }
 
-// openAlone opens the server of goldenSelf, which needs no other process, on a folder.
+// openAlone opens the server of goldenSelf on a folder. The server is the only voter and needs no other process.
 func openAlone(c *qt.C, folder string) *Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -98,7 +99,7 @@
 	return server
 }
 
-// writeGoldenFolder writes a folder with the golden record, and starts a process on it twice.
+// writeGoldenFolder writes a folder with the golden record, starts a process on it twice, and makes one change at each start.
 func writeGoldenFolder(c *qt.C, folder string) {
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -113,7 +114,7 @@
 	}
 }
 
-// dump returns the records of a folder, as text in hexadecimal and by their keys.
+// dump returns the records of a folder, both as hexadecimal text and by key.
 func dump(c *qt.C, folder string) (text []byte, records map[string][]byte) {
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -128,7 +129,7 @@
 	return text, records
 }
 
-// A core process's folder that an earlier version wrote is read completely, and a process continues with it.
+// The folder of a core process that an earlier version wrote is read completely, and a process works with it.
 func TestGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	source := filepath.Join("testdata", "golden", goldenFolder)
@@ -175,8 +176,8 @@
 	c.Assert(server.Replace(c.Context(), 1, config(2, "golden")).Outcome, qt.Equals, Unknown)
 	c.Assert(server.Replace(c.Context(), 7, config(8, "golden")).Outcome, qt.Equals, Committed)
 	server.Close()
-	_, again := dump(c, folder)
-	c.Assert(codec.Unmarshal(again[voteKey], &got.Vote), qt.IsNil)
+	_, recordsAfter := dump(c, folder)
+	c.Assert(codec.Unmarshal(recordsAfter[voteKey], &got.Vote), qt.IsNil)
 	c.Assert(got.Vote.Value.Version, qt.Equals, configuration.Version(8))
 }
 
@@ -184,20 +185,22 @@
 type goldenCall struct {
 	name         string
 	method, path string
-	base         []string // values of the header Base-Version; nil for no header
+	base         []string // values of the header Base-Version; nil if there is no such header
 	body         string
-	broken       bool // reading the body fails
+	broken       bool // whether reading the body fails
 }
 
+// replaceGolden returns a call that replaces the configuration.
 func replaceGolden(name, base, body string) goldenCall {
 	return goldenCall{name: name, method: "POST", path: "/configuration/replace", base: []string{base}, body: body}
 }
 
+// retrieveGolden returns a call that retrieves the configuration.
 func retrieveGolden(name string) goldenCall {
 	return goldenCall{name: name, method: "GET", path: "/configuration/retrieve"}
 }
 
-// answer makes the call at a server, and appends the answer to text.
+// answer makes the call at a server, and appends the call and its answer to text.
 func (g goldenCall) answer(ctx context.Context, text *bytes.Buffer, server *Server) {
 	var body io.Reader = strings.NewReader(g.body)
 	if g.broken {
@@ -217,8 +220,8 @@
 	fmt.Fprintf(text, "%q\n\n", response.Body.Bytes())
 }
 
-// goldenDecided are calls while a majority of the voters answers.
-var goldenDecided = []goldenCall{
+// goldenCallsWithMajority are calls that are made while a majority of the voters is reachable.
+var goldenCallsWithMajority = []goldenCall{
 	retrieveGolden("nothing was accepted yet"),
 	{name: "no base", method: "POST", path: "/configuration/replace", body: string(config(1, ""))},
 	replaceGolden("a base without its letter", "5", string(config(1, ""))),
@@ -246,23 +249,23 @@
 	{name: "a longer path", method: "GET", path: "/configuration/retrieve/"},
 }
 
-// goldenUndecided are calls while no majority answers.
-var goldenUndecided = []goldenCall{
+// goldenCallsWithoutMajority are calls that are made while no majority is reachable.
+var goldenCallsWithoutMajority = []goldenCall{
 	replaceGolden("no majority", "r5", string(config(6, ""))),
 	retrieveGolden("no majority"),
 	replaceGolden("no majority, and a fault", "r5", `{}`),
 	replaceGolden("no majority, and no base", "x", string(config(6, ""))),
 }
 
-// The operators' calls, valid and invalid, have the answers of earlier versions.
+// The operators' calls, valid and invalid, are answered as by earlier versions.
 func TestGoldenOperatorsCalls(t *testing.T) {
 	var text bytes.Buffer
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
-		for _, call := range goldenDecided {
+		for _, call := range goldenCallsWithMajority {
 			call.answer(ctx, &text, core.server(0))
 		}
 		core.isolate(0, true)
-		for _, call := range goldenUndecided {
+		for _, call := range goldenCallsWithoutMajority {
 			call.answer(ctx, &text, core.server(0))
 		}
 	})
@@ -290,7 +293,7 @@
 	golden.Text(t, goldenCalls, text.Bytes())
 }
 
-// The error for a request or a record that cannot be decoded names it.
+// The error for a request or a record that cannot be decoded names the request or the record.
 func TestGoldenBadRequest(t *testing.T) {
 	c := qt.New(t)
 	_, err := (&Server{responder: &responder{}}).Serve(t.Context(), []byte{0xff})
@@ -300,7 +303,7 @@
 	c.Assert(disk.get(voteKey, &consensus.Vote{}), qt.ErrorMatches, `(?s).*folder f, record "vote": .*`)
 }
 
-// must returns a value that a test needs, and panics if there was an error.
+// must returns value, and panics if err is not nil.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/internal/mesh/control/controlplane/halves_test.go
+++ b/internal/mesh/control/controlplane/halves_test.go
@@ -12,9 +12,9 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// The core is partitioned into two halves, with every number of tolerated losses, while operators and sidecars reach both. At most one
-// half accepts changes. Neither returns a version older than what was acknowledged before. When the partition ends, and all servers
-// lose power at that moment, everything that was acknowledged is still read.
+// The core is partitioned into two halves while clients reach both, in systems that tolerate one or two losses. At most one half applies
+// changes. Neither half returns a version older than the newest that was acknowledged. The partition ends and all servers lose power at
+// the same time; after that the newest acknowledged version is still read.
 func TestCutIntoHalves(t *testing.T) {
 	for _, size := range []struct{ n, tolerated, voters int }{{3, 1, 3}, {4, 1, 3}, {5, 2, 5}} {
 		for _, half := range halves(size.n) {
@@ -30,7 +30,8 @@
 						core.start(i, false)
 					}
 					for i := range size.n {
-						core.c.Assert(core.newest(ctx, i) >= newest, qt.IsTrue, qt.Commentf("%d of %d, half %b", i, size.n, half))
+						core.c.Assert(core.newest(ctx, i) >= newest, qt.IsTrue,
+							qt.Commentf("server %d of %d returned an older version than %v, half %b", i, size.n, newest, half))
 					}
 					newest = core.newest(ctx, 0)
 					core.c.Assert(core.replace(ctx, size.n-1, newest, newest+1), qt.Equals, Committed)
@@ -40,7 +41,8 @@
 	}
 }
 
-// halves returns the sets of half of n servers, as bits, without the last server.
+// halves returns the ways to split n servers into halves, as bit sets of the servers of the half without the last server. If n is odd,
+// that half is one server larger or smaller than the other.
 func halves(n int) (sets []int) {
 	for half := 1; half < 1<<(n-1); half++ {
 		if size := bits.OnesCount(uint(half)); size == n/2 || size == (n+1)/2 {
@@ -50,56 +52,57 @@
 	return sets
 }
 
-// block sets the pairs of servers between which nothing passes.
+// block sets the pairs of servers between which all messages are lost.
 func (t *testCore) block(blocked map[[2]string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.blocked = blocked
 }
 
-// cutIntoHalves partitions the servers of a set from the others for six seconds, and returns the newest version that was acknowledged.
+// cutIntoHalves partitions the servers in the bit set half from the others, and sends changes and reads to all servers for six seconds. It
+// returns the newest version that was acknowledged or read. The servers are still partitioned when it returns.
 func cutIntoHalves(ctx context.Context, core *testCore, servers, half int) configuration.Version {
-	in := func(i int) bool { return half>>i&1 == 1 }
+	inHalf := func(i int) bool { return half>>i&1 == 1 }
 	blocked := map[[2]string]bool{}
 	for i := range servers {
 		for j := range servers {
-			if in(i) != in(j) {
+			if inHalf(i) != inHalf(j) {
 				blocked[[2]string{node(i), node(j)}] = true
 			}
 		}
 	}
 	core.block(blocked)
 	acknowledged, sent := configuration.Version(1), configuration.Version(1)
-	took := map[bool]bool{} // by half
+	applied := map[bool]bool{} // whether a change was applied, by inHalf of the server that applied it
 	for began := time.Now(); time.Since(began) < 6*time.Second; {
 		for i := range servers {
 			sent++
-			short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-			if core.server(i).Replace(short, acknowledged, config(sent, "")).Outcome == Committed {
+			shortCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
+			if core.server(i).Replace(shortCtx, acknowledged, config(sent, "")).Outcome == Committed {
 				acknowledged = sent
-				took[in(i)] = true
+				applied[inHalf(i)] = true
 			}
 			cancel()
 			acknowledged = core.readAll(ctx, servers, acknowledged, half)
 		}
 	}
-	core.c.Assert(took[false] && took[true], qt.IsFalse, qt.Commentf("half %b", half))
+	core.c.Assert(applied[false] && applied[true], qt.IsFalse, qt.Commentf("both halves applied changes, half %b", half))
 	return acknowledged
 }
 
-// readAll reads at all servers, none of which may return a version older than what was acknowledged or read before. It returns the
-// newest version.
+// readAll reads at all servers. None of them may return a version older than the newest that was acknowledged or read before. readAll
+// returns the newest version that it read, or acknowledged if no server answered.
 func (t *testCore) readAll(ctx context.Context, n int, acknowledged configuration.Version, half int) configuration.Version {
 	for i := range n {
-		short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-		value, err := t.server(i).ReadLatest(short)
+		shortCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
+		value, err := t.server(i).ReadLatest(shortCtx)
 		cancel()
 		if err != nil {
 			continue
 		}
 		t.c.Assert(value.Version >= acknowledged, qt.IsTrue,
-			qt.Commentf("%d answers %v, %v was acknowledged, half %b", i, value.Version, acknowledged, half))
-		acknowledged = value.Version // a change without an answer may be in force
+			qt.Commentf("server %d returned %v, but %v was acknowledged or read before, half %b", i, value.Version, acknowledged, half))
+		acknowledged = value.Version // may be newer: a change whose outcome was Unknown may have been committed
 	}
 	return acknowledged
 }
--- a/internal/mesh/control/controlplane/lifetime_test.go
+++ b/internal/mesh/control/controlplane/lifetime_test.go
@@ -9,28 +9,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// close cancels the goroutines' context and waits for them. After that no goroutine is started.
+// close cancels the goroutines' context and waits until they have returned. After close, start does not run a goroutine.
 func TestLifetimeWaitsForItsGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLifetime()
-		const cleanUp = time.Second // of the bubble's time
+		tested := newLifetime()
+		const cleanUp = time.Second
 		ended := 0
-		qt.Assert(t, l.start(func(ctx context.Context) {
+		qt.Assert(t, tested.start(func(ctx context.Context) {
 			<-ctx.Done()
 			time.Sleep(cleanUp)
 			ended++
 		}), qt.IsTrue)
 		began := time.Now()
-		l.close()
+		tested.close()
 		qt.Assert(t, ended, qt.Equals, 1)
 		qt.Assert(t, time.Since(began), qt.Equals, cleanUp)
-		qt.Assert(t, l.start(func(context.Context) { t.Error("a goroutine runs after the end") }), qt.IsFalse)
+		qt.Assert(t, tested.start(func(context.Context) { t.Error("start ran a goroutine after close") }), qt.IsFalse)
 		synctest.Wait()
 	})
 }
 
-// A read at a closed server fails at once.
-func TestNoRepliesAfterTheEnd(t *testing.T) {
+// A read at a closed server fails immediately.
+func TestReadAtAClosedServerFails(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.newest(ctx, 0)
 		server := core.server(0)
--- a/internal/mesh/control/controlplane/names_test.go
+++ b/internal/mesh/control/controlplane/names_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Names that stand on disk and in the operators' calls: their values are formats.
-func TestNamesThatAreData(t *testing.T) {
+// Names that are stored on disk, used in the operators' calls or logged never change.
+func TestFixedNames(t *testing.T) {
 	for got, want := range map[string]string{
 		stateKey: "standing", voteKey: "vote", ownerKey: "owner",
 		replacePattern: "POST /configuration/replace", retrievePattern: "GET /configuration/retrieve", baseVersionHeader: "Base-Version",
@@ -11,7 +11,7 @@
 		Unknown.String():  "unknown", Committed.String(): "applied", Conflict.String(): "conflict", Invalid.String(): "invalid",
 	} {
 		if got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("fixed name: got %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/mesh/control/controlplane/network_test.go
+++ b/internal/mesh/control/controlplane/network_test.go
@@ -14,17 +14,17 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// testNetwork is a core whose links can be cut in one direction, and whose messages and syncs are counted.
+// testNetwork is a testCore whose links can be cut in one direction, and whose messages, bytes and synced writes are counted.
 type testNetwork struct {
 	*testCore
 	mu       sync.Mutex
-	severed  map[[2]string]bool // from, to
-	messages int
-	bytes    map[string]int // to and from each server
-	syncs    int
+	severed  map[[2]string]bool // links that are cut: names of the sender and the receiver
+	messages int                // number of messages that arrived
+	bytes    map[string]int     // bytes that each server sent and received
+	syncs    int                // number of synced writes of all servers
 }
 
-// oneWayLink carries requests of one server.
+// oneWayLink is the Transport of one server, whose requests and replies can be lost separately.
 type oneWayLink struct {
 	network *testNetwork
 	from    string
@@ -34,18 +34,18 @@
 	o.network.testCore.mu.Lock()
 	server := o.network.servers[node]
 	o.network.testCore.mu.Unlock()
-	if server != nil && o.network.passes(o.from, node, len(request)) {
-		if reply, err := server.Serve(ctx, request); o.network.passes(node, o.from, len(reply)) {
+	if server != nil && o.network.deliver(o.from, node, len(request)) {
+		if reply, err := server.Serve(ctx, request); o.network.deliver(node, o.from, len(reply)) {
 			return reply, err
 		}
 	}
 	<-ctx.Done() // the sender does not learn that the message was lost
-	return nil, trace.ConnectionProblem(ctx.Err(), "no way between %s and %s", o.from, node)
+	return nil, trace.ConnectionProblem(ctx.Err(), "request from %s to %s, or its reply, was lost", o.from, node)
 }
 
-// passes counts a message and reports whether it arrives, after its delay.
-func (t *testNetwork) passes(from, to string, bytes int) bool {
-	if !(link{t.testCore, from}).passes() {
+// deliver waits for the delay of a message, reports whether the message arrives, and counts it if it does.
+func (t *testNetwork) deliver(from, to string, bytes int) bool {
+	if !(link{t.testCore, from}).deliver() {
 		return false
 	}
 	t.mu.Lock()
@@ -59,7 +59,7 @@
 	return true
 }
 
-// countingStore counts the synced writes to a disk.
+// countingStore is a memoryStore whose writes are counted.
 type countingStore struct {
 	*memoryStore
 	network *testNetwork
@@ -72,7 +72,7 @@
 	return c.memoryStore.Put(key, data)
 }
 
-// runNetwork runs a test in a bubble, with n servers of which the first three are voters.
+// runNetwork runs a test in a synctest bubble, with n servers of which the first three are voters.
 func runNetwork(t *testing.T, n int, seed uint64, test func(ctx context.Context, network *testNetwork)) {
 	t.Helper()
 	runCore(t, 0, func(ctx context.Context, core *testCore) {
@@ -86,7 +86,7 @@
 }
 
 // open starts a server on its disk, as testCore.start does.
-func (t *testNetwork) open(i int, first bool) {
+func (t *testNetwork) open(i int, initialStart bool) {
 	t.testCore.mu.Lock()
 	defer t.testCore.mu.Unlock()
 	self := node(i)
@@ -99,7 +99,7 @@
 	server, err := Open(Options{
 		Self:         self,
 		Seeds:        t.seeds,
-		InitialStart: first,
+		InitialStart: initialStart,
 		Transport:    oneWayLink{t, self},
 		Log:          log,
 		Seed:         uint64(i),
@@ -114,7 +114,8 @@
 	t.servers[self] = server
 }
 
-// sever cuts what one server sends, or receives, or both, or ends such a cut.
+// sever cuts the links from server i to the n-1 others (sends), the links from them to i (receives), or both. If cut is false, it
+// restores all of these links.
 func (t *testNetwork) sever(i, n int, sends, receives, cut bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/mesh/control/controlplane/operator_api.go
+++ b/internal/mesh/control/controlplane/operator_api.go
@@ -64,7 +64,8 @@
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
 	result := o.register.replace(ctx, base, raw)
-	o.log.WithField("outcome", result.Outcome).WithField("base", base).WithField("reason", result.Reason).Info("answered a request to replace the configuration")
+	o.log.WithField("outcome", result.Outcome).WithField("base", base).WithField("reason", result.Reason).
+		Info("answered a request to replace the configuration")
 	writeResult(w, result.Outcome.status(), result.Reason)
 }
 
--- a/internal/mesh/control/controlplane/orders_test.go
+++ b/internal/mesh/control/controlplane/orders_test.go
@@ -17,16 +17,16 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// order is a change that an operator sends over HTTP, any number of times, to any server.
-type order struct {
+// operatorChange is a change that an operator sends over HTTP, any number of times, to any server.
+type operatorChange struct {
 	base configuration.Version
 	body string
 }
 
-// send sends an order once, and returns the status.
-func (t *testCore) send(ctx context.Context, i int, o order) int {
-	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/configuration/replace", strings.NewReader(o.body))
-	request.Header.Set("Base-Version", o.base.String())
+// send sends a change once to a server, and returns the HTTP status of the answer.
+func (t *testCore) send(ctx context.Context, i int, change operatorChange) int {
+	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/configuration/replace", strings.NewReader(change.body))
+	request.Header.Set("Base-Version", change.base.String())
 	response := httptest.NewRecorder()
 	t.server(i).Handler().ServeHTTP(response, request)
 	if response.Code == http.StatusServiceUnavailable {
@@ -35,50 +35,52 @@
 	return response.Code
 }
 
-// sendUntilAnswered sends an order to one server after the other until it gets a definite answer, and returns the status. It ignores
-// the first lost answers.
-func (t *testCore) sendUntilAnswered(ctx context.Context, from int, o order, lost int) int {
+// sendUntilAnswered sends a change to one server after another, beginning with server from, until it gets a definite answer, and returns
+// the HTTP status of that answer. It ignores the given number of answers, as if they were lost.
+func (t *testCore) sendUntilAnswered(ctx context.Context, from int, change operatorChange, lost int) int {
 	for n := 0; ; n++ {
-		status := t.send(ctx, (from+n)%4, o)
+		status := t.send(ctx, (from+n)%4, change)
 		if n >= lost && status != http.StatusServiceUnavailable {
 			return status
 		}
 	}
 }
 
-// checkAtAll checks that all servers answer orders with a status.
-func (t *testCore) checkAtAll(ctx context.Context, status int, orders ...order) {
-	for _, o := range orders {
+// checkAtAll checks that all servers answer each of the changes with the given HTTP status.
+func (t *testCore) checkAtAll(ctx context.Context, status int, changes ...operatorChange) {
+	for _, change := range changes {
 		for i := range 4 {
-			t.c.Assert(t.sendUntilAnswered(ctx, i, o, 0), qt.Equals, status, qt.Commentf("server %d, %.40s", i, o.body))
+			t.c.Assert(t.sendUntilAnswered(ctx, i, change, 0), qt.Equals, status,
+				qt.Commentf("HTTP status from server %d for the change %.40s", i, change.body))
 		}
 	}
 }
 
-// Two operators choose one version for two bodies and send them to two processes. Answers and messages are lost, and each order is
-// repeated until it is answered. One is applied and one refused, by every process, also after a change of the voters, after all
-// processes were killed, and after later changes.
+// Two operators choose the same version for two different bodies and send them to two processes. Answers and messages are lost, and each
+// change is repeated until it is answered. Every process gives the same answers: one change is applied and the other rejected. That is
+// still so after a change of the voters, after a restart of all processes, and after later changes.
 func TestOneNumberTwoBodies(t *testing.T) {
 	for seed := range 6 {
 		runCore(t, 4, func(ctx context.Context, core *testCore) {
 			core.mu.Lock()
 			core.maxDelay, core.lossRate = float64(20*time.Millisecond), 0.15
 			core.mu.Unlock()
-			orders := []order{{0, string(config(7, "one"))}, {0, string(config(7, "two"))}}
+			changes := []operatorChange{{0, string(config(7, "one"))}, {0, string(config(7, "two"))}}
 			var statuses [2]int
 			var operators sync.WaitGroup
-			for n, o := range orders {
-				operators.Go(func() { statuses[n] = core.sendUntilAnswered(ctx, seed+2*n, o, seed%3) })
+			for n, change := range changes {
+				operators.Go(func() { statuses[n] = core.sendUntilAnswered(ctx, seed+2*n, change, seed%3) })
 			}
 			operators.Wait()
-			core.c.Assert(statuses == [2]int{200, 412} || statuses == [2]int{412, 200}, qt.IsTrue, qt.Commentf("%v", statuses))
-			applied, refused := orders[0], orders[1]
+			core.c.Assert(statuses == [2]int{200, 412} || statuses == [2]int{412, 200}, qt.IsTrue,
+				qt.Commentf("HTTP statuses of the two changes: %v", statuses))
+			applied, rejected := changes[0], changes[1]
 			if statuses[1] == http.StatusOK {
-				applied, refused = refused, applied
+				applied, rejected = rejected, applied
 			}
 			check := func() {
 				core.checkAtAll(ctx, http.StatusOK, applied)
-				core.checkAtAll(ctx, http.StatusPreconditionFailed, refused)
+				core.checkAtAll(ctx, http.StatusPreconditionFailed, rejected)
 			}
 			check()
 			core.mu.Lock()
@@ -94,59 +96,59 @@
 				core.start(i, false)
 			}
 			check()
-			core.c.Assert(core.sendUntilAnswered(ctx, 1, order{7, string(config(9, ""))}, 2), qt.Equals, http.StatusOK)
+			core.c.Assert(core.sendUntilAnswered(ctx, 1, operatorChange{7, string(config(9, ""))}, 2), qt.Equals, http.StatusOK)
 			check()
 			core.c.Assert(core.newest(ctx, 2), qt.Equals, configuration.Version(9))
 		})
 	}
 }
 
-// After more changes than the history holds, a repeat of an order that was applied long ago, or may have been, is unknown. Orders that
-// certainly never were applied, and those on the newest version, have definite answers.
+// After more changes than the history holds, a repeat of a change that was applied long ago, or may have been, has an unknown outcome.
+// Changes that certainly were never applied, and changes based on the newest version, have definite answers.
 func TestOrdersOfAnyAge(t *testing.T) {
-	const changes = 300
+	const versions = 300
 	runCore(t, 4, func(ctx context.Context, core *testCore) {
-		var orders []order
-		for v := range configuration.Version(changes) {
-			orders = append(orders, order{v, string(config(v+1, ""))})
-			core.c.Assert(core.send(ctx, int(v)%4, orders[v]), qt.Equals, http.StatusOK)
+		var changes []operatorChange
+		for v := range configuration.Version(versions) {
+			changes = append(changes, operatorChange{v, string(config(v+1, ""))})
+			core.c.Assert(core.send(ctx, int(v)%4, changes[v]), qt.Equals, http.StatusOK)
 		}
 		unknown := 0
-		for v, o := range orders {
-			status := core.send(ctx, v%4, o)
+		for v, change := range changes {
+			status := core.send(ctx, v%4, change)
 			if status == http.StatusServiceUnavailable && v == unknown {
 				unknown++
 				continue
 			}
-			core.c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%v", o))
+			core.c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("HTTP status of a repeat of the change %v", change))
 		}
-		core.c.Assert(unknown > 0 && unknown < 50, qt.IsTrue, qt.Commentf("%d", unknown))
+		core.c.Assert(unknown > 0 && unknown < 50, qt.IsTrue, qt.Commentf("number of repeats with an unknown outcome: %d", unknown))
 		core.checkAtAll(ctx, http.StatusPreconditionFailed,
-			order{3, string(config(changes+1, ""))},
-			order{changes - 1, string(config(changes, "other"))},
-			order{2, string(config(1, ""))},
-			order{5, string(config(5, ""))})
-		core.c.Assert(core.send(ctx, 0, order{1, string(config(2, "other"))}), qt.Equals, http.StatusServiceUnavailable)
-		core.checkAtAll(ctx, http.StatusOK, order{changes, string(config(changes+1, ""))})
+			operatorChange{3, string(config(versions+1, ""))},
+			operatorChange{versions - 1, string(config(versions, "other"))},
+			operatorChange{2, string(config(1, ""))},
+			operatorChange{5, string(config(5, ""))})
+		core.c.Assert(core.send(ctx, 0, operatorChange{1, string(config(2, "other"))}), qt.Equals, http.StatusServiceUnavailable)
+		core.checkAtAll(ctx, http.StatusOK, operatorChange{versions, string(config(versions+1, ""))})
 	})
 }
 
-// A process never uses a ballot of an earlier start.
+// A process never reuses a ballot from before its restart.
 func TestBallotsOfAStartAreItsOwn(t *testing.T) {
 	runCore(t, 4, func(_ context.Context, core *testCore) {
 		before := core.server(3).proposer.nextBallot()
 		core.stop(3)
-		time.Sleep(time.Millisecond) // of the bubble's time
+		time.Sleep(time.Millisecond)
 		core.start(3, false)
 		core.c.Assert(core.server(3).proposer.nextBallot().Proposer, qt.Not(qt.Equals), before.Proposer)
 	})
 }
 
-// A server with another server's folder does not vote, and does not change the folder.
+// A server with the folder of another server does not vote, and does not change the folder.
 func TestSwappedFolders(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.replace(ctx, 2, 0, 1), qt.Equals, Committed)
-		time.Sleep(time.Second) // of the bubble's time: all have it
+		time.Sleep(time.Second) // until all servers have stored the change
 		for i := range 2 {
 			core.stop(i)
 		}
@@ -156,9 +158,9 @@
 		for i := range 2 {
 			core.start(i, false)
 		}
-		short, cancel := context.WithTimeout(ctx, 10*time.Second)
+		shortCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 2, 1, 2), qt.Equals, Unknown)
+		core.c.Assert(core.replace(shortCtx, 2, 1, 2), qt.Equals, Unknown)
 		core.c.Assert(string(first.records[voteKey]), qt.Equals, before)
 		for i := range 2 {
 			core.stop(i)
@@ -171,7 +173,7 @@
 	})
 }
 
-// The error for a folder that cannot be used names the folder and the record, and nothing is written.
+// The error for a folder that cannot be used names the folder and the record, and no record is written.
 func TestUnusableRecordsAreNamed(t *testing.T) {
 	c := qt.New(t)
 	for key, test := range map[string]struct {
@@ -208,25 +210,25 @@
 	return u.memoryStore.Get(key)
 }
 
-// A folder that is emptied while a voter runs is a lost disk, also at the system's first start.
+// A folder whose records are deleted while a voter runs counts as a lost disk, even at the system's first start.
 func TestEmptiedFolderIsNoFirstStart(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.replace(ctx, 1, 0, 5), qt.Equals, Committed)
-		time.Sleep(time.Second) // of the bubble's time: all have it
+		time.Sleep(time.Second) // until all servers have stored the change
 		disk := core.disks[node(2)]
 		disk.configure(func() {
 			clear(disk.records)
 			disk.fault = io.ErrShortWrite
 		})
-		short, cancel := context.WithTimeout(ctx, 5*time.Second)
+		shortCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 1, 5, 6), qt.Equals, Committed)
-		synctest.Wait() // voter 2 has met the fault, also where the other two were enough before it was asked
+		core.c.Assert(core.replace(shortCtx, 1, 5, 6), qt.Equals, Committed)
+		synctest.Wait() // until a write of voter 2 has failed, even if the other two voters were the majority
 		core.isolate(0, true)
 		disk.configure(func() { disk.fault = nil })
-		short, cancel = context.WithTimeout(ctx, 10*time.Second)
+		shortCtx, cancel = context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 1, 6, 7), qt.Equals, Unknown)
+		core.c.Assert(core.replace(shortCtx, 1, 6, 7), qt.Equals, Unknown)
 		core.isolate(0, false)
 		core.c.Assert(core.replace(ctx, 1, 6, 7), qt.Equals, Committed)
 	})
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -15,8 +15,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Three voters grow to five. Then two of the five are lost, or lose their disks, right after an acknowledgement to which only these two
-// and one more contributed.
+// The voter set grows from three to five voters. Then two of the five are lost, or lose their disks, immediately after the acknowledgement
+// of a change that only these two and one other have stored. The change is still read.
 func TestTwoOfFiveAreLost(t *testing.T) {
 	for _, lost := range [][2]int{{0, 1}, {1, 2}, {2, 3}, {3, 4}, {0, 4}} {
 		for _, dead := range []bool{false, true} {
@@ -27,7 +27,7 @@
 	}
 }
 
-// loseTwoOfFive loses the disks of two servers. These start again at once, or, if they are dead, after the next change.
+// loseTwoOfFive loses the disks of two servers. These start again immediately, or, if dead is true, after the next change.
 func (t *testCore) loseTwoOfFive(ctx context.Context, lost [2]int, dead bool) {
 	var isolated []int
 	for i := range 5 {
@@ -58,14 +58,15 @@
 	if dead {
 		restart()
 	}
-	time.Sleep(5 * time.Second) // they recover
+	time.Sleep(5 * time.Second) // until the two servers have recovered their records
 	t.isolate(isolated[0], true)
 	t.isolate(isolated[1], true)
 	t.c.Assert(t.newest(ctx, lost[0]), qt.Equals, configuration.Version(6))
 	t.c.Assert(t.replace(ctx, lost[1], 6, 7), qt.Equals, Committed)
 }
 
-// Every server is killed right after an acknowledgement, and two of the five disks are lost.
+// All five servers are stopped immediately after an acknowledgement, and two of their disks are lost. The acknowledged version is still
+// read.
 func TestAllAreKilledAndTwoDisksLost(t *testing.T) {
 	runGrown(t, 5, 2, 5, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.replace(ctx, 1, 0, 5), qt.Equals, Committed)
@@ -83,7 +84,8 @@
 	})
 }
 
-// While the voters grow, with messages that are late and lost, each change is applied or unknown, and no applied one is lost.
+// While the voter set grows and messages are delayed and lost, the outcome of each change is Committed or Unknown, and no committed change
+// is lost.
 func TestChangesWhileVotersChange(t *testing.T) {
 	runCore(t, 0, func(ctx context.Context, core *testCore) {
 		core.tolerated = 2
@@ -91,23 +93,24 @@
 		for i := range 5 {
 			core.start(i, true)
 		}
-		base, notInForce := configuration.Version(0), 0
+		base, notCommitted := configuration.Version(0), 0
 		began := time.Now()
 		for version := configuration.Version(1); time.Since(began) < 20*time.Second; version++ {
-			short, cancel := context.WithTimeout(ctx, callTimeout)
-			outcome := core.server(int(version)%5).Replace(short, base, config(version, "")).Outcome
+			shortCtx, cancel := context.WithTimeout(ctx, callTimeout)
+			outcome := core.server(int(version)%5).Replace(shortCtx, base, config(version, "")).Outcome
 			cancel()
-			core.c.Assert(outcome == Committed || outcome == Unknown, qt.IsTrue, qt.Commentf("%v on %v: %v", version, base, outcome))
+			core.c.Assert(outcome == Committed || outcome == Unknown, qt.IsTrue,
+				qt.Commentf("outcome of the change to %v on %v: %v", version, base, outcome))
 			if newest := core.newest(ctx, int(version+1)%5); newest == version {
 				base = version
 			} else {
 				core.c.Assert(outcome, qt.Equals, Unknown)
 				core.c.Assert(newest, qt.Equals, base)
-				notInForce++
+				notCommitted++
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Logf("to %v, %d unknown and not in force", base, notInForce)
+		t.Logf("newest version %v, %d changes with an unknown outcome were not committed", base, notCommitted)
 		core.mu.Lock()
 		core.maxDelay, core.lossRate = 0, 0
 		core.mu.Unlock()
@@ -115,8 +118,8 @@
 	})
 }
 
-// A voter is retired while it is down, and starts again after ten minutes with its old voter set. It does no harm, learns that it
-// is not a voter, and is not made one again by itself. After AddVoter it votes.
+// A voter is retired while it is stopped, and starts again after ten minutes with its old voter set. Changes and reads at it have correct
+// results, it learns that it is not a voter, and it does not become a voter automatically. After AddVoter it votes.
 func TestRetiredComesBack(t *testing.T) {
 	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.replace(ctx, 1, 0, 1), qt.Equals, Committed)
@@ -128,7 +131,7 @@
 		time.Sleep(10 * time.Minute) // longer than any timeout of the core
 		core.seeds = []string{node(0), node(1), node(2)}
 		core.start(0, false)
-		core.isolate(3, true) // all of the old voters can be reached, and two of the new ones
+		core.isolate(3, true) // all of the old voters are reachable, and two of the new ones
 		core.c.Assert(core.replace(ctx, 0, 1, 3), qt.Equals, Conflict)
 		core.c.Assert(core.newest(ctx, 0), qt.Equals, configuration.Version(2))
 		core.isolate(3, false)
@@ -158,14 +161,14 @@
 		core.c.Assert(slices.Contains(core.server(1).Voters(), node(0)), qt.IsTrue)
 
 		core.loseMachine(0)
-		core.await(catchUp, func() bool { return !slices.Contains(core.server(1).Voters(), node(0)) })
+		core.await(minLossInterval, func() bool { return !slices.Contains(core.server(1).Voters(), node(0)) })
 		core.c.Assert(len(core.server(1).Voters()), qt.Equals, 3)
 		core.c.Assert(core.replace(ctx, 3, 0, 1), qt.Equals, Committed)
 		core.stop(1)
 		time.Sleep(10 * time.Minute)
 		core.c.Assert(slices.Contains(core.server(2).Voters(), node(1)), qt.IsTrue)
 		core.start(0, false)
-		core.await(catchUp, func() bool { return slices.Contains(core.server(2).Voters(), node(0)) })
+		core.await(minLossInterval, func() bool { return slices.Contains(core.server(2).Voters(), node(0)) })
 		core.start(1, false)
 		time.Sleep(10 * time.Second)
 		core.c.Assert(core.newest(ctx, 1), qt.Equals, configuration.Version(1))
@@ -173,8 +176,8 @@
 	})
 }
 
-// All core machines are replaced one by one, until none of the first voters is left, which the seeds still name.
-func TestExchangedOneByOne(t *testing.T) {
+// All voters are replaced one by one. The seeds still name only the first voters, of which none runs any more.
+func TestAllVotersAreReplacedOneByOne(t *testing.T) {
 	runGrown(t, 4, 1, 3, func(ctx context.Context, core *testCore) {
 		version := configuration.Version(0)
 		for i := range 3 {
@@ -184,7 +187,7 @@
 			core.c.Assert(core.replace(ctx, 3, version, version+1), qt.Equals, Committed)
 			version++
 			if i < 2 {
-				core.start(4+i, false) // an empty machine
+				core.start(4+i, false) // with an empty disk
 				time.Sleep(5 * time.Second)
 				core.c.Assert(core.newest(ctx, 4+i), qt.Equals, version)
 			}
@@ -199,7 +202,8 @@
 	})
 }
 
-// Two of three voters are killed at the first start before they wrote anything. Their recovery finds that nothing was accepted.
+// Two of three voters lose their disks at the system's first start before anything was accepted. Their recovery finds that nothing was
+// accepted, and they vote again.
 func TestKilledBeforeTheFirstRecord(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.newest(ctx, 0)
@@ -213,20 +217,20 @@
 	})
 }
 
-// Voters with blank disks wait if anything was accepted, or while another voter does not answer.
+// Voters with blank disks do not vote if a change was accepted, or while another voter does not answer.
 func TestBlankVotersWait(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
-		synctest.Wait() // server 0 has accepted the change too, even if the other two were the majority
+		synctest.Wait() // until server 0 has accepted the change too, even if the other two were the majority
 		_, err := core.disks[node(0)].Get(voteKey)
 		core.c.Assert(err, qt.IsNil)
 		for i := 1; i < 3; i++ {
 			core.loseMachine(i)
 			core.start(i, false)
 		}
-		short, cancel := context.WithTimeout(ctx, 20*time.Second)
+		shortCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 0, 1, 2), qt.Equals, Unknown)
+		core.c.Assert(core.replace(shortCtx, 0, 1, 2), qt.Equals, Unknown)
 	})
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.newest(ctx, 0)
@@ -234,16 +238,16 @@
 			core.loseMachine(i)
 		}
 		core.start(1, false)
-		short, cancel := context.WithTimeout(ctx, 20*time.Second)
+		shortCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		core.c.Assert(core.replace(short, 0, 0, 1), qt.Equals, Unknown)
+		core.c.Assert(core.replace(shortCtx, 0, 0, 1), qt.Equals, Unknown)
 		core.start(2, false)
 		core.c.Assert(core.replace(ctx, 0, 0, 1), qt.Equals, Committed)
 	})
 }
 
-// Folders of a version whose voters could not change are read. Their processes continue, and the voters grow.
-func TestFolderOfTheVersionBefore(t *testing.T) {
+// Folders of an earlier version, whose voter set was fixed, are read. The processes work with them, and the voter set grows.
+func TestFolderOfAnEarlierVersion(t *testing.T) {
 	runCore(t, 0, func(ctx context.Context, core *testCore) {
 		core.tolerated = 2
 		vote := consensus.Vote{Ballot: consensus.Ballot{Number: 7, Proposer: "x"}, Value: consensus.Value{
@@ -267,7 +271,7 @@
 	})
 }
 
-// legacyState is a consensus.ReplicaState in the format of versions whose voters could not change.
+// legacyState is a consensus.ReplicaState in the format of earlier versions, whose voter set was fixed.
 type legacyState struct {
 	voters          []string
 	ready           bool
--- a/internal/mesh/control/controlplane/system_test.go
+++ b/internal/mesh/control/controlplane/system_test.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// A machine whose folder belongs to another system, with a newer voter set, starts at an address of this one. Neither side adopts the
-// other's voter set, value or votes, and the folder keeps its system.
+// A process whose folder belongs to another system, with a newer voter set, starts at an address of this system. Neither side adopts the
+// other's voter set, value or votes, and the system ID in the folder does not change.
 func TestFolderOfAnotherSystem(t *testing.T) {
 	runGrownWithChange(t, func(ctx context.Context, core *testCore) {
 		foreign := consensus.InitialRecord(node(4), []string{node(4), node(5), node(6)})
@@ -48,15 +48,15 @@
 	})
 }
 
-// A request with other voters for an epoch that is known here is refused, and changes nothing.
-func TestRequestUnderAnotherList(t *testing.T) {
+// A request with other voters for an epoch that this process knows is rejected and changes nothing.
+func TestRequestWithOtherVotersIsRejected(t *testing.T) {
 	runGrownWithChange(t, func(ctx context.Context, core *testCore) {
-		other := consensus.VoterSet{Voters: []string{node(0), node(7), node(8)}}
+		otherSet := consensus.VoterSet{Voters: []string{node(0), node(7), node(8)}}
 		for _, kind := range []consensus.RequestKind{consensus.ReadVote, consensus.Prepare, consensus.Accept, consensus.Recover} {
 			request := &consensus.Request{
 				Kind:            kind,
 				Ballot:          consensus.Ballot{Number: 99, Proposer: "x"},
-				VoterSet:        other,
+				VoterSet:        otherSet,
 				Node:            "x",
 				DiskIncarnation: 9,
 			}
@@ -69,7 +69,7 @@
 	})
 }
 
-// A record of a version without system IDs gets that of its first voters, and a process that joins learns it.
+// A record that a version without system IDs wrote gets the ID that is derived from its voters, and a process that joins learns the ID.
 func TestSystemIsLearnt(t *testing.T) {
 	runGrownWithChange(t, func(ctx context.Context, core *testCore) {
 		want := consensus.NewSystemID([]string{node(0), node(1), node(2)})
