--- a/internal/mesh/control/controlplane/acceptor.go
+++ b/internal/mesh/control/controlplane/acceptor.go
@@ -90,7 +90,7 @@
 }
 
 // submit passes a job to the acceptor's goroutine and waits for its result. The error is a trace.LimitExceeded if maxQueuedJobs jobs
-// already wait, that of a context if ctx or the Server ends first, and otherwise that of the disk.
+// already wait, that of a context if ctx or the Server ends first, and otherwise that of the job.
 func (a *acceptor) submit(ctx context.Context, job *acceptorJob) (*consensus.Reply, error) {
 	job.ctx = ctx
 	job.result = make(chan acceptorResult, 1)
--- a/internal/mesh/control/controlplane/doc.go
+++ b/internal/mesh/control/controlplane/doc.go
@@ -7,11 +7,12 @@
 //	component        state                                               storage
 //	acceptor         the record: promise, vote, decided voter set        on disk (recordDisk over storage.Store), a copy in memory
 //	learner          newest committed vote and value, voter set, system  in memory; rebuilt from the record, peers and rounds
-//	proposer         highest ballot seen, the slot of the one round      in memory; the name in its ballots is new at each start
+//	proposer         highest ballot seen, semaphore of ballot rounds     in memory; the name in its ballots is new at each start
 //	coreDirectory    seeds of the settings                               in memory
 //	voterManager     results of the monitor's last tick: statuses of     in memory
 //	                 the core processes, unresponsive voters
-//	voterMonitor     failure detector, limiter of replacements, plan     in memory; only its goroutine uses it
+//	voterMonitor     failure detector, replacement limiter, planned      in memory; only its goroutine uses it
+//	                 change
 //	lifetime         the context and the goroutines of a Server          in memory
 //	responder, register, growthWaiter, operatorAPI, recoverer: no state that outlives a call
 //
@@ -52,7 +53,7 @@
 //  3. proposer.propose runs rounds until the change has a verdict.
 //  4. Within the round, learner.learnVote stores the value in this process, and the Commit request announces it to the others;
 //     learner.runNotifications passes it to Options.OnCommit.
-//  5. growthWaiter.wait delays the operator's acknowledgement while there are fewer voters than wanted.
+//  5. growthWaiter.wait delays the operator's acknowledgement while there are fewer voters than consensus.TargetVoters.
 //
 // # Units
 //
--- a/internal/mesh/control/controlplane/peer_client.go
+++ b/internal/mesh/control/controlplane/peer_client.go
@@ -16,8 +16,8 @@
 	probeTimeout   = 600 * time.Millisecond // timeout of a Describe request
 )
 
-// Transport sends requests to other core processes. Ask sends an encoded request to the process that the voter set names node, and returns
-// the result of that process's Server.Serve. Ask has to return soon after ctx ends.
+// Transport sends requests to other core processes. Ask sends an encoded request to the process named node (its control address), and
+// returns the result of that process's Server.Serve. Ask has to return soon after ctx ends.
 type Transport interface {
 	Ask(ctx context.Context, node string, request []byte) ([]byte, error)
 }
--- a/internal/mesh/control/controlplane/proposer.go
+++ b/internal/mesh/control/controlplane/proposer.go
@@ -25,7 +25,7 @@
 	learner   *learner
 	directory *coreDirectory
 	client    *peerClient
-	slot      chan struct{} // semaphore of capacity one, held by the round with a ballot
+	slot      chan struct{} // semaphore of capacity one, held during a round with a ballot
 
 	mu      sync.Mutex
 	highest uint64 // highest ballot number seen
@@ -159,7 +159,7 @@
 }
 
 // announceCommit notifies a round's recipients that the round's value is committed. If this process now knows a newer voter set than the
-// round's, it notifies all core processes.
+// round's, it also notifies all running core processes.
 func (p *proposer) announceCommit(round *consensus.Round) {
 	nodes := round.Recipients()
 	voters := p.learner.voterSet()
--- a/internal/mesh/control/controlplane/reconfigure_test.go
+++ b/internal/mesh/control/controlplane/reconfigure_test.go
@@ -202,8 +202,8 @@
 	})
 }
 
-// Two of three voters lose their disks at the system's first start before anything was accepted. Their recovery finds that nothing was
-// accepted, and they vote again.
+// Two of three voters are stopped during the system's first start and restart with empty disks, as if they had not written anything yet.
+// Their recovery finds that nothing was accepted, and they vote again.
 func TestKilledBeforeTheFirstRecord(t *testing.T) {
 	runCore(t, 3, func(ctx context.Context, core *testCore) {
 		core.newest(ctx, 0)
--- a/internal/mesh/control/controlplane/record_disk.go
+++ b/internal/mesh/control/controlplane/record_disk.go
@@ -16,7 +16,8 @@
 	ownerKey = "owner"    // key of the name of the process that owns the records
 )
 
-// recordStore stores records by key. Put returns once the record is on disk. Its errors have the kinds of those of storage.Store.
+// recordStore stores records by key. Put returns once the record is on disk. Its errors are of the same kinds as those of
+// storage.Store.
 type recordStore interface {
 	Get(key string) ([]byte, error)
 	Put(key string, data []byte) error
--- a/internal/mesh/control/controlplane/register.go
+++ b/internal/mesh/control/controlplane/register.go
@@ -16,7 +16,7 @@
 const (
 	Unknown   Outcome = iota // the change may be active, may become active later, or may never become active
 	Committed                // the change is committed, or was committed before a later version replaced it
-	Conflict                 // the change never was and never will be active, because another version replaced its base
+	Conflict                 // the change never was and never will be active, because another version is committed instead
 	Invalid                  // the change never was and never will be active, because its body is not a valid configuration
 )
 
--- a/internal/mesh/control/controlplane/server.go
+++ b/internal/mesh/control/controlplane/server.go
@@ -31,8 +31,8 @@
 	// voters the system tolerates more losses, but every change of the configuration waits for a larger majority.
 	Tolerated int
 
-	// Cores returns the names of the running core processes, as the membership protocol reports them. If it is nil, only AddVoter,
-	// RetireVoter and HandOver change the voter set.
+	// Cores returns the names of the running core processes, as the membership protocol reports them. If it is nil, only AddVoter and
+	// RetireVoter change the voter set.
 	Cores func() []string
 
 	// InitialStart is true only if the whole system starts for the first time: a voter whose folder is empty may then vote
@@ -210,7 +210,8 @@
 }
 
 // ReadLatest returns the newest value that was committed when ReadLatest was called, or a newer one; the read is linearizable. A
-// majority of the voters has to answer after the call began. If ctx ends before that, ReadLatest returns the error of ctx.
+// majority of the voters has to answer after the call began. If ctx ends or the Server is closed before that, ReadLatest returns the
+// error of the context that ended.
 func (s *Server) ReadLatest(ctx context.Context) (consensus.Value, error) {
 	return s.register.readLatest(ctx)
 }
--- a/internal/mesh/control/controlplane/voter_manager.go
+++ b/internal/mesh/control/controlplane/voter_manager.go
@@ -163,8 +163,8 @@
 	return trace.Wrap(err)
 }
 
-// persist writes a decided voter set to disk in the background, if the record on disk has an older one and no such write is in progress.
-// If the write fails, a later call retries it.
+// persist writes a decided voter set to disk in the background, if the acceptor is ready, its record on disk has an older voter set, and
+// no such write is in progress. If the write fails, a later call retries it.
 func (v *voterManager) persist(voters consensus.VoterSet) {
 	status := v.acceptor.status()
 	if voters.Epoch <= status.decidedEpoch || !status.ready || !v.beginPersisting() {
