--- a/internal/mesh/control/consensus/acceptor.go
+++ b/internal/mesh/control/consensus/acceptor.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Handle answers a request and returns the next record. r is a copy, which the methods for the kinds of requests change;
-// the caller's record stays as it is. If Handle returns parts that are unsynced, the next record must be on disk before
-// the reply leaves and before the replica answers anything else. If that write fails, it is not known what the disk
-// holds, and the record has to be read again. Commit is not handled here, as it changes no record by itself.
+// Handle answers a request and returns the next record. The receiver is a copy, which the methods for each kind of request
+// modify; the caller's record does not change. If the returned Unsynced is not empty, the parts that it names must be on
+// disk before the reply is sent and before the replica handles another request. If that write fails, the contents of the
+// disk are unknown, and the caller has to reload the record. Handle does not implement Commit, which by itself changes no
+// record.
 func (r Record) Handle(request *Request) (Reply, Record, Unsynced) {
 	switch {
 	case request.Kind == Describe:
@@ -40,8 +41,9 @@
 	return reply, r, unsynced
 }
 
-// rejectVoterSet returns the rejection of a request whose voter set is older than, or conflicts with, the one that is
-// known here to be decided. A recovering replica is answered under any epoch, as it learns the newest one from the reply.
+// rejectVoterSet returns the reply to a request whose voter set is older than the newest one that the record shows to be
+// decided, or conflicts with it; false if the voter set is acceptable. A Recover request is accepted under any epoch, as
+// the recovering replica learns the newest voter set from the reply.
 func (r *Record) rejectVoterSet(request *Request) (Reply, bool) {
 	decided := r.DecidedVoters()
 	if decided.conflictsWith(&request.VoterSet) {
@@ -53,8 +55,8 @@
 	return Reply{}, false
 }
 
-// handlePrepare promises the request's ballot unless a higher one was promised. A round that asks twice gets the same
-// promise again: no other round has its ballot.
+// handlePrepare promises the request's ballot unless a higher one was promised. A repeated Prepare is answered with the
+// same promise, as only one round uses a ballot.
 func (r *Record) handlePrepare(request *Request) (Reply, Unsynced) {
 	if request.Ballot.Compare(r.promised()) < 0 {
 		return r.reply(Rejected, request), Unsynced{}
@@ -64,7 +66,7 @@
 	return r.replyWithVote(Promise, request), unsynced
 }
 
-// handleAccept accepts the request's value unless a higher ballot was promised.
+// handleAccept accepts the request's value under its ballot unless a higher ballot was promised.
 func (r *Record) handleAccept(request *Request) (Reply, Unsynced) {
 	if request.Ballot.Compare(r.promised()) < 0 {
 		return r.reply(Rejected, request), Unsynced{}
@@ -77,19 +79,21 @@
 	return r.reply(Accepted, request), unsynced
 }
 
-// handleRecover records the disk incarnation that a replica begins, and reports what the replica needs. The incarnation
-// has to be on disk before the reply leaves, as the recovery relies on this voter to report it to proposers.
+// handleRecover records the new disk incarnation of a recovering replica, and reports the promise, vote and voter set that
+// the replica needs. The incarnation must be on disk before the reply is sent, as the recovery relies on this voter to
+// report it to proposers.
 func (r *Record) handleRecover(request *Request) (Reply, Unsynced) {
 	if request.DiskIncarnation <= r.State.DiskIncarnations[request.Node] {
 		return r.replyToRecover(r.reply(Rejected, request)), Unsynced{}
 	}
-	r.noteDiskIncarnation(request.Node, request.DiskIncarnation)
+	r.recordDiskIncarnation(request.Node, request.DiskIncarnation)
 	return r.replyToRecover(r.replyWithVote(Reported, request)), Unsynced{State: true}
 }
 
-// noteDiskIncarnation records a replica's disk incarnation in a copy of the map, which r shares with the previous record.
-// The incarnations of voters in the decided voter set, and in the ones before and after it, are never dropped.
-func (r *Record) noteDiskIncarnation(node string, number uint64) {
+// recordDiskIncarnation sets a replica's disk incarnation in a copy of the map, as r shares the map with the previous
+// record. It may drop other entries, but never those of voters in the decided voter set, in the one before it, or in the
+// one of the newest vote.
+func (r *Record) recordDiskIncarnation(node string, number uint64) {
 	incarnations := maps.Clone(r.State.DiskIncarnations)
 	if incarnations == nil {
 		incarnations = DiskIncarnations{}
@@ -103,7 +107,7 @@
 	r.State.DiskIncarnations = incarnations
 }
 
-// reply returns a reply with the fields that every reply of a ready acceptor has.
+// reply returns a reply with the fields that a ready acceptor sets in its replies of all kinds.
 func (r *Record) reply(kind ReplyKind, request *Request) Reply {
 	return Reply{
 		Kind:             kind,
@@ -114,7 +118,7 @@
 	}
 }
 
-// replyWithVote returns a reply that reports the vote, without its value if the sender already has it.
+// replyWithVote returns a reply that reports the vote, without the vote's value if the sender already has it.
 func (r *Record) replyWithVote(kind ReplyKind, request *Request) Reply {
 	reply := r.reply(kind, request)
 	reply.Vote = r.Vote
@@ -124,7 +128,7 @@
 	return reply
 }
 
-// replyToRecover adds the fields that only a recovery reads.
+// replyToRecover returns the reply with the fields added that only a recovery reads.
 func (r *Record) replyToRecover(reply Reply) Reply {
 	reply.VoterSet = r.DecidedVoters()
 	reply.System = r.State.System
--- a/internal/mesh/control/consensus/acceptor_test.go
+++ b/internal/mesh/control/consensus/acceptor_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A voter that knows a newer voter set to be decided takes no part in a round under an older one, and reports the newer one. It
-// answers a replica that recovers under any voter set.
+// A voter that knows a newer voter set to be decided rejects requests of rounds under an older one, and reports the newer set.
+// It answers a recovering replica under any voter set.
 func TestOldVoterSetIsRejected(t *testing.T) {
 	c := qt.New(t)
 	newer := VoterSet{Epoch: 3, Voters: []string{"v0", "v1", "v3"}, Previous: []string{"v0", "v1", "v2"}}
@@ -27,7 +27,8 @@
 	c.Assert(reply.Kind, qt.Equals, Reported)
 }
 
-// A voter writes the newer voter set of a request down before it answers, and rejects one that conflicts with its own.
+// A voter syncs the newer voter set of a request before it replies, and rejects a request whose voter set conflicts with its
+// own.
 func TestVoterSetsComeWithRequests(t *testing.T) {
 	record := InitialRecord("v0", firstVoterSet(3).Voters)
 	newer := *NewVoterChange(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v2"}).nextVoters
@@ -47,7 +48,8 @@
 	}
 }
 
-// What a voter answers, and what it has to sync before the reply leaves, by what it has promised and accepted.
+// The kind of a voter's reply, and the parts of its record to sync before the reply, depend on what it has promised and
+// accepted.
 func TestHandle(t *testing.T) {
 	voters := firstVoterSet(3)
 	low, mid, high := Ballot{1, "p"}, Ballot{2, "p"}, Ballot{3, "p"}
@@ -68,25 +70,25 @@
 		kind     ReplyKind
 		unsynced Unsynced
 	}{
-		"a first prepare":                               {first, Request{Kind: Prepare, Ballot: low}, Promise, state},
-		"a lower prepare":                               {promised, Request{Kind: Prepare, Ballot: low}, Rejected, Unsynced{}},
+		"a prepare, nothing was promised":               {first, Request{Kind: Prepare, Ballot: low}, Promise, state},
+		"a prepare below the promised ballot":           {promised, Request{Kind: Prepare, Ballot: low}, Rejected, Unsynced{}},
 		"the same prepare again":                        {promised, Request{Kind: Prepare, Ballot: mid}, Promise, Unsynced{}},
-		"a higher prepare":                              {promised, Request{Kind: Prepare, Ballot: high}, Promise, state},
-		"a prepare below what was accepted":             {accepted, Request{Kind: Prepare, Ballot: low}, Rejected, Unsynced{}},
+		"a prepare above the promised ballot":           {promised, Request{Kind: Prepare, Ballot: high}, Promise, state},
+		"a prepare below the accepted ballot":           {accepted, Request{Kind: Prepare, Ballot: low}, Rejected, Unsynced{}},
 		"an accept without a promise":                   {first, Request{Kind: Accept, Ballot: low}, Accepted, vote},
-		"an accept of what was promised":                {promised, Request{Kind: Accept, Ballot: mid}, Accepted, vote},
-		"a lower accept":                                {promised, Request{Kind: Accept, Ballot: low}, Rejected, Unsynced{}},
+		"an accept under the promised ballot":           {promised, Request{Kind: Accept, Ballot: mid}, Accepted, vote},
+		"an accept below the promised ballot":           {promised, Request{Kind: Accept, Ballot: low}, Rejected, Unsynced{}},
 		"the same accept again":                         {accepted, Request{Kind: Accept, Ballot: mid}, Accepted, Unsynced{}},
 		"an accept below a promise over a learned vote": {learned, Request{Kind: Accept, Ballot: low}, Rejected, Unsynced{}},
-		"a read":                          {accepted, Request{Kind: ReadVote}, Reported, Unsynced{}},
-		"a recovery":                      {first, Request{Kind: Recover, Node: "v1", DiskIncarnation: 2}, Reported, state},
-		"a recovery under no incarnation": {first, Request{Kind: Recover, Node: "v1"}, Rejected, Unsynced{}},
-		"a description":                   {first, Request{Kind: Describe}, Reported, Unsynced{}},
-		"a description, not ready":        {notReady, Request{Kind: Describe}, Reported, Unsynced{}},
-		"a read, not ready":               {notReady, Request{Kind: ReadVote}, NotReady, Unsynced{}},
-		"a read of its own system":        {first, Request{Kind: ReadVote, System: system}, Reported, Unsynced{}},
-		"a read of another system":        {first, Request{Kind: ReadVote, System: system + 1}, ForeignSystem, Unsynced{}},
-		"a kind that is not known":        {first, Request{Kind: 200, Ballot: low}, NotReady, Unsynced{}},
+		"a read":                           {accepted, Request{Kind: ReadVote}, Reported, Unsynced{}},
+		"a recovery":                       {first, Request{Kind: Recover, Node: "v1", DiskIncarnation: 2}, Reported, state},
+		"a recovery with incarnation 0":    {first, Request{Kind: Recover, Node: "v1"}, Rejected, Unsynced{}},
+		"a request to describe":            {first, Request{Kind: Describe}, Reported, Unsynced{}},
+		"a request to describe, not ready": {notReady, Request{Kind: Describe}, Reported, Unsynced{}},
+		"a read, not ready":                {notReady, Request{Kind: ReadVote}, NotReady, Unsynced{}},
+		"a read from the same system":      {first, Request{Kind: ReadVote, System: system}, Reported, Unsynced{}},
+		"a read from another system":       {first, Request{Kind: ReadVote, System: system + 1}, ForeignSystem, Unsynced{}},
+		"an unknown kind":                  {first, Request{Kind: 200, Ballot: low}, NotReady, Unsynced{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reply, _, unsynced := test.record.Handle(&test.request)
--- a/internal/mesh/control/consensus/ballot.go
+++ b/internal/mesh/control/consensus/ballot.go
@@ -6,14 +6,15 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Ballot orders attempts (the proposal number of Paxos). No two attempts have the same one: Proposer names a process and
-// its incarnation, and Number grows within that incarnation. The zero Ballot is below all others and is never used.
+// Ballot identifies and orders the rounds of all proposers (the proposal number of Paxos). No two rounds have the same
+// ballot: Proposer names a process and its incarnation, and Number grows within that incarnation. The zero Ballot is below
+// all others and is never used by a round.
 type Ballot struct {
 	Number   uint64
 	Proposer string
 }
 
-// Compare returns -1, 0 or 1 as b is lower than, the same as, or higher than other.
+// Compare returns -1, 0 or 1 if b is lower than, equal to, or higher than other.
 func (b Ballot) Compare(other Ballot) int {
 	return cmp.Or(cmp.Compare(b.Number, other.Number), cmp.Compare(b.Proposer, other.Proposer))
 }
--- a/internal/mesh/control/consensus/change.go
+++ b/internal/mesh/control/consensus/change.go
@@ -8,34 +8,34 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// Change is what is proposed: an operator's order to put Body as Version in the place of version Base, or a change of the
-// voters (NewVoterChange).
+// Change is a proposed change of the register's value: either an operator's order to replace version Base by Version with
+// the content Body (NewChange), or a change of the voters (NewVoterChange).
 type Change struct {
 	Base, Version configuration.Version
 	Body          []byte
-	digest        Digest    // of Body
-	nextVoters    *VoterSet // nil unless it is a change of the voters; the other fields are empty then
+	digest        Digest    // the digest of Body
+	nextVoters    *VoterSet // the voter set after a change of the voters, which leaves all other fields empty; nil for an order
 }
 
-// NewChange returns an operator's change, with the digest of its body.
+// NewChange returns the change by an operator that replaces version base by a version with the given body.
 func NewChange(base, version configuration.Version, body []byte) *Change {
 	sum := sha256.Sum256(body)
 	return &Change{Base: base, Version: version, Body: body, digest: Digest(sum[:len(Digest{})])}
 }
 
-// entry returns the change as it stands in a value's History or Refused.
+// entry returns the entry by which a value's History or Refused identifies the change.
 func (c *Change) entry() VersionDigest {
 	return VersionDigest{Version: uint64(c.Version), Digest: c.digest}
 }
 
-// Verdict is the outcome of a change.
+// Verdict is the outcome of proposing a change.
 type Verdict uint8
 
 // The verdicts. Committed and Conflict are final.
 const (
-	Unknown   Verdict = iota // it may be in force, or come into force later, or not
-	Committed                // it is committed, or was before a later version
-	Conflict                 // it never was in force and never will be
+	Unknown   Verdict = iota // the change may have been applied, may be applied later, or never
+	Committed                // the change is committed, as the newest version or an earlier one
+	Conflict                 // the change was never applied and never will be
 )
 
 // String returns the verdict in lower case.
@@ -52,8 +52,8 @@
 	}
 }
 
-// evaluate returns the verdict on a change to the newest value, and the value that has to be committed before the verdict
-// holds: newest itself, or its successor. The package documentation gives the reasons for each case.
+// evaluate returns the verdict on a change to the newest value, and the value that must be committed before the verdict is
+// valid: newest itself, or its successor. The package documentation gives the reasons for each case.
 func (c *Change) evaluate(newest *Value) (Verdict, *Value) {
 	if c.nextVoters != nil {
 		return c.evaluateVoterChange(newest)
--- a/internal/mesh/control/consensus/example_test.go
+++ b/internal/mesh/control/consensus/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/mesh/control/consensus"
 )
 
-// Three voters agree on a configuration. The records stand in for their disks, and every message arrives.
+// Three voters agree on a configuration. The map of records stands for their disks, and every message arrives.
 func Example() {
 	voters := consensus.VoterSet{Voters: []string{"a", "b", "c"}}
 	disks := map[string]consensus.Record{}
@@ -23,7 +23,7 @@
 		for _, voter := range round.Recipients() {
 			reply, record, unsynced := disks[voter].Handle(sent)
 			if unsynced.Any() {
-				disks[voter] = record // synced before the reply leaves
+				disks[voter] = record // must be synced before the reply is sent
 			}
 			if next := round.Step(voter, &reply); next != nil {
 				request = next
@@ -32,7 +32,7 @@
 	}
 	fmt.Println(round.State == consensus.Done, round.Verdict, round.Value.Version)
 
-	// A read asks without a ballot. One voter of three may be away.
+	// A read needs no ballot, and the replies of two voters of three are enough.
 	read, request := consensus.NewReadRound(voters, consensus.Vote{})
 	for _, voter := range []string{"b", "c"} {
 		reply, _, _ := disks[voter].Handle(request)
@@ -45,7 +45,7 @@
 	// true timeout: 2s
 }
 
-// A process without a record reads from enough voters before it votes again, under a new disk incarnation.
+// A process without a record obtains replies from enough voters before it votes again, under a new disk incarnation.
 func ExampleRecovery() {
 	voters := consensus.VoterSet{Voters: []string{"a", "b", "c"}}
 	recovery, request := consensus.NewRecovery("c", voters, 2, false)
@@ -60,7 +60,7 @@
 	// ready after b with disk incarnation 2
 }
 
-// A voter that a majority reports as unresponsive gives its place to a standby, in one step.
+// A voter that a majority reports as unresponsive is replaced by a standby in one step.
 func ExamplePlanVoterChange() {
 	voters := consensus.VoterSet{Voters: []string{"a", "b", "c"}}
 	core := []consensus.PeerStatus{
--- a/internal/mesh/control/consensus/golden_test.go
+++ b/internal/mesh/control/consensus/golden_test.go
@@ -21,7 +21,7 @@
 type goldenMessage struct {
 	name  string
 	value codec.Message
-	empty codec.Message // of the same type, to decode into
+	empty codec.Message // a zero message of the same type, to decode into
 }
 
 func goldenMessages() []goldenMessage {
@@ -63,7 +63,8 @@
 	}
 }
 
-// Messages are encoded as other versions encode them, and theirs are read.
+// The encoding of each message equals its golden file, and decoding the golden file returns the message, so that different
+// releases understand each other.
 func TestGoldenMessages(t *testing.T) {
 	for _, m := range goldenMessages() {
 		t.Run(m.name, func(t *testing.T) {
@@ -76,8 +77,8 @@
 	}
 }
 
-// Records of earlier versions are read: one from before voters could change, and a value that remembered 64 versions by whole
-// digests.
+// Records of earlier releases can be decoded: a state from before voters could change, and a value whose history had at most
+// 64 versions with complete SHA-256 digests.
 func TestGoldenOldRecords(t *testing.T) {
 	c := qt.New(t)
 	oldState := legacyReplicaState{[]string{"core-1", "core-2"}, true, 2, DiskIncarnations{"core-2": 1}, Ballot{3, "core-1#1"}}
@@ -104,7 +105,8 @@
 	})
 }
 
-// The numbers of kinds are sent in messages, and those of verdicts and states are part of other packages' output.
+// The numbers of request and reply kinds are part of the wire format. Those of verdicts and states, and the texts of verdicts,
+// are part of other packages' output.
 func TestNumbersOfKinds(t *testing.T) {
 	qt.Check(t, numbers([]RequestKind{ReadVote, Prepare, Accept, Recover, Describe, Commit}), qt.Equals, "1 2 3 4 5 6")
 	qt.Check(t, numbers([]ReplyKind{NotReady, Reported, Promise, Accepted, Rejected, StaleEpoch, ConflictingVoters, ForeignSystem}),
@@ -122,7 +124,7 @@
 	return strings.Join(texts, " ")
 }
 
-// Values that two versions must agree on, besides the format of messages.
+// Constants and functions on which two releases must agree, besides the format of messages.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check(uint64(NewSystemID([]string{"core-1", "core-2", "core-3"})), qt.Equals, uint64(0x69e7195655d432f9))
@@ -133,7 +135,7 @@
 	c.Check([]int{TargetVoters(0), TargetVoters(1), TargetVoters(2), TargetVoters(7)}, qt.DeepEquals, []int{3, 3, 5, 9})
 }
 
-// digestOf returns a short hash of messages' encodings, in hexadecimal.
+// digestOf returns the first 8 bytes of a SHA-256 over the encodings of messages, in hexadecimal.
 func digestOf(messages ...codec.Message) string {
 	h := sha256.New()
 	for _, m := range messages {
@@ -144,21 +146,22 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// The same seed gives the same run of the model: its records, its counts, its history, and the number that is drawn next.
+// Runs of the model with the same seed are identical: they have the same messages, records, counts and history, and would draw
+// the same random number next.
 func TestGoldenModelRuns(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(24) {
 		m := newModel(seed, []int{3, 3, 3, 4, 5}[seed%5], 1+int(seed/5%2), seed%4 == 3)
 		m.digest = sha256.New()
-		for step := 0; step < modelSteps && m.spec.fault == ""; step++ {
+		for step := 0; step < modelSteps && m.spec.violation == ""; step++ {
 			m.step()
 		}
 		m.endFaults()
-		qt.Assert(t, m.spec.fault, qt.Equals, "", qt.Commentf("seed %d", seed))
+		qt.Assert(t, m.spec.violation, qt.Equals, "", qt.Commentf("seed %d", seed))
 		fmt.Fprintf(&text, "seed %d: messages %x, %d steps, %d versions, epoch %d, next draw %d\n", seed, m.digest.Sum(nil)[:8], m.steps,
 			len(m.spec.chain), m.spec.epoch, m.rng.Uint64())
-		for _, what := range slices.Sorted(maps.Keys(m.counts)) {
-			fmt.Fprintf(&text, "  %s: %d\n", what, m.counts[what])
+		for _, event := range slices.Sorted(maps.Keys(m.counts)) {
+			fmt.Fprintf(&text, "  %s: %d\n", event, m.counts[event])
 		}
 		for _, process := range m.replicas {
 			fmt.Fprintf(&text, "  %s: record %s, known %s, highest ballot %d, started %d times\n", process.name,
@@ -168,47 +171,50 @@
 	golden.Text(t, "model-runs.txt", []byte(text.String()))
 }
 
-// The same seed gives the same sequence of steps from each world.
+// Random steps with a given seed always lead from each start to the same conclusions and records.
 func TestGoldenSchedules(t *testing.T) {
-	worlds := map[string]*world{
-		"two changes on a base":        newWorld(3, 0, []int{2, 2}, one, two),
-		"a lost disk":                  newWorld(3, 2, []int{3, 3, 3}, one, two, nil),
-		"three become five":            newWorldWithStandbys(3, 5, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV4, two, three),
-		"voters are exchanged, a disk": newWorldWithStandbys(3, 4, 0, []int{4, 4, 4, 4, 4}, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
-		"exchanged in one step":        newWorldWithStandbys(3, 4, 0, []int{4, 4, 4, 4, 4}, one, swapV0, swapV1, two, three),
+	clusters := map[string]*cluster{
+		"two changes on a base": newCluster(3, 0, []int{2, 2}, change0to1, change0to2),
+		"a lost disk":           newCluster(3, 2, []int{3, 3, 3}, change0to1, change0to2, nil),
+		"three become five": newClusterWithStandbys(3, 5, 0, []int{4, 4, 4, 4, 4},
+			change0to1, addV3, addV4, change0to2, change1to3),
+		"voters are exchanged, a disk": newClusterWithStandbys(3, 4, 0, []int{4, 4, 4, 4, 4},
+			change0to1, addV3, addV3dropV0, change0to2, change1to3).withDiskLosses(1, 2),
+		"exchanged in one step": newClusterWithStandbys(3, 4, 0, []int{4, 4, 4, 4, 4},
+			change0to1, swapV0, swapV1, change0to2, change1to3),
 	}
 	var text strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(worlds)) {
+	for _, name := range slices.Sorted(maps.Keys(clusters)) {
 		for seed := range uint64(8) {
 			rng := rand.New(rand.NewPCG(seed, 6))
-			world := worlds[name].clone()
-			world.randomSteps(rng, 150)
-			qt.Assert(t, world.fault(), qt.Equals, "")
-			fmt.Fprintf(&text, "%s, seed %d: %d in flight, next draw %d\n", name, seed, len(world.inFlight), rng.Uint64())
-			for _, end := range world.conclusions {
+			cluster := clusters[name].clone()
+			cluster.randomSteps(rng, 150)
+			qt.Assert(t, cluster.violation(), qt.Equals, "")
+			fmt.Fprintf(&text, "%s, seed %d: %d in flight, next draw %d\n", name, seed, len(cluster.inFlight), rng.Uint64())
+			for _, end := range cluster.conclusions {
 				fmt.Fprintf(&text, "  proposer %d: %v %s\n", end.proposer, end.verdict, digestOf(&end.value))
 			}
-			for i := range world.records {
-				record := &world.records[i]
-				fmt.Fprintf(&text, "  %s: %s\n", world.voters[i], digestOf(&record.State, &record.Vote))
+			for i := range cluster.records {
+				record := &cluster.records[i]
+				fmt.Fprintf(&text, "  %s: %s\n", cluster.voters[i], digestOf(&record.State, &record.Vote))
 			}
 		}
 	}
 	golden.Text(t, "schedules.txt", []byte(text.String()))
 }
 
-// The number of states that all sequences of a few steps lead to.
+// The number of different states that can be reached from each start within a few steps.
 func TestGoldenStates(t *testing.T) {
 	var text strings.Builder
 	for _, test := range []struct {
 		name  string
-		start *world
+		start *cluster
 		depth int
 	}{
-		{"two changes on a base", newWorld(3, 0, []int{1, 1}, one, two), 6},
-		{"a lost disk", newWorld(3, 1, []int{1, 1}, one, two).startRound(0, 0, 1), 5},
-		{"a voter is added", newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, addV3), 5},
-		{"a voter is exchanged", newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, swapV0), 5},
+		{"two changes on a base", newCluster(3, 0, []int{1, 1}, change0to1, change0to2), 6},
+		{"a lost disk", newCluster(3, 1, []int{1, 1}, change0to1, change0to2).startRound(0, 0, 1), 5},
+		{"a voter is added", newClusterWithStandbys(3, 4, 0, []int{1, 1}, change0to1, addV3), 5},
+		{"a voter is exchanged", newClusterWithStandbys(3, 4, 0, []int{1, 1}, change0to1, swapV0), 5},
 		{"a rival list that one has", rivalVoterSet(), 4},
 	} {
 		fmt.Fprintf(&text, "%s, %d steps: %d states\n", test.name, test.depth, explore(t, test.start, test.depth))
--- a/internal/mesh/control/consensus/history.go
+++ b/internal/mesh/control/consensus/history.go
@@ -6,17 +6,17 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Digest is the first 8 bytes of the SHA-256 of a body. It distinguishes the few bodies that are sent under one version.
-// It is short because every message with a value holds hundreds of digests.
+// Digest is the first 8 bytes of the SHA-256 of a body. It only has to distinguish the few bodies that are proposed under
+// the same version, and it is short because every message with a value contains hundreds of digests.
 type Digest = [8]byte
 
-// VersionDigest identifies one change by the version that it makes and by its body.
+// VersionDigest identifies a change by the version that it makes and the digest of its body.
 type VersionDigest struct {
 	Version uint64
 	Digest  Digest
 }
 
-// Fields implements codec.Message. Older records hold the whole SHA-256, of which the first bytes are read.
+// Fields implements codec.Message. Records of older releases contain the complete SHA-256, whose first 8 bytes are the digest.
 func (v *VersionDigest) Fields(visitor *codec.Visitor) {
 	visitor.Uint64(1, &v.Version)
 	sum := v.Digest[:]
@@ -27,14 +27,14 @@
 }
 
 const (
-	maxHistory = 256 // versions that a value remembers, its own among them
-	maxRefused = 64  // refused changes whose base may still come
+	maxHistory = 256 // maximum number of versions in Value.History, including the value's own
+	maxRefused = 64  // maximum number of refused changes in Value.Refused
 
-	// packedHistoryField is the number of the field that holds the history as packHistory encodes it.
+	// packedHistoryField is the number of the field that contains the output of packHistory.
 	packedHistoryField = 6
 )
 
-// historyField encodes or decodes the field of a value's history.
+// historyField encodes or decodes a value's history in its current, packed format.
 func (v *Value) historyField(visitor *codec.Visitor) {
 	if visitor.Reading() {
 		v.unpackHistory(visitor)
@@ -44,8 +44,9 @@
 	visitor.Bytes(packedHistoryField, &packed)
 }
 
-// decodeLegacyHistory reads the history of a record from the time when a value remembered 64 versions and did not record
-// which one it dropped last. Any version before the first remembered one may have been dropped.
+// decodeLegacyHistory decodes the history of records of older releases, in which a value stored at most 64 versions and no
+// TruncatedVersion. Any version before the first one of such a history may have been dropped, so TruncatedVersion is set to
+// the version before the first.
 func (v *Value) decodeLegacyHistory(visitor *codec.Visitor) {
 	codec.Messages(visitor, 3, &v.History)
 	if len(v.History) > 0 {
@@ -53,8 +54,8 @@
 	}
 }
 
-// packHistory encodes a history: for each entry the difference between its version and that of the entry before, as a
-// varint, and the digest.
+// packHistory encodes a history. Each entry is the difference between its version and that of the previous entry, as a
+// varint, followed by the digest.
 func packHistory(history []VersionDigest) []byte {
 	var packed []byte
 	version := uint64(0)
@@ -66,7 +67,8 @@
 	return packed
 }
 
-// unpackHistory decodes the output of packHistory.
+// unpackHistory decodes the output of packHistory and appends it to v.History. It fails if the last entry is incomplete, or
+// if the versions do not increase.
 func (v *Value) unpackHistory(visitor *codec.Visitor) {
 	var packed []byte
 	visitor.Bytes(packedHistoryField, &packed)
@@ -78,7 +80,7 @@
 			return
 		}
 		if version+step <= version {
-			visitor.Fail(packedHistoryField, "has versions that do not rise")
+			visitor.Fail(packedHistoryField, "has history versions that do not increase")
 			return
 		}
 		version += step
--- a/internal/mesh/control/consensus/incarnations.go
+++ b/internal/mesh/control/consensus/incarnations.go
@@ -7,16 +7,17 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// DiskIncarnations are, by voter, the newest disk incarnation that was reported to a replica (a crash vector). A voter begins
-// a new one when it lost its disk.
+// DiskIncarnations maps each voter to its newest disk incarnation that was reported to a replica (a crash vector). A voter
+// that lost its disk starts a new disk incarnation, with a higher number.
 type DiskIncarnations map[string]uint64
 
-// maxDiskIncarnations bounds how many a replica remembers. An entry matters to rounds under the epoch in which it was
-// reported and the one after, and fewer machines than that are replaced within two epochs.
+// maxDiskIncarnations is the number of entries that a replica stores, unless more of them may not be dropped. An entry only
+// matters to rounds under the epoch in which it was reported and under the next one, and fewer machines than that are replaced
+// within two epochs.
 const maxDiskIncarnations = 128
 
-// prune drops the lowest incarnations, which as a rule are the oldest, until no more than maxDiskIncarnations are left.
-// It never drops those of nodes for which keep holds.
+// prune deletes the entries with the lowest incarnations, which are usually the oldest, until at most maxDiskIncarnations
+// are left. It never deletes the entry of a node for which keep returns true.
 func (d DiskIncarnations) prune(keep func(node string) bool) {
 	for len(d) > maxDiskIncarnations {
 		lowest := d.lowest(keep)
@@ -27,8 +28,8 @@
 	}
 }
 
-// lowest returns the node with the lowest incarnation for which keep does not hold, the first by name of several, and ""
-// if there is none.
+// lowest returns the node with the lowest incarnation among those for which keep returns false; of several, the first by
+// name. It returns "" if there is none.
 func (d DiskIncarnations) lowest(keep func(node string) bool) string {
 	lowest := ""
 	for node, number := range d {
@@ -42,7 +43,7 @@
 	return lowest
 }
 
-// fields encodes or decodes field 4 of the messages that have disk incarnations, in the order of the nodes' names.
+// fields encodes or decodes disk incarnations, sorted by node name. All messages that contain them do so in field 4.
 func (d *DiskIncarnations) fields(visitor *codec.Visitor) {
 	const number = 4
 	var entries []diskIncarnation
@@ -59,7 +60,7 @@
 	}
 }
 
-// diskIncarnation is one entry of DiskIncarnations as it is encoded.
+// diskIncarnation is an encoded entry of DiskIncarnations.
 type diskIncarnation struct {
 	node   string
 	number uint64
--- a/internal/mesh/control/consensus/incarnations_test.go
+++ b/internal/mesh/control/consensus/incarnations_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Whatever peers ask, a replica remembers a bounded number of incarnations, and those of voters.
+// However many nodes ask to recover, a replica stores a bounded number of disk incarnations, and never drops those of voters.
 func TestIncarnationsAreBounded(t *testing.T) {
 	record := InitialRecord("v0", firstVoterSet(3).Voters)
 	for i := range 3 * maxDiskIncarnations {
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -7,25 +7,25 @@
 
 // The kinds of requests.
 const (
-	ReadVote RequestKind = 1 + iota // report the vote; nothing changes
-	Prepare                         // promise Ballot
-	Accept                          // accept Value under Ballot
-	Recover                         // report what Node, which has no record, needs to begin DiskIncarnation
-	Describe                        // report the voter set; any process that knows it answers
-	Commit                          // notification that the value accepted under Ballot is committed; needs no reply
+	ReadVote RequestKind = 1 + iota // asks for the voter's vote, and changes nothing
+	Prepare                         // asks for a promise of Ballot
+	Accept                          // asks the voter to accept Value under Ballot
+	Recover                         // asks for the state that Node, which has no record, needs to start DiskIncarnation
+	Describe                        // asks for the voter set; any process that knows it answers
+	Commit                          // notifies the voter that the value accepted under Ballot is committed; needs no reply
 )
 
-// Request is sent by a proposer, or by a replica that recovers.
+// Request is a message from a proposer, or from a recovering replica, to a voter.
 type Request struct {
 	Kind            RequestKind
 	Ballot          Ballot
-	KnownBallot     Ballot   // the sender has the value of this ballot, and the reply may leave it out
-	Value           Value    // Accept only
-	Node            string   // Recover only: the sender
-	DiskIncarnation uint64   // Recover only: the one that the sender begins
-	Epoch           uint64   // of ReadVote, Prepare and Accept: the epoch of the round's voter set
-	VoterSet        VoterSet // the newest one that the sender knows to be decided
-	System          SystemID // of the sender
+	KnownBallot     Ballot   // a ballot whose value the sender has, so that the reply may omit the value
+	Value           Value    // the proposed value; set for Accept only
+	Node            string   // the sender's name; set for Recover only
+	DiskIncarnation uint64   // the disk incarnation that the sender starts; set for Recover only
+	Epoch           uint64   // the epoch of the round's voter set; set for ReadVote, Prepare and Accept
+	VoterSet        VoterSet // the newest voter set that the sender knows to be decided
+	System          SystemID // the sender's system
 	Sender          string   // the sender's name, for logs
 }
 
@@ -45,35 +45,35 @@
 	visitor.String(10, &r.Sender)
 }
 
-// ReplyKind is how a request was answered. The numbers are part of the wire format.
+// ReplyKind is the kind of a reply. The numbers are part of the wire format.
 type ReplyKind uint8
 
 // The kinds of replies.
 const (
-	NotReady          ReplyKind = iota // not a voter, or one that has to recover first
-	Reported                           // to ReadVote, Recover, Describe and Commit: done
-	Promise                            // to Prepare: promised
-	Accepted                           // to Accept: accepted
-	Rejected                           // a higher ballot is Promised; to Recover: as high an incarnation was seen
-	StaleEpoch                         // a newer epoch is decided: VoterSet
-	ConflictingVoters                  // the request names other voters than VoterSet for the same epoch
-	ForeignSystem                      // the sender belongs to another system than System
+	NotReady          ReplyKind = iota // the replica is not a voter, or has to recover first, or doesn't know the request's kind
+	Reported                           // ReadVote, Recover, Describe or Commit succeeded
+	Promise                            // Prepare succeeded: the ballot is promised
+	Accepted                           // Accept succeeded: the value is accepted
+	Rejected                           // a higher ballot is promised; for Recover: the incarnation is not above the recorded one
+	StaleEpoch                         // the request's epoch is out of date: the epoch of VoterSet is decided
+	ConflictingVoters                  // the request has the same epoch as VoterSet, but other voters
+	ForeignSystem                      // the sender does not belong to System
 )
 
 // Reply is the answer to a request. Which fields are set depends on Kind; an acceptor's replies always have Ballot.
 type Reply struct {
 	Kind             ReplyKind
-	Ballot           Ballot           // of the request
-	DiskIncarnation  uint64           // the voter's own
-	DiskIncarnations DiskIncarnations // of other voters, as reported to this one
-	Promised         Ballot           // the highest ballot that the voter promised
-	Vote             Vote             // the voter's own; without its value if the request's KnownBallot is that of the vote
+	Ballot           Ballot           // the request's ballot
+	DiskIncarnation  uint64           // the voter's own disk incarnation
+	DiskIncarnations DiskIncarnations // the disk incarnations of other replicas, as reported to this voter
+	Promised         Ballot           // the highest ballot that the voter has promised
+	Vote             Vote             // the voter's vote; without its value if the request's KnownBallot equals the vote's ballot
 
-	VoterSet     VoterSet // the newest one that the voter knows to be decided
-	Ready        bool     // to Describe: the sender may be made a voter
-	BlankDisk    bool     // with NotReady: the disk was completely empty
-	System       SystemID
-	Unresponsive []string // to Describe: voters that have not answered the sender for ReplaceDelay
+	VoterSet     VoterSet // the newest voter set that the voter knows to be decided
+	Ready        bool     // the replying process may be made a voter; set in replies to Describe
+	BlankDisk    bool     // the disk was completely empty at the start; set with NotReady
+	System       SystemID // the voter's system
+	Unresponsive []string // voters that have not answered the replying process for ReplaceDelay; set in replies to Describe
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/control/consensus/message_test.go
+++ b/internal/mesh/control/consensus/message_test.go
@@ -8,8 +8,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Decoding an encoded message returns every field. The literals have no field names, so that a new field does not compile
-// before it has a value here.
+// Decoding an encoded message restores every field. The literals have no field names, so that the test does not compile until
+// it sets a new field.
 func TestMessagesAreDecoded(t *testing.T) {
 	c := qt.New(t)
 	entry := VersionDigest{7, Digest{1, 2, 7: 3}}
@@ -34,7 +34,7 @@
 	c.Assert(decodedState, qt.DeepEquals, state)
 }
 
-// A record written before voters could change has the voter set of the first start.
+// A record from a release whose voters could not change is decoded with the voter set of the first start.
 func TestOldRecord(t *testing.T) {
 	c := qt.New(t)
 	old := legacyReplicaState{[]string{"x", "y"}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}}
@@ -43,7 +43,7 @@
 	c.Assert(state, qt.DeepEquals, ReplicaState{VoterSet{Voters: []string{"x", "y"}}, true, 2, DiskIncarnations{"y": 1}, Ballot{3, "a#1"}, 0})
 }
 
-// legacyReplicaState is a ReplicaState in the format of versions whose voters could not change.
+// legacyReplicaState is a ReplicaState in the format of releases whose voters could not change.
 type legacyReplicaState struct {
 	voters           []string
 	ready            bool
--- a/internal/mesh/control/consensus/model_calls_test.go
+++ b/internal/mesh/control/consensus/model_calls_test.go
@@ -7,25 +7,25 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// modelCall is a read or a change: it runs rounds until one is Done.
+// modelCall is a call to read or to change the register's value. It runs rounds until one is Done.
 type modelCall struct {
-	round         *Round // nil between two rounds
-	phase         int    // of all rounds so far; identifies replies of earlier phases
+	round         *Round // the current round; nil between two rounds
+	phase         int    // the number of phases of all rounds so far, which identifies late replies to earlier phases
 	attempts      int
-	isRead        bool                  // without a change; its first round has no ballot
-	withoutBallot bool                  // the next round has no ballot
-	change        *Change               // may be nil
-	version       configuration.Version // the newest committed when the call began
-	epoch         uint64                // the same, of the voter set
+	isRead        bool                  // whether the call only reads, so that its first round has no ballot
+	withoutBallot bool                  // whether the next round has no ballot
+	change        *Change               // the change to make; may be nil
+	version       configuration.Version // the newest version that calls had returned when this call began
+	epoch         uint64                // the newest epoch that calls had returned when this call began
 }
 
-// startRound starts a call's next round (as controlplane does).
+// startRound starts a call's next round as package controlplane does. It ends a call that has used all its attempts.
 func (m *model) startRound(process *modelReplica, call *modelCall) {
 	if len(process.voterSet.Voters) == 0 || !call.withoutBallot && process.ballotCall != nil {
 		return
 	}
-	if call.attempts++; call.attempts > modelAttempts && !m.faultless {
-		m.abandon(process, call) // the caller gets no answer
+	if call.attempts++; call.attempts > modelAttempts && !m.faultsEnded {
+		m.abandon(process, call) // the call ends without an outcome
 		return
 	}
 	var request *Request
@@ -48,7 +48,7 @@
 	process.calls = slices.DeleteFunc(process.calls, func(other *modelCall) bool { return other == call })
 }
 
-// roundFinished learns from a finished round, and ends the call or starts its next round.
+// roundFinished adopts what a finished round has learned, and ends the call or prepares its next round.
 func (m *model) roundFinished(process *modelReplica, call *modelCall) {
 	round := call.round
 	process.observeBallot(round.HighestBallot)
@@ -77,7 +77,7 @@
 	}
 }
 
-// conclude counts a call's outcome and has the specification check it.
+// conclude counts the outcome of a call, and checks it against the specification.
 func (m *model) conclude(call *modelCall, round *Round) {
 	switch {
 	case call.change == nil:
@@ -94,11 +94,11 @@
 	m.startRound(process, call)
 }
 
-// sendOrder sends an operator's new order to a process, or repeats an earlier one.
+// sendOrder sends an operator's order to a process: either a new one, or an earlier one again.
 func (m *model) sendOrder(process *modelReplica) {
 	if len(m.orders) > 0 && m.chance(50) {
 		recent := m.orders[max(0, len(m.orders)-8):]
-		if m.chance(20) { // may be older than what is remembered
+		if m.chance(20) { // the order may be so old that histories no longer contain it
 			recent = m.orders[:min(len(m.orders), 2*(modelPrefilled-maxHistory))]
 		}
 		m.startCall(process, &modelCall{change: pickOne(m.rng, recent)})
@@ -116,7 +116,7 @@
 	m.startCall(process, &modelCall{change: change})
 }
 
-// reconfigure starts a change of the voters at a process, if one is possible.
+// reconfigure starts a random change of the voters at a process, if the process can propose one.
 func (m *model) reconfigure(process *modelReplica) {
 	voters := process.voterSet
 	if len(voters.Voters) == 0 || voters.Epoch == 0 && m.chance(50) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// stopWaiting ends a call's wait for further replies, or for its next round.
+// stopWaiting ends the wait of a call's round for further replies, or starts the call's next round if it has none.
 func (m *model) stopWaiting(process *modelReplica, call *modelCall) {
 	if call.round == nil {
 		m.startRound(process, call)
@@ -152,7 +152,7 @@
 	m.roundFinished(process, call)
 }
 
-// finishCall runs a call to its end.
+// finishCall starts a call and delivers all messages until it ends. Not to end is a violation of the specification.
 func (m *model) finishCall(process *modelReplica, call *modelCall) {
 	m.startCall(process, call)
 	for range 40 {
@@ -161,5 +161,5 @@
 		}
 		m.stopWaiting(process, call)
 	}
-	m.spec.fail("a call at %s doesn't end after all faults have ended", process.name)
+	m.spec.fail("call at %s does not end although all faults have ended", process.name)
 }
--- a/internal/mesh/control/consensus/model_network_test.go
+++ b/internal/mesh/control/consensus/model_network_test.go
@@ -8,29 +8,29 @@
 
 // envelope is a request, or the reply to it, in flight.
 type envelope struct {
-	from, to *modelReplica // of the request, also in a reply
-	start    int           // modelReplica.starts of from: a reply to an earlier start is dropped
-	call     *modelCall    // nil for a recovery, and if no reply is needed
-	phase    int           // of the call
-	recovery *Recovery     // nil unless it is a recovery's
+	from, to *modelReplica // the sender and the recipient of the request, also if this is the reply
+	start    int           // the value of from.starts when the request was sent; a reply to an earlier start is dropped
+	call     *modelCall    // the call that waits for the reply; nil for a recovery, and if no reply is needed
+	phase    int           // the value of call.phase when the request was sent
+	recovery *Recovery     // the recovery that waits for the reply; nil for other requests
 	request  *Request
-	reply    *Reply // nil in a request
-	dueStep  int    // the first step at which it may arrive
+	reply    *Reply // nil if this is a request
+	dueStep  int    // the first step at which the message may arrive
 }
 
-// throughCodec returns a message, after encoding and decoding it if this model encodes.
+// throughCodec returns a message, encoded and decoded again if the model is set up to encode messages.
 func throughCodec[T any, P interface {
 	*T
 	codec.Message
-}](m *model, t *T) T {
-	var again T
+}](m *model, message *T) T {
+	var decoded T
 	if !m.encoded {
-		return *t
+		return *message
 	}
-	if err := codec.Unmarshal(codec.MarshalAppend(nil, P(t)), P(&again)); err != nil {
+	if err := codec.Unmarshal(codec.MarshalAppend(nil, P(message)), P(&decoded)); err != nil {
 		panic(err)
 	}
-	return again
+	return decoded
 }
 
 func (m *model) send(from *modelReplica, nodes []string, request *Request, call *modelCall, recovery *Recovery) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// post puts a message in flight. Some are slow, so that a process may be killed and recover before they arrive.
+// post puts a message in flight. Some messages are slow, so that a process may be killed and recover before they arrive.
 func (m *model) post(message *envelope) {
 	if message.dueStep = m.steps; m.chance(m.slowPercent) {
 		message.dueStep += m.rng.IntN(maxDelaySteps)
@@ -52,23 +52,24 @@
 	m.inFlight = append(m.inFlight, message)
 }
 
-// deliverOne delivers one of the messages that are due.
+// deliverOne delivers a random message that is due. It tries up to 20 messages.
 func (m *model) deliverOne() {
 	for range min(20, len(m.inFlight)) {
-		if at := m.rng.IntN(len(m.inFlight)); m.inFlight[at].dueStep <= m.steps {
-			m.deliver(at)
+		if index := m.rng.IntN(len(m.inFlight)); m.inFlight[index].dueStep <= m.steps {
+			m.deliver(index)
 			return
 		}
 	}
 }
 
-// deliver delivers a message, or loses it. The message may stay in flight, to be delivered once more.
-func (m *model) deliver(at int) {
-	message := m.inFlight[at]
-	if m.faultless || !m.chance(4) {
-		m.inFlight = slices.Delete(m.inFlight, at, at+1)
-	}
-	if !m.faultless && m.chance(4) {
+// deliver delivers the message at an index of inFlight, or loses it. Unless all faults have ended, the message may also stay
+// in flight, to be delivered again.
+func (m *model) deliver(index int) {
+	message := m.inFlight[index]
+	if m.faultsEnded || !m.chance(4) {
+		m.inFlight = slices.Delete(m.inFlight, index, index+1)
+	}
+	if !m.faultsEnded && m.chance(4) {
 		return
 	}
 	if message.reply == nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// deliverRequest hands a request to its recipient, and puts the reply in flight if the sender waits for one.
+// deliverRequest passes a request to its recipient, and puts the reply in flight if the sender waits for one.
 func (m *model) deliverRequest(message *envelope) {
 	if !message.to.up {
 		return
@@ -93,7 +94,7 @@
 	m.post(&answer)
 }
 
-// deliverReply hands a reply to the recovery or the round that waits for it, if it still does.
+// deliverReply passes a reply to the recovery or the round that sent the request, if that still waits for the reply.
 func (m *model) deliverReply(message *envelope) {
 	process := message.from
 	if !process.up || process.starts != message.start {
@@ -118,7 +119,7 @@
 	}
 }
 
-// deliverAll delivers all messages in flight.
+// deliverAll delivers messages until none is in flight.
 func (m *model) deliverAll() {
 	for len(m.inFlight) > 0 {
 		m.deliver(0)
--- a/internal/mesh/control/consensus/model_process_test.go
+++ b/internal/mesh/control/consensus/model_process_test.go
@@ -6,30 +6,30 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// modelReplica is one process, a voter or not.
+// modelReplica is a core process, which may or may not be a voter.
 type modelReplica struct {
 	name     string
-	disk     Record // as of the last sync
-	diskLost bool   // the disk was lost, and the recovery has not finished
+	disk     Record // the record as of the last sync
+	diskLost bool   // whether the disk was lost and the recovery has not finished
 
 	up              bool
-	starts          int       // how often it has started
-	record          Record    // in memory
-	needsRecord     bool      // a recovery has to make the record
-	diskIncarnation uint64    // of the next recovery
-	recovery        *Recovery // nil unless one is in progress
-	voterSet        VoterSet  // the newest known; without voters while none is known
-	knownVote       Vote      // the newest that is known to be committed
-	highestBallot   uint64    // number of the highest ballot that was seen
+	starts          int       // how often the process has started
+	record          Record    // the record in memory
+	needsRecord     bool      // whether a recovery has to create the record
+	diskIncarnation uint64    // the disk incarnation of the next recovery
+	recovery        *Recovery // the recovery in progress; nil for none
+	voterSet        VoterSet  // the newest known voter set; without voters while none is known
+	knownVote       Vote      // the newest vote that is known to be committed
+	highestBallot   uint64    // the number of the highest ballot seen since the start
 	calls           []*modelCall
-	ballotCall      *modelCall // the one whose round has a ballot; nil for none
+	ballotCall      *modelCall // the call whose round has a ballot, of which there is one at a time; nil for none
 }
 
 func (m *model) replica(name string) *modelReplica {
 	return m.replicas[slices.IndexFunc(m.replicas, func(process *modelReplica) bool { return process.name == name })]
 }
 
-// start starts a process with what its disk holds (as controlplane does).
+// start starts a process with the record on its disk, as package controlplane does.
 func (m *model) start(process *modelReplica) {
 	*process = modelReplica{
 		name:        process.name,
@@ -42,14 +42,14 @@
 	}
 	process.adoptVoters(process.record.DecidedVoters())
 	if process.needsRecord {
-		process.diskIncarnation = 1 + m.rng.Uint64N(1000) // by a clock that may have been set back
+		process.diskIncarnation = 1 + m.rng.Uint64N(1000) // any number, as the clock may have been set back
 		return
 	}
 	process.observeBallot(process.record.State.Promised)
 	process.observeBallot(process.record.Vote.Ballot)
 }
 
-// stop kills a process: what is synced stays.
+// stop kills a process, of which only the disk remains.
 func (m *model) stop(process *modelReplica) {
 	process.up = false
 	process.calls = nil
@@ -67,7 +67,7 @@
 	}
 }
 
-// learn adopts a vote that is said to be committed.
+// learn adopts a committed vote if it is newer than the known one, and checks its value against the specification.
 func (m *model) learn(process *modelReplica, vote Vote) {
 	if vote.Ballot.Compare(process.knownVote.Ballot) > 0 {
 		vote.Learned = false
@@ -78,14 +78,14 @@
 }
 
 // persistRecord syncs the changed parts of a record, the vote first, and reports whether the process survived. If power is
-// lost meanwhile, the disk may hold a part of the change or none, and the process is down.
+// lost during the sync, the process is stopped, and its disk may contain both parts, only the vote, or neither.
 func (m *model) persistRecord(process *modelReplica, next Record, changed Unsynced) bool {
 	if !changed.Any() {
 		return true
 	}
 	written := 2
-	power := !m.faultless && m.rng.IntN(150) == 0
-	if power {
+	powerLost := !m.faultsEnded && m.rng.IntN(150) == 0
+	if powerLost {
 		written = m.rng.IntN(3)
 	}
 	if changed.Vote && written >= 1 {
@@ -94,7 +94,7 @@
 	if changed.State && written == 2 {
 		process.disk.State = throughCodec(m, &next.State)
 	}
-	if power {
+	if powerLost {
 		m.counts["power lost in a write"]++
 		m.stop(process)
 		return false
@@ -103,10 +103,11 @@
 	return true
 }
 
-// replaceRecord syncs the record that a recovery made, step by step as controlplane does.
+// replaceRecord syncs the record that a recovery created, in the same steps as package controlplane: the state that is not
+// ready yet, the vote, and the ready state. The process may be stopped between them.
 func (m *model) replaceRecord(process *modelReplica, record Record) {
 	written := 3
-	if !m.faultless && m.chance(10) {
+	if !m.faultsEnded && m.chance(10) {
 		written = m.rng.IntN(3)
 	}
 	if written >= 1 {
@@ -130,7 +131,7 @@
 	m.counts["records made"]++
 }
 
-// serve answers a request, and reports whether the process survived to send the reply.
+// serve returns a process's reply to a request, and whether the process survived to send it.
 func (m *model) serve(process *modelReplica, request *Request) (Reply, bool) {
 	process.observeBallot(request.Ballot)
 	if process.needsRecord {
@@ -152,7 +153,8 @@
 	return reply, m.persistRecord(process, next, changed)
 }
 
-// startRecovery starts an attempt to recover as controlplane does, or first learns a voter set from another process.
+// startRecovery starts an attempt to recover as package controlplane does. If the process knows no voter set, it adopts that
+// of another process instead.
 func (m *model) startRecovery(process *modelReplica) {
 	if len(process.voterSet.Voters) == 0 {
 		process.adoptVoters(pickOne(m.rng, m.replicas).voterSet)
@@ -166,7 +168,7 @@
 	m.send(process, process.recovery.Recipients(), request, nil, process.recovery)
 }
 
-// stepRecovery hands a reply to a recovery.
+// stepRecovery passes a reply to a process's recovery, and sends the request to recipients that the reply added.
 func (m *model) stepRecovery(process *modelReplica, message *envelope) {
 	before := process.recovery.Recipients()
 	if record, ok := process.recovery.Step(message.to.name, message.reply); ok {
@@ -180,7 +182,7 @@
 	}
 }
 
-// restart starts a process if it is down, and starts an attempt at each one that needs a record.
+// restart starts a random process if it is down, and an attempt to recover at each running process that needs a record.
 func (m *model) restart() {
 	process := pickOne(m.rng, m.replicas)
 	if !process.up {
@@ -193,7 +195,7 @@
 	}
 }
 
-// loseDisk loses a disk, unless another one is lost.
+// loseDisk stops a process and erases its disk, unless a replica that lost its disk has not recovered yet.
 func (m *model) loseDisk(process *modelReplica) {
 	if slices.ContainsFunc(m.replicas, func(other *modelReplica) bool { return other.diskLost }) {
 		return
--- a/internal/mesh/control/consensus/model_test.go
+++ b/internal/mesh/control/consensus/model_test.go
@@ -14,10 +14,10 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// model simulates several core processes as package controlplane runs them, without time: each step is drawn at random.
+// model simulates several core processes as package controlplane runs them, without a clock: each step is drawn at random.
 // Requests and replies are lost, delayed and duplicated. Processes are killed, alone or all at once, also between a write
-// and its sync. Disks are lost, but not a second one until the first one's replica has recovered. Voters are added, removed
-// and exchanged. Operators send orders, and send them again, to any process. specification checks the outcome.
+// and its sync. Disks are lost, but only one until its replica has recovered. Voters are added, removed and exchanged.
+// Operators send orders, and send them again, to any process. The outcome is checked by specification.
 type model struct {
 	rng         *rand.Rand
 	replicas    []*modelReplica
@@ -25,23 +25,23 @@
 	orders      []*Change
 	spec        specification
 	steps       int
-	faultless   bool           // there are no more faults
-	encoded     bool           // all that is sent or synced goes through the codec
-	slowPercent int            // of messages
-	diskLosses  int            // in 1000 steps, at most
-	counts      map[string]int // of events, by name
-	digest      hash.Hash      // of all requests and their replies; may be nil
+	faultsEnded bool           // whether all faults have ended
+	encoded     bool           // whether all messages and synced records are encoded and decoded
+	slowPercent int            // the percentage of messages that are slow
+	diskLosses  int            // the expected number of attempts to lose a disk in 1000 steps
+	counts      map[string]int // the number of events, by name
+	digest      hash.Hash      // a hash of all requests and their replies; may be nil
 }
 
 const (
 	modelSteps     = 2000
-	modelAttempts  = 8    // rounds of a call, at most
-	maxDelaySteps  = 300  // steps that a slow message is in flight, at most
-	modelExchanges = true // one voter is exchanged for another in one step
-	modelPrefilled = maxHistory + 40
+	modelAttempts  = 8               // maximum number of rounds of a call
+	maxDelaySteps  = 300             // limit of the random number of steps for which a slow message is delayed
+	modelExchanges = true            // whether a voter may be exchanged for another in one step
+	modelPrefilled = maxHistory + 40 // number of orders in a prefilled register
 )
 
-// prefilled returns more orders than a value's history holds, and the value after them.
+// prefilled returns modelPrefilled orders, which are more than a value's history can contain, and the value after them.
 var prefilled = sync.OnceValues(func() ([]*Change, Value) {
 	var orders []*Change
 	var value Value
@@ -54,7 +54,7 @@
 	return orders, value
 })
 
-// newModel returns a core of voters and standbys, with an empty or a prefilled register.
+// newModel returns a model with the given numbers of voters and standbys, and an empty or a prefilled register.
 func newModel(seed uint64, voters, standbys int, isPrefilled bool) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 3)), counts: map[string]int{}, encoded: seed%8 == 0}
 	m.slowPercent = pickOne(m.rng, []int{3, 10, 25})
@@ -86,7 +86,7 @@
 
 func pickOne[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
 
-// gossip lets a process learn the voter set that another one knows, and sync it.
+// gossip makes a process adopt the voter set that a random other process knows, and sync it.
 func (m *model) gossip(process *modelReplica) {
 	if other := pickOne(m.rng, m.replicas); other.up {
 		process.adoptVoters(other.voterSet)
@@ -125,7 +125,7 @@
 		m.gossip(process)
 	case draw < 975:
 		m.sendOrder(process)
-		if other := pickOne(m.rng, m.replicas); other.up { // a race
+		if other := pickOne(m.rng, m.replicas); other.up { // a concurrent order
 			m.sendOrder(other)
 		}
 	default:
@@ -133,9 +133,9 @@
 	}
 }
 
-// endFaults ends all faults. Every process then has to make its record and to read, and an order has to be applied.
+// endFaults ends all faults. Afterwards every process must recover its record and finish a read, and an order must be applied.
 func (m *model) endFaults() {
-	m.faultless, m.inFlight = true, nil
+	m.faultsEnded, m.inFlight = true, nil
 	for _, process := range m.replicas {
 		m.stop(process)
 		m.start(process)
@@ -150,22 +150,22 @@
 	}
 	for _, process := range m.replicas {
 		if process.needsRecord {
-			m.spec.fail("%s has no record after all faults have ended", process.name)
+			m.spec.fail("%s has not recovered its record although all faults have ended", process.name)
 		}
 	}
 	for _, process := range m.replicas {
 		m.finishCall(process, &modelCall{isRead: true, withoutBallot: true})
 	}
 	change := NewChange(m.spec.version, m.spec.version+1, []byte("the last"))
-	for range 2 { // and again, maybe elsewhere
+	for range 2 { // the order is repeated, possibly at another process
 		m.finishCall(pickOne(m.rng, m.replicas), &modelCall{change: change})
-		if m.spec.fault == "" && !m.spec.contains(change.entry()) {
-			m.spec.fail("an order on the newest version is not in force")
+		if m.spec.violation == "" && !m.spec.contains(change.entry()) {
+			m.spec.fail("order on the newest version was not applied")
 		}
 	}
 }
 
-// TestModel runs the model with many seeds; a failure names its seed.
+// TestModel runs the model with many seeds. A failure message contains the seed to repeat the run.
 func TestModel(t *testing.T) {
 	seeds := uint64(400)
 	if os.Getenv("SOAK") != "" {
@@ -174,11 +174,11 @@
 	counts := map[string]int{}
 	for seed := range seeds {
 		m := newModel(seed, []int{3, 3, 3, 4, 5}[seed%5], 1+int(seed/5%2), seed%4 == 3)
-		for step := 0; step < modelSteps && m.spec.fault == ""; step++ {
+		for step := 0; step < modelSteps && m.spec.violation == ""; step++ {
 			m.step()
 		}
-		if m.endFaults(); m.spec.fault != "" {
-			t.Fatalf("seed %d: %s", seed, m.spec.fault)
+		if m.endFaults(); m.spec.violation != "" {
+			t.Fatalf("seed %d: guarantee violated: %s", seed, m.spec.violation)
 		}
 		for event, n := range m.counts {
 			counts[event] += n
@@ -186,7 +186,7 @@
 		counts["versions"] += len(m.spec.chain)
 		counts["epochs"] += int(m.spec.epoch)
 	}
-	t.Logf("%d seeds: %v", seeds, counts)
+	t.Logf("%d seeds, events: %v", seeds, counts)
 	for _, event := range []string{"applied", "conflict", "unknown", "disks lost", "power lost in a write", "records made", "epochs"} {
 		qt.Assert(t, counts[event] > int(seeds)/10, qt.IsTrue, qt.Commentf(event))
 	}
--- a/internal/mesh/control/consensus/plan_test.go
+++ b/internal/mesh/control/consensus/plan_test.go
@@ -8,7 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// responsiveCore returns n responsive processes; others replace the statuses of the processes that they name.
+// responsiveCore returns the statuses of n responsive processes v0, v1 and so on. Each of others replaces the status of the
+// process that it names.
 func responsiveCore(n int, others ...PeerStatus) (core []PeerStatus) {
 	for i := range n {
 		core = append(core, PeerStatus{Node: fmt.Sprint("v", i), Responsive: true, Ready: true, StateDuration: 10 * time.Second})
@@ -23,7 +24,7 @@
 	return core
 }
 
-// unresponsive returns the status of v0 if two voters report it as unresponsive.
+// unresponsive returns the status of process v0 that has been unresponsive for a duration, as two voters report.
 func unresponsive(duration time.Duration) PeerStatus {
 	return PeerStatus{Node: "v0", StateDuration: duration, UnresponsiveReports: 2}
 }
@@ -38,18 +39,18 @@
 	return status
 }
 
-// notReady is the status of a process that may not be made a voter.
+// notReady is the status of process v3, which is responsive but may not be made a voter.
 var notReady = PeerStatus{Node: "v3", Responsive: true, StateDuration: time.Hour}
 
-// The planned change by the number of voters, the status of each core process and the number of losses to tolerate.
+// The planned change depends on the number of voters, the status of each core process and the number of losses to tolerate.
 func TestPlanVoterChange(t *testing.T) {
 	const long = time.Hour
 	none := VoterChange{}
 	v3ForV0 := VoterChange{Add: "v3", Remove: "v0"}
 	v4ForV0 := VoterChange{Add: "v4", Remove: "v0"}
 	v5ForV0 := VoterChange{Add: "v5", Remove: "v0"}
-	lost := unresponsive(long) // v0
-	stillHere := PeerStatus{Node: "v0", Responsive: true, StateDuration: long}
+	unresponsiveV0 := unresponsive(long)
+	responsiveV0 := PeerStatus{Node: "v0", Responsive: true, StateDuration: long}
 	justStarted := PeerStatus{Node: "v4", Responsive: true, Ready: true}
 	longStandby := PeerStatus{Node: "v3", Responsive: true, Ready: true, StateDuration: long}
 	longestStandby := PeerStatus{Node: "v5", Responsive: true, Ready: true, StateDuration: long}
@@ -59,32 +60,32 @@
 		tolerated int
 		change    VoterChange
 	}{
-		"three are enough for one": {3, responsiveCore(5), 1, none},
-		"two want five":            {3, responsiveCore(5), 2, VoterChange{Add: "v3"}},
-		"and the fifth":            {4, responsiveCore(5), 2, VoterChange{Add: "v4"}},
-		"and no more":              {5, responsiveCore(9), 2, none},
-		"not four of four":         {3, responsiveCore(4), 2, none},
-		"nine are the most":        {9, responsiveCore(12), 7, none},
-		"from a single one":        {1, responsiveCore(3), 0, VoterChange{Add: "v1"}},
-		"a single one stays":       {1, responsiveCore(1), 0, none},
-		"two stay two":             {2, responsiveCore(2), 1, none},
-		"a process that has just started is not added":          {3, responsiveCore(5, justStarted), 2, none},
-		"a process that is not ready is not added":              {3, responsiveCore(4, lost, notReady), 1, none},
-		"unresponsive for a short time":                         {3, responsiveCore(4, unresponsive(ReplaceDelay-1)), 1, none},
-		"unresponsive, with a standby":                          {3, responsiveCore(4, unresponsive(ReplaceDelay)), 1, v3ForV0},
-		"unresponsive, and only one reports it":                 {3, responsiveCore(4, reportedBy(lost, 1)), 1, none},
-		"unresponsive, and two of five report it":               {5, responsiveCore(6, lost), 2, none},
-		"unresponsive, and three of five report it":             {5, responsiveCore(6, reportedBy(lost, 3)), 2, v5ForV0},
-		"unresponsive, without a standby":                       {3, responsiveCore(3, lost), 1, none},
-		"unresponsive of five, without a standby":               {5, responsiveCore(5, reportedBy(lost, 3)), 2, none},
-		"one too many, and it is unresponsive":                  {4, responsiveCore(4, reportedBy(lost, 3)), 1, VoterChange{Remove: "v0"}},
-		"one too many, and all are responsive":                  {4, responsiveCore(5), 1, none},
-		"removed from the seeds, but responsive":                {3, responsiveCore(4, removedFromSeeds(stillHere)), 1, none},
-		"a standby in the seeds comes first":                    {3, responsiveCore(5, lost, removedFromSeeds(longStandby)), 1, v4ForV0},
-		"but one removed from the seeds is better than none":    {3, responsiveCore(4, lost, removedFromSeeds(longStandby)), 1, v3ForV0},
-		"unresponsive while the voters grow":                    {3, responsiveCore(5, unresponsive(time.Minute)), 2, v3ForV0},
-		"nothing is known of a voter":                           {3, responsiveCore(4)[1:], 1, none},
-		"the standby that has been responsive longest is added": {3, responsiveCore(6, longestStandby), 2, VoterChange{Add: "v5"}},
+		"three voters tolerate one loss":                    {3, responsiveCore(5), 1, none},
+		"a fourth voter is added to tolerate two losses":    {3, responsiveCore(5), 2, VoterChange{Add: "v3"}},
+		"a fifth voter is added to tolerate two losses":     {4, responsiveCore(5), 2, VoterChange{Add: "v4"}},
+		"five voters tolerate two losses":                   {5, responsiveCore(9), 2, none},
+		"no fourth voter without a process for a fifth":     {3, responsiveCore(4), 2, none},
+		"there are at most nine voters":                     {9, responsiveCore(12), 7, none},
+		"a single voter with two standbys":                  {1, responsiveCore(3), 0, VoterChange{Add: "v1"}},
+		"a single voter without a standby":                  {1, responsiveCore(1), 0, none},
+		"two voters without a standby":                      {2, responsiveCore(2), 1, none},
+		"a process that has just started is not added":      {3, responsiveCore(5, justStarted), 2, none},
+		"a process that is not ready is not added":          {3, responsiveCore(4, unresponsiveV0, notReady), 1, none},
+		"unresponsive for a short time":                     {3, responsiveCore(4, unresponsive(ReplaceDelay-1)), 1, none},
+		"unresponsive, with a standby":                      {3, responsiveCore(4, unresponsive(ReplaceDelay)), 1, v3ForV0},
+		"unresponsive, and only one reports it":             {3, responsiveCore(4, reportedBy(unresponsiveV0, 1)), 1, none},
+		"unresponsive, and two of five report it":           {5, responsiveCore(6, unresponsiveV0), 2, none},
+		"unresponsive, and three of five report it":         {5, responsiveCore(6, reportedBy(unresponsiveV0, 3)), 2, v5ForV0},
+		"unresponsive, without a standby":                   {3, responsiveCore(3, unresponsiveV0), 1, none},
+		"unresponsive of five, without a standby":           {5, responsiveCore(5, reportedBy(unresponsiveV0, 3)), 2, none},
+		"one voter above the target, which is unresponsive": {4, responsiveCore(4, reportedBy(unresponsiveV0, 3)), 1, VoterChange{Remove: "v0"}},
+		"one voter above the target, all responsive":        {4, responsiveCore(5), 1, none},
+		"removed from the seeds, but responsive":            {3, responsiveCore(4, removedFromSeeds(responsiveV0)), 1, none},
+		"a standby in the seeds is preferred":               {3, responsiveCore(5, unresponsiveV0, removedFromSeeds(longStandby)), 1, v4ForV0},
+		"the only standby is removed from the seeds":        {3, responsiveCore(4, unresponsiveV0, removedFromSeeds(longStandby)), 1, v3ForV0},
+		"unresponsive while the voters grow":                {3, responsiveCore(5, unresponsive(time.Minute)), 2, v3ForV0},
+		"a voter without a status":                          {3, responsiveCore(4)[1:], 1, none},
+		"the standby that was responsive longest is added":  {3, responsiveCore(6, longestStandby), 2, VoterChange{Add: "v5"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, PlanVoterChange(firstVoterSet(test.voters), test.core, test.tolerated), qt.Equals, test.change)
@@ -92,7 +93,7 @@
 	}
 }
 
-// A process that was retired is not made a voter again.
+// The planner does not add a retired process as a voter again.
 func TestPlanWithoutRetired(t *testing.T) {
 	voters := firstVoterSet(3)
 	voters.Retired = []string{"v3"}
@@ -101,6 +102,7 @@
 	qt.Assert(t, PlanHandover(voters, responsiveCore(4), "v1"), qt.Equals, VoterChange{})
 }
 
+// PlanHandover replaces only a voter, and only by a standby that is ready.
 func TestPlanHandover(t *testing.T) {
 	voters := firstVoterSet(3)
 	qt.Assert(t, PlanHandover(voters, responsiveCore(4), "v1"), qt.Equals, VoterChange{Add: "v3", Remove: "v1"})
--- a/internal/mesh/control/consensus/quorum.go
+++ b/internal/mesh/control/consensus/quorum.go
@@ -1,9 +1,9 @@
 package consensus
 
-// majority returns the smallest size at which any two sets of n voters share a voter.
+// majority returns the size of the smallest majority of n voters. Any two majorities share a voter.
 func majority(n int) int { return n/2 + 1 }
 
-// hasMajority reports whether the voters for which has holds are a majority of all.
+// hasMajority reports whether has returns true for a majority of the voters.
 func hasMajority(voters []string, has func(node string) bool) bool {
 	n := 0
 	for _, voter := range voters {
@@ -14,20 +14,21 @@
 	return n >= majority(len(voters))
 }
 
-// hasQuorum reports whether replies come from majorities of all voter sets that the round needs.
+// hasQuorum reports whether the replies come from a majority of the round's voter set and, in a joint step, also from a
+// majority of the next voter set.
 func (r *Round) hasQuorum(replies map[string]*Reply) bool {
 	has := func(node string) bool { return replies[node] != nil }
 	return hasMajority(r.voterSet.Voters, has) && (r.jointVoters == nil || hasMajority(r.jointVoters, has))
 }
 
-// quorumImpossible reports whether too many voters have rejected the ballot for a quorum to be reached any more.
+// quorumImpossible reports whether so many voters have rejected the ballot that a quorum can no longer be reached.
 func (r *Round) quorumImpossible() bool {
-	open := func(node string) bool { return r.replies[node] == nil || r.replies[node].Kind != Rejected }
-	return !hasMajority(r.voterSet.Voters, open) || r.jointVoters != nil && !hasMajority(r.jointVoters, open)
+	mayAgree := func(node string) bool { return r.replies[node] == nil || r.replies[node].Kind != Rejected }
+	return !hasMajority(r.voterSet.Voters, mayAgree) || r.jointVoters != nil && !hasMajority(r.jointVoters, mayAgree)
 }
 
-// countedReplies returns the replies that count towards a quorum. A rejection does not count, and neither does the reply
-// of a voter of which another reply reports a newer disk incarnation: that voter has lost its disk since.
+// countedReplies returns the replies that count towards a quorum, by voter. A rejection does not count. Neither does a
+// voter's reply if another reply reports a newer disk incarnation of that voter: it lost its disk after it replied.
 func (r *Round) countedReplies() map[string]*Reply {
 	counted := map[string]*Reply{}
 	for node, reply := range r.replies {
@@ -42,7 +43,8 @@
 	return counted
 }
 
-// newestVote returns the vote with the highest ballot, and whether a majority of the voter set has accepted it.
+// newestVote returns the vote with the highest ballot among the counted replies, and whether they show that a majority of
+// the round's voter set has accepted it.
 func (r *Round) newestVote(counted map[string]*Reply) (newest Vote, committed bool) {
 	for _, reply := range counted {
 		if reply.Vote.Ballot.Compare(newest.Ballot) > 0 {
@@ -50,13 +52,14 @@
 		}
 	}
 	if newest.Ballot == r.knownVote.Ballot {
-		newest.Value = r.knownVote.Value // left out of the replies
+		newest.Value = r.knownVote.Value // the replies omit this value
 	}
 	newest.Learned = false
 	return newest, r.countVotes(counted, newest.Ballot) >= majority(len(r.voterSet.Voters))
 }
 
-// countVotes returns how many voters have accepted under a ballot, by their replies. Learned votes do not count.
+// countVotes returns the number of voters whose counted replies show that they accepted a value under the ballot. Learned
+// votes do not count.
 func (r *Round) countVotes(counted map[string]*Reply, ballot Ballot) int {
 	n := 0
 	for _, voter := range r.voterSet.Voters {
@@ -67,7 +70,7 @@
 	return n
 }
 
-// agreementPossible reports whether the missing replies could still complete a majority for the newest vote.
+// agreementPossible reports whether the outstanding replies could still complete a majority for the newest vote.
 func (r *Round) agreementPossible(counted map[string]*Reply) bool {
 	newest, _ := r.newestVote(counted)
 	voters := len(r.voterSet.Voters)
--- a/internal/mesh/control/consensus/recovery.go
+++ b/internal/mesh/control/consensus/recovery.go
@@ -2,42 +2,43 @@
 
 import "slices"
 
-// Recovery makes the record of a replica that has none: a voter that lost its disk, or a process that is to become a
-// voter. Such a replica does not know what it promised or accepted in an earlier disk incarnation. It answers nobody until
-// it has read from enough voters, and has synced the highest promise and the newest vote that they reported. If the replica
-// is one of n voters, n-m+1 of the others are enough, where m is a majority of n; if it is not a voter, a majority is
-// enough. If the newest vote has a voter set that may be decided, enough voters of that set have to reply as well.
+// Recovery creates the record of a replica that has none: a voter that lost its disk, or a process that is about to become
+// a voter. Such a replica does not know what it promised or accepted in an earlier disk incarnation. It answers no request
+// until enough voters have replied to its own, and it has synced the highest promise and the newest vote that they
+// reported. If the replica is one of n voters, the replies of n-m+1 others are enough, where m is the size of a majority of
+// n; if it is not a voter, the replies of a majority are enough. If the voter set of the newest vote may be decided, enough
+// voters of that set have to reply as well.
 //
-// The replica starts a new disk incarnation. Every voter that it reads from syncs that incarnation before it replies, and
-// reports it in all later replies. A proposer that learns of a newer incarnation of a voter does not count that voter's
-// earlier replies (Round.countedReplies).
+// The replica starts a new disk incarnation. Every voter that replies syncs that incarnation before it replies, and reports
+// it in all later replies. A proposer that learns of a newer incarnation of a voter does not count that voter's earlier
+// replies (Round.countedReplies).
 //
-// A voter with a blank disk, on which there was nothing at all, may have been killed at the system's first start before
-// its first record was written. It may also make its record if all others of the first voter set reply, and each of them
-// has accepted nothing or has a blank disk too.
+// A voter with a blank disk, one without any file, may have been killed at the system's first start before its first record
+// was written. It may also create its record if all other voters of the first voter set reply, and each of them has either
+// accepted nothing or has a blank disk too.
 //
-// The replica did not itself accept the vote that it takes over, so the vote is Learned: a proposer must respect it as the
-// newest vote, but it does not count towards a majority for its ballot. docs/design/consensus-proof.md shows why this is
+// The replica itself did not accept the vote that it adopts, so the vote is marked as Learned: a proposer must respect it as
+// the newest vote, but it does not count towards a majority for its ballot. docs/design/consensus-proof.md shows why this is
 // enough. A recovery is not safe for concurrent use.
 type Recovery struct {
 	self            string
-	voterSet        VoterSet // the newest known to be decided
+	voterSet        VoterSet // the newest voter set that is known to be decided
 	blankDisk       bool
 	diskIncarnation uint64
 	replies         map[string]*Reply // by voter
-	pendingVoters   []string          // voters of the newest vote, if its voter set may be decided
+	pendingVoters   []string          // the voters of the newest vote's value if its voter set is newer, and so may be decided
 }
 
-// NewRecovery starts an attempt under a disk incarnation above all that were reported so far, and returns the request to
-// send to Recipients. voters is the newest voter set that is known to be decided; blankDisk is true if the disk was
-// completely empty.
+// NewRecovery starts an attempt to recover under the given disk incarnation, and returns the request to send to Recipients.
+// The incarnation must be above all that were reported of this replica so far. voters is the newest voter set that is known
+// to be decided; blankDisk is true if the disk was completely empty.
 func NewRecovery(self string, voters VoterSet, incarnation uint64, blankDisk bool) (*Recovery, *Request) {
 	return &Recovery{self: self, voterSet: voters, blankDisk: blankDisk, diskIncarnation: incarnation, replies: map[string]*Reply{}},
 		&Request{Kind: Recover, Node: self, DiskIncarnation: incarnation, VoterSet: voters}
 }
 
-// Recipients returns the nodes to which the request goes, without the replica itself. Step may add nodes. A voter answers
-// the request of one attempt only once.
+// Recipients returns the nodes to send the request to, which exclude the replica itself. The list may have grown after a
+// call of Step. A voter accepts the request of an attempt only once, and rejects repetitions.
 func (r *Recovery) Recipients() (nodes []string) {
 	for _, voter := range append(slices.Clone(r.voterSet.Voters), r.pendingVoters...) {
 		if voter != r.self && !slices.Contains(nodes, voter) {
@@ -47,26 +48,27 @@
 	return nodes
 }
 
-// Step takes a voter's reply and returns the record once there are enough replies. The record has to be on disk before the
-// replica answers any request. If the attempt fails, start another one under NextDiskIncarnation.
+// Step processes a voter's reply. Once there are enough replies it returns the record and true. The record must be on disk
+// before the replica answers any request. If the attempt fails, start another one under NextDiskIncarnation.
 func (r *Recovery) Step(node string, reply *Reply) (Record, bool) {
 	if node == r.self || r.replies[node] != nil || !r.isUsable(reply) {
 		return Record{}, false
 	}
 	r.replies[node] = reply
 	record := r.mergeReplies()
-	enough := r.hasEnough(r.voterSet.Voters)
+	enough := r.hasEnoughReplies(r.voterSet.Voters)
 	r.pendingVoters = nil
 	if voted := record.Vote.Value.VoterSet; voted.Epoch > r.voterSet.Epoch {
 		r.pendingVoters = voted.Voters
-		enough = enough && r.hasEnough(r.pendingVoters)
+		enough = enough && r.hasEnoughReplies(r.pendingVoters)
 	}
 	record.State.VoterSet = r.voterSet
 	record.Vote.Learned = record.Vote.Ballot != Ballot{}
 	return record, enough || r.registerUnused()
 }
 
-// isUsable reports whether a reply may be merged: it describes the register, or reports a blank disk.
+// isUsable reports whether the recovery may use a reply. It uses NotReady only from a replica with a blank disk, and no
+// ForeignSystem.
 func (r *Recovery) isUsable(reply *Reply) bool {
 	if reply.Kind == NotReady {
 		return reply.BlankDisk
@@ -74,8 +76,8 @@
 	return reply.Kind != ForeignSystem
 }
 
-// mergeReplies returns a record with the highest promise, the newest vote and every disk incarnation of all replies. It
-// also adopts the newest voter set that they show to be decided.
+// mergeReplies returns a record with the highest promise, the newest vote and the highest disk incarnations that the replies
+// report. It also adopts the newest voter set that the replies show to be decided.
 func (r *Recovery) mergeReplies() Record {
 	record := Record{State: ReplicaState{Ready: true, DiskIncarnation: r.diskIncarnation, DiskIncarnations: DiskIncarnations{}}}
 	for voter, reply := range r.replies {
@@ -97,7 +99,7 @@
 	return record
 }
 
-// mergeIncarnations raises the known disk incarnations to those that a reply reports, except for this replica's own.
+// mergeIncarnations raises the known disk incarnations to those that a voter's reply reports, except this replica's own.
 func (r *Recovery) mergeIncarnations(known DiskIncarnations, voter string, reply *Reply) {
 	known[voter] = max(known[voter], reply.DiskIncarnation)
 	for node, incarnation := range reply.DiskIncarnations {
@@ -107,7 +109,8 @@
 	}
 }
 
-// adoptVoters adopts a newer voter set that a reply shows to be decided. A vote of epoch n+1 shows that n is decided.
+// adoptVoters adopts the newest voter set that a reply shows to be decided. A vote whose value has epoch n+1 shows that
+// epoch n is decided.
 func (r *Recovery) adoptVoters(reply *Reply) {
 	if reply.VoterSet.Epoch > r.voterSet.Epoch {
 		r.voterSet = reply.VoterSet
@@ -117,9 +120,9 @@
 	}
 }
 
-// hasEnough reports whether enough of the voters have replied: every majority that includes this replica has to contain
-// one of them.
-func (r *Recovery) hasEnough(voters []string) bool {
+// hasEnoughReplies reports whether enough of the voters have replied. If this replica is one of the voters, every majority
+// that includes it must contain a voter that has replied; if not, a majority must have replied.
+func (r *Recovery) hasEnoughReplies(voters []string) bool {
 	n := 0
 	for _, voter := range voters {
 		if reply := r.replies[voter]; voter != r.self && reply != nil && reply.Kind == Reported {
@@ -132,7 +135,8 @@
 	return n >= len(voters)-majority(len(voters))+1
 }
 
-// registerUnused reports whether the replies show that no voter of the first voter set has accepted anything yet.
+// registerUnused reports whether this is a first start at which no voter has accepted anything yet: this replica is a voter
+// with a blank disk, and all other voters of the first voter set have replied, none with a vote or a rejection.
 func (r *Recovery) registerUnused() bool {
 	if !r.blankDisk || r.voterSet.Epoch > 0 || !r.voterSet.Contains(r.self) {
 		return false
@@ -146,7 +150,7 @@
 	return true
 }
 
-// NextDiskIncarnation returns an incarnation above this attempt's and above all that were reported of this replica.
+// NextDiskIncarnation returns an incarnation above that of this attempt and above all that the replies report of this replica.
 func (r *Recovery) NextDiskIncarnation() uint64 {
 	highest := r.diskIncarnation
 	for _, reply := range r.replies {
--- a/internal/mesh/control/consensus/recovery_test.go
+++ b/internal/mesh/control/consensus/recovery_test.go
@@ -6,8 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A replica without a record needs replies of n-m+1 others of a voter set that it is in, and of a majority of one that it isn't
-// in; of a voter set that is only proposed it needs them as well.
+// A recovering replica needs replies from n-m+1 other voters of a voter set that contains it (n voters, of which m are a
+// majority), and from a majority of a voter set that does not contain it. If the newest vote proposes another voter set, it
+// needs enough replies from that set as well.
 func TestRecoveryReadsFromEnough(t *testing.T) {
 	reported := func(v Vote) *Reply { return &Reply{Kind: Reported, DiskIncarnation: 1, Vote: v} }
 	for _, test := range []struct {
@@ -38,14 +39,14 @@
 			}
 			qt.Assert(t, i < test.voters, qt.IsTrue)
 		}
-		qt.Assert(t, answered, qt.Equals, test.enough, qt.Commentf("%+v", test))
+		qt.Assert(t, answered, qt.Equals, test.enough, qt.Commentf("replies needed in case %+v", test))
 	}
 	proposed := *NewVoterChange(firstVoterSet(3), VoterChange{Add: "x", Remove: "v0"}).nextVoters
 	recovery, _ := NewRecovery("x", firstVoterSet(3), 9, false)
 	_, ok := recovery.Step("v0", reported(Vote{Ballot: Ballot{1, "p"}, Value: Value{VoterSet: proposed}}))
 	qt.Assert(t, ok, qt.IsFalse)
 	_, ok = recovery.Step("v1", reported(Vote{}))
-	qt.Assert(t, ok, qt.IsFalse, qt.Commentf("of v1, v2, x both others are needed"))
+	qt.Assert(t, ok, qt.IsFalse, qt.Commentf("x recovered without v2: of the proposed voters v1, v2 and x, both v1 and v2 have to reply"))
 	record, ok := recovery.Step("v2", reported(Vote{}))
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, record.Vote.Learned, qt.IsTrue)
--- a/internal/mesh/control/consensus/round.go
+++ b/internal/mesh/control/consensus/round.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// RoundState is a round's progress.
+// RoundState is the state of a round.
 type RoundState uint8
 
-// The states of a round. It is in progress while Reading, Preparing or Accepting, and has ended in any other state.
+// The states of a round. A round is in progress while Reading, Preparing or Accepting, and has ended in all other states.
 const (
-	Reading      RoundState = iota // waits for votes; no ballot is used
-	Inconclusive                   // ended: no majority holds one vote, and a round with a ballot is needed
-	Preparing                      // waits for promises
-	Accepting                      // waits until majorities have accepted
-	Done                           // ended: Value is committed, and Verdict holds
-	Preempted                      // ended: no majority can be had; another round with a higher ballot is needed
+	Reading      RoundState = iota // waiting for votes, without a ballot
+	Inconclusive                   // ended: the votes do not show a committed value; a round with a ballot is needed
+	Preparing                      // waiting for promises
+	Accepting                      // waiting for a quorum to accept the proposal
+	Done                           // ended: Value is committed, and Verdict is valid
+	Preempted                      // ended without a quorum; another round with a higher ballot is needed
 	Stale                          // ended: NewerVoters are decided; another round under them is needed
 )
 
-// expects returns the kind of reply by which a round in this state advances. Step ignores all replies once a round has
-// ended, so the default does not matter.
+// expects returns the kind of reply that advances a round in this state. Step ignores all replies once a round has ended, so
+// the result for such a state is never used.
 func (s RoundState) expects() ReplyKind {
 	switch s {
 	case Reading:
@@ -31,43 +31,45 @@
 	}
 }
 
-// Round is one proposer's attempt to learn the newest value, or to change it. Its requests go to all Recipients; the
-// replies come in by Step, in any order, late, or never. A round is not safe for concurrent use.
+// Round is one attempt of a proposer to read the newest value, or to change it. The caller sends the requests to all
+// Recipients and passes the replies to Step. Replies may arrive in any order, late, or never. A round is not safe for
+// concurrent use.
 //
-// # Why a read may do without a ballot
+// # Why a read needs no ballot
 //
-// If a majority reports the same ballot b as its newest vote, the value of that vote is committed, as all of them accepted
+// If a majority reports votes under the same ballot b, the value of that vote is committed, as all of these voters accepted
 // it under b. No newer value was committed before the read began: a majority would have accepted it under a higher ballot,
-// and at least one voter of that majority has replied. So a read writes nothing unless the votes differ; in that case it
-// commits the newest value again, under a ballot of its own. The same holds for promises: if a majority reports one ballot,
-// the value needs no further acceptance, and a change that was already applied, or that conflicts, gets its verdict after
-// one round trip. A learned vote does not count here, as the voter that holds it may have promised a higher ballot before.
+// and at least one voter of that majority has replied. So a read writes nothing unless the votes differ; in that case the
+// newest value is committed again in a round with its own ballot. The same holds for promises: if a majority reports votes
+// under one ballot, the value need not be accepted again, and a change that was already applied, or that conflicts, gets
+// its verdict after one round trip. A learned vote does not count here, as the voter that holds it may have promised a
+// higher ballot before it lost its disk.
 type Round struct {
 	State         RoundState
-	Verdict       Verdict  // once Done
-	Value         Value    // once Done: the newest committed
-	HighestBallot Ballot   // the highest that the replies report as promised
-	NewerVoters   VoterSet // once Stale, or Done by a change of the voters
+	Verdict       Verdict  // the verdict on the change; valid once Done
+	Value         Value    // the newest committed value; valid once Done
+	HighestBallot Ballot   // the highest ballot that the replies report as promised
+	NewerVoters   VoterSet // the newer decided voter set; set once Stale, or Done after a change of the voters
 
 	voterSet       VoterSet
-	jointVoters    []string // voters of the next epoch, of whom a majority is needed as well (a joint step); nil for none
-	ballot         Ballot   // zero for a read
-	change         *Change  // nil for none
-	knownVote      Vote     // a committed vote: the caller's, and once Done, or Stale by this round's own value, the newest
-	pendingVerdict Verdict  // holds once proposal is committed
-	proposal       Value
-	replies        map[string]*Reply // of the current phase, by voter
+	jointVoters    []string          // voters of the next epoch, of which a majority is needed as well (a joint step); nil for none
+	ballot         Ballot            // the zero Ballot for a read
+	change         *Change           // nil for a round that changes nothing
+	knownVote      Vote              // the newest vote known to be committed: the caller's, or the one that this round found or committed
+	pendingVerdict Verdict           // the verdict that becomes valid once proposal is committed
+	proposal       Value             // the value to be accepted
+	replies        map[string]*Reply // the replies of the current phase, by voter
 }
 
-// NewReadRound starts a round that only reads, and returns the request to send. known is the newest committed vote whose
-// value the caller has, so that replies need not carry it.
+// NewReadRound starts a round that reads without a ballot, and returns the request to send. known is the newest committed
+// vote whose value the caller has, so that the replies may omit that value.
 func NewReadRound(voters VoterSet, known Vote) (*Round, *Request) {
 	r := &Round{State: Reading, voterSet: voters, knownVote: known, replies: map[string]*Reply{}}
 	return r, &Request{Kind: ReadVote, KnownBallot: known.Ballot, Epoch: voters.Epoch, VoterSet: voters}
 }
 
-// NewRound starts a round under a ballot that was never used, and returns the request to send. Without a change the round
-// commits the newest value again. known is as for NewReadRound.
+// NewRound starts a round with a ballot that was never used, and returns the request to send. If change is nil, the round
+// commits the newest value again, if necessary. known is as for NewReadRound.
 func NewRound(voters VoterSet, ballot Ballot, change *Change, known Vote) (*Round, *Request) {
 	r := &Round{State: Preparing, voterSet: voters, ballot: ballot, change: change, knownVote: known, replies: map[string]*Reply{}}
 	return r, r.prepareRequest()
@@ -80,10 +82,11 @@
 // VoterSet returns the voter set under which the round runs.
 func (r *Round) VoterSet() VoterSet { return r.voterSet }
 
-// CommittedVote returns the newest vote that is known to be committed, once the round has ended.
+// CommittedVote returns the newest vote that is known to be committed when the round has ended: the one that the round found
+// or committed, or else the caller's.
 func (r *Round) CommittedVote() Vote { return r.knownVote }
 
-// Recipients returns the nodes to which the round's requests go: its voters, and those of a joint step.
+// Recipients returns the nodes to send the round's requests to: its voters, and in a joint step those of the next epoch.
 func (r *Round) Recipients() []string {
 	nodes := slices.Clone(r.voterSet.Voters)
 	for _, voter := range r.jointVoters {
@@ -99,8 +102,8 @@
 	return r.State == Done || r.State == Preempted || r.State == Inconclusive || r.State == Stale
 }
 
-// StopWaiting ends a round in progress without further replies: a read with replies of a majority is Inconclusive, and
-// any other round Preempted.
+// StopWaiting ends a round that is still in progress: a read to which a majority has replied becomes Inconclusive, any other
+// round Preempted.
 func (r *Round) StopWaiting() {
 	switch {
 	case r.Finished():
@@ -111,8 +114,8 @@
 	}
 }
 
-// Step takes a voter's reply and returns the next request to send to all Recipients, nil for none. Replies that do not
-// belong to the round's current phase have no effect.
+// Step processes a voter's reply and returns the next request to send to all Recipients, or nil if there is none. Replies
+// that do not belong to the round's current phase have no effect.
 func (r *Round) Step(node string, reply *Reply) *Request {
 	if r.Finished() || reply.Ballot != r.ballot || r.replies[node] != nil || !slices.Contains(r.Recipients(), node) {
 		return nil
@@ -135,7 +138,8 @@
 	return nil
 }
 
-// advance moves the round to its next state if the newest reply completes a quorum.
+// advance moves the round to its next state if the newest reply completes a quorum or shows a newer decided voter set. It
+// returns the next request to send, or nil if there is none.
 func (r *Round) advance(newest *Reply) *Request {
 	if voted := &newest.Vote.Value.VoterSet; voted.Epoch > r.voterSet.Epoch+1 {
 		r.becomeStale(voted.previousSet())
@@ -156,14 +160,15 @@
 	return nil
 }
 
-// concludeRead ends a read to which a majority has replied, unless further replies may make it definite.
+// concludeRead ends a read to which a majority has replied, unless the outstanding replies could still show that the newest
+// vote is committed.
 func (r *Round) concludeRead(counted map[string]*Reply) {
 	newest, committed := r.newestVote(counted)
 	switch epoch := newest.Value.VoterSet.Epoch; {
 	case epoch < r.voterSet.Epoch:
-		r.State = Preempted // impossible: a majority of these voters has accepted a value of their epoch
+		r.State = Preempted // cannot happen: a majority of these voters has accepted a value of their epoch
 	case epoch > r.voterSet.Epoch:
-		r.State = Inconclusive // the newer voter set may be decided, or not
+		r.State = Inconclusive // the newer voter set may or may not be decided
 	case committed:
 		r.becomeDone(newest)
 	case len(r.replies) == len(r.voterSet.Voters) || !r.agreementPossible(counted):
@@ -171,14 +176,15 @@
 	}
 }
 
-// concludePrepare returns the request that follows the promises of a majority. If the newest vote has a newer voter set, a
-// majority of that set has to promise as well; voters that have already promised repeat their promise.
+// concludePrepare handles the promises of a quorum and returns the next request, or nil if there is none. If the newest vote
+// has a newer voter set, a majority of that set has to promise as well, so Prepare is sent again to all recipients; voters
+// that have already promised repeat their promise.
 func (r *Round) concludePrepare(counted map[string]*Reply) *Request {
 	newest, committed := r.newestVote(counted)
 	next := &newest.Value.VoterSet
 	switch {
 	case next.Epoch < r.voterSet.Epoch:
-		r.State = Preempted // impossible, as in concludeRead
+		r.State = Preempted // cannot happen, as in concludeRead
 		return nil
 	case next.Epoch == r.voterSet.Epoch:
 		r.jointVoters = nil
@@ -191,12 +197,12 @@
 	return r.propose(newest, committed)
 }
 
-// propose evaluates the change on the newest value, once there are enough promises, and returns the request to accept the
-// outcome, or nil if the outcome is already committed.
+// propose evaluates the change on the newest value, once there is a quorum of promises. It returns the request to accept the
+// resulting value, or nil if that value is already committed and the round is Done.
 func (r *Round) propose(newest Vote, committed bool) *Request {
 	r.proposal = newest.Value
 	if r.jointVoters != nil {
-		// The value stays as it is until its voter set is decided.
+		// The round only commits the value again: its voter set must be decided before the value may change.
 		r.change = nil
 		committed = false
 	}
@@ -218,7 +224,7 @@
 	return &Request{Kind: Accept, Ballot: r.ballot, Value: r.proposal, Epoch: r.voterSet.Epoch, VoterSet: r.voterSet}
 }
 
-// concludeAccept ends a round whose proposal has its majorities.
+// concludeAccept ends a round whose proposal a quorum has accepted.
 func (r *Round) concludeAccept() {
 	vote := Vote{Ballot: r.ballot, Value: r.proposal}
 	if r.jointVoters == nil {
@@ -230,12 +236,12 @@
 		r.becomeDone(vote)
 		return
 	}
-	// The round completed another's change of the voters; its own change has to be made under them.
+	// The round completed another proposer's change of the voters. Its own change, if any, needs a round under the new voters.
 	r.State = Stale
 	r.knownVote = vote
 }
 
-// becomeStale ends the round if the voter set, which is decided, is newer than the round's.
+// becomeStale ends the round if decided, a voter set that is known to be decided, is newer than the round's.
 func (r *Round) becomeStale(decided VoterSet) {
 	if decided.Epoch > r.voterSet.Epoch {
 		r.State = Stale
@@ -243,7 +249,7 @@
 	}
 }
 
-// becomeDone ends the round with a committed vote.
+// becomeDone ends the round as Done with the value of a committed vote.
 func (r *Round) becomeDone(committed Vote) {
 	r.State = Done
 	r.Verdict = r.pendingVerdict
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -10,33 +10,34 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// explore takes all sequences of up to depth steps, checks each state, and returns the number of states.
-func explore(t *testing.T, start *world, depth int) int {
+// explore takes all sequences of up to depth steps from a start, checks the guarantees in each state that they reach, and
+// returns the number of different states.
+func explore(t *testing.T, start *cluster, depth int) int {
 	t.Helper()
 	type node struct {
-		world *world
-		path  []byte
+		cluster *cluster
+		path    []byte
 	}
 	seen := map[uint64]bool{start.key(): true}
-	level := []node{{world: start}}
+	level := []node{{cluster: start}}
 	for ; depth > 0 && len(level) > 0; depth-- {
 		var next []node
 		for _, reached := range level {
-			for step := range reached.world.steps() {
-				world := reached.world.clone()
-				if !world.step(step) {
+			for step := range reached.cluster.steps() {
+				cluster := reached.cluster.clone()
+				if !cluster.step(step) {
 					continue
 				}
-				key := world.key()
+				key := cluster.key()
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
 				path := append(slices.Clone(reached.path), byte(step))
-				if fault := world.fault(); fault != "" {
-					t.Fatalf("%s after steps %v", fault, path)
+				if violation := cluster.violation(); violation != "" {
+					t.Fatalf("guarantee violated: %s, after steps %v", violation, path)
 				}
-				next = append(next, node{world, path})
+				next = append(next, node{cluster, path})
 			}
 		}
 		level = next
@@ -44,28 +45,29 @@
 	return len(seen)
 }
 
-// playRandom takes random sequences of steps to their ends, and returns the number of conclusions.
-func playRandom(t *testing.T, start *world, runs int) (conclusions int) {
+// runRandom takes random sequences of up to 200 steps from a start, checks the guarantees after each conclusion and after every
+// 20th step, and returns the number of conclusions.
+func runRandom(t *testing.T, start *cluster, runs int) (conclusions int) {
 	t.Helper()
 	for seed := range runs {
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
-		world := start.clone()
-		for step := 0; step < 200 && world.steps() > 0; step++ {
-			before := len(world.conclusions)
-			world.step(rng.IntN(world.steps()))
-			if len(world.conclusions) == before && step%20 != 19 {
+		cluster := start.clone()
+		for step := 0; step < 200 && cluster.steps() > 0; step++ {
+			before := len(cluster.conclusions)
+			cluster.step(rng.IntN(cluster.steps()))
+			if len(cluster.conclusions) == before && step%20 != 19 {
 				continue
 			}
-			if fault := world.fault(); fault != "" {
-				t.Fatalf("%s in run %d", fault, seed)
+			if violation := cluster.violation(); violation != "" {
+				t.Fatalf("guarantee violated: %s, in run %d", violation, seed)
 			}
 		}
-		conclusions += len(world.conclusions)
+		conclusions += len(cluster.conclusions)
 	}
 	return conclusions
 }
 
-// firstVoterSet returns the voter set of n voters v0, v1 and so on.
+// firstVoterSet returns the voter set of epoch 0 with n voters v0, v1 and so on.
 func firstVoterSet(n int) (voters VoterSet) {
 	for i := range n {
 		voters.Voters = append(voters.Voters, fmt.Sprint("v", i))
@@ -73,7 +75,7 @@
 	return voters
 }
 
-// voterChanges returns the last of several changes of a voter set, each of which is made to the outcome of the one before.
+// voterChanges applies several changes to a voter set, one after the other, and returns the last of them as a Change.
 func voterChanges(voters VoterSet, changes ...VoterChange) *Change {
 	var last *Change
 	for _, change := range changes {
@@ -83,62 +85,64 @@
 	return last
 }
 
-// playRound starts a proposer's round, and delivers messages between it and some voters until it is Done.
-func (w *world) playRound(proposer int, voters ...int) *world {
-	w.propose(proposer)
-	for w.proposers[proposer].round.State != Done {
-		before := len(w.inFlight)
+// runRound starts a proposer's round, and delivers messages between the proposer and some voters until the round is Done.
+func (c *cluster) runRound(proposer int, voters ...int) *cluster {
+	c.propose(proposer)
+	for c.proposers[proposer].round.State != Done {
+		before := len(c.inFlight)
 		for _, voter := range voters {
 			isNext := func(message message) bool { return message.proposer == proposer && message.voter == voter }
-			if i := slices.IndexFunc(w.inFlight, isNext); i >= 0 {
-				w.step(2 * i)
+			if i := slices.IndexFunc(c.inFlight, isNext); i >= 0 {
+				c.step(2 * i)
 			}
 		}
-		if len(w.inFlight) == before {
-			panic("the round doesn't end")
+		if len(c.inFlight) == before {
+			panic("the round is not done, and has no message in flight to the given voters")
 		}
 	}
-	return w
+	return c
 }
 
 // dropMessages drops all messages in flight.
-func (w *world) dropMessages() *world {
-	w.inFlight = nil
-	return w
+func (c *cluster) dropMessages() *cluster {
+	c.inFlight = nil
+	return c
 }
 
+// Three changes, of which the first two have the same base.
 var (
-	one   = NewChange(0, 1, []byte("one"))
-	two   = NewChange(0, 2, []byte("two"))
-	three = NewChange(1, 3, []byte("three"))
+	change0to1 = NewChange(0, 1, []byte("one"))
+	change0to2 = NewChange(0, 2, []byte("two"))
+	change1to3 = NewChange(1, 3, []byte("three"))
 )
 
-// startRound starts a proposer's round, and delivers its first request to two voters.
-func (w *world) startRound(proposer, a, b int) *world {
-	w.propose(proposer)
-	w.deliverTo(proposer, a)
-	w.deliverTo(proposer, b)
-	return w
+// startRound starts a proposer's round, and delivers its first request to the voters a and b and their replies to it.
+func (c *cluster) startRound(proposer, a, b int) *cluster {
+	c.propose(proposer)
+	c.deliverTo(proposer, a)
+	c.deliverTo(proposer, b)
+	return c
 }
 
-// deliverTo delivers the newest request of a proposer to a voter.
-func (w *world) deliverTo(proposer, voter int) {
+// deliverTo delivers the newest request of a proposer to a voter, and the reply to the proposer.
+func (c *cluster) deliverTo(proposer, voter int) {
 	newest := -1
-	for i, message := range w.inFlight {
+	for i, message := range c.inFlight {
 		if message.proposer == proposer && message.voter == voter && (newest < 0 || message.request.Kind == Accept) {
 			newest = i
 		}
 	}
-	w.step(2 * newest)
+	c.step(2 * newest)
 }
 
-// learnedVote returns a world in which the recovery of the voter that may lose its disk learns a vote below its last promise.
-func learnedVote() *world {
-	w := newWorld(3, 1, []int{1, 1, 1}, one, two, nil).startRound(0, 0, 1)
-	w.deliverTo(0, 0)
-	return w.startRound(1, 1, 2)
+// learnedVote returns a cluster in which a voter that loses its disk may recover with a vote below its last promise.
+func learnedVote() *cluster {
+	c := newCluster(3, 1, []int{1, 1, 1}, change0to1, change0to2, nil).startRound(0, 0, 1)
+	c.deliverTo(0, 0)
+	return c.startRound(1, 1, 2)
 }
 
+// Changes of the voters. The names state the steps from the voters v0, v1 and v2; the Change is the last step.
 var (
 	addV3       = voterChanges(firstVoterSet(3), VoterChange{Add: "v3"})
 	addV4       = voterChanges(firstVoterSet(3), VoterChange{Add: "v3"}, VoterChange{Add: "v4"})
@@ -148,105 +152,105 @@
 	addV3dropV0 = voterChanges(firstVoterSet(3), VoterChange{Add: "v3"}, VoterChange{Remove: "v0"})
 )
 
-// outOfDate returns a world in which v3 was added and then v0 removed. v1 to v3 took part in both changes, v0 in neither. A
-// proposer that only knows the first voter set races with one that knows the last.
-func outOfDate() *world {
-	w := newWorldWithStandbys(3, 4, 0, []int{1, 1, 2, 1}, addV3, addV3dropV0, one, two).playRound(0, 1, 2, 3).dropMessages()
-	w.proposers[1].knownVoters = *addV3.nextVoters
-	w.playRound(1, 1, 2, 3).dropMessages()
-	w.proposers[3].knownVoters = *addV3dropV0.nextVoters
-	return w
+// staleProposer returns a cluster in which v3 was added and then v0 removed. v1 to v3 took part in both changes, v0 in neither.
+// A proposer that only knows the first voter set and one that knows the last make changes concurrently.
+func staleProposer() *cluster {
+	c := newClusterWithStandbys(3, 4, 0, []int{1, 1, 2, 1}, addV3, addV3dropV0, change0to1, change0to2).runRound(0, 1, 2, 3).dropMessages()
+	c.proposers[1].knownVoters = *addV3.nextVoters
+	c.runRound(1, 1, 2, 3).dropMessages()
+	c.proposers[3].knownVoters = *addV3dropV0.nextVoters
+	return c
 }
 
-// comesBack returns a world in which v3 was removed without its knowledge. A proposer that only knows the old voter set
-// races with one that knows the new one.
-func comesBack() *world {
+// removedVoterReturns returns a cluster in which v3 was removed and has not learned of it. A proposer that only knows the old
+// voter set and one that knows the new one make changes concurrently.
+func removedVoterReturns() *cluster {
 	drop := voterChanges(firstVoterSet(4), VoterChange{Remove: "v3"})
-	w := newWorldWithStandbys(4, 4, 0, []int{1, 2, 1}, drop, one, two).playRound(0, 0, 1, 2).dropMessages()
-	w.proposers[2].knownVoters = *drop.nextVoters
-	return w
+	c := newClusterWithStandbys(4, 4, 0, []int{1, 2, 1}, drop, change0to1, change0to2).runRound(0, 0, 1, 2).dropMessages()
+	c.proposers[2].knownVoters = *drop.nextVoters
+	return c
 }
 
-// rivalVoterSet returns a world in which one voter accepted a voter set that was not chosen, and a proposer has seen that. Then
-// another voter set was chosen without that voter; the two sets have majorities that share no voter.
-func rivalVoterSet() *world {
+// rivalVoterSet returns a cluster in which one voter accepted a voter set that was not chosen, and a proposer has learned of
+// that vote. Then another voter set was chosen without that voter. The two sets have majorities that share no voter.
+func rivalVoterSet() *cluster {
 	drop := voterChanges(firstVoterSet(4), VoterChange{Remove: "v3"})
 	add := voterChanges(firstVoterSet(4), VoterChange{Add: "v4"})
-	w := newWorldWithStandbys(4, 5, 0, []int{1, 1, 1, 2}, add, drop, one, two).startRound(0, 1, 2)
-	w.deliverTo(0, 3)
-	w.deliverTo(0, 3)
-	w.proposers[3].ballotNumber = 1
-	w.startRound(3, 1, 2).deliverTo(3, 3)
-	w.proposers[1].ballotNumber = 2
-	w.playRound(1, 0, 1, 2).dropMessages()
-	w.proposers[2].knownVoters = *drop.nextVoters
-	w.proposers[2].ballotNumber = 3
-	w.proposers[3].ballotNumber = 4
-	return w
+	c := newClusterWithStandbys(4, 5, 0, []int{1, 1, 1, 2}, add, drop, change0to1, change0to2).startRound(0, 1, 2)
+	c.deliverTo(0, 3)
+	c.deliverTo(0, 3)
+	c.proposers[3].ballotNumber = 1
+	c.startRound(3, 1, 2).deliverTo(3, 3)
+	c.proposers[1].ballotNumber = 2
+	c.runRound(1, 0, 1, 2).dropMessages()
+	c.proposers[2].knownVoters = *drop.nextVoters
+	c.proposers[2].ballotNumber = 3
+	c.proposers[3].ballotNumber = 4
+	return c
 }
 
-// lostWhileAdded returns a world in which v3 is being added, and may lose its disk meanwhile.
-func lostWhileAdded() *world {
-	w := newWorldWithStandbys(3, 4, 1, []int{1, 1, 1}, voterChanges(firstVoterSet(3), VoterChange{Add: "v3"}), one, two)
-	w.propose(0)
-	w.deliverTo(0, 0)
-	w.deliverTo(0, 1)
-	w.deliverTo(0, 3)
-	return w
+// diskLostDuringAdd returns a cluster in which v3 is being added, and may lose its disk at any time.
+func diskLostDuringAdd() *cluster {
+	c := newClusterWithStandbys(3, 4, 1, []int{1, 1, 1}, voterChanges(firstVoterSet(3), VoterChange{Add: "v3"}), change0to1, change0to2)
+	c.propose(0)
+	c.deliverTo(0, 0)
+	c.deliverTo(0, 1)
+	c.deliverTo(0, 3)
+	return c
 }
 
-// exchanging returns a world in which v0 is being exchanged for v3. Two voters have promised, a and b have received the next
-// request, and the loser may lose its disk.
-func exchanging(loser, a, b int) *world {
-	w := newWorldWithStandbys(3, 4, 0, []int{1, 1, 1}, swapV0, one, two).mayLose(loser, 1)
-	w.startRound(0, 1, 2)
-	w.deliverTo(0, a)
-	w.deliverTo(0, b)
-	return w
+// exchangeInProgress returns a cluster in which v0 is being exchanged for v3. Two voters have promised, and a and b have
+// received the next request. faultyVoter may lose its disk.
+func exchangeInProgress(faultyVoter, a, b int) *cluster {
+	c := newClusterWithStandbys(3, 4, 0, []int{1, 1, 1}, swapV0, change0to1, change0to2).withDiskLosses(faultyVoter, 1)
+	c.startRound(0, 1, 2)
+	c.deliverTo(0, a)
+	c.deliverTo(0, b)
+	return c
 }
 
-// rivalExchange returns a world in which v1 accepted a voter set with v3 in place of v0 that was not chosen, and a set with v3 in
-// place of v2 is about to be chosen: v3 has accepted it, and may lose its disk. A majority of either set without v3 need not
-// include a voter that accepted the other.
-func rivalExchange() *world {
-	w := newWorldWithStandbys(3, 4, 0, []int{1, 1, 1, 1}, voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v0"}),
-		voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v2"}), one, two).mayLose(3, 1)
-	w.startRound(0, 0, 1)
-	w.deliverTo(0, 1)
-	w.proposers[1].ballotNumber = 1
-	w.startRound(1, 0, 2)
-	w.deliverTo(1, 3)
-	return w
+// rivalExchange returns a cluster in which v1 accepted a voter set with v3 in place of v0 that was not chosen, and a set with v3
+// in place of v2 is about to be chosen: v3 has accepted it, and may lose its disk. A majority of either set without v3 need
+// not include a voter that accepted the other set.
+func rivalExchange() *cluster {
+	c := newClusterWithStandbys(3, 4, 0, []int{1, 1, 1, 1}, voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v0"}),
+		voterChanges(firstVoterSet(3), VoterChange{Add: "v3", Remove: "v2"}), change0to1, change0to2).withDiskLosses(3, 1)
+	c.startRound(0, 0, 1)
+	c.deliverTo(0, 1)
+	c.proposers[1].ballotNumber = 1
+	c.startRound(1, 0, 2)
+	c.deliverTo(1, 3)
+	return c
 }
 
-// All sequences of steps, up to a depth, keep the guarantees that world.fault checks.
+// No sequence of steps up to a depth violates the guarantees that cluster.violation checks.
 func TestAllOrders(t *testing.T) {
-	behind := newWorldWithStandbys(3, 4, 0, []int{1, 1, 2}, addV3, one, two).playRound(0, 0, 1, 3).dropMessages()
-	exchanged := newWorldWithStandbys(3, 4, 0, []int{1, 2, 1}, swapV0, one, two).playRound(0, 1, 2, 3).dropMessages()
+	behind := newClusterWithStandbys(3, 4, 0, []int{1, 1, 2}, addV3, change0to1, change0to2).runRound(0, 0, 1, 3).dropMessages()
+	exchanged := newClusterWithStandbys(3, 4, 0, []int{1, 2, 1}, swapV0, change0to1, change0to2).runRound(0, 1, 2, 3).dropMessages()
 	for name, test := range map[string]struct {
-		start *world
+		start *cluster
 		depth int
 	}{
-		"two changes on a base":     {newWorld(3, 0, []int{1, 1}, one, two), 100},
-		"one tries again":           {newWorld(3, 0, []int{2, 1}, one, two), 10},
-		"a lost disk":               {newWorld(3, 1, []int{1, 1}, one, two).startRound(0, 0, 1), 9},
-		"a lost disk, and a reader": {learnedVote(), 7},
+		"two changes with the same base": {newCluster(3, 0, []int{1, 1}, change0to1, change0to2), 100},
+		"one proposer tries again":       {newCluster(3, 0, []int{2, 1}, change0to1, change0to2), 10},
+		"a lost disk":                    {newCluster(3, 1, []int{1, 1}, change0to1, change0to2).startRound(0, 0, 1), 9},
+		"a lost disk, and a reader":      {learnedVote(), 7},
 
-		"a voter is added":               {newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, addV3), 8},
-		"a voter is removed":             {newWorldWithStandbys(3, 3, 0, []int{1, 1}, one, dropV2), 9},
-		"one is added, another removed":  {newWorldWithStandbys(3, 4, 0, []int{1, 1}, addV3, dropV2), 8},
-		"a proposer that is out of date": {behind, 7},
-		"two epochs out of date":         {outOfDate(), 7},
-		"a removed voter comes back":     {comesBack(), 7},
-		"a rival list that one has":      {rivalVoterSet(), 8},
-		"a lost disk while one is added": {lostWhileAdded(), 6},
+		"a voter is added":                     {newClusterWithStandbys(3, 4, 0, []int{1, 1}, change0to1, addV3), 8},
+		"a voter is removed":                   {newClusterWithStandbys(3, 3, 0, []int{1, 1}, change0to1, dropV2), 9},
+		"one is added, another removed":        {newClusterWithStandbys(3, 4, 0, []int{1, 1}, addV3, dropV2), 8},
+		"a proposer one epoch out of date":     {behind, 7},
+		"a proposer two epochs out of date":    {staleProposer(), 7},
+		"a removed voter returns":              {removedVoterReturns(), 7},
+		"one voter accepted a rival voter set": {rivalVoterSet(), 8},
+		"a lost disk while a voter is added":   {diskLostDuringAdd(), 6},
 
-		"a voter is exchanged":              {newWorldWithStandbys(3, 4, 0, []int{1, 1}, one, swapV0), 8},
-		"two exchanges race":                {newWorldWithStandbys(3, 4, 0, []int{1, 1}, swapV0, swapV1), 8},
-		"who joins loses its disk":          {exchanging(3, 1, 3), 6},
-		"who joins loses its disk, rival":   {rivalExchange(), 6},
-		"who stays loses its disk":          {exchanging(1, 1, 3), 6},
-		"who was exchanged, and knows less": {exchanged, 7},
+		"a voter is exchanged":                          {newClusterWithStandbys(3, 4, 0, []int{1, 1}, change0to1, swapV0), 8},
+		"two concurrent exchanges":                      {newClusterWithStandbys(3, 4, 0, []int{1, 1}, swapV0, swapV1), 8},
+		"the new voter loses its disk":                  {exchangeInProgress(3, 1, 3), 6},
+		"the new voter loses its disk, rival voter set": {rivalExchange(), 6},
+		"a remaining voter loses its disk":              {exchangeInProgress(1, 1, 3), 6},
+		"a removed voter that did not learn of it":      {exchanged, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			states := explore(t, test.start, test.depth)
@@ -256,24 +260,24 @@
 	}
 }
 
-// Long random sequences of steps keep the same guarantees.
+// No long random sequence of steps violates the same guarantees.
 func TestRandomOrders(t *testing.T) {
-	for name, start := range map[string]*world{
-		"a change twice, and another": newWorld(3, 0, []int{3, 3, 3}, one, two, one),
-		"a base that comes later":     newWorld(3, 0, []int{3, 3, 3}, one, three, three),
-		"a lost disk":                 newWorld(3, 2, []int{3, 3, 3}, one, two, nil),
-		"a lost disk of four":         newWorld(4, 2, []int{3, 3, 3}, one, two, nil),
-		"a lost disk of five":         newWorld(5, 2, []int{3, 3, 3}, one, two, nil),
+	for name, start := range map[string]*cluster{
+		"a change by two proposers, and another change": newCluster(3, 0, []int{3, 3, 3}, change0to1, change0to2, change0to1),
+		"a change whose base is committed later":        newCluster(3, 0, []int{3, 3, 3}, change0to1, change1to3, change1to3),
+		"a lost disk":                                   newCluster(3, 2, []int{3, 3, 3}, change0to1, change0to2, nil),
+		"a lost disk of four voters":                    newCluster(4, 2, []int{3, 3, 3}, change0to1, change0to2, nil),
+		"a lost disk of five voters":                    newCluster(5, 2, []int{3, 3, 3}, change0to1, change0to2, nil),
 	} {
 		t.Run(name, func(t *testing.T) {
-			conclusions := playRandom(t, start, 2000)
+			conclusions := runRandom(t, start, 2000)
 			t.Logf("%d conclusions", conclusions)
 		})
 	}
 }
 
-// While the voters change, random sequences of steps in which most messages arrive, so that rounds end and epochs follow one
-// another, keep the same guarantees.
+// No random sequence of steps with changes of the voters violates the same guarantees. Most messages arrive, so that rounds end
+// and one epoch follows another.
 func TestRandomOrdersOfMoves(t *testing.T) {
 	runs := 1000
 	if os.Getenv("SOAK") != "" {
@@ -289,33 +293,45 @@
 	dropOneOfFive := voterChanges(five, VoterChange{Remove: "v4"})
 	dropTwoOfFive := voterChanges(five, VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"})
 	dropThreeOfFive := voterChanges(five, VoterChange{Remove: "v4"}, VoterChange{Remove: "v3"}, VoterChange{Remove: "v2"})
-	for name, start := range map[string]*world{
-		"three become five":             newWorldWithStandbys(3, 5, 0, attempts, one, addV3, addV4, two, three),
-		"three become five, a disk":     newWorldWithStandbys(3, 5, 0, attempts, one, addV3, addV4, two, three).mayLose(0, 2),
-		"voters are exchanged":          newWorldWithStandbys(3, 4, 0, attempts, one, addV3, addV3dropV0, two, three),
-		"voters are exchanged, a disk":  newWorldWithStandbys(3, 4, 0, attempts, one, addV3, addV3dropV0, two, three).mayLose(1, 2),
-		"exchanged in one step":         newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapV1, two, three),
-		"exchanged, who joins, a disk":  newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapV1, two, three).mayLose(3, 2),
-		"exchanged, who stays, a disk":  newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapTwice, two, three).mayLose(2, 2),
-		"exchanged, who leaves, a disk": newWorldWithStandbys(3, 4, 0, attempts, one, swapV0, swapTwice, two, three).mayLose(0, 2),
-		"rivals of four":                newWorldWithStandbys(4, 5, 0, attempts, addV4ToFour, dropOneOfFour, one, two, three),
-		"rivals of four, a disk":        newWorldWithStandbys(4, 5, 0, attempts, addV4ToFour, dropOneOfFour, one, two, three).mayLose(0, 2),
-		"five become two":               newWorldWithStandbys(5, 5, 0, attempts, dropOneOfFive, dropTwoOfFive, dropThreeOfFive, one, two),
-		"rivals grow and shrink":        newWorldWithStandbys(4, 6, 0, attempts, addV4ToFour, dropOneOfFour, addTwoToFour, dropTwoOfFour, one),
+	for name, start := range map[string]*cluster{
+		"three become five": newClusterWithStandbys(3, 5, 0, attempts,
+			change0to1, addV3, addV4, change0to2, change1to3),
+		"three become five, one loses its disk": newClusterWithStandbys(3, 5, 0, attempts,
+			change0to1, addV3, addV4, change0to2, change1to3).withDiskLosses(0, 2),
+		"voters are exchanged": newClusterWithStandbys(3, 4, 0, attempts,
+			change0to1, addV3, addV3dropV0, change0to2, change1to3),
+		"voters are exchanged, one loses its disk": newClusterWithStandbys(3, 4, 0, attempts,
+			change0to1, addV3, addV3dropV0, change0to2, change1to3).withDiskLosses(1, 2),
+		"exchanged in one step": newClusterWithStandbys(3, 4, 0, attempts,
+			change0to1, swapV0, swapV1, change0to2, change1to3),
+		"exchanged in one step, the new voter loses its disk": newClusterWithStandbys(3, 4, 0, attempts,
+			change0to1, swapV0, swapV1, change0to2, change1to3).withDiskLosses(3, 2),
+		"exchanged in one step, a remaining voter loses its disk": newClusterWithStandbys(3, 4, 0, attempts,
+			change0to1, swapV0, swapTwice, change0to2, change1to3).withDiskLosses(2, 2),
+		"exchanged in one step, the removed voter loses its disk": newClusterWithStandbys(3, 4, 0, attempts,
+			change0to1, swapV0, swapTwice, change0to2, change1to3).withDiskLosses(0, 2),
+		"rival changes of four voters": newClusterWithStandbys(4, 5, 0, attempts,
+			addV4ToFour, dropOneOfFour, change0to1, change0to2, change1to3),
+		"rival changes of four voters, one loses its disk": newClusterWithStandbys(4, 5, 0, attempts,
+			addV4ToFour, dropOneOfFour, change0to1, change0to2, change1to3).withDiskLosses(0, 2),
+		"five become two": newClusterWithStandbys(5, 5, 0, attempts,
+			dropOneOfFive, dropTwoOfFive, dropThreeOfFive, change0to1, change0to2),
+		"rival changes grow and shrink the voter set": newClusterWithStandbys(4, 6, 0, attempts,
+			addV4ToFour, dropOneOfFour, addTwoToFour, dropTwoOfFour, change0to1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			conclusions := 0
 			runsByEpoch := map[uint64]int{}
 			for seed := range runs {
 				rng := rand.New(rand.NewPCG(uint64(seed), 2))
-				world := start.clone()
-				world.randomSteps(rng, 120)
-				if fault := world.fault(); fault != "" {
-					t.Fatalf("%s in run %d", fault, seed)
+				cluster := start.clone()
+				cluster.randomSteps(rng, 120)
+				if violation := cluster.violation(); violation != "" {
+					t.Fatalf("guarantee violated: %s, in run %d", violation, seed)
 				}
-				conclusions += len(world.conclusions)
+				conclusions += len(cluster.conclusions)
 				newest := uint64(0)
-				for _, conclusion := range world.conclusions {
+				for _, conclusion := range cluster.conclusions {
 					newest = max(newest, conclusion.value.VoterSet.Epoch)
 				}
 				runsByEpoch[newest]++
@@ -326,47 +342,47 @@
 	}
 }
 
-// mayLose allows a voter, and no other one, to lose its disk a number of times.
-func (w *world) mayLose(voter, losses int) *world {
-	w.loser = voter
-	w.diskLosses = losses
-	w.distinguished[w.voters[voter]] = true
-	return w
+// withDiskLosses allows one voter, and no other, to lose its disk a number of times.
+func (c *cluster) withDiskLosses(voter, losses int) *cluster {
+	c.faultyVoter = voter
+	c.diskLosses = losses
+	c.distinguished[c.voters[voter]] = true
+	return c
 }
 
-// randomSteps takes random steps, fewer if no further one is possible.
-func (w *world) randomSteps(rng *rand.Rand, steps int) {
+// randomSteps takes a number of random steps, or fewer if none is possible any more.
+func (c *cluster) randomSteps(rng *rand.Rand, steps int) {
 	for range steps {
-		if !w.randomStep(rng) {
+		if !c.randomStep(rng) {
 			return
 		}
 	}
 }
 
-// randomStep takes a random step, and reports whether one was possible. Most steps deliver a message and its reply.
-func (w *world) randomStep(rng *rand.Rand) bool {
+// randomStep takes a random step, and reports whether one was found. Most steps deliver a request and its reply.
+func (c *cluster) randomStep(rng *rand.Rand) bool {
 	for range 50 {
-		messages := len(w.inFlight)
+		messages := len(c.inFlight)
 		draw := rng.IntN(100)
 		switch {
 		case messages > 0 && draw < 70:
-			w.step(2 * rng.IntN(messages))
+			c.step(2 * rng.IntN(messages))
 			return true
 		case messages > 0 && draw < 74:
-			w.step(2*rng.IntN(messages) + 1)
+			c.step(2*rng.IntN(messages) + 1)
 			return true
 		case messages > 0 && draw < 80:
 			i := rng.IntN(messages)
-			w.inFlight = slices.Delete(w.inFlight, i, i+1)
+			c.inFlight = slices.Delete(c.inFlight, i, i+1)
 			return true
 		case draw < 97:
-			i := rng.IntN(len(w.proposers))
-			round := w.proposers[i].round
-			if (round == nil || round.Finished() || rng.IntN(4) == 0) && w.propose(i) {
+			i := rng.IntN(len(c.proposers))
+			round := c.proposers[i].round
+			if (round == nil || round.Finished() || rng.IntN(4) == 0) && c.propose(i) {
 				return true
 			}
-		case w.diskLosses > 0 && w.recoveries[w.loser] == nil:
-			return w.loseDisk(w.loser)
+		case c.diskLosses > 0 && c.recoveries[c.faultyVoter] == nil:
+			return c.loseDisk(c.faultyVoter)
 		}
 	}
 	return false
--- a/internal/mesh/control/consensus/systemid.go
+++ b/internal/mesh/control/consensus/systemid.go
@@ -2,12 +2,12 @@
 
 import "hash/fnv"
 
-// SystemID identifies a system. Voter sets and values of two systems must not mix, which could happen if a folder was
-// copied from elsewhere, or if an address now belongs to another system. The ID is derived from the voters of the system's
-// first start. Zero is unknown: records of earlier versions have no ID.
+// SystemID identifies a system: all processes that share one register. Voter sets and values of two systems must not mix,
+// which could happen if a data folder is copied from another system, or if an address now belongs to another system. The ID
+// is derived from the voters of the system's first start. Zero means unknown: records of earlier releases have no ID.
 type SystemID uint64
 
-// NewSystemID returns the ID of the system whose first voters are these. It is never zero.
+// NewSystemID returns the ID of the system whose first start had the given voters, in that order. It is never zero.
 func NewSystemID(voters []string) SystemID {
 	h := fnv.New64a()
 	for _, voter := range voters {
@@ -17,5 +17,5 @@
 	return SystemID(h.Sum64() | 1)
 }
 
-// Matches reports whether processes with the two IDs may belong to one system; an unknown ID matches any.
+// Matches reports whether processes with the two IDs may belong to the same system. An unknown ID matches any other.
 func (s SystemID) Matches(other SystemID) bool { return s == 0 || other == 0 || s == other }
--- a/internal/mesh/control/consensus/value.go
+++ b/internal/mesh/control/consensus/value.go
@@ -8,13 +8,13 @@
 )
 
 // Value is the register's content: the newest configuration, a bounded history of changes, and the voters. The zero Value
-// is that of a register in which nothing was ever chosen. A Value is immutable, as copies share its slices.
+// is the content of a register before anything was chosen. A Value must not be modified, as copies share its slices.
 type Value struct {
 	Version          configuration.Version
 	Body             []byte
-	History          []VersionDigest // the newest versions that were in force, oldest first, this one included; at most maxHistory
-	TruncatedVersion uint64          // the newest version that History may lack; 0: History is complete
-	Refused          []VersionDigest // refused changes whose base is a version still to come; at most maxRefused
+	History          []VersionDigest // the last versions up to this one, oldest first; at most maxHistory
+	TruncatedVersion uint64          // the newest version that may have been dropped from History; 0 if History is complete
+	Refused          []VersionDigest // refused changes whose base was above the newest version; at most maxRefused
 
 	VoterSet VoterSet
 }
@@ -32,8 +32,8 @@
 	visitor.Uint64(7, &v.TruncatedVersion)
 }
 
-// recordRefusal returns Conflict and the value that remembers a refused change whose base may still come. If v.Refused is
-// full, the refusal could be forgotten, so it returns Unknown and v.
+// recordRefusal returns Conflict and a copy of v with a refused change added to Refused. If v.Refused is full, it returns
+// Unknown and v: a refusal that is not stored must not be reported, as a later value may have the change's base.
 func (v *Value) recordRefusal(entry VersionDigest) (Verdict, *Value) {
 	if len(v.Refused) >= maxRefused {
 		return Unknown, v
@@ -43,7 +43,7 @@
 	return Conflict, &next
 }
 
-// successor returns the value in which a change to v is in force.
+// successor returns the value that results from applying a change to v.
 func (v *Value) successor(body []byte, entry VersionDigest) *Value {
 	next := Value{
 		Version:          configuration.Version(entry.Version),
@@ -64,5 +64,5 @@
 	return &next
 }
 
-// lastEntries returns a copy of the last n elements, or of all if there are fewer.
+// lastEntries returns a copy of the last n elements of list, or of all elements if there are fewer.
 func lastEntries[T any](list []T, n int) []T { return append([]T{}, list[max(0, len(list)-n):]...) }
--- a/internal/mesh/control/consensus/value_test.go
+++ b/internal/mesh/control/consensus/value_test.go
@@ -17,7 +17,7 @@
 	return NewChange(configuration.Version(n-1), configuration.Version(n), fmt.Appendf(nil, "body %d", n))
 }
 
-// valueAfter returns the value after the first changes of nthChange.
+// valueAfter returns the value after the given number of changes, the first ones of nthChange.
 func valueAfter(c *qt.C, orders int) *Value {
 	value := &Value{VoterSet: firstVoterSet(3)}
 	for n := 1; n <= orders; n++ {
@@ -28,7 +28,8 @@
 	return value
 }
 
-// A repeat of a change, however old, is Committed or Unknown. A change that certainly was never in force stays a Conflict.
+// The verdict on a repeated change is Committed or Unknown, however old the change is. The verdict on a change that certainly
+// was never applied is Conflict.
 func TestBoundedHistory(t *testing.T) {
 	c := qt.New(t)
 	const orders = 1000
@@ -49,15 +50,15 @@
 		base, version configuration.Version
 		verdict       Verdict
 	}{
-		"on the newest":                          {orders, orders + 1, Committed},
-		"on the newest, with a higher number":    {orders, orders + 50, Committed},
-		"on the newest, with its number":         {orders, orders, Conflict},
-		"on an older version":                    {orders - 1, orders + 1, Conflict},
-		"on a forgotten version, above the rest": {3, orders + 1, Conflict},
-		"a remembered number with another body":  {orders - 2, orders - 1, Conflict},
-		"the oldest remembered number":           {3, orders - maxHistory + 1, Conflict},
-		"a forgotten number":                     {3, orders - maxHistory, Unknown},
-		"a forgotten number, not above its base": {4, 3, Conflict},
+		"base is the newest version":                                      {orders, orders + 1, Committed},
+		"base is the newest version, version skips some":                  {orders, orders + 50, Committed},
+		"base is the newest version, which is also its version":           {orders, orders, Conflict},
+		"base is an older version":                                        {orders - 1, orders + 1, Conflict},
+		"base was dropped from the history, version is above all":         {3, orders + 1, Conflict},
+		"version is in the history with another body":                     {orders - 2, orders - 1, Conflict},
+		"version is the oldest in the history":                            {3, orders - maxHistory + 1, Conflict},
+		"version was dropped from the history":                            {3, orders - maxHistory, Unknown},
+		"version was dropped from the history, and is not above its base": {4, 3, Conflict},
 	} {
 		t.Run(name, func(t *testing.T) {
 			verdict, _ := NewChange(test.base, test.version, body).evaluate(value)
@@ -66,7 +67,7 @@
 	}
 }
 
-// A refusal that was reported outlasts all that follows; with no room left to remember one, none is reported.
+// A reported refusal stays valid under all later versions. When there is no room to store a refusal, none is reported.
 func TestRefusalsAreRemembered(t *testing.T) {
 	c := qt.New(t)
 	value := valueAfter(c, 1)
@@ -83,13 +84,13 @@
 		verdict, value = nthChange(n).evaluate(value)
 		c.Assert(verdict, qt.Equals, Committed)
 	}
-	for i := range maxRefused { // their base is here now
+	for i := range maxRefused { // the base of these changes is the newest version now
 		verdict, same = ahead(i).evaluate(value)
-		c.Assert(verdict, qt.Equals, Conflict, qt.Commentf("%d", i))
+		c.Assert(verdict, qt.Equals, Conflict, qt.Commentf("verdict on refused change %d", i))
 		c.Assert(same, qt.Equals, value)
 	}
 	verdict, value = ahead(maxRefused).evaluate(value)
-	c.Assert(verdict, qt.Equals, Committed) // it was never refused
+	c.Assert(verdict, qt.Equals, Committed) // the change was never refused
 	c.Assert(value.Refused, qt.HasLen, 0)   // version 164 rules out all of them
 	for i := range maxRefused {
 		verdict, _ = ahead(i).evaluate(value)
@@ -97,7 +98,7 @@
 	}
 }
 
-// The bytes that a value needs beside its body stop growing with the number of changes.
+// The encoded size of a value without its body is bounded, however many changes were made.
 func TestHistoryStaysSmall(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ orders, most int }{
@@ -110,11 +111,12 @@
 		value.Body = nil
 		size := len(codec.MarshalAppend(nil, value))
 		t.Logf("%d changes: %d bytes", test.orders, size)
-		c.Assert(size <= test.most, qt.IsTrue, qt.Commentf("%d changes: %d bytes", test.orders, size))
+		c.Assert(size <= test.most, qt.IsTrue, qt.Commentf("encoded size after %d changes is %d bytes", test.orders, size))
 	}
 }
 
-// legacyValue is a Value in the format of versions that remembered 64 versions, each by the complete SHA-256 of its body.
+// legacyValue is a Value in the format of older releases, whose history had at most 64 versions, each with the complete
+// SHA-256 of its body.
 type legacyValue struct {
 	version uint64
 	body    []byte
@@ -140,7 +142,8 @@
 	visitor.Bytes(2, &sum)
 }
 
-// What an old record remembers is still known, and what it doesn't is unknown, as it may have dropped it.
+// After a record of an older release is decoded, its history and refusals still determine verdicts. The verdict on a version
+// before the history is Unknown, as the old record may have dropped it.
 func TestOldHistoryIsRead(t *testing.T) {
 	c := qt.New(t)
 	old := legacyValue{version: 9, body: []byte("body 9")}
@@ -154,9 +157,9 @@
 	for n, want := range map[int]Verdict{3: Unknown, 4: Unknown, 5: Committed, 9: Committed, 10: Committed} {
 		verdict, next := nthChange(n).evaluate(&value)
 		c.Assert(verdict, qt.Equals, want, qt.Commentf("order %d", n))
-		var again Value
-		c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, next), &again), qt.IsNil)
-		c.Assert(again, qt.DeepEquals, *next)
+		var decoded Value
+		c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, next), &decoded), qt.IsNil)
+		c.Assert(decoded, qt.DeepEquals, *next)
 	}
 	verdict, _ := ahead.evaluate(&value)
 	c.Assert(verdict, qt.Equals, Conflict)
@@ -164,25 +167,26 @@
 	c.Assert(verdict, qt.Equals, Conflict)
 }
 
-// A history that ends early, or whose versions don't rise, is an error that names its field.
+// A history that ends within an entry, or whose versions do not increase, results in an error that names the field.
 func TestCorruptHistory(t *testing.T) {
 	c := qt.New(t)
 	value := Value{Version: 300, History: []VersionDigest{{1, Digest{1}}, {300, Digest{2}}}}
 	data := codec.MarshalAppend(nil, &value)
-	at := slices.Index(data, 6<<3|2) + 1 // the length of the history; it is last
-	length := int(data[at])
+	index := slices.Index(data, 6<<3|2) + 1 // the index of the length of the history, which is the last field
+	length := int(data[index])
 	for n := 1; n < length; n++ {
-		truncated := slices.Clone(data[:at+1+n])
-		truncated[at] = byte(n)
+		truncated := slices.Clone(data[:index+1+n])
+		truncated[index] = byte(n)
 		err := codec.Unmarshal(truncated, &Value{})
 		if n == 1+len(Digest{}) {
-			c.Assert(err, qt.IsNil) // it ends after the first of the two entries
+			c.Assert(err, qt.IsNil) // the history ends after the first of the two entries
 			continue
 		}
-		c.Assert(err, qt.ErrorMatches, "field 6 ends within.*", qt.Commentf("%d bytes", n))
+		c.Assert(err, qt.ErrorMatches, "field 6 ends within.*", qt.Commentf("history truncated to %d bytes", n))
 	}
 	for _, second := range []uint64{1, 0} {
 		value.History[1].Version = second
-		c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &value), &Value{}), qt.ErrorMatches, "field 6 has versions that do not rise")
+		c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, &value), &Value{}), qt.ErrorMatches,
+			"field 6 has history versions that do not increase")
 	}
 }
--- a/internal/mesh/control/consensus/vote.go
+++ b/internal/mesh/control/consensus/vote.go
@@ -2,9 +2,9 @@
 
 import "quincegap/internal/mesh/transport/codec"
 
-// Vote is a value that was accepted under a ballot. A Learned vote was not accepted by the voter that holds it: that
-// voter lost its disk, or is new, and read the vote from others. A proposer must respect a learned vote, but it does not
-// count towards a majority.
+// Vote is a value that was accepted under a ballot. A Learned vote was not accepted by the voter that holds it: the voter
+// lost its disk, or is new, and read the vote from other voters. A proposer must respect a learned vote as it does any other,
+// but a learned vote does not count towards a majority for its ballot.
 type Vote struct {
 	Ballot  Ballot
 	Value   Value
--- a/internal/mesh/control/consensus/voterset.go
+++ b/internal/mesh/control/consensus/voterset.go
@@ -6,21 +6,21 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// VoterSet is the voters of one epoch. It is a part of the register's value and changes as the value does, by
-// compare-and-set on its Epoch. A change adds a voter, removes one, or exchanges one for another; it is accepted by
-// majorities of the old and of the new voters (a joint step). An epoch is decided once a value that has it was chosen. A
-// value of epoch 0 does not hold the voters: they are those of the system's first start, which each replica's record
-// holds. A VoterSet without Voters is not known.
+// VoterSet contains the voters of one epoch. It is part of the register's value, and is changed by proposals like the rest of
+// the value, by compare-and-set on its Epoch. A change adds a voter, removes one, or exchanges one for another; it must be
+// accepted by majorities of both the old and the new voters (a joint step). An epoch is decided once a value with that epoch
+// is committed. A value of epoch 0 does not contain its voters, which are those of the system's first start; they are in
+// each replica's record. A VoterSet without Voters is unknown.
 //
-// docs/design/consensus-proof.md shows why two decided sets can't both choose a value, and why a replica may join.
+// docs/design/consensus-proof.md shows why two decided sets can't both choose a value, and why it is safe to add a replica.
 type VoterSet struct {
 	Epoch    uint64
-	Voters   []string // sorted, except those of the first start
-	Previous []string // the voters of the epoch before
+	Voters   []string // the voters' names, which are sorted except in epoch 0
+	Previous []string // the voters of the previous epoch
 	Retired  []string // processes that the planner must not add again, oldest first; at most maxRetired
 }
 
-// maxRetired is how many retired processes are remembered.
+// maxRetired is the maximum number of processes in VoterSet.Retired.
 const maxRetired = 64
 
 // Fields implements codec.Message.
@@ -34,25 +34,26 @@
 // Contains reports whether a node is a voter.
 func (v *VoterSet) Contains(node string) bool { return slices.Contains(v.Voters, node) }
 
-// conflictsWith reports whether two sets of one epoch name different voters. A set that is not known conflicts with none.
+// conflictsWith reports whether two sets have the same epoch but different voters. An unknown set conflicts with none.
 func (v *VoterSet) conflictsWith(other *VoterSet) bool {
 	return v.Epoch == other.Epoch && len(v.Voters) > 0 && len(other.Voters) > 0 && !slices.Equal(v.Voters, other.Voters)
 }
 
-// previousSet returns the voter set of the previous epoch. It is decided: an epoch is only proposed after the one before.
+// previousSet returns the voter set of the previous epoch. That set is decided, as an epoch is only proposed once the
+// previous one is decided.
 func (v *VoterSet) previousSet() VoterSet {
 	return VoterSet{Epoch: v.Epoch - 1, Voters: v.Previous, Retired: v.Retired}
 }
 
-// VoterChange is one change of the voters. With both Add and Remove one voter is exchanged for another in one step. The
-// zero VoterChange changes nothing.
+// VoterChange is a change of the voters by one step. Add and Remove name processes; with both, one voter is exchanged for
+// another. The zero VoterChange changes nothing.
 type VoterChange struct {
 	Add, Remove string
-	Retire      bool // the removed voter is not to be added again by the planner
+	Retire      bool // the planner must not add the removed voter again
 }
 
-// NewVoterChange returns the proposal that applies change to base; nil if there is nothing to change, or if no voter would be
-// left.
+// NewVoterChange returns the Change that applies a voter change to the voter set base. It returns nil if that would change
+// nothing or leave no voter.
 func NewVoterChange(base VoterSet, change VoterChange) *Change {
 	add := change.Add != "" && !base.Contains(change.Add)
 	remove := change.Remove != "" && base.Contains(change.Remove)
@@ -76,7 +77,7 @@
 	return &Change{nextVoters: &next}
 }
 
-// evaluateVoterChange is the part of evaluate for changes of the voters. newest has the round's epoch.
+// evaluateVoterChange implements evaluate for a change of the voters. newest must have the epoch of the round's voter set.
 func (c *Change) evaluateVoterChange(newest *Value) (Verdict, *Value) {
 	current := &newest.VoterSet
 	if current.Epoch == c.nextVoters.Epoch && slices.Equal(current.Voters, c.nextVoters.Voters) {
--- a/internal/mesh/control/consensus/world_test.go
+++ b/internal/mesh/control/consensus/world_test.go
@@ -12,120 +12,121 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// world is a state of a core, with every request that is in flight, from which a test can take each possible step. A request
-// may be delivered at any time; a lost one is never delivered. Its reply arrives at once or never. This covers late replies:
-// a reply that arrives late has the same effect as one that arrived at once and whose consequences were late, or, if the
-// round went on without it, as one that was lost. A voter that is killed before its record is on disk has lost the request;
-// one that is killed after that has lost the reply.
-type world struct {
-	voters        []string // all processes that have a record; those of firstVoters vote at first
+// cluster is a state of several core processes and of all requests in flight, from which a test can take each possible step.
+// A request may be delivered at any time; a lost one is never delivered. The reply to a request arrives immediately or never.
+// This covers late replies: a late reply has the same effect as one that arrived immediately and whose consequences were
+// late, or, if the round advanced without it, as one that was lost. It also covers killed voters: a voter that is killed
+// before its record is on disk has lost the request, and one that is killed after that has lost the reply.
+type cluster struct {
+	voters        []string // all processes, also those that are not voters of firstVoters
 	firstVoters   VoterSet
-	distinguished map[string]bool // by voter: a state in which it changes places with another one is a different state
-	records       []Record        // on disk, by voter
-	codes         []uint64        // of records
-	recoveries    []*Recovery     // by voter; nil unless it lost its disk
+	distinguished map[string]bool // by voter: whether a state in which it changes places with another one is a different state
+	records       []Record        // the records on disk, by voter
+	recordHashes  []uint64        // the hashes of records
+	recoveries    []*Recovery     // the recoveries in progress, by voter; nil for none
 	proposers     []proposer
-	inFlight      []message    // sorted
-	conclusions   []conclusion // of rounds, in their order
-	diskLosses    int          // how often the loser's disk may still be lost
-	loser         int          // index of the only voter that may lose its disk
+	inFlight      []message    // the requests in flight, sorted by encoding and voter
+	conclusions   []conclusion // the conclusions of rounds, in the order in which the rounds ended
+	diskLosses    int          // how often faultyVoter may still lose its disk
+	faultyVoter   int          // the index of the only voter that may lose its disk
 }
 
-// proposer is a process that makes one change, or reads.
+// proposer is a process that proposes one change, or reads.
 type proposer struct {
-	change       *Change // nil: it reads, in every other round with a ballot
-	round        *Round  // nil before the first one
-	attempts     int     // that are left
-	before       int     // conclusions when the round began
-	ballotNumber uint64
-	replyCodes   [8]uint64 // codes of the replies of this phase, by voter; the last is that of the value to be accepted
-	knownVoters  VoterSet
+	change            *Change // the change; nil for a proposer that reads, in every other round with a ballot
+	round             *Round  // the newest round; nil before the first one
+	attempts          int     // the number of rounds that the proposer may still start
+	conclusionsBefore int     // the number of conclusions when the round began
+	ballotNumber      uint64
+	replyHashes       [8]uint64 // hashes of the replies of this phase, by voter; the last element is the hash of the proposal
+	knownVoters       VoterSet
 }
 
 // message is a request in flight.
 type message struct {
-	proposer int // index of the sender; for the recovery of a voter it is -voter-1
-	voter    int // index of the recipient
+	proposer int // the index of the proposer that sent it; -voter-1 if it was sent by the recovery of a voter
+	voter    int // the index of the recipient
 	request  *Request
-	code     string // identifies and sorts the messages to a voter
+	encoded  string // the sender and the encoded request, which identify and sort the messages to a voter
 }
 
-// conclusion is the end of a round by which a value is known to be committed.
+// conclusion is the end of a round whose proposer knows a value to be committed.
 type conclusion struct {
-	proposer int
-	before   int // conclusions when its round began
-	verdict  Verdict
-	value    Value
-	code     uint64 // of value
+	proposer          int
+	conclusionsBefore int // the number of conclusions when its round began
+	verdict           Verdict
+	value             Value
+	valueHash         uint64 // the hash of value
 }
 
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
-// code returns a hash of messages.
-func code(messages ...codec.Message) uint64 {
+// hashOf returns a hash of the encodings of messages.
+func hashOf(messages ...codec.Message) uint64 {
 	var encoded []byte
 	for _, message := range messages {
 		encoded = append(codec.MarshalAppend(encoded, message), 255)
 	}
-	return maphash.Bytes(seed, encoded)
+	return maphash.Bytes(hashSeed, encoded)
 }
 
-func (w *world) setRecord(voter int, record Record) {
-	w.records[voter] = record
-	w.codes[voter] = code(&record.State, &record.Vote)
+func (c *cluster) setRecord(voter int, record Record) {
+	c.records[voter] = record
+	c.recordHashes[voter] = hashOf(&record.State, &record.Vote)
 }
 
-// newWorld returns a world without standbys.
-func newWorld(voters, losses int, attempts []int, changes ...*Change) *world {
-	return newWorldWithStandbys(voters, voters, losses, attempts, changes...)
+// newCluster returns a cluster without standbys.
+func newCluster(voters, losses int, attempts []int, changes ...*Change) *cluster {
+	return newClusterWithStandbys(voters, voters, losses, attempts, changes...)
 }
 
-// newWorldWithStandbys returns a world of all processes v0, v1 and so on, of which the first ones vote and the others are
-// ready to. The last one may lose its disk. There is a proposer for each change, with its number of attempts.
-func newWorldWithStandbys(voters, all, losses int, attempts []int, changes ...*Change) *world {
-	world := &world{
+// newClusterWithStandbys returns a cluster of the processes v0, v1 and so on, whose number is all. The first ones are voters,
+// and the others are ready to become voters. The last one may lose its disk a number of times. There is a proposer for each
+// change, with its number of attempts.
+func newClusterWithStandbys(voters, all, losses int, attempts []int, changes ...*Change) *cluster {
+	cluster := &cluster{
 		diskLosses:    losses,
-		loser:         all - 1,
+		faultyVoter:   all - 1,
 		recoveries:    make([]*Recovery, all),
 		records:       make([]Record, all),
-		codes:         make([]uint64, all),
+		recordHashes:  make([]uint64, all),
 		distinguished: map[string]bool{},
 	}
 	for i := range all {
-		world.voters = append(world.voters, fmt.Sprint("v", i))
-		world.distinguished[world.voters[i]] = i >= voters
+		cluster.voters = append(cluster.voters, fmt.Sprint("v", i))
+		cluster.distinguished[cluster.voters[i]] = i >= voters
 	}
-	world.distinguished[world.voters[all-1]] = losses > 0
-	world.firstVoters.Voters = world.voters[:voters:voters]
-	for i, voter := range world.voters {
-		world.setRecord(i, InitialRecord(voter, world.firstVoters.Voters))
+	cluster.distinguished[cluster.voters[all-1]] = losses > 0
+	cluster.firstVoters.Voters = cluster.voters[:voters:voters]
+	for i, voter := range cluster.voters {
+		cluster.setRecord(i, InitialRecord(voter, cluster.firstVoters.Voters))
 		if i >= voters {
-			world.setRecord(i, Record{State: ReplicaState{VoterSet: world.firstVoters, Ready: true, DiskIncarnation: 1}})
+			cluster.setRecord(i, Record{State: ReplicaState{VoterSet: cluster.firstVoters, Ready: true, DiskIncarnation: 1}})
 		}
 	}
 	for i, change := range changes {
-		world.proposers = append(world.proposers, proposer{change: change, attempts: attempts[i], knownVoters: world.firstVoters})
+		cluster.proposers = append(cluster.proposers, proposer{change: change, attempts: attempts[i], knownVoters: cluster.firstVoters})
 		if change == nil || change.nextVoters == nil {
 			continue
 		}
-		for _, voter := range world.voters {
+		for _, voter := range cluster.voters {
 			isNext := slices.Contains(change.nextVoters.Voters, voter)
 			wasVoter := slices.Contains(change.nextVoters.Previous, voter)
-			world.distinguished[voter] = world.distinguished[voter] || isNext != wasVoter
+			cluster.distinguished[voter] = cluster.distinguished[voter] || isNext != wasVoter
 		}
 	}
-	return world
+	return cluster
 }
 
-// clone returns a copy of the world; steps of one do not change the other.
-func (w *world) clone() *world {
-	clone := *w
-	clone.records = slices.Clone(w.records)
-	clone.recoveries = slices.Clone(w.recoveries)
-	clone.proposers = slices.Clone(w.proposers)
-	clone.inFlight = slices.Clone(w.inFlight)
-	clone.conclusions = slices.Clone(w.conclusions)
-	clone.codes = slices.Clone(w.codes)
+// clone returns an independent copy: steps of the one do not change the other.
+func (c *cluster) clone() *cluster {
+	clone := *c
+	clone.records = slices.Clone(c.records)
+	clone.recoveries = slices.Clone(c.recoveries)
+	clone.proposers = slices.Clone(c.proposers)
+	clone.inFlight = slices.Clone(c.inFlight)
+	clone.conclusions = slices.Clone(c.conclusions)
+	clone.recordHashes = slices.Clone(c.recordHashes)
 	for i := range clone.proposers {
 		if round := clone.proposers[i].round; round != nil {
 			copied := *round
@@ -143,26 +144,26 @@
 	return &clone
 }
 
-// steps returns the number of steps that may be taken: two for each message in flight, whose reply arrives or not, one for
-// each proposer, and one for each disk that may be lost.
-func (w *world) steps() int { return 2*len(w.inFlight) + len(w.proposers) + w.diskLosses }
+// steps returns the number of steps that may be taken: two for each message in flight, whose reply arrives or is lost, one
+// for each proposer, and one for each disk loss that is left.
+func (c *cluster) steps() int { return 2*len(c.inFlight) + len(c.proposers) + c.diskLosses }
 
-// step takes a step, by its number from 0, and reports whether it was possible and changed anything.
-func (w *world) step(number int) bool {
-	if number < 2*len(w.inFlight) {
-		message := w.inFlight[number/2]
-		w.inFlight = slices.Delete(w.inFlight, number/2, number/2+1)
-		return w.deliver(message, number%2 == 0)
+// step takes the step with a number from 0 to steps()-1, and reports whether it was possible and changed anything.
+func (c *cluster) step(number int) bool {
+	if number < 2*len(c.inFlight) {
+		message := c.inFlight[number/2]
+		c.inFlight = slices.Delete(c.inFlight, number/2, number/2+1)
+		return c.deliver(message, number%2 == 0)
 	}
-	if proposer := number - 2*len(w.inFlight); proposer < len(w.proposers) {
-		return w.propose(proposer)
+	if proposer := number - 2*len(c.inFlight); proposer < len(c.proposers) {
+		return c.propose(proposer)
 	}
-	return w.loseDisk(w.loser)
+	return c.loseDisk(c.faultyVoter)
 }
 
-// propose starts a proposer's next round, and reports whether there was one left.
-func (w *world) propose(proposerIndex int) bool {
-	proposer := &w.proposers[proposerIndex]
+// propose starts a proposer's next round. It reports false if the proposer is done or has no attempts left.
+func (c *cluster) propose(proposerIndex int) bool {
+	proposer := &c.proposers[proposerIndex]
 	if proposer.attempts == 0 || proposer.round != nil && proposer.round.State == Done {
 		return false
 	}
@@ -181,249 +182,252 @@
 	} else {
 		proposer.round, request = NewReadRound(proposer.knownVoters, Vote{})
 	}
-	proposer.before = len(w.conclusions)
-	proposer.replyCodes = [8]uint64{}
-	w.send(proposerIndex, request, proposer.round.Recipients())
+	proposer.conclusionsBefore = len(c.conclusions)
+	proposer.replyHashes = [8]uint64{}
+	c.send(proposerIndex, request, proposer.round.Recipients())
 	return true
 }
 
-// send puts a request in flight to each recipient except the recovering voter that sends it.
-func (w *world) send(proposer int, request *Request, recipients []string) {
-	for voter, name := range w.voters {
+// send puts a request in flight to each recipient, except to the recovering voter that sends it.
+func (c *cluster) send(proposer int, request *Request, recipients []string) {
+	for voter, name := range c.voters {
 		if proposer != -voter-1 && slices.Contains(recipients, name) {
-			code := string(codec.MarshalAppend([]byte{byte(proposer)}, request))
-			w.inFlight = append(w.inFlight, message{proposer, voter, request, code})
+			encoded := string(codec.MarshalAppend([]byte{byte(proposer)}, request))
+			c.inFlight = append(c.inFlight, message{proposer, voter, request, encoded})
 		}
 	}
-	slices.SortFunc(w.inFlight, func(a, b message) int { return cmp.Or(strings.Compare(a.code, b.code), a.voter-b.voter) })
+	slices.SortFunc(c.inFlight, func(a, b message) int { return cmp.Or(strings.Compare(a.encoded, b.encoded), a.voter-b.voter) })
 }
 
-// loseDisk loses a voter's disk and starts its recovery, under a disk incarnation that was never used. A process finds one by
-// several attempts.
-func (w *world) loseDisk(voter int) bool {
-	w.diskLosses--
-	w.setRecord(voter, Record{})
-	incarnation := uint64(10 - w.diskLosses)
-	recovery, request := NewRecovery(w.voters[voter], w.firstVoters, incarnation, false)
-	w.recoveries[voter] = recovery
-	w.send(-voter-1, request, recovery.Recipients())
+// loseDisk erases a voter's disk and starts its recovery under a disk incarnation that was never used, which a real process
+// finds by several attempts. It always returns true.
+func (c *cluster) loseDisk(voter int) bool {
+	c.diskLosses--
+	c.setRecord(voter, Record{})
+	incarnation := uint64(10 - c.diskLosses)
+	recovery, request := NewRecovery(c.voters[voter], c.firstVoters, incarnation, false)
+	c.recoveries[voter] = recovery
+	c.send(-voter-1, request, recovery.Recipients())
 	return true
 }
 
-// deliver hands a request to its voter, and the reply to the sender if it arrives. It reports whether anything changed.
-func (w *world) deliver(message message, replyArrives bool) bool {
-	name := w.voters[message.voter]
-	reply, record, changed := w.records[message.voter].Handle(message.request)
+// deliver passes a request to its voter, and the reply to the sender if it arrives. It reports whether anything changed.
+func (c *cluster) deliver(message message, replyArrives bool) bool {
+	name := c.voters[message.voter]
+	reply, record, changed := c.records[message.voter].Handle(message.request)
 	if changed.Any() {
-		w.setRecord(message.voter, record)
+		c.setRecord(message.voter, record)
 	}
 	if !replyArrives {
-		return changed.Any() // if not, this equals the loss of the request
+		return changed.Any() // if nothing changed, this equals the loss of the request
 	}
 	if message.proposer < 0 {
-		w.stepRecovery(message, name, &reply)
+		c.stepRecovery(message, name, &reply)
 		return true
 	}
-	proposer := &w.proposers[message.proposer]
+	proposer := &c.proposers[message.proposer]
 	round := proposer.round
 	if round.Finished() || round.ballot != message.request.Ballot {
 		return changed.Any()
 	}
 	next := round.Step(name, &reply)
 	if round.replies[name] == &reply {
-		proposer.replyCodes[message.voter] = code(&reply)
+		proposer.replyHashes[message.voter] = hashOf(&reply)
 	}
 	if next != nil {
 		if next.Kind == Accept {
-			proposer.replyCodes = [8]uint64{7: code(&round.proposal)}
+			proposer.replyHashes = [8]uint64{7: hashOf(&round.proposal)}
 		}
-		w.send(message.proposer, next, round.Recipients())
+		c.send(message.proposer, next, round.Recipients())
 	}
 	switch {
 	case round.State == Done:
-		w.conclude(message.proposer, round.Verdict, round.Value)
+		c.conclude(message.proposer, round.Verdict, round.Value)
 	case round.State == Stale && round.CommittedVote().Ballot == round.ballot:
-		w.conclude(message.proposer, Unknown, round.CommittedVote().Value)
+		c.conclude(message.proposer, Unknown, round.CommittedVote().Value)
 	}
 	return true
 }
 
-// conclude notes that a proposer's round has ended with a committed value.
-func (w *world) conclude(proposer int, verdict Verdict, value Value) {
-	before := w.proposers[proposer].before
-	w.conclusions = append(w.conclusions, conclusion{proposer, before, verdict, value, code(&value)})
+// conclude records that a proposer's round has ended with a committed value.
+func (c *cluster) conclude(proposer int, verdict Verdict, value Value) {
+	conclusionsBefore := c.proposers[proposer].conclusionsBefore
+	c.conclusions = append(c.conclusions, conclusion{proposer, conclusionsBefore, verdict, value, hashOf(&value)})
 }
 
-// stepRecovery hands a reply to a recovering voter, unless its recovery has ended.
-func (w *world) stepRecovery(message message, name string, reply *Reply) {
+// stepRecovery passes a reply to a voter's recovery, unless that has ended. It sends the request to recipients that the reply
+// added.
+func (c *cluster) stepRecovery(message message, name string, reply *Reply) {
 	voter := -message.proposer - 1
-	recovery := w.recoveries[voter]
+	recovery := c.recoveries[voter]
 	if recovery == nil {
 		return
 	}
 	before := recovery.Recipients()
 	if record, ok := recovery.Step(name, reply); ok {
-		w.setRecord(voter, record)
-		w.recoveries[voter] = nil
+		c.setRecord(voter, record)
+		c.recoveries[voter] = nil
 		return
 	}
-	w.send(message.proposer, message.request, slices.DeleteFunc(recovery.Recipients(), func(node string) bool {
+	c.send(message.proposer, message.request, slices.DeleteFunc(recovery.Recipients(), func(node string) bool {
 		return slices.Contains(before, node) || recovery.replies[node] != nil
 	}))
 }
 
-// key returns a hash that identifies the state. States in which voters have changed places have one key, except for
-// distinguished voters.
-func (w *world) key() uint64 {
-	keys := make([]uint64, len(w.voters))
-	for voter := range w.voters {
-		keys[voter] = w.voterKey(voter)
+// key returns a hash that identifies the state. States that differ only in that voters have changed places have the same key,
+// unless a distinguished voter is among them.
+func (c *cluster) key() uint64 {
+	keys := make([]uint64, len(c.voters))
+	for voter := range c.voters {
+		keys[voter] = c.voterKey(voter)
 	}
 	slices.Sort(keys)
 	var digest maphash.Hash
-	digest.SetSeed(seed)
+	digest.SetSeed(hashSeed)
 	for _, key := range keys {
 		maphash.WriteComparable(&digest, key)
 	}
-	for i := range w.proposers {
-		proposer := &w.proposers[i]
-		maphash.WriteComparable(&digest, [3]int{proposer.attempts, proposer.before, int(proposer.ballotNumber)})
+	for i := range c.proposers {
+		proposer := &c.proposers[i]
+		maphash.WriteComparable(&digest, [3]int{proposer.attempts, proposer.conclusionsBefore, int(proposer.ballotNumber)})
 		if proposer.round != nil {
-			maphash.WriteComparable(&digest, proposer.replyCodes[7])
+			maphash.WriteComparable(&digest, proposer.replyHashes[7])
 			maphash.WriteComparable(&digest, [2]uint64{proposer.knownVoters.Epoch, proposer.round.NewerVoters.Epoch})
 			digest.WriteString(strings.Join(proposer.round.jointVoters, "+"))
 			maphash.WriteComparable(&digest, [2]int{int(proposer.round.State), int(proposer.round.HighestBallot.Number)})
 		}
 	}
-	for _, end := range w.conclusions {
-		maphash.WriteComparable(&digest, [3]int{end.proposer, end.before, int(end.verdict)})
-		maphash.WriteComparable(&digest, end.code)
+	for _, end := range c.conclusions {
+		maphash.WriteComparable(&digest, [3]int{end.proposer, end.conclusionsBefore, int(end.verdict)})
+		maphash.WriteComparable(&digest, end.valueHash)
 	}
-	maphash.WriteComparable(&digest, w.diskLosses)
+	maphash.WriteComparable(&digest, c.diskLosses)
 	return digest.Sum64()
 }
 
-// voterKey returns a hash of a voter's state: its record, its replies that have arrived, and the requests to it in flight.
-func (w *world) voterKey(voter int) uint64 {
+// voterKey returns a hash of a voter's state: its record, its replies that have arrived, and the requests in flight to it.
+func (c *cluster) voterKey(voter int) uint64 {
 	var digest maphash.Hash
-	digest.SetSeed(seed)
-	maphash.WriteComparable(&digest, w.codes[voter])
-	name := w.voters[voter]
-	if w.distinguished[name] {
+	digest.SetSeed(hashSeed)
+	maphash.WriteComparable(&digest, c.recordHashes[voter])
+	name := c.voters[voter]
+	if c.distinguished[name] {
 		digest.WriteString(name)
 	}
-	for i := range w.proposers {
-		maphash.WriteComparable(&digest, w.proposers[i].replyCodes[voter])
+	for i := range c.proposers {
+		maphash.WriteComparable(&digest, c.proposers[i].replyHashes[voter])
 	}
-	for _, recovery := range w.recoveries {
+	for _, recovery := range c.recoveries {
 		if recovery != nil && recovery.replies[name] != nil {
-			maphash.WriteComparable(&digest, code(recovery.replies[name]))
+			maphash.WriteComparable(&digest, hashOf(recovery.replies[name]))
 		}
 	}
-	for _, message := range w.inFlight {
+	for _, message := range c.inFlight {
 		if message.voter == voter {
-			digest.WriteString(message.code)
+			digest.WriteString(message.encoded)
 		}
 	}
 	return digest.Sum64()
 }
 
-// extends reports whether b is the same value as a, or a later one that was made from it.
+// extends reports whether b is the same value as a, or a successor of a.
 func extends(a, b *Value) bool {
 	return len(a.History) <= len(b.History) && slices.Equal(a.History, b.History[:len(a.History)]) &&
 		a.VoterSet.Epoch <= b.VoterSet.Epoch &&
 		(a.VoterSet.Epoch < b.VoterSet.Epoch || slices.Equal(a.VoterSet.Voters, b.VoterSet.Voters))
 }
 
-// contains reports whether a proposer's change is in force in a value, or was before.
-func (w *world) contains(value *Value, proposer int) bool {
-	change := w.proposers[proposer].change
+// contains reports whether a proposer's change is applied in a value.
+func (c *cluster) contains(value *Value, proposer int) bool {
+	change := c.proposers[proposer].change
 	if change != nil && change.nextVoters != nil {
 		return value.VoterSet.Epoch == change.nextVoters.Epoch && slices.Equal(value.VoterSet.Voters, change.nextVoters.Voters)
 	}
 	return change != nil && slices.Contains(value.History, VersionDigest{uint64(change.Version), change.digest})
 }
 
-// areRivals reports whether at most one of two changes may be acknowledged.
-func areRivals(a, b *Change) bool {
+// areMutuallyExclusive reports whether at most one of two changes may be acknowledged.
+func areMutuallyExclusive(a, b *Change) bool {
 	if a.nextVoters != nil && b.nextVoters != nil {
 		return a.nextVoters.Epoch == b.nextVoters.Epoch && !slices.Equal(a.nextVoters.Voters, b.nextVoters.Voters)
 	}
 	return a.nextVoters == nil && b.nextVoters == nil && a.Base == b.Base && a.digest != b.digest
 }
 
-// fault describes a violated guarantee, "" for none: two conclusions contradict each other, or a read from some majority
-// does not return what was acknowledged, or returns what was refused.
-func (w *world) fault() string {
-	if fault := w.faultOfConclusions(); fault != "" || len(w.conclusions) == 0 {
-		return fault
+// violation returns a description of a violated guarantee, or "" if there is none. Guarantees are violated if two conclusions
+// contradict each other, or if a read from some majority does not return an acknowledged change, or returns a refused one.
+func (c *cluster) violation() string {
+	if violation := c.violationInConclusions(); violation != "" || len(c.conclusions) == 0 {
+		return violation
 	}
-	for voters := range 1 << len(w.voters) {
+	for voters := range 1 << len(c.voters) {
 		n := bits.OnesCount(uint(voters))
-		noStandbys := len(w.voters) == len(w.firstVoters.Voters)
-		if n < len(w.firstVoters.Voters)/2 || noStandbys && n != majority(len(w.voters)) {
+		noStandbys := len(c.voters) == len(c.firstVoters.Voters)
+		if n < len(c.firstVoters.Voters)/2 || noStandbys && n != majority(len(c.voters)) {
 			continue
 		}
-		for _, value := range []*Value{w.read(voters, false), w.read(voters, true)} {
-			if fault := w.faultOfRead(value); fault != "" {
-				return fault
+		for _, value := range []*Value{c.read(voters, false), c.read(voters, true)} {
+			if violation := c.violationInRead(value); violation != "" {
+				return violation
 			}
 		}
 	}
 	return ""
 }
 
-// faultOfConclusions describes a fault that the conclusions alone show; "" for none.
-func (w *world) faultOfConclusions() string {
-	for i := range w.conclusions {
-		later := &w.conclusions[i]
-		if later.verdict == Committed && !w.contains(&later.value, later.proposer) {
-			return "acknowledged, and not in the value"
+// violationInConclusions returns a description of a violation that the conclusions alone show, or "" if there is none.
+func (c *cluster) violationInConclusions() string {
+	for i := range c.conclusions {
+		later := &c.conclusions[i]
+		if later.verdict == Committed && !c.contains(&later.value, later.proposer) {
+			return "a change was acknowledged, but is not in the committed value"
 		}
-		for j := range w.conclusions[:i] {
-			earlier := &w.conclusions[j]
-			overlap := j >= later.before // the rounds ran at the same time, and either may come first
+		for j := range c.conclusions[:i] {
+			earlier := &c.conclusions[j]
+			overlap := j >= later.conclusionsBefore // the rounds overlapped in time, so either value may be the earlier one
 			if !extends(&earlier.value, &later.value) && (!overlap || !extends(&later.value, &earlier.value)) {
-				return "two conclusions contradict each other"
+				return "neither of two committed values is a successor of the other"
 			}
 			bothApplied := earlier.verdict == Committed && later.verdict == Committed
-			if bothApplied && areRivals(w.proposers[earlier.proposer].change, w.proposers[later.proposer].change) {
-				return "two changes on a base were acknowledged"
+			if bothApplied && areMutuallyExclusive(c.proposers[earlier.proposer].change, c.proposers[later.proposer].change) {
+				return "two mutually exclusive changes were acknowledged"
 			}
 		}
 	}
 	return ""
 }
 
-// faultOfRead describes what is wrong with a value that was read, "" for nothing. A read without an answer has a nil value.
-func (w *world) faultOfRead(value *Value) string {
+// violationInRead returns a description of a violation that the result of a read shows, or "" if there is none. The value is
+// nil if the read had no result.
+func (c *cluster) violationInRead(value *Value) string {
 	if value == nil {
 		return ""
 	}
-	for i := range w.conclusions {
-		conclusion := &w.conclusions[i]
+	for i := range c.conclusions {
+		conclusion := &c.conclusions[i]
 		if !extends(&conclusion.value, value) {
-			return "a read misses what was committed"
+			return "a read returned neither a committed value nor a successor of it"
 		}
-		if conclusion.verdict == Conflict && w.contains(value, conclusion.proposer) {
-			return "a read shows what was refused"
+		if conclusion.verdict == Conflict && c.contains(value, conclusion.proposer) {
+			return "a read returned a refused change"
 		}
 	}
 	return ""
 }
 
-// read reads from a set of voters, which has a bit for each, with or without a ballot, and returns nil if there is no answer.
-// It does not change the world. It starts with the first voter set, and goes on with newer ones as a proposer would.
-func (w *world) read(voters int, withBallot bool) *Value {
-	records := slices.Clone(w.records)
-	known := w.firstVoters
+// read returns the result of a read from some voters, given as a set of bits, with or without a ballot. It returns nil if the
+// read has no result. It does not change the cluster. It starts with the first voter set, and continues with newer ones as a
+// proposer does.
+func (c *cluster) read(voters int, withBallot bool) *Value {
+	records := slices.Clone(c.records)
+	known := c.firstVoters
 	for number := uint64(1000); ; number++ {
 		round, request := NewReadRound(known, Vote{})
 		if withBallot {
 			round, request = NewRound(known, Ballot{number, "reader"}, nil, Vote{})
 		}
 		for request != nil {
-			request = w.broadcast(records, voters, round, request)
+			request = c.broadcast(records, voters, round, request)
 		}
 		switch {
 		case round.State == Done:
@@ -435,11 +439,11 @@
 	}
 }
 
-// broadcast delivers a round's request to those recipients that are in a set of voters, and their replies to the round. It
-// returns the round's next request, nil for none.
-func (w *world) broadcast(records []Record, voters int, round *Round, request *Request) (next *Request) {
+// broadcast delivers a round's request to those recipients that are among some voters, given as a set of bits, and their
+// replies to the round. It returns the round's next request, or nil if there is none.
+func (c *cluster) broadcast(records []Record, voters int, round *Round, request *Request) (next *Request) {
 	for _, name := range round.Recipients() {
-		voter := slices.Index(w.voters, name)
+		voter := slices.Index(c.voters, name)
 		if voters&(1<<voter) == 0 {
 			continue
 		}
--- a/internal/mesh/control/lease/candidate.go
+++ b/internal/mesh/control/lease/candidate.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// State is a candidate's progress towards its lease.
+// State is the state of a candidate.
 type State uint8
 
 // The states of a candidate.
 const (
-	Idle       State = iota // waits until it may request the lease
-	Requesting              // has requested the lease and does not hold it
-	Holding                 // holds the lease
-	Resigned                // never requests the lease again
+	Idle       State = iota // the candidate waits until it may request the lease
+	Requesting              // the candidate has requested the lease, and does not hold it yet
+	Holding                 // the candidate holds the lease, unless it has expired
+	Resigned                // the candidate never requests the lease again
 )
 
-// Candidate is one process's part in obtaining, holding and renewing the lease of one role. It is not safe for concurrent use.
+// Candidate obtains, holds and renews the lease of one role for one process. It is not safe for concurrent use.
 type Candidate struct {
 	self        string
 	incarnation uint64
@@ -21,21 +21,21 @@
 	jitter      func() float64
 	rank        int
 
-	state          State
-	nextRequest    time.Duration // when it may request or renew the lease
-	fencingToken   uint64        // of the lease that it holds
-	requestedToken uint64        // of the newest request
-	highestToken   uint64        // the highest that it has seen
-	heldUntil      time.Duration // it holds the lease before this time only
-	otherHolder    string        // another process that holds the lease; empty if none is known
-	releasePending bool          // an attempt was lost, and its grants are to be released
-	voterSetEpoch  uint64        // of the newest voter set
-	quietUntil     time.Duration // it sends no request before this time unless it holds the lease: the voter set is new
-	attempt        attempt       // the newest
+	state           State
+	nextRequest     time.Duration // the earliest time of the next request or renewal
+	fencingToken    uint64        // the fencing token of the lease that this process holds
+	requestedToken  uint64        // the fencing token of the newest request
+	highestToken    uint64        // the highest fencing token that this process has seen
+	heldUntil       time.Duration // the time at which the lease ends for this process
+	otherHolder     string        // another process that holds the lease; empty if none is known
+	releasePending  bool          // the next Tick returns a release, as some voters granted an attempt that failed
+	voterSetEpoch   uint64        // the epoch of the newest voter set
+	noRequestBefore time.Duration // after a change of the voters: the time before which only a holder sends requests
+	attempt         attempt       // the newest attempt
 }
 
 // NewCandidate returns a candidate for a role. self and incarnation identify the process. jitter returns random numbers from
-// 0 to 1, which spread the requests of several candidates over time.
+// 0 to 1, which spread the requests of the candidates over time.
 func NewCandidate(self string, incarnation uint64, role string, jitter func() float64) *Candidate {
 	return &Candidate{self: self, incarnation: incarnation, role: role, jitter: jitter}
 }
@@ -46,7 +46,7 @@
 	c.nextRequest = nextRequest
 }
 
-// Holds reports whether this process holds the lease now, and returns its fencing token.
+// Holds reports whether this process holds the lease at the time now, and returns the lease's fencing token if it does.
 func (c *Candidate) Holds(now time.Duration) (fencingToken uint64, ok bool) {
 	if c.state == Holding && now < c.heldUntil {
 		return c.fencingToken, true
@@ -54,7 +54,7 @@
 	return 0, false
 }
 
-// Remaining returns how long this process still holds the lease if it is not renewed; 0 if it does not hold it.
+// Remaining returns the time until the lease that this process holds expires unless renewed; 0 if it does not hold the lease.
 func (c *Candidate) Remaining(now time.Duration) time.Duration {
 	if _, ok := c.Holds(now); !ok {
 		return 0
@@ -62,7 +62,7 @@
 	return c.heldUntil - now
 }
 
-// Holder returns the process that holds the lease, empty if none is known. It is a hint, and may be out of date.
+// Holder returns the process that holds the lease, or "" if none is known. It is a hint, and may be out of date.
 func (c *Candidate) Holder(now time.Duration) string {
 	if _, ok := c.Holds(now); ok {
 		return c.self
@@ -70,12 +70,12 @@
 	return c.otherHolder
 }
 
-// SetRank sets this process's rank among the candidates, from 0. Candidates of higher ranks wait longer, so that they do not all
-// request the lease at once and split the votes.
+// SetRank sets this process's rank among the candidates, which starts at 0. Candidates of higher ranks wait longer before they
+// request the lease, so that they do not all request it at once and split the votes.
 func (c *Candidate) SetRank(rank int) { c.rank = rank }
 
-// ObserveToken reports to the candidate that a fencing token was used. A holder with a lower token renews at once, under a
-// higher one.
+// ObserveToken tells the candidate that a fencing token was used. If this process holds the lease under a lower token, the
+// next Tick renews the lease under a token above the observed one.
 func (c *Candidate) ObserveToken(now time.Duration, fencingToken uint64) {
 	c.highestToken = max(c.highestToken, fencingToken)
 	if c.state == Holding && c.highestToken > c.fencingToken {
@@ -83,20 +83,20 @@
 	}
 }
 
-// HolderReleased reports to the candidate that another process has released the lease. Candidates then request it soon, in the
-// order of their ranks.
+// HolderReleased tells the candidate that another process has released the lease. The candidates then request it soon, in the
+// order of their ranks, releaseStagger apart.
 func (c *Candidate) HolderReleased(now time.Duration, holder string) {
-	waits := c.state == Idle || c.state == Requesting
-	if !waits || c.otherHolder != "" && c.otherHolder != holder {
+	isWaiting := c.state == Idle || c.state == Requesting
+	if !isWaiting || c.otherHolder != "" && c.otherHolder != holder {
 		return
 	}
 	c.otherHolder = ""
-	turn := now + time.Duration(c.rank)*releaseStagger
-	c.nextRequest = max(min(c.nextRequest, turn), c.quietUntil)
+	earliest := now + time.Duration(c.rank)*releaseStagger
+	c.nextRequest = max(min(c.nextRequest, earliest), c.noRequestBefore)
 }
 
-// Resign ends the candidacy for good, and returns the request that releases the lease, to be sent to all voters; nil if there
-// is nothing to release.
+// Resign permanently ends the candidacy. It returns the request that releases the lease, which the caller sends to all voters,
+// or nil if there is nothing to release.
 func (c *Candidate) Resign() *Request {
 	mayHaveGrants := c.state == Holding || c.state == Requesting
 	c.setState(Resigned, 0)
@@ -106,8 +106,8 @@
 	return c.releaseRequest()
 }
 
-// Tick returns the request to send to all voters now, nil for none. The caller calls it often, many times within
-// renewInterval. voterCount and voterSetEpoch are those of the newest voter set that the caller knows.
+// Tick returns the request to send to all voters now, or nil if none is due. It must be called often, many times within
+// renewInterval. voterCount and voterSetEpoch describe the newest voter set that the caller knows.
 func (c *Candidate) Tick(now time.Duration, voterCount int, voterSetEpoch uint64) *Request {
 	if c.state == Resigned {
 		return nil
@@ -117,7 +117,7 @@
 		return c.releaseRequest()
 	}
 	if c.state == Holding && now >= c.heldUntil {
-		c.setState(Idle, max(now+retryDelay, c.quietUntil))
+		c.setState(Idle, max(now+retryDelay, c.noRequestBefore))
 	}
 	if voterSetEpoch > c.voterSetEpoch {
 		c.adoptVoterSet(now, voterSetEpoch)
@@ -128,18 +128,19 @@
 	return c.newRequest(now, voterCount)
 }
 
-// adoptVoterSet starts the quiet time of a new voter set. A holder renews under the new set at once.
+// adoptVoterSet records the epoch of a new voter set. A holder then renews at once under the new set; other candidates send no
+// request for voterChangeDelay.
 func (c *Candidate) adoptVoterSet(now time.Duration, epoch uint64) {
 	c.voterSetEpoch = epoch
-	c.quietUntil = now + voterChangeDelay
+	c.noRequestBefore = now + voterChangeDelay
 	if c.state == Holding {
-		c.nextRequest = now // the new voters have to grant it before the old voters' grants end
+		c.nextRequest = now // the new voters have to grant the lease before the old voters' grants end
 		return
 	}
-	c.setState(Idle, c.quietUntil)
+	c.setState(Idle, c.noRequestBefore)
 }
 
-// newRequest returns a request for the lease, or for its renewal, and starts a new attempt.
+// newRequest starts a new attempt, and returns the request for the lease or for its renewal.
 func (c *Candidate) newRequest(now time.Duration, voterCount int) *Request {
 	switch {
 	case c.state != Holding:
@@ -164,13 +165,13 @@
 	return &Request{Holder: c.self, Incarnation: c.incarnation, VoterSetEpoch: c.voterSetEpoch, Roles: []RoleRequest{role}}
 }
 
-// jitteredDelay returns the time until the next attempt. It grows with the rank and has a random part.
+// jitteredDelay returns the delay before the next attempt, which grows with the rank and is partly random.
 func (c *Candidate) jitteredDelay() time.Duration {
 	return retryDelay*time.Duration(1+c.rank) + time.Duration(c.jitter()*float64(retryDelay))
 }
 
-// HandleReply takes a voter's reply to the request that Tick returned at requestedAt, and reports whether this process has
-// obtained the lease by it. Of replies to earlier requests it only uses the fencing tokens.
+// HandleReply processes a voter's reply to the request that Tick returned at requestedAt, and reports whether this process has
+// obtained the lease because of it. Of a reply to an earlier request it only uses the fencing tokens.
 func (c *Candidate) HandleReply(now, requestedAt time.Duration, voter string, reply *Reply) (obtained bool) {
 	for i := range reply.Grants {
 		grant := &reply.Grants[i]
@@ -189,7 +190,8 @@
 	return obtained
 }
 
-// countGrant counts a voter's grant, and reports whether the candidate has obtained the lease by it.
+// countGrant counts a voter's grant, and reports whether the candidate has obtained the lease because of it. A renewal does
+// not count as obtaining the lease.
 func (c *Candidate) countGrant(now time.Duration, voter string, fencingToken uint64) (obtained bool) {
 	if c.state == Idle || fencingToken != c.requestedToken {
 		return false
@@ -203,12 +205,13 @@
 	c.fencingToken = c.requestedToken
 	c.heldUntil = until
 	c.otherHolder = ""
-	// An earlier rejection may have put the next request off, but the lease has to be renewed in time.
+	// An earlier rejection may have postponed the next request, but the lease has to be renewed in time.
 	c.setState(Holding, c.attempt.requestedAt+renewInterval)
 	return obtained
 }
 
-// countRejection counts a voter's rejection. Once the attempt is lost, its grants are to be released.
+// countRejection counts a voter's rejection, and postpones the next request if another process holds the lease. If a majority can
+// no longer grant the request, but some voters did, the candidate becomes Idle, and the next Tick releases these grants.
 func (c *Candidate) countRejection(now time.Duration, rejection *RoleReply) {
 	if c.state == Holding {
 		return
@@ -218,7 +221,7 @@
 		c.nextRequest = max(c.nextRequest, now+min(rejection.Remaining, Duration)/2+c.jitteredDelay())
 	}
 	c.attempt.rejections++
-	if c.state == Requesting && c.attempt.isLost() && len(c.attempt.grantedBy) > 0 {
+	if c.state == Requesting && c.attempt.majorityImpossible() && len(c.attempt.grantedBy) > 0 {
 		c.releasePending = true
 		c.setState(Idle, max(c.nextRequest, now+c.jitteredDelay()))
 	}
--- a/internal/mesh/control/lease/example_test.go
+++ b/internal/mesh/control/lease/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/control/lease"
 )
 
-// A candidate obtains a lease from three voters, and another one is rejected until it has ended.
+// A candidate obtains a lease from three voters. Another candidate is rejected until that lease has ended.
 func Example() {
 	now := time.Duration(0)
 	status := lease.VoterStatus{Ready: true}
@@ -33,7 +33,7 @@
 	_, ok = second.Holds(now)
 	fmt.Println("second:", ok, "holder is", second.Holder(now))
 
-	now += lease.Duration // and the first one does not renew
+	now += lease.Duration // the lease ends, as the first candidate does not renew it
 	ask(second)
 	_, ok = first.Holds(now)
 	fmt.Println("first:", ok)
--- a/internal/mesh/control/lease/exchange_test.go
+++ b/internal/mesh/control/lease/exchange_test.go
@@ -11,46 +11,49 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// exchangeRun is a random run of three candidates and five processes, of which three vote, and of which one after the other is exchanged.
-// Messages are late, lost or duplicated; candidates are cut off; the rates of clocks differ by up to 5%; voters restart; and voter
-// sets are learned late.
+// exchangeRun is a random run of three candidates and five processes. Three of these are voters, which are exchanged for the other
+// ones repeatedly. Messages are late, lost or duplicated; candidates are partitioned from all voters; the rates of clocks differ by
+// up to 5%; voters restart; and candidates learn of new voter sets late.
 type exchangeRun struct {
-	rng          *rand.Rand
-	now          time.Duration // real time
-	voterSets    [][]int       // by epoch
-	voters       []*exchangeVoter
-	candidates   []*exchangeCandidate
-	messages     []exchangeMessage
-	obtained     int    // how often a process obtained the lease
-	carriedOver  int    // how often a holder renewed it under a newer voter set
-	highestToken uint64 // of any holder
+	rng                 *rand.Rand
+	now                 time.Duration // real time
+	voterSets           [][]int       // the indexes of the voters, by epoch
+	voters              []*exchangeVoter
+	candidates          []*exchangeCandidate
+	messages            []exchangeMessage
+	obtained            int    // how often a process obtained the lease
+	renewedAcrossEpochs int    // how often a holder requested a renewal under a newer voter set
+	highestToken        uint64 // the highest fencing token of any holder
 }
 
+// exchangeVoter is one of the five processes.
 type exchangeVoter struct {
 	*Voter
 	clockRate float64
-	accepted  uint64        // epoch of the newest voter set that it accepted, on disk
-	readyAt   time.Duration // when its disk is read, after a restart
+	accepted  uint64        // the epoch of the newest voter set that the process accepted, which survives a restart
+	readyAt   time.Duration // the time at which the process has read its disk after a restart
 }
 
+// exchangeCandidate is one of the three candidates.
 type exchangeCandidate struct {
 	*Candidate
-	clockRate    float64
-	cutOffUntil  time.Duration
-	knownEpoch   uint64 // of the newest voter set that it knows
-	requestEpoch uint64 // of its newest request
+	clockRate        float64
+	partitionedUntil time.Duration
+	knownEpoch       uint64 // the epoch of the newest voter set that the candidate knows
+	requestEpoch     uint64 // the epoch of the candidate's newest request
 }
 
+// exchangeMessage is a request, or the reply to it, in flight.
 type exchangeMessage struct {
 	arrivesAt   time.Duration
 	candidate   int
 	voter       int
-	requestedAt time.Duration // by the candidate's clock
+	requestedAt time.Duration // the time of the request, by the candidate's clock
 	request     *Request
-	reply       *Reply // nil in a request
+	reply       *Reply // nil if this is a request
 }
 
-// localTime returns the time on a clock that runs at a rate.
+// localTime returns the time shown by a clock that runs at the given rate, at the real time now.
 func localTime(now time.Duration, rate float64) time.Duration {
 	return time.Duration(float64(now) * rate)
 }
@@ -69,13 +72,14 @@
 	return run
 }
 
-// exchange replaces one voter by another process: majorities of both voter sets accept the new set, and then it is chosen.
+// exchange replaces one voter by another process: majorities of both the old and the new voter set accept the new set, which is
+// chosen thereby.
 func (e *exchangeRun) exchange() {
 	old := e.voterSets[len(e.voterSets)-1]
 	next := slices.Clone(old)
-	for fresh := e.rng.IntN(5); ; fresh = (fresh + 1) % 5 {
-		if !slices.Contains(old, fresh) {
-			next[e.rng.IntN(3)] = fresh
+	for newVoter := e.rng.IntN(5); ; newVoter = (newVoter + 1) % 5 {
+		if !slices.Contains(old, newVoter) {
+			next[e.rng.IntN(3)] = newVoter
 			break
 		}
 	}
@@ -89,8 +93,8 @@
 }
 
 func (e *exchangeRun) send(message exchangeMessage) {
-	for range 1 + e.rng.IntN(10)/9 { // some messages arrive twice
-		if e.rng.IntN(12) == 0 || e.now < e.candidates[message.candidate].cutOffUntil {
+	for range 1 + e.rng.IntN(10)/9 { // some messages are sent twice
+		if e.rng.IntN(12) == 0 || e.now < e.candidates[message.candidate].partitionedUntil {
 			continue
 		}
 		message.arrivesAt = e.now + time.Duration(e.rng.Int64N(int64(10*time.Millisecond)))
@@ -109,7 +113,7 @@
 		case message.arrivesAt > e.now:
 			e.messages = append(e.messages, message)
 		case message.reply == nil:
-			var status VoterStatus // not ready while the disk is not read
+			var status VoterStatus // not ready until the disk is read
 			if e.now >= voter.readyAt {
 				status = VoterStatus{Ready: true, VoterSetEpoch: voter.accepted}
 			}
@@ -121,32 +125,33 @@
 	}
 }
 
-// step simulates 20 ms.
+// step advances the time by 20 ms, and simulates what happens then.
 func (e *exchangeRun) step() {
 	e.now += 20 * time.Millisecond
-	e.breakSomething()
+	e.injectFaults()
 	e.deliver()
 	for i := range e.candidates {
 		e.tick(i)
 	}
 }
 
-// breakSomething randomly exchanges a voter, restarts one, or cuts a candidate off.
-func (e *exchangeRun) breakSomething() {
+// injectFaults randomly exchanges a voter, restarts a process, or partitions a candidate from all voters.
+func (e *exchangeRun) injectFaults() {
 	if e.rng.IntN(120) == 0 {
 		e.exchange()
 	}
-	if e.rng.IntN(250) == 0 { // a voter restarts: it forgets its grants, and reads its disk late
+	if e.rng.IntN(250) == 0 { // a process restarts: it loses its grants, and reads its disk late
 		voter := e.voters[e.rng.IntN(5)]
 		voter.Voter = NewVoter(localTime(e.now, voter.clockRate), false)
 		voter.readyAt = e.now + time.Duration(e.rng.Int64N(int64(2*Duration)))
 	}
 	if e.rng.IntN(100) == 0 {
-		e.candidates[e.rng.IntN(3)].cutOffUntil = e.now + time.Duration(e.rng.Int64N(int64(3*Duration)))
+		e.candidates[e.rng.IntN(3)].partitionedUntil = e.now + time.Duration(e.rng.Int64N(int64(3*Duration)))
 	}
 }
 
-// tick calls a candidate's Tick and sends its request. Before that, the candidate may learn of a newer voter set or fencing token.
+// tick calls a candidate's Tick and sends the request that it returns. Before that, the candidate may learn of a newer voter set
+// or of a higher fencing token.
 func (e *exchangeRun) tick(number int) {
 	candidate := e.candidates[number]
 	if e.rng.IntN(10) == 0 {
@@ -161,7 +166,7 @@
 		return
 	}
 	if _, ok := candidate.Holds(now); ok && candidate.knownEpoch > candidate.requestEpoch {
-		e.carriedOver++
+		e.renewedAcrossEpochs++
 	}
 	candidate.requestEpoch = candidate.knownEpoch
 	for _, voter := range e.voterSets[candidate.knownEpoch] {
@@ -169,7 +174,7 @@
 	}
 }
 
-// holders returns the candidates that hold the lease now, with their fencing tokens.
+// holders returns texts with the name and fencing token of each candidate that holds the lease now.
 func (e *exchangeRun) holders() (holders []string) {
 	for _, candidate := range e.candidates {
 		if token, ok := candidate.Holds(localTime(e.now, candidate.clockRate)); ok {
@@ -180,25 +185,25 @@
 	return holders
 }
 
-// While voters are exchanged, two candidates never hold the lease at the same time, and candidates continue to obtain and renew it.
+// While voters are exchanged, two candidates never hold the lease at the same time, and candidates still obtain and renew it.
 func TestOneHoldsWhileVotersAreExchanged(t *testing.T) {
 	runs := 500
 	if os.Getenv("SOAK") != "" {
 		runs = 40000
 	}
-	obtained, carriedOver := 0, 0
+	obtained, renewedAcrossEpochs := 0, 0
 	for seed := range uint64(runs) {
 		run := newExchangeRun(seed)
 		for run.now < 40*time.Second {
 			run.step()
 			if holders := run.holders(); len(holders) > 1 {
-				t.Fatalf("seed %d, %v: %v hold the lease, voter sets %v", seed, run.now, holders, run.voterSets)
+				t.Fatalf("seed %d: at %v several candidates hold the lease: %v; voter sets: %v", seed, run.now, holders, run.voterSets)
 			}
 		}
 		obtained += run.obtained
-		carriedOver += run.carriedOver
+		renewedAcrossEpochs += run.renewedAcrossEpochs
 	}
-	t.Logf("%d runs: the lease came to a process %d times, and was renewed under a newer voter set %d times", runs, obtained, carriedOver)
+	t.Logf("%d runs: lease obtained %d times, renewal requested under a newer voter set %d times", runs, obtained, renewedAcrossEpochs)
 	qt.Assert(t, obtained > runs*5, qt.IsTrue)
-	qt.Assert(t, carriedOver > 3*runs, qt.IsTrue)
+	qt.Assert(t, renewedAcrossEpochs > 3*runs, qt.IsTrue)
 }
--- a/internal/mesh/control/lease/golden_test.go
+++ b/internal/mesh/control/lease/golden_test.go
@@ -13,7 +13,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Messages are encoded as other versions encode them, and theirs are read.
+// The encoding of each message equals its golden file, and decoding the golden file returns the message, so that different
+// releases understand each other.
 func TestGoldenMessages(t *testing.T) {
 	request := Request{
 		Holder: "10.0.0.1:7401", Incarnation: 0xfedcba9876543210, VoterSetEpoch: 4,
@@ -42,7 +43,7 @@
 	}
 }
 
-// Values that voters and candidates of two versions must agree on.
+// Constants on which voters and candidates of different releases must agree.
 func TestSharedValues(t *testing.T) {
 	c := qt.New(t)
 	c.Check([]time.Duration{
@@ -54,7 +55,7 @@
 	c.Check([]State{Idle, Requesting, Holding, Resigned}, qt.DeepEquals, []State{0, 1, 2, 3})
 }
 
-// The same seed gives the same run: which candidates hold the lease at which time, and under which fencing tokens.
+// Runs with the same seed are identical: the same candidates hold the lease at the same times under the same fencing tokens.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(12) {
@@ -69,7 +70,7 @@
 			}
 		}
 		fmt.Fprintf(&text, "seed %d: holders %x, came %d times, held on %d times, %d lists, highest number %d, next draw %d\n", seed,
-			digest.Sum(nil)[:8], run.obtained, run.carriedOver, len(run.voterSets), run.highestToken, run.rng.Uint64())
+			digest.Sum(nil)[:8], run.obtained, run.renewedAcrossEpochs, len(run.voterSets), run.highestToken, run.rng.Uint64())
 	}
 	for seed := range uint64(12) {
 		fmt.Fprintf(&text, "seed %d: nobody holds for %v after a cut, %v after a release\n", seed, takeover(seed, false), takeover(seed, true))
