--- a/internal/mesh/control/lease/lease_test.go
+++ b/internal/mesh/control/lease/lease_test.go
@@ -12,7 +12,7 @@
 var initialStatus = VoterStatus{Ready: true}
 
 // twoCandidates is a state of two candidates and three voters. A step is a number: 0 to 2 deliver the first, second or third
-// message in flight, stepLose loses the first one, stepWait lets time pass, and stepRestart restarts a voter.
+// message in flight, stepLose loses the first message, stepWait advances the time, and stepRestart restarts the first voter.
 type twoCandidates struct {
 	now        time.Duration
 	voters     []*Voter
@@ -36,10 +36,10 @@
 }
 
 func newTwoCandidates() *twoCandidates {
-	half := func() float64 { return 0.5 }
+	halfJitter := func() float64 { return 0.5 }
 	return &twoCandidates{
 		voters:     []*Voter{NewVoter(0, true), NewVoter(0, true), NewVoter(0, true)},
-		candidates: []*Candidate{NewCandidate("a", 1, "d", half), NewCandidate("b", 2, "d", half)},
+		candidates: []*Candidate{NewCandidate("a", 1, "d", halfJitter), NewCandidate("b", 2, "d", halfJitter)},
 	}
 }
 
@@ -82,27 +82,27 @@
 
 func voterName(voter int) string { return string(rune('0' + voter)) }
 
-// bothHold reports whether two candidates hold the lease now.
+// bothHold reports whether both of two candidates hold the lease at the time now.
 func bothHold(now time.Duration, candidates []*Candidate) bool {
 	_, first := candidates[0].Holds(now)
 	_, second := candidates[1].Holds(now)
 	return first && second
 }
 
-// Two candidates never hold the lease at the same time, in any sequence of steps up to a depth, and in long random ones in which leases
-// end many times.
+// Two candidates never hold the lease at the same time: neither in any sequence of depth steps, nor in long random sequences in
+// which leases end many times.
 func TestOneHolds(t *testing.T) {
 	const depth = 7
-	plays := 0
+	runs := 0
 	run := func(path []int) {
 		schedule := newTwoCandidates()
 		for _, step := range path {
 			schedule.step(step)
 			if bothHold(schedule.now, schedule.candidates) {
-				t.Fatalf("both hold after %v", path)
+				t.Fatalf("both candidates hold the lease after steps %v", path)
 			}
 		}
-		plays++
+		runs++
 	}
 	var play func(path []int)
 	play = func(path []int) {
@@ -126,20 +126,20 @@
 		}
 		run(path)
 	}
-	t.Logf("%d orders", plays)
+	t.Logf("checked %d sequences of steps", runs)
 }
 
-// growingVoterSet is a run in which the voters grow from three to five, one by one. Each candidate and voter learns of that at a
-// random time.
+// growingVoterSet is a run in which the number of voters grows from three to five, one by one. Random voters accept each new voter
+// set, and each candidate learns of it at a random time.
 type growingVoterSet struct {
 	rng        *rand.Rand
 	now        time.Duration
-	decided    uint64 // epoch
+	decided    uint64 // the newest decided epoch
 	voters     []*Voter
-	accepted   []uint64 // epochs, by voter
+	accepted   []uint64 // the newest accepted epochs, by voter
 	candidates []*Candidate
-	known      []uint64 // epochs, by candidate
-	obtained   int
+	known      []uint64 // the newest known epochs, by candidate
+	obtained   int      // how often a candidate obtained the lease
 }
 
 func newGrowingVoterSet(rng *rand.Rand) *growingVoterSet {
@@ -151,9 +151,9 @@
 	return g
 }
 
-// grow decides the next voter set: a majority of the current voters, and the new one, accept it.
+// grow decides the next voter set: a majority of the current voters, and the new voter, accept it.
 func (g *growingVoterSet) grow() {
-	count := votersOf(g.decided)
+	count := voterCountOf(g.decided)
 	g.decided++
 	for _, voter := range g.rng.Perm(count)[:count/2+1] {
 		g.accepted[voter] = g.decided
@@ -161,7 +161,8 @@
 	g.accepted[count] = g.decided
 }
 
-func votersOf(epoch uint64) int { return int(epoch) + 3 }
+// voterCountOf returns the number of voters of an epoch.
+func voterCountOf(epoch uint64) int { return int(epoch) + 3 }
 
 func (g *growingVoterSet) step() {
 	g.now += time.Duration(g.rng.Int64N(int64(Duration / 3)))
@@ -172,7 +173,7 @@
 	if g.rng.IntN(6) == 0 {
 		g.known[i] = g.decided
 	}
-	count := votersOf(g.known[i])
+	count := voterCountOf(g.known[i])
 	request := g.candidates[i].Tick(g.now, count, g.known[i])
 	if request == nil {
 		return
@@ -186,22 +187,22 @@
 	}
 }
 
-// While the voters grow from three to five, two candidates never hold the lease at the same time, although a majority of the first
-// voter set and one of the last can be disjoint.
+// While the number of voters grows from three to five, two candidates never hold the lease at the same time, although a majority of
+// the first voter set and one of the last can be disjoint.
 func TestOneHoldsWhileVotersChange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	obtained, both := 0, 0
+	obtained, violations := 0, 0
 	for range 20000 {
 		run := newGrowingVoterSet(rng)
 		for range 80 {
 			run.step()
 			if bothHold(run.now, run.candidates) {
-				both++
+				violations++
 			}
 		}
 		obtained += run.obtained
 	}
-	t.Logf("the lease came to a process %d times", obtained)
-	qt.Assert(t, both, qt.Equals, 0)
+	t.Logf("lease obtained %d times", obtained)
+	qt.Assert(t, violations, qt.Equals, 0)
 	qt.Assert(t, obtained > 20000, qt.IsTrue)
 }
--- a/internal/mesh/control/lease/message.go
+++ b/internal/mesh/control/lease/message.go
@@ -6,12 +6,12 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Request asks a voter for the leases of one process: to obtain, to renew or to release them.
+// Request asks a voter to grant, renew or release leases of one process.
 type Request struct {
-	Holder        string // address of the process that asks
-	Incarnation   uint64 // of that process: random, and new at each start
-	Roles         []RoleRequest
-	VoterSetEpoch uint64 // of the newest voter set that the process knows
+	Holder        string        // the address of the requesting process
+	Incarnation   uint64        // a random number that the requesting process draws at each start
+	Roles         []RoleRequest // the roles whose leases to grant, renew or release
+	VoterSetEpoch uint64        // the epoch of the newest voter set that the requesting process knows
 }
 
 // Fields implements codec.Message.
@@ -22,11 +22,11 @@
 	visitor.Uint64(4, &r.VoterSetEpoch)
 }
 
-// RoleRequest asks for the lease of one role, with the fencing token that the process would work under.
+// RoleRequest asks for the lease of one role under a fencing token, or releases it.
 type RoleRequest struct {
 	Role         string
 	FencingToken uint64
-	Release      bool // the process gives the lease up
+	Release      bool // the process releases the lease
 }
 
 // Fields implements codec.Message.
@@ -38,8 +38,8 @@
 
 // Reply is a voter's answer to a Request.
 type Reply struct {
-	Grants        []RoleReply // in the order of Request.Roles, without roles for which the voter has no room
-	VoterSetEpoch uint64      // of the newest voter set that the voter accepted or knows to be decided
+	Grants        []RoleReply // the replies in the order of Request.Roles, without the roles above the voter's limit (maxRoles)
+	VoterSetEpoch uint64      // the epoch of the newest voter set that the voter accepted or knows to be decided
 }
 
 // Fields implements codec.Message.
@@ -51,10 +51,10 @@
 // RoleReply is a voter's reply to a RoleRequest: a grant, or a rejection.
 type RoleReply struct {
 	Role         string
-	Granted      bool          // false: the request was rejected
-	FencingToken uint64        // the highest that the voter has granted for the role
-	Holder       string        // another process that holds the lease; empty for none
-	Remaining    time.Duration // how long the grant to Holder still lasts
+	Granted      bool          // whether the lease was granted; false also in reply to a release
+	FencingToken uint64        // the highest token that the voter has granted for the role
+	Holder       string        // the process that holds the lease, if it is another one; empty if there is none
+	Remaining    time.Duration // the time until the grant to Holder ends
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/control/lease/takeover_test.go
+++ b/internal/mesh/control/lease/takeover_test.go
@@ -10,16 +10,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// takeoverRun is a run of five candidates and three voters, whose messages take up to 20 ms one way.
+// takeoverRun is a run of five candidates and three voters. Messages take up to 20 ms one way.
 type takeoverRun struct {
 	rng        *rand.Rand
 	now        time.Duration
 	voters     []*Voter
 	candidates []*Candidate
 	messages   []takeoverMessage
-	departed   *Candidate // the holder that was cut off, or released the lease
+	departed   *Candidate // the holder that was cut off or released the lease; nil before
 }
 
+// takeoverMessage is a message in flight.
 type takeoverMessage struct {
 	arrivesAt time.Duration
 	deliver   func()
@@ -55,7 +56,7 @@
 	}
 }
 
-// depart lets the holder release the lease, or cuts it off.
+// depart makes the holder release the lease, or cuts it off without a release: it sends no further requests.
 func (r *takeoverRun) depart(holder *Candidate, release bool) {
 	r.departed = holder
 	if !release {
@@ -70,7 +71,7 @@
 	}
 }
 
-// tick calls a candidate's Tick and sends its request.
+// tick calls a candidate's Tick and sends the request that it returns.
 func (r *takeoverRun) tick(candidate *Candidate) {
 	request := candidate.Tick(r.now, len(r.voters), 0)
 	if request == nil {
@@ -85,18 +86,19 @@
 	}
 }
 
-// takeover simulates a run in which the holder releases the lease or is cut off, and returns the time until another candidate holds it.
+// takeover simulates a run in which the holder releases the lease or is cut off, and returns the time from then until another
+// candidate holds the lease.
 func takeover(seed uint64, release bool) time.Duration {
 	run := newTakeoverRun(seed)
 	var since time.Duration
-	for cut := 5*time.Second + time.Duration(run.rng.Int64N(int64(time.Second))); ; run.now += 5 * time.Millisecond {
+	for departAfter := 5*time.Second + time.Duration(run.rng.Int64N(int64(time.Second))); ; run.now += 5 * time.Millisecond {
 		run.deliver()
 		for _, candidate := range run.candidates {
 			_, holds := candidate.Holds(run.now)
 			switch {
 			case holds && run.departed != nil && candidate != run.departed:
 				return run.now - since
-			case holds && run.departed == nil && run.now >= cut:
+			case holds && run.departed == nil && run.now >= departAfter:
 				since = run.now
 				run.depart(candidate, release)
 			}
@@ -107,7 +109,7 @@
 	}
 }
 
-// The time from the moment at which the holder is cut off, or releases the lease, until another candidate holds it.
+// After the holder is cut off, or releases the lease, another candidate holds the lease within a bounded time.
 func TestTakeover(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -123,7 +125,7 @@
 				gaps = append(gaps, takeover(seed, test.release))
 			}
 			slices.Sort(gaps)
-			t.Logf("%s, 200 runs: p50 %v, p99 %v, max %v", test.name, gaps[100], gaps[197], gaps[199])
+			t.Logf("%s, time to takeover in 200 runs: p50 %v, p99 %v, max %v", test.name, gaps[100], gaps[197], gaps[199])
 			qt.Check(t, gaps[199] <= test.bound, qt.IsTrue)
 		})
 	}
--- a/internal/mesh/control/lease/voter.go
+++ b/internal/mesh/control/lease/voter.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Voter grants leases, and remembers the newest grant of each role, in memory. It is not safe for concurrent use.
+// Voter grants leases, and stores the newest grant of each role in memory. It is not safe for concurrent use.
 type Voter struct {
-	grantsFrom time.Duration         // it grants nothing before this time
-	grants     map[string]*heldLease // by role
+	grantsFrom time.Duration         // the time before which the voter grants nothing
+	grants     map[string]*heldLease // the newest grants, by role
 }
 
-// NewVoter returns a voter that starts now. It grants nothing for Duration, by which time all grants of its last start have
-// ended. initialStart is true if the whole system starts for the first time: nothing was granted before, so it grants at once.
+// NewVoter returns a voter that starts at the time now. It grants nothing for Duration, after which all grants that it made
+// before a restart have ended. initialStart is true at the first start of the whole system, when no earlier grants exist; the
+// voter then grants leases at once.
 func NewVoter(now time.Duration, initialStart bool) *Voter {
 	v := &Voter{grantsFrom: now + Duration, grants: map[string]*heldLease{}}
 	if initialStart {
@@ -20,11 +21,11 @@
 
 // VoterStatus is what the voter's process knows about the voter set when it answers a request.
 type VoterStatus struct {
-	Ready         bool   // the process has its record; without it, it may have forgotten a voter set that it accepted
-	VoterSetEpoch uint64 // of the newest voter set that it accepted or knows to be decided
+	Ready         bool   // the process has its record; without one, it does not know which voter sets it accepted before
+	VoterSetEpoch uint64 // the epoch of the newest voter set that the process accepted or knows to be decided
 }
 
-// Handle answers a request. It is the only method that changes what has been granted.
+// Handle answers a request at the time now. It is the only method that changes grants.
 func (v *Voter) Handle(now time.Duration, status VoterStatus, request *Request) *Reply {
 	reply := &Reply{VoterSetEpoch: status.VoterSetEpoch}
 	mayGrant := now >= v.grantsFrom && status.Ready && request.VoterSetEpoch >= status.VoterSetEpoch
@@ -39,7 +40,7 @@
 	return reply
 }
 
-// leaseOf returns the lease of a role, which it makes if necessary; nil if the voter already has maxRoles.
+// leaseOf returns the lease of a role, which it creates if necessary, or nil if the voter already stores maxRoles leases.
 func (v *Voter) leaseOf(role string) *heldLease {
 	held := v.grants[role]
 	if held == nil && len(v.grants) < maxRoles {
@@ -52,24 +53,24 @@
 // heldLease is the newest grant of one role. The zero value is a lease that was never granted.
 type heldLease struct {
 	holder       string
-	incarnation  uint64 // of the holder
+	incarnation  uint64 // the holder's incarnation
 	fencingToken uint64
-	expiresAt    time.Duration
+	expiresAt    time.Duration // the time at which the grant ends, by the voter's clock
 }
 
-// isHeldBy reports whether the newest grant was to the process that sends a request, in the same incarnation.
+// isHeldBy reports whether the newest grant was made to the process that sent the request, in the same incarnation.
 func (h *heldLease) isHeldBy(request *Request) bool {
 	return h.incarnation == request.Incarnation && h.holder == request.Holder
 }
 
-// answer grants, renews, releases or rejects the lease. mayGrant is false while the voter must not grant anything.
+// answer grants, renews or releases the lease, or rejects the request. If mayGrant is false, it grants and renews nothing.
 func (h *heldLease) answer(now time.Duration, mayGrant bool, request *Request, role *RoleRequest) RoleReply {
 	isHolder := h.isHeldBy(request)
 	isCurrent := isHolder && role.FencingToken >= h.fencingToken
 	isFree := now >= h.expiresAt && role.FencingToken > h.fencingToken
 	switch {
 	case role.Release:
-		if isCurrent { // a late release of an earlier token leaves this grant alone
+		if isCurrent { // a delayed release under an earlier token must not end this grant
 			h.expiresAt = now
 		}
 	case mayGrant && (isCurrent || isFree):
--- a/internal/mesh/control/mutants.sh
+++ b/internal/mesh/control/mutants.sh
@@ -120,8 +120,8 @@
 fault "a lease lasts as long for its holder as for the voter" lease/candidate.go 's/until := c\.attempt\.requestedAt \+ holderDuration/until := now + Duration/'
 fault "a holder leaves nothing for clocks that differ" lease/lease.go 's/holderDuration = Duration - .*/holderDuration = Duration/'
 fault "a duty needs half of the voters" lease/attempt.go 's/return a\.voterCount\/2 \+ 1/return a.voterCount \/ 2/'
-fault "a candidate asks at once under a new list" lease/candidate.go 's/c\.quietUntil = now \+ voterChangeDelay/c.quietUntil = now/'
-fault "a holder that lost its lease asks at once under a new list" lease/candidate.go 's/max\(now\+retryDelay, c\.quietUntil\)/now + retryDelay/'
+fault "a candidate asks at once under a new list" lease/candidate.go 's/c\.noRequestBefore = now \+ voterChangeDelay/c.noRequestBefore = now/'
+fault "a holder that lost its lease asks at once under a new list" lease/candidate.go 's/max\(now\+retryDelay, c\.noRequestBefore\)/now + retryDelay/'
 fault "a holder that was refused once renews late" lease/candidate.go 's/c\.setState\(Holding, c\.attempt\.requestedAt\+renewInterval\)/c.state = Holding/'
 fault "numbers of a newer list begin anew" lease/candidate.go 's/max\(c\.highestToken, c\.voterSetEpoch\*tokensPerVoterSet\)/c.highestToken/'
 
@@ -137,7 +137,7 @@
 
 # Voters that are replaced.
 fault "exchange: who joins reads from one voter" consensus/recovery.go 's/return n >= majority\(len\(voters\)\)$/return n >= 1/'
-fault "exchange: a proposed list is not read from" consensus/recovery.go 's/enough = enough && r\.hasEnough\(r\.pendingVoters\)/_ = enough/'
+fault "exchange: a proposed list is not read from" consensus/recovery.go 's/enough = enough && r\.hasEnoughReplies\(r\.pendingVoters\)/_ = enough/'
 fault "exchange: the list of a request is not written down" consensus/acceptor.go 's/r, learned := r\.LearnVoters\(request\.VoterSet\)/var learned Unsynced/'
 fault "exchange: a list that contradicts the own one is taken" consensus/acceptor.go 's/if decided\.conflictsWith\(\&request\.VoterSet\)/if false/'
 fault "exchange: one process's word replaces a voter" consensus/plan.go 's/p\.UnresponsiveReports >= majority\(voters\)/p.UnresponsiveReports >= 1/'
