--- a/internal/mesh/control/consensus/plan.go
+++ b/internal/mesh/control/consensus/plan.go
@@ -37,9 +37,9 @@
 
 // PlanVoterChange returns the next change of the voters, or the zero VoterChange if none is due. core is the status of the
 // core processes, and tolerated the number of lost voters to tolerate. The target number of voters is 2*tolerated+1, within
-// limits (TargetVoters). While there are fewer processes than that, the voters grow to an odd number only, as one more
-// voter would tolerate no more losses. A voter that must be replaced is exchanged for a standby in one step. Without a
-// standby it remains a voter, and may become responsive again.
+// limits (TargetVoters). While there are fewer processes than that, the target is an odd number, as an even number of voters
+// tolerates no more losses than one voter less. A voter that must be replaced is exchanged for a standby in one step.
+// Without a standby it remains a voter, and may become responsive again.
 func PlanVoterChange(voters VoterSet, core []PeerStatus, tolerated int) VoterChange {
 	available := standbys(voters, core)
 	toReplace := voterToReplace(voters, core)
--- a/internal/mesh/control/consensus/schedules_test.go
+++ b/internal/mesh/control/consensus/schedules_test.go
@@ -314,8 +314,7 @@
 			addV4ToFour, dropOneOfFour, change0to1, change0to2, change1to3),
 		"rival changes of four voters, one loses its disk": newClusterWithStandbys(4, 5, 0, attempts,
 			addV4ToFour, dropOneOfFour, change0to1, change0to2, change1to3).withDiskLosses(0, 2),
-		"five become two": newClusterWithStandbys(5, 5, 0, attempts,
-			dropOneOfFive, dropTwoOfFive, dropThreeOfFive, change0to1, change0to2),
+		"five become two": newClusterWithStandbys(5, 5, 0, attempts, dropOneOfFive, dropTwoOfFive, dropThreeOfFive, change0to1, change0to2),
 		"rival changes grow and shrink the voter set": newClusterWithStandbys(4, 6, 0, attempts,
 			addV4ToFour, dropOneOfFour, addTwoToFour, dropTwoOfFour, change0to1),
 	} {
