--- a/internal/mesh/operations/eventfeed/eventfeed.go
+++ b/internal/mesh/operations/eventfeed/eventfeed.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	maxBatch   = 256              // events in an answer, or in one write of a stream
-	maxWait    = 25 * time.Second // until an event occurs, and for a write to a reader
-	maxReaders = 32               // concurrently
+	maxBatch   = 256              // number of events in an answer, or in one write of a stream
+	maxWait    = 25 * time.Second // time to wait for an event, and for a write to a reader to succeed
+	maxReaders = 32               // number of concurrent readers
 )
 
-// Query parameters and header fields of a request.
+// Names of the query parameters and of the header field of a request.
 const (
 	queryAfter        = "after" // a cursor
 	queryFollow       = "follow"
 	queryService      = "service"
 	queryTenant       = "tenant"
 	queryZone         = "zone"
-	headerLastEventID = "Last-Event-ID" // a cursor, of a client that resumes a server-sent stream
+	headerLastEventID = "Last-Event-ID" // a cursor, from a client that resumes a stream of server-sent events
 )
 
 // Content types of answers.
@@ -32,35 +32,38 @@
 	typeJSONLines  = "application/x-ndjson"
 )
 
-// Source keeps events. It is safe for concurrent use.
+// Source stores events. It must be safe for concurrent use.
 type Source interface {
-	// After returns up to limit events after a cursor that pass a filter, and the cursor for the next call. more is closed when there are
-	// newer events.
-	After(c events.Cursor, limit int, f events.Filter) (found []events.Event, next events.Cursor, more <-chan struct{}, err error)
+	// After returns up to limit events after a cursor that match a filter, and the cursor for the next call. The channel more is closed
+	// when there are newer events.
+	After(cursor events.Cursor, limit int, filter events.Filter) (
+		found []events.Event, next events.Cursor, more <-chan struct{}, err error)
 }
 
-// Handler serves GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow it answers with the events after the cursor, and
-// waits for one up to 25 s if there are none. With follow it streams events until the client disconnects, and sends an empty line (or a
-// comment) after 25 s without an event. A slow reader misses only events that are no longer kept, and gets a gap for these.
+// Handler returns a handler for GET /events?after=CURSOR&service=&tenant=&zone=&follow=1. Without follow, the handler answers with the
+// events after the cursor; if there are none, it waits for one for up to 25 s. With follow, it streams events until the client
+// disconnects, and sends an empty line (in a stream of server-sent events: a comment) at least every 25 s while there are no events. A slow
+// reader misses only events that the source has discarded, and gets a gap for them.
 //
-// It answers 400 to an invalid cursor, 405 to other methods, 503 beyond 32 concurrent readers, and 500 if the source fails.
+// The handler answers 400 to an invalid cursor, 405 to other methods, 503 to a reader in excess of 32 concurrent ones, and 500 if the
+// source fails.
 func Handler(source Source) http.Handler { return &handler{source: source} }
 
-// handler serves a source, and counts the readers.
+// handler serves the events of a source.
 type handler struct {
 	source  Source
-	readers atomic.Int64
+	readers atomic.Int64 // number of current readers
 }
 
-// request has the parameters of a reader's request, and its progress.
+// request has the parameters of a reader's request, and the reader's progress.
 type request struct {
-	cursor     events.Cursor // after the last event that was read from the source
+	cursor     events.Cursor // position after the last event that was read from the source
 	filter     events.Filter
-	follow     bool
-	serverSent bool
+	follow     bool // whether to stream events until the client disconnects
+	serverSent bool // whether to encode events as server-sent events
 }
 
-// parseRequest parses a reader's request. The error is an *events.CursorError.
+// parseRequest parses a reader's request. The error for an invalid cursor is an *events.CursorError.
 func parseRequest(r *http.Request) (*request, error) {
 	query := r.URL.Query()
 	after := query.Get(queryAfter)
@@ -107,7 +110,7 @@
 	}
 }
 
-// serve writes events until the request is answered or the client has disconnected. The error is the source's.
+// serve writes events until the request is answered or the client has disconnected. It fails only with an error of the source.
 func (h *handler) serve(ctx context.Context, request *request, writer *eventWriter) error {
 	idle := time.NewTimer(maxWait)
 	defer idle.Stop()
--- a/internal/mesh/operations/eventfeed/example_test.go
+++ b/internal/mesh/operations/eventfeed/example_test.go
@@ -10,16 +10,16 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// source has the events of a feed, to which none are added.
+// source serves the events of a feed that does not change.
 type source struct{ feed *events.Feed }
 
 // After implements eventfeed.Source.
-func (s source) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
-	found, next := s.feed.After(c, limit, f)
+func (s source) After(cursor events.Cursor, limit int, filter events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	found, next := s.feed.After(cursor, limit, filter)
 	return found, next, nil, nil
 }
 
-// A tool reads the events after its cursor.
+// A tool requests the events after its cursor.
 func ExampleHandler() {
 	feed := events.NewFeed(36, 16)
 	feed.Add(events.Event{Kind: events.EndpointServing, Service: "orders"})
--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -16,24 +16,24 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// goldenSource has the events of a feed, to which none are added.
+// goldenSource serves the events of a feed that does not change.
 type goldenSource struct{ feed *events.Feed }
 
 // After implements Source.
-func (g goldenSource) After(c events.Cursor, limit int, f events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
-	out, next := g.feed.After(c, limit, f)
-	return out, next, nil, nil
+func (g goldenSource) After(cursor events.Cursor, limit int, filter events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	found, next := g.feed.After(cursor, limit, filter)
+	return found, next, nil, nil
 }
 
-// brokenSource fails to return events.
-type brokenSource struct{}
+// failingSource returns an error instead of events.
+type failingSource struct{}
 
 // After implements Source.
-func (brokenSource) After(c events.Cursor, _ int, _ events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
-	return nil, c, nil, trace.NotFound("record %q", "event/3")
+func (failingSource) After(cursor events.Cursor, _ int, _ events.Filter) ([]events.Event, events.Cursor, <-chan struct{}, error) {
+	return nil, cursor, nil, trace.NotFound("record %q", "event/3")
 }
 
-// goldenFeed returns a feed of five events that keeps four.
+// goldenFeed returns a feed that retains four events, after five were added.
 func goldenFeed() *events.Feed {
 	feed := events.NewFeed(36, 4)
 	for i, service := range []string{"orders", "orders", "carts", "orders", "carts"} {
@@ -45,7 +45,7 @@
 	return feed
 }
 
-// The answers to GET /events: JSON lines, server-sent events, gaps, and rejected requests.
+// The golden file has the answers to GET /events: JSON lines, server-sent events, gaps, and rejected requests.
 func TestGoldenAnswers(t *testing.T) {
 	var lines strings.Builder
 	for _, call := range []struct {
@@ -64,20 +64,21 @@
 		{"the last id counts more", "GET", "/events?after=10-1", http.Header{"Last-Event-Id": {"10-4"}}, goldenSource{goldenFeed()}},
 		{"no cursor", "GET", "/events?after=x", nil, goldenSource{goldenFeed()}},
 		{"another method", "POST", "/events", nil, goldenSource{goldenFeed()}},
-		{"a source that fails", "GET", "/events", nil, brokenSource{}},
+		{"a source that fails", "GET", "/events", nil, failingSource{}},
 	} {
-		w := httptest.NewRecorder()
-		q := httptest.NewRequestWithContext(t.Context(), call.method, call.path, nil)
+		answer := httptest.NewRecorder()
+		request := httptest.NewRequestWithContext(t.Context(), call.method, call.path, nil)
 		if call.header != nil {
-			q.Header = call.header
+			request.Header = call.header
 		}
-		Handler(call.source).ServeHTTP(w, q)
-		fmt.Fprintf(&lines, "# %s: %s %s\n%d %s\n%s", call.what, call.method, call.path, w.Code, w.Header().Get("Content-Type"), w.Body)
+		Handler(call.source).ServeHTTP(answer, request)
+		fmt.Fprintf(&lines, "# %s: %s %s\n%d %s\n%s",
+			call.what, call.method, call.path, answer.Code, answer.Header().Get("Content-Type"), answer.Body)
 	}
 	golden.Text(t, "answers.txt", []byte(lines.String()))
 }
 
-// A stream continues until its reader disconnects. A reader beyond the bound is rejected.
+// A stream continues until its reader disconnects. A reader above the limit of concurrent readers is rejected.
 func TestGoldenStreams(t *testing.T) {
 	c := qt.New(t)
 	handler := Handler(goldenSource{goldenFeed()})
@@ -90,15 +91,15 @@
 			done <- w
 		}()
 	}
-	var refused *httptest.ResponseRecorder
-	for end := time.Now().Add(20 * time.Second); refused == nil || refused.Code == http.StatusOK; time.Sleep(5 * time.Millisecond) {
-		c.Assert(time.Now().Before(end), qt.IsTrue)
-		refused = httptest.NewRecorder()
-		handler.ServeHTTP(refused, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
+	var rejected *httptest.ResponseRecorder
+	for end := time.Now().Add(20 * time.Second); rejected == nil || rejected.Code == http.StatusOK; time.Sleep(5 * time.Millisecond) {
+		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("no reader was rejected within 20 s"))
+		rejected = httptest.NewRecorder()
+		handler.ServeHTTP(rejected, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/events", nil))
 	}
 	disconnect()
 	var lines strings.Builder
-	fmt.Fprintf(&lines, "%d, retry after %s\n%s", refused.Code, refused.Header().Get("Retry-After"), refused.Body)
+	fmt.Fprintf(&lines, "%d, retry after %s\n%s", rejected.Code, rejected.Header().Get("Retry-After"), rejected.Body)
 	for range maxReaders {
 		if w := <-done; lines.Len() < 200 {
 			fmt.Fprintf(&lines, "%d %s\n%s", w.Code, w.Header().Get("Content-Type"), w.Body)
--- a/internal/mesh/operations/eventfeed/writer.go
+++ b/internal/mesh/operations/eventfeed/writer.go
@@ -10,19 +10,19 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// eventWriter writes events to one reader. Its errors mean that the reader has disconnected, or does not read.
+// eventWriter writes events to one reader. Its methods fail if the reader has disconnected or does not read.
 type eventWriter struct {
 	out        io.Writer
 	controller *http.ResponseController
 	serverSent bool
 }
 
-// newEventWriter returns the writer of an answer.
+// newEventWriter returns a writer of events to the body of an answer.
 func newEventWriter(w http.ResponseWriter, serverSent bool) *eventWriter {
 	return &eventWriter{out: w, controller: http.NewResponseController(w), serverSent: serverSent}
 }
 
-// write writes a batch of events, and flushes it.
+// write writes a batch of events, and flushes them to the connection.
 func (w *eventWriter) write(batch []events.Event) error {
 	w.extendDeadline()
 	for i := range batch {
@@ -33,7 +33,7 @@
 	return w.controller.Flush()
 }
 
-// writeEvent writes an event, without flushing it.
+// writeEvent writes one event, without flushing it.
 func (w *eventWriter) writeEvent(e *events.Event) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return err
 }
 
-// keepAlive sends an empty line, or a comment of a server-sent stream, by which the reader knows that the stream is alive.
+// keepAlive sends an empty line, or a comment in a stream of server-sent events, that tells the reader that the stream is alive.
 func (w *eventWriter) keepAlive() error {
 	w.extendDeadline()
 	text := "\n"
@@ -60,7 +60,7 @@
 	return w.controller.Flush()
 }
 
-// extendDeadline sets the deadline for writing to maxWait from now, so that the stream of a reader that does not read ends.
+// extendDeadline sets the write deadline to maxWait from now. It ends the stream of a reader that does not read.
 func (w *eventWriter) extendDeadline() {
-	_ = w.controller.SetWriteDeadline(time.Now().Add(maxWait)) // not supported in tests without a connection
+	_ = w.controller.SetWriteDeadline(time.Now().Add(maxWait)) // recorders in tests have no connection, and return an error here
 }
--- a/internal/mesh/operations/eventlog/example_test.go
+++ b/internal/mesh/operations/eventlog/example_test.go
@@ -9,11 +9,11 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// memory is a store in memory.
-type memory map[string][]byte
+// memoryStore is a store in memory.
+type memoryStore map[string][]byte
 
 // Get implements eventlog.Store.
-func (m memory) Get(key string) ([]byte, error) {
+func (m memoryStore) Get(key string) ([]byte, error) {
 	if data, ok := m[key]; ok {
 		return data, nil
 	}
@@ -21,14 +21,14 @@
 }
 
 // Put implements eventlog.Store.
-func (m memory) Put(key string, data []byte) error {
+func (m memoryStore) Put(key string, data []byte) error {
 	m[key] = data
 	return nil
 }
 
-// A log that is opened again has its events, and the cursor at the core process.
+// A log that is opened again has the events and the cursor at the core process that were added before.
 func ExampleOpenLog() {
-	store := memory{}
+	store := memoryStore{}
 	log, err := eventlog.OpenLog(store, 100, 36)
 	if err != nil {
 		fmt.Println(err)
--- a/internal/mesh/operations/eventlog/follow.go
+++ b/internal/mesh/operations/eventlog/follow.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	minRetryDelay = 200 * time.Millisecond // between two attempts to follow; it doubles with each attempt without an event
-	maxRetryDelay = 5 * time.Second        // its bound
-	streamTimeout = 40 * time.Second       // since the last line; a core process sends one every 25 s
-	maxLineBytes  = 64 << 10
+	minRetryDelay = 200 * time.Millisecond // delay between two attempts to follow; it doubles with each attempt that receives no event
+	maxRetryDelay = 5 * time.Second        // upper bound of that delay
+	streamTimeout = 40 * time.Second       // time since the last line after which a stream ends; a core process sends a line every 25 s
+	maxLineBytes  = 64 << 10               // length of a line above which a stream ends with an error
 
-	initialLineBytes = 4 << 10 // of the buffer
+	initialLineBytes = 4 << 10 // initial size of the line buffer
 )
 
-// errStreamEnded means that a core process has ended a stream regularly, as it does when it shuts down.
-var errStreamEnded = trace.ConnectionProblem(nil, "the stream ended")
+// errStreamEnded means that a core process has closed a stream without an error, as it does when it shuts down.
+var errStreamEnded = trace.ConnectionProblem(nil, "the core process closed the stream")
 
-// Follow follows the feeds of core processes, one at a time, until ctx ends, and adds their events to a log. cores are their control
-// addresses. It starts with the core process that the log has followed, if there is one, and changes to the next one when a stream has
-// ended without an event.
+// Follow follows the feeds of core processes, one at a time, until ctx ends, and adds their events to a log. cores are the control
+// addresses of the core processes; there must be at least one. Follow starts with the core process that the log has followed before, if
+// there is one, and changes to the next one when an attempt has received no event.
 func Follow(ctx context.Context, eventLog *Log, cores []string, log *logrus.Logger) {
 	delay := minRetryDelay
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		core := cores[attempt%len(cores)]
 		if followed, _ := eventLog.Followed(); attempt == 0 && followed != "" {
-			core = followed // the log's cursor is valid there
+			core = followed // the cursor in the log is valid at this process
 		}
 		received, err := followCore(ctx, eventLog, core, log)
 		if err != nil && ctx.Err() == nil {
-			log.WithField("core", core).WithError(err).Warn("eventlog: a core process's feed has ended")
+			log.WithField("core", core).WithError(err).Warn("eventlog: stopped following a core process")
 		}
 		delay = min(2*delay, maxRetryDelay)
 		if received > 0 {
 			delay = minRetryDelay
-			attempt-- // the same one again: it may only have restarted
+			attempt-- // try the same process again, because it may only have restarted
 		}
-		wait(ctx, delay)
+		sleep(ctx, delay)
 	}
 }
 
-// wait returns after a time, or when ctx ends.
-func wait(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
+// sleep returns after a delay, or when ctx ends.
+func sleep(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -60,14 +60,15 @@
 	}
 }
 
-// followCore follows a core process until the stream ends, and returns the number of events that it has added. The error is never nil.
+// followCore follows a core process until the stream ends, and returns the number of events that it has added to the log. The error is
+// never nil: it says why the stream ended, or why none could be opened.
 func followCore(ctx context.Context, eventLog *Log, core string, log *logrus.Logger) (received int, err error) {
 	followed, cursor := eventLog.Followed()
 	if core != followed && followed != "" {
-		// Another process has observed other events, in another order: it is not known which ones are missing.
+		// Another process has observed other events, in another order, so that it is unknown which events are missing.
 		cursor = ""
-		if err := eventLog.Add(changeOfCore(core), core, ""); err != nil {
-			log.WithField("core", core).WithError(err).Warn("eventlog: a gap can't be kept")
+		if err := eventLog.Add(newCoreGap(core), core, ""); err != nil {
+			log.WithField("core", core).WithError(err).Warn("eventlog: cannot store the gap before the events of another core process")
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -78,12 +79,12 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = stream.Close() }() // an error is of no consequence after the end of the stream
+	defer func() { _ = stream.Close() }() // nothing is read after the end of the stream, so an error has no effect
 	return readStream(stream, eventLog, core, func() { deadline.Reset(streamTimeout) })
 }
 
-// changeOfCore returns the gap before the events of another core process.
-func changeOfCore(core string) events.Event {
+// newCoreGap returns the gap that the log has before the events of another core process.
+func newCoreGap(core string) events.Event {
 	return events.Event{
 		Kind:   events.Gap,
 		Node:   core,
@@ -92,7 +93,8 @@
 	}
 }
 
-// openStream opens a core process's feed after a cursor.
+// openStream opens the feed of a core process after a cursor. It fails if the process can't be reached or answers with a status other than
+// 200.
 func openStream(ctx context.Context, core, cursor string) (io.ReadCloser, error) {
 	address := "http://" + core + "/events?follow=1&after=" + url.QueryEscape(cursor)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, http.NoBody)
@@ -104,25 +106,25 @@
 		return nil, trace.Wrap(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // the status is the error
-		return nil, trace.BadParameter("%s answers %s", core, response.Status)
+		_ = response.Body.Close() // the returned error has the status
+		return nil, trace.BadParameter("%s answered the request for events with %s", core, response.Status)
 	}
 	return response.Body, nil
 }
 
-// readStream adds the events of a stream to the log until the stream ends, and returns how many it has added. alive is called for each
-// line. The error is never nil: errStreamEnded, that of the connection or of the log, or trace.BadParameter for an invalid line.
-func readStream(stream io.Reader, eventLog *Log, core string, alive func()) (added int, err error) {
+// readStream adds the events of a stream to the log until the stream ends, and returns the number of added events. It calls onLine for each
+// line. The error is never nil: it is errStreamEnded, an error of the connection or of the log, or trace.BadParameter for an invalid line.
+func readStream(stream io.Reader, eventLog *Log, core string, onLine func()) (added int, err error) {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	for lines.Scan() {
-		alive()
+		onLine()
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
 		var e events.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return added, trace.BadParameter("%s: line %d: %v", core, added+1, err)
+			return added, trace.BadParameter("%s sent an invalid line for event %d of the stream: %v", core, added+1, err)
 		}
 		if err := eventLog.Add(e, core, e.Cursor); err != nil {
 			return added, trace.Wrap(err)
--- a/internal/mesh/operations/eventlog/follow_test.go
+++ b/internal/mesh/operations/eventlog/follow_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// fakeCore starts a core process that has one event, and ends each stream after it.
+// fakeCore starts a server that stands in for a core process with one event, and ends each stream after that event.
 func fakeCore(name string) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") == "" {
@@ -25,11 +25,11 @@
 	}))
 }
 
-// A log that changes to another core process has a gap before that one's events.
+// When the log changes to another core process, it has a gap before the events of that process.
 func TestChangeOfCoreIsReportedAsGap(t *testing.T) {
 	c := qt.New(t)
-	one, two := fakeCore("1"), fakeCore("2")
-	defer two.Close()
+	first, second := fakeCore("1"), fakeCore("2")
+	defer second.Close()
 	eventLog, err := OpenLog(newMemoryStore(1000), 100, 1)
 	c.Assert(err, qt.IsNil)
 	log := logrus.New()
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var following sync.WaitGroup
 	following.Go(func() {
-		Follow(ctx, eventLog, []string{one.Listener.Addr().String(), two.Listener.Addr().String()}, log)
+		Follow(ctx, eventLog, []string{first.Listener.Addr().String(), second.Listener.Addr().String()}, log)
 	})
 	defer following.Wait()
 	defer cancel()
@@ -54,7 +54,7 @@
 			<-more
 		}
 		if len(got) == 1 {
-			one.Close()
+			first.Close()
 		}
 	}
 	c.Assert(got[0], qt.Equals, "duty_came 1")
--- a/internal/mesh/operations/eventlog/golden_test.go
+++ b/internal/mesh/operations/eventlog/golden_test.go
@@ -17,11 +17,11 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// goldenFolder has the files of a log of a program that has shut down regularly. They are written anew with the other golden files if
-// UPDATE_GOLDEN_FOLDER is set too.
+// goldenFolder has the files of a log whose program has shut down without a fault. They are regenerated if the environment variable
+// UPDATE_GOLDEN_FOLDER is set; set it together with the flag -update-golden, which updates the other golden files.
 const goldenFolder = "testdata/golden/folder"
 
-// goldenEvents returns five events with a value in each field but the cursor.
+// goldenEvents returns five events with a value in each field except the cursor.
 func goldenEvents() []events.Event {
 	var all []events.Event
 	for i := range 5 {
@@ -33,37 +33,37 @@
 	return all
 }
 
-// addGolden opens a log that keeps three events, and adds five.
-func addGolden(t *testing.T, s Store) {
+// addGoldenEvents opens a log that retains three events, and adds five.
+func addGoldenEvents(t *testing.T, store Store) {
 	t.Helper()
-	l, err := OpenLog(s, 3, 36)
+	eventLog, err := OpenLog(store, 3, 36)
 	qt.Assert(t, err, qt.IsNil)
 	for i, e := range goldenEvents() {
-		qt.Assert(t, l.Add(e, "10.1.0.44:8105", events.Cursor{Incarnation: 7, Number: uint64(i + 1)}.String()), qt.IsNil)
+		qt.Assert(t, eventLog.Add(e, "10.1.0.44:8105", events.Cursor{Incarnation: 7, Number: uint64(i + 1)}.String()), qt.IsNil)
 	}
 }
 
-// The records that a log keeps, by key.
+// The golden file has the records of a log by key.
 func TestGoldenRecords(t *testing.T) {
-	s := newMemoryStore(100)
-	addGolden(t, s)
+	store := newMemoryStore(100)
+	addGoldenEvents(t, store)
 	var lines strings.Builder
 	for _, key := range []string{"head", "event/0", "event/1", "event/2"} {
-		fmt.Fprintf(&lines, "%s: %s\n", key, s.records[key])
+		fmt.Fprintf(&lines, "%s: %s\n", key, store.records[key])
 	}
-	qt.Assert(t, s.records, qt.HasLen, 4)
+	qt.Assert(t, store.records, qt.HasLen, 4)
 	qt.Assert(t, []string{headKey, eventKeyPrefix}, qt.DeepEquals, []string{"head", "event/"})
 	golden.Text(t, "records.txt", []byte(lines.String()))
 }
 
-// The folder of an earlier program is read, and the log continued.
+// A folder that an earlier version of the program has written is read, and its log is continued.
 func TestGoldenFolder(t *testing.T) {
 	c := qt.New(t)
 	if os.Getenv("UPDATE_GOLDEN_FOLDER") != "" {
 		c.Assert(os.RemoveAll(goldenFolder), qt.IsNil)
 		store, err := storage.Open(goldenFolder)
 		c.Assert(err, qt.IsNil)
-		addGolden(t, store)
+		addGoldenEvents(t, store)
 		c.Assert(store.Close(), qt.IsNil)
 	}
 	folder := filepath.Join(t.TempDir(), "folder")
@@ -71,11 +71,11 @@
 	store, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
 	defer func() { c.Check(store.Close(), qt.IsNil) }()
-	l, err := OpenLog(store, 3, 99)
+	eventLog, err := OpenLog(store, 3, 99)
 	c.Assert(err, qt.IsNil)
-	from, cursor := l.Followed()
-	c.Assert([]string{from, cursor}, qt.DeepEquals, []string{"10.1.0.44:8105", "7-5"})
-	c.Assert(l.Add(events.Event{Kind: events.Gap, Detail: "later"}, "10.2.0.35:8105", "8-1"), qt.IsNil)
+	address, cursor := eventLog.Followed()
+	c.Assert([]string{address, cursor}, qt.DeepEquals, []string{"10.1.0.44:8105", "7-5"})
+	c.Assert(eventLog.Add(events.Event{Kind: events.Gap, Detail: "later"}, "10.2.0.35:8105", "8-1"), qt.IsNil)
 	var lines strings.Builder
 	for _, after := range []events.Cursor{
 		{},
@@ -84,10 +84,10 @@
 		{Incarnation: 99, Number: 1},
 		{Incarnation: 36, Number: 7},
 	} {
-		out, next, _, err := l.After(after, 9, events.Filter{})
+		found, next, _, err := eventLog.After(after, 9, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		fmt.Fprintf(&lines, "after %s, next %s\n", after, next)
-		for _, e := range out {
+		for _, e := range found {
 			text, err := json.Marshal(e)
 			c.Assert(err, qt.IsNil)
 			fmt.Fprintf(&lines, "%s\n", text)
@@ -96,21 +96,21 @@
 	golden.Text(t, "folder.txt", []byte(lines.String()))
 }
 
-// The error for an invalid record names the record.
+// The error for an invalid or missing record names the key of the record.
 func TestGoldenInvalidRecords(t *testing.T) {
 	var lines strings.Builder
 	_, err := OpenLog(&memoryStore{records: map[string][]byte{"head": []byte("{")}}, 3, 36)
 	fmt.Fprintf(&lines, "%v\n", err)
 	qt.Assert(t, trace.IsBadParameter(err), qt.IsTrue)
-	s := newMemoryStore(100)
-	addGolden(t, s)
-	l, err := OpenLog(s, 3, 36)
+	store := newMemoryStore(100)
+	addGoldenEvents(t, store)
+	eventLog, err := OpenLog(store, 3, 36)
 	qt.Assert(t, err, qt.IsNil)
-	s.records["event/0"] = []byte("x")
-	_, next, _, err := l.After(events.Cursor{}, 9, events.Filter{})
+	store.records["event/0"] = []byte("x")
+	_, next, _, err := eventLog.After(events.Cursor{}, 9, events.Filter{})
 	fmt.Fprintf(&lines, "%s %v\n", next, err)
-	delete(s.records, "event/0")
-	_, next, _, err = l.After(events.Cursor{}, 9, events.Filter{})
+	delete(store.records, "event/0")
+	_, next, _, err = eventLog.After(events.Cursor{}, 9, events.Filter{})
 	fmt.Fprintf(&lines, "%s %v\n", next, err)
 	golden.Text(t, "spoilt.txt", []byte(lines.String()))
 }
--- a/internal/mesh/operations/eventlog/log_test.go
+++ b/internal/mesh/operations/eventlog/log_test.go
@@ -10,13 +10,13 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// memoryStore is a store in memory that fails after a number of writes.
+// memoryStore is a store in memory whose writes fail once writesLeft of them have been made.
 type memoryStore struct {
 	records    map[string][]byte
-	writesLeft int
+	writesLeft int // number of writes that will succeed
 }
 
-// newMemoryStore returns an empty store that fails after a number of writes.
+// newMemoryStore returns an empty store whose writes fail after the given number of writes.
 func newMemoryStore(writes int) *memoryStore {
 	return &memoryStore{records: map[string][]byte{}, writesLeft: writes}
 }
@@ -39,35 +39,36 @@
 	return nil
 }
 
-// addNumbered opens a log in a store, and adds events with the numbers from first on, below end, as their details and cursors, until the
-// store fails. It returns the number of the first event that was not added.
-func addNumbered(t *testing.T, s Store, first, end int) int {
+// addNumberedEvents opens a log in a store, and adds an event for each number from first to end-1 until the store fails. The number is the
+// detail and the cursor of the event. addNumberedEvents returns the number of the first event that was not added.
+func addNumberedEvents(t *testing.T, store Store, first, end int) int {
 	t.Helper()
-	l, err := OpenLog(s, 8, 1)
+	eventLog, err := OpenLog(store, 8, 1)
 	qt.Assert(t, err, qt.IsNil)
 	for i := first; i < end; i++ {
 		number := strconv.Itoa(i)
-		if l.Add(events.Event{Kind: events.QuotaExhausted, Detail: number}, "core", number) != nil {
+		if eventLog.Add(events.Event{Kind: events.QuotaExhausted, Detail: number}, "core", number) != nil {
 			return i
 		}
 	}
 	return end
 }
 
-// The disk fails, or the event log crashes, at any write: the log that is opened then has every acknowledged event, once and in order.
-func TestEventsOutliveAnyWrite(t *testing.T) {
+// The disk fails or the event log crashes at any one of the writes. The log that is opened afterwards has every acknowledged event once and
+// in order.
+func TestAcknowledgedEventsSurviveAFailureAtAnyWrite(t *testing.T) {
 	c := qt.New(t)
 	for writes := range 24 {
 		store := newMemoryStore(writes)
-		kept := addNumbered(t, store, 0, 10)
+		added := addNumberedEvents(t, store, 0, 10)
 		store.writesLeft = 1000
-		c.Assert(addNumbered(t, store, kept, 10), qt.Equals, 10)
+		c.Assert(addNumberedEvents(t, store, added, 10), qt.Equals, 10)
 
-		l, err := OpenLog(store, 8, 1)
+		eventLog, err := OpenLog(store, 8, 1)
 		c.Assert(err, qt.IsNil)
-		address, cursor := l.Followed()
+		address, cursor := eventLog.Followed()
 		c.Assert([]string{address, cursor}, qt.DeepEquals, []string{"core", "9"})
-		found, next, _, err := l.After(events.Cursor{Incarnation: 1, Number: 1}, 99, events.Filter{})
+		found, next, _, err := eventLog.After(events.Cursor{Incarnation: 1, Number: 1}, 99, events.Filter{})
 		c.Assert(err, qt.IsNil)
 		c.Assert(found[0].Detail, qt.Equals, "1 events are no longer kept")
 		for i, e := range found[1:] {
--- a/internal/mesh/operations/events/cursor.go
+++ b/internal/mesh/operations/events/cursor.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Number bases in a cursor's text.
+// Bases of the two numbers in the text of a cursor.
 const (
 	incarnationBase = 36
 	numberBase      = 10
 )
 
-// Cursor is a position in a feed: after the event of that number, in one incarnation of the feed. The zero value is before the oldest
-// event that is kept.
+// Cursor is a position in a feed: the position after event Number of one incarnation of the feed. The zero value is the position before
+// the oldest retained event.
 type Cursor struct {
-	Incarnation uint64 // of the process that keeps the feed
-	Number      uint64
+	Incarnation uint64 // identifies one run of the process that provides the feed
+	Number      uint64 // number of the last event that was read
 }
 
-// String returns the cursor's text, like 1a2b-17.
+// String returns the text of the cursor, such as 1a2b-17.
 func (c Cursor) String() string {
 	return strconv.FormatUint(c.Incarnation, incarnationBase) + "-" + strconv.FormatUint(c.Number, numberBase)
 }
 
-// CursorError reports a text that is not a cursor.
+// CursorError reports that a text is not a valid cursor.
 type CursorError struct {
 	Text string
 }
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("cursor %q: wanted one that the feed gave, like 1a2b-17", e.Text)
 }
 
-// ParseCursor parses a cursor's text. The empty text is the zero Cursor. The error is a *CursorError.
+// ParseCursor parses the text of a cursor. An empty text gives the zero Cursor. The error for an invalid text is a *CursorError.
 func ParseCursor(text string) (Cursor, error) {
 	if text == "" {
 		return Cursor{}, nil
--- a/internal/mesh/operations/events/example_test.go
+++ b/internal/mesh/operations/events/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/mesh/operations/events"
 )
 
-// A reader that has missed events gets a gap before those that are still kept.
+// A reader that has missed events gets a gap before the events that are still retained.
 func ExampleFeed() {
 	feed := events.NewFeed(36, 2)
 	first := feed.Add(events.Event{Kind: events.EndpointServing, Service: "orders"})
--- a/internal/mesh/operations/events/feed_test.go
+++ b/internal/mesh/operations/events/feed_test.go
@@ -7,15 +7,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// numberedReader reads a feed, three events at a time. The events' details are ascending numbers.
+// numberedReader reads a feed three events at a time. The details of the events are consecutive numbers.
 type numberedReader struct {
 	*qt.C
 	cursor    Cursor
-	last      int  // number that was read
-	gapBefore bool // a gap was read after it
+	last      int  // last number that was read
+	gapBefore bool // whether a gap was read after the last number
 }
 
-// read reads once. It checks that numbers are skipped only after a gap, and that none is read twice.
+// read reads one batch. It checks that numbers are skipped only after a gap, and that no number is read twice.
 func (r *numberedReader) read(f *Feed) {
 	r.Helper()
 	found, next := f.After(r.cursor, 3, Filter{})
@@ -28,16 +28,16 @@
 		number, err := strconv.Atoi(e.Detail)
 		r.Assert(err, qt.IsNil)
 		if number != r.last+1 {
-			r.Assert(r.gapBefore, qt.IsTrue, qt.Commentf("%d after %d", number, r.last))
+			r.Assert(r.gapBefore, qt.IsTrue, qt.Commentf("event %d follows event %d without a gap between them", number, r.last))
 		}
-		r.Assert(number > r.last, qt.IsTrue)
+		r.Assert(number > r.last, qt.IsTrue, qt.Commentf("event %d is read after event %d", number, r.last))
 		r.last = number
 		r.gapBefore = false
 	}
 }
 
-// Readers of different paces, and a process that restarts at any event: each event is read once and in order, or a gap is reported before
-// the event that follows.
+// A reader may be slower than the feed, and the process may restart between any two events. The reader gets each event once and in order,
+// or a gap before the event that follows the missing ones.
 func TestMissedEventsAreReportedAsGaps(t *testing.T) {
 	for restart := range 12 {
 		for pace := 1; pace < 8; pace++ {
@@ -48,7 +48,7 @@
 	}
 }
 
-// readAtPace reads a feed once after every pace events. After restart events and the first one, a new incarnation replaces the feed.
+// readAtPace reads a feed once after every pace events. A new incarnation replaces the feed after 1+restart events.
 func readAtPace(t *testing.T, restart, pace int) {
 	t.Helper()
 	feed := NewFeed(1, 4)
@@ -73,16 +73,16 @@
 
 func TestCursorsAndFilters(t *testing.T) {
 	c := qt.New(t)
-	f := NewFeed(7, 8)
-	f.Add(Event{Kind: EndpointServing, Service: "a", Zone: "x"})
-	e := f.Add(Event{Kind: EndpointServing, Service: "b", Zone: "x"})
-	cursor, err := ParseCursor(e.Cursor)
+	feed := NewFeed(7, 8)
+	feed.Add(Event{Kind: EndpointServing, Service: "a", Zone: "x"})
+	second := feed.Add(Event{Kind: EndpointServing, Service: "b", Zone: "x"})
+	cursor, err := ParseCursor(second.Cursor)
 	c.Assert(err, qt.IsNil)
 	c.Assert(cursor, qt.Equals, Cursor{7, 2})
-	found, next := f.After(Cursor{}, 9, Filter{Service: "b"})
+	found, next := feed.After(Cursor{}, 9, Filter{Service: "b"})
 	c.Assert(found, qt.HasLen, 1)
 	c.Assert(next, qt.Equals, cursor)
-	found, _ = f.After(Cursor{8, 1}, 9, Filter{Service: "b"})
+	found, _ = feed.After(Cursor{8, 1}, 9, Filter{Service: "b"})
 	c.Assert(found[0].Kind, qt.Equals, Gap)
 	_, err = ParseCursor("x")
 	c.Assert(err, qt.ErrorMatches, `cursor "x": .*`)
--- a/internal/mesh/operations/events/golden_test.go
+++ b/internal/mesh/operations/events/golden_test.go
@@ -42,7 +42,7 @@
 	golden.Text(t, "kinds.txt", []byte(strings.Join(kinds, "\n")+"\n"))
 }
 
-// The texts of cursors and gaps, and the errors for invalid cursors.
+// The golden file has the texts of cursors and gaps, and the errors for invalid cursors.
 func TestGoldenCursors(t *testing.T) {
 	var lines strings.Builder
 	for _, text := range []string{
@@ -55,13 +55,13 @@
 			fmt.Fprintf(&lines, "  %s\n", cursor)
 		}
 	}
-	f := NewFeed(36, 3)
+	feed := NewFeed(36, 3)
 	for i := range 5 {
-		f.Add(Event{Kind: QuotaExhausted, Detail: strconv.Itoa(i)})
+		feed.Add(Event{Kind: QuotaExhausted, Detail: strconv.Itoa(i)})
 	}
 	for _, cursor := range []Cursor{{}, {36, 1}, {36, 2}, {36, 5}, {36, 6}, {37, 4}} {
-		out, next := f.After(cursor, 9, Filter{})
-		text, err := json.Marshal(out)
+		found, next := feed.After(cursor, 9, Filter{})
+		text, err := json.Marshal(found)
 		qt.Assert(t, err, qt.IsNil)
 		fmt.Fprintf(&lines, "after %s: %s, next %s\n", cursor, text, next)
 	}
