--- a/internal/mesh/operations/eventfeed/golden_test.go
+++ b/internal/mesh/operations/eventfeed/golden_test.go
@@ -49,7 +49,7 @@
 func TestGoldenAnswers(t *testing.T) {
 	var lines strings.Builder
 	for _, call := range []struct {
-		what, method, path string
+		name, method, path string
 		header             http.Header
 		source             Source
 	}{
@@ -73,7 +73,7 @@
 		}
 		Handler(call.source).ServeHTTP(answer, request)
 		fmt.Fprintf(&lines, "# %s: %s %s\n%d %s\n%s",
-			call.what, call.method, call.path, answer.Code, answer.Header().Get("Content-Type"), answer.Body)
+			call.name, call.method, call.path, answer.Code, answer.Header().Get("Content-Type"), answer.Body)
 	}
 	golden.Text(t, "answers.txt", []byte(lines.String()))
 }
--- a/internal/mesh/operations/logging/doc.go
+++ b/internal/mesh/operations/logging/doc.go
@@ -1,8 +1,8 @@
-// Package logging keeps a process's log in a ring in memory, and writes it out when a fault is logged. So the entries before a fault can
-// be read, at all levels, and the processor time for writing all others is saved.
+// Package logging buffers the log of a process in a ring in memory, and writes the buffer out when a warning or an error is logged. The log
+// thus has the entries of all levels that precede a fault, and no processor time is spent on formatting and writing the other entries.
 //
-// An entry of level error, or a more severe one, dumps the ring at once. A warning does so too, unless another dump for an entry was within
-// the last ten seconds. Entries that were written out are removed from the ring. Callers must not log keys or bodies.
+// An entry of level error, or of a more severe level, dumps the ring at once. A warning dumps it too, unless an entry has caused a dump
+// within the last ten seconds. Entries that were written out are removed from the ring. Callers must not log keys or bodies.
 //
-// The package does not rotate or ship logs: out is the process's standard error.
+// The package does not rotate or ship logs: processes dump the ring to standard error.
 package logging
--- a/internal/mesh/operations/logging/golden_test.go
+++ b/internal/mesh/operations/logging/golden_test.go
@@ -10,9 +10,9 @@
 	"quincegap/internal/golden"
 )
 
-var timeOfEntry = regexp.MustCompile(`time="[^"]*"`)
+var entryTime = regexp.MustCompile(`time="[^"]*"`)
 
-// The dumps for the first fault, for further ones, for an error, and on request.
+// The golden file has the dumps for the first warning, for further warnings and an error, and on request.
 func TestGoldenLog(t *testing.T) {
 	var out strings.Builder
 	log, ring := New(&out)
@@ -25,5 +25,5 @@
 	log.Info("later")
 	ring.Dump("SIGUSR1")
 	ring.Dump("SIGUSR1")
-	golden.Text(t, "log.txt", []byte(timeOfEntry.ReplaceAllString(out.String(), "time=TIME")))
+	golden.Text(t, "log.txt", []byte(entryTime.ReplaceAllString(out.String(), "time=TIME")))
 }
--- a/internal/mesh/operations/logging/logging.go
+++ b/internal/mesh/operations/logging/logging.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	maxEntries      = 1024             // kept in memory
-	minDumpInterval = 10 * time.Second // from a dump for an entry to a dump for a warning
-	maxMessageBytes = 512              // of a message; a longer one is truncated
+	maxEntries      = 1024             // number of entries that are buffered in memory
+	minDumpInterval = 10 * time.Second // minimum time from a dump that an entry has caused to a dump for a warning
+	maxMessageBytes = 512              // length of a message above which it is truncated
 )
 
-// Ring is a logrus hook that keeps the newest entries. The logger's own output is discarded (New). It is safe for concurrent use.
+// Ring is a logrus hook that buffers the newest entries. New discards the logger's own output. A Ring is safe for concurrent use.
 type Ring struct {
 	out    io.Writer
 	format logrus.TextFormatter
 
 	mu         sync.Mutex
 	entries    []*logrus.Entry
-	next       int       // index of the next entry
-	lastDump   time.Time // for an entry, not by Dump
-	suppressed int       // number of warnings since the last dump that did not dump the ring
+	next       int       // index in entries at which the next entry is stored
+	lastDump   time.Time // time of the last dump that an entry has caused; calls of Dump do not count
+	suppressed int       // number of warnings since the last dump, none of which has dumped the ring
 }
 
-// New returns a logger and the ring that keeps its entries of all levels. The ring is dumped to out.
+// New returns a logger, and the ring that buffers the logger's entries of all levels. The ring is dumped to out.
 func New(out io.Writer) (*logrus.Logger, *Ring) {
 	ring := &Ring{
 		out:     out,
@@ -42,16 +42,16 @@
 	return log, ring
 }
 
-// discardFormatter does not format entries: the ring formats those that it writes out.
+// discardFormatter does not format entries, because the ring formats the entries that it writes out.
 type discardFormatter struct{}
 
 // Format implements logrus.Formatter.
 func (discardFormatter) Format(*logrus.Entry) ([]byte, error) { return nil, nil }
 
-// Levels implements logrus.Hook: all levels are kept.
+// Levels implements logrus.Hook. The ring buffers entries of all levels.
 func (r *Ring) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire implements logrus.Hook. The error is always nil: a log that can't be written stops nothing.
+// Fire implements logrus.Hook. The error is always nil, so that a failure to write the log has no effect on the process.
 func (r *Ring) Fire(e *logrus.Entry) error {
 	entry := *e
 	entry.Message = truncate(entry.Message)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// addLocked adds an entry, and replaces the oldest one if the ring is full.
+// addLocked adds an entry to the ring. If the ring is full, the entry replaces the oldest one.
 func (r *Ring) addLocked(e *logrus.Entry) {
 	if len(r.entries) < maxEntries {
 		r.entries = append(r.entries, e)
@@ -75,10 +75,10 @@
 	r.next = (r.next + 1) % maxEntries
 }
 
-// dumpDueLocked reports whether the ring is to be dumped for an entry. It counts a warning for which it is not.
+// dumpDueLocked reports whether an entry causes a dump of the ring. It counts the warnings that cause none.
 func (r *Ring) dumpDueLocked(e *logrus.Entry) bool {
 	switch {
-	case e.Level > logrus.WarnLevel: // less severe
+	case e.Level > logrus.WarnLevel: // less severe than a warning
 		return false
 	case e.Level < logrus.WarnLevel:
 		return true
@@ -89,22 +89,22 @@
 	return false
 }
 
-// truncate returns the first maxMessageBytes of a message, with dots if there was more.
-func truncate(s string) string {
-	if len(s) > maxMessageBytes {
-		return s[:maxMessageBytes] + "..."
+// truncate returns a message of at most maxMessageBytes unchanged. Of a longer one it returns the first maxMessageBytes and an ellipsis.
+func truncate(message string) string {
+	if len(message) > maxMessageBytes {
+		return message[:maxMessageBytes] + "..."
 	}
-	return s
+	return message
 }
 
-// Dump writes the ring out, after a line with the reason.
+// Dump writes a line with the reason and the buffered entries to the ring's output, and empties the ring.
 func (r *Ring) Dump(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dumpLocked(reason)
 }
 
-// dumpLocked writes the entries to out, the oldest first, and empties the ring. If out fails the rest of the entries is lost.
+// dumpLocked writes the entries to out, the oldest first, and empties the ring. If a write fails, the remaining entries are discarded.
 func (r *Ring) dumpLocked(reason string) {
 	if reason != "" {
 		_, _ = fmt.Fprintf(r.out, "-- log written out: %s\n", reason)
@@ -126,7 +126,7 @@
 	r.next = 0
 }
 
-// writeEntry formats an entry and writes it out.
+// writeEntry formats an entry and writes it to out.
 func (r *Ring) writeEntry(e *logrus.Entry) error {
 	text, err := r.format.Format(e)
 	if err != nil {
--- a/internal/mesh/operations/logging/logging_test.go
+++ b/internal/mesh/operations/logging/logging_test.go
@@ -8,6 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// The entries before a warning or an error are written with it.
 func TestEntriesBeforeAFaultAreWritten(t *testing.T) {
 	c := qt.New(t)
 	var out strings.Builder
@@ -21,7 +22,7 @@
 	c.Assert(lines, qt.HasLen, maxEntries)
 	c.Assert(lines[maxEntries-1], qt.Contains, "fault")
 	c.Assert(lines[0], qt.Contains, fmt.Sprintf("step %d", 3000-maxEntries+1))
-	// Many faults are written once in a while, and counted; an error at once.
+	// Further warnings within minDumpInterval are counted and do not dump the ring; an error dumps it at once.
 	out.Reset()
 	for range 50 {
 		log.Warn("again")
@@ -34,5 +35,5 @@
 	log.Info("later " + strings.Repeat("x", 5000))
 	ring.Dump("SIGUSR1")
 	c.Assert(out.String(), qt.Contains, "SIGUSR1")
-	c.Assert(len(out.String()) < 1000, qt.IsTrue)
+	c.Assert(len(out.String()) < 1000, qt.IsTrue, qt.Commentf("dump of one truncated entry has %d bytes", len(out.String())))
 }
--- a/internal/mesh/operations/meshctl/client.go
+++ b/internal/mesh/operations/meshctl/client.go
@@ -21,21 +21,21 @@
 
 	headerBaseVersion = "Base-Version"
 
-	maxAnswerBytes = 64 << 20
+	maxAnswerBytes = 64 << 20 // length at which the body of an answer is truncated
 )
 
-// Client calls the core processes, and prints the output of commands.
+// Client calls core processes, and prints the output of commands.
 type Client struct {
-	Cores  []string // control addresses
-	JSON   bool     // output is for programs
-	Output io.Writer
-	HTTP   http.Client
+	Cores  []string    // control addresses of core processes, in the order in which they are called
+	JSON   bool        // whether the output is JSON for programs
+	Output io.Writer   // destination of the output of commands
+	HTTP   http.Client // client for the requests to core processes
 }
 
-// printf prints for people. Errors are ignored, as callers of fmt.Printf do.
+// printf prints output for people. It ignores write errors, as callers of fmt.Printf usually do.
 func (c *Client) printf(format string, args ...any) { _, _ = fmt.Fprintf(c.Output, format, args...) }
 
-// request sends a request to the core processes in turn, until one answers with anything but a server error. The error is an
+// request sends a request to the core processes in turn until one answers with anything other than a server error. The error is an
 // unavailableError if none does, or trace.BadParameter for an invalid address.
 func (c *Client) request(ctx context.Context, method, path string, header http.Header, body []byte) (status int, answer []byte, err error) {
 	var failures []string
@@ -56,13 +56,13 @@
 	return 0, nil, unavailableError{trace.ConnectionProblem(nil, "nobody can say: %s", strings.Join(failures, "; "))}
 }
 
-// send sends a request to one core process. failure is the reason why there is no answer; empty if there is one.
+// send sends a request to one core process. failure says why there is no usable answer; it is empty if there is one.
 func (c *Client) send(request *http.Request) (status int, answer []byte, failure string) {
 	response, err := c.HTTP.Do(request)
 	if err != nil {
 		return 0, nil, err.Error()
 	}
-	defer func() { _ = response.Body.Close() }() // an error is of no consequence once the body was read
+	defer func() { _ = response.Body.Close() }() // the body has been read, so an error has no effect
 	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil || response.StatusCode >= http.StatusInternalServerError {
 		return 0, nil, fmt.Sprintf("%s: %s %s", request.URL.Host, response.Status, strings.TrimSpace(string(answer)))
@@ -70,7 +70,8 @@
 	return response.StatusCode, answer, ""
 }
 
-// state returns the state of a core process. Output for people gets a warning if it may be out of date; the JSON has a field for that.
+// state returns the state of the mesh as a core process knows it. If the state may be out of date, output for people starts with a warning.
+// Output for programs has none.
 func (c *Client) state(ctx context.Context) (*agent.State, error) {
 	status, answer, err := c.request(ctx, http.MethodGet, agent.StatePath, nil, nil)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 	var state agent.State
 	if err := json.Unmarshal(answer, &state); err != nil {
-		return nil, trace.Wrap(err, "%s: status %d, answer", agent.StatePath, status)
+		return nil, trace.Wrap(err, "parse answer to GET %s with status %d", agent.StatePath, status)
 	}
 	if !state.Confirmed && !c.JSON {
 		c.printf("%s reaches no majority of the voters: what follows may be out of date\n", state.Node)
@@ -86,7 +87,8 @@
 	return &state, nil
 }
 
-// configuration returns the newest configuration; nil if there is none yet.
+// configuration returns the newest configuration, or nil if none was submitted yet. The error is that of request, one of package
+// configuration for an invalid answer, or an unavailableError for an unexpected status.
 func (c *Client) configuration(ctx context.Context) (*configuration.Config, error) {
 	status, answer, err := c.request(ctx, http.MethodGet, pathRetrieve, nil, nil)
 	if err != nil {
@@ -99,6 +101,6 @@
 	case http.StatusNotFound:
 		return nil, nil
 	default:
-		return nil, unavailableError{trace.ConnectionProblem(nil, "status %d %s", status, answer)}
+		return nil, unavailableError{trace.ConnectionProblem(nil, "read configuration: unexpected status %d: %s", status, answer)}
 	}
 }
--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -11,10 +11,10 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// maxSends bounds how often a change is submitted while there is no clear answer.
-const maxSends = 5
+// maxSubmitAttempts limits how often a configuration is submitted while there is no definite answer.
+const maxSubmitAttempts = 5
 
-// ConfigCommand has the commands that concern the configuration.
+// ConfigCommand has the commands for the configuration.
 type ConfigCommand struct {
 	Get   ConfigGetCommand   `cmd:"" help:"Print the newest configuration."`
 	Check ConfigCheckCommand `cmd:"" help:"Check a file: every fault at once."`
@@ -25,7 +25,7 @@
 // ConfigGetCommand prints the newest configuration.
 type ConfigGetCommand struct{}
 
-// Run prints the configuration, byte for byte as it was submitted.
+// Run prints the configuration byte for byte as it was submitted. It fails with trace.NotFound if there is none.
 func (ConfigGetCommand) Run(ctx context.Context, client *Client) error {
 	config, err := client.configuration(ctx)
 	if err != nil {
@@ -38,14 +38,14 @@
 	return trace.Wrap(err)
 }
 
-// ConfigCheckCommand checks a file. It calls no core process.
+// ConfigCheckCommand checks a configuration file without calling a core process.
 type ConfigCheckCommand struct {
 	File string `arg:"" type:"existingfile"`
 }
 
-// Run checks the file by the function that the core processes use, and prints a summary.
+// Run checks the file with the function that the core processes use, and prints a summary.
 func (c ConfigCheckCommand) Run(client *Client) error {
-	config, err := readFile(c.File)
+	config, err := readConfigFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// readFile reads and checks a configuration file. The error names the file.
-func readFile(file string) (*configuration.Config, error) {
+// readConfigFile reads and checks a configuration file. The error names the file.
+func readConfigFile(file string) (*configuration.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -64,14 +64,14 @@
 	return config, trace.Wrap(err, "%s", file)
 }
 
-// ConfigDiffCommand shows what a file changes.
+// ConfigDiffCommand prints the differences between the newest configuration and a file.
 type ConfigDiffCommand struct {
 	File string `arg:"" type:"existingfile"`
 }
 
-// Run prints one line for each change.
+// Run prints one line for each difference.
 func (c ConfigDiffCommand) Run(ctx context.Context, client *Client) error {
-	config, err := readFile(c.File)
+	config, err := readConfigFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -90,42 +90,44 @@
 	}
 }
 
-// ConfigApplyCommand submits a file.
+// ConfigApplyCommand submits a configuration file to the core processes.
 type ConfigApplyCommand struct {
 	File string `arg:"" type:"existingfile"`
 	Base string `help:"The version that it builds on; what is in force now if left out."`
 }
 
-// Run checks the file, prints what it changes, and submits it.
+// Run checks the file, prints its differences from the newest configuration, and submits it. Its errors are those of submit, and
+// trace.BadParameter for an invalid file or base version.
 func (c ConfigApplyCommand) Run(ctx context.Context, client *Client) error {
-	config, err := readFile(c.File)
+	config, err := readConfigFile(c.File)
 	if err != nil {
 		return err
 	}
-	now, err := client.configuration(ctx)
+	current, err := client.configuration(ctx)
 	if err != nil {
 		return err
 	}
-	current := configuration.Version(0)
-	if now != nil {
-		current = now.Version
+	currentVersion := configuration.Version(0)
+	if current != nil {
+		currentVersion = current.Version
 	}
-	base := current
+	base := currentVersion
 	if c.Base != "" {
 		base, err = configuration.ParseVersion(c.Base)
 		if err != nil {
 			return trace.BadParameter("--base %s: wanted a version like r12", c.Base)
 		}
 	}
-	client.printChanges(now, config)
-	return client.submit(ctx, config, base, current)
+	client.printChanges(current, config)
+	return client.submit(ctx, config, base, currentVersion)
 }
 
-// submit submits a configuration until there is a clear answer, maxSends times at most. base is the version that it builds on, current the
-// one that was read last. The error is a conflictError, an unavailableError, or trace.BadParameter if the configuration was refused.
+// submit submits a configuration until there is a definite answer, but at most maxSubmitAttempts times. base is the version that the
+// configuration replaces; current is the version that was read last, for the error message. The error is a conflictError, an
+// unavailableError, or trace.BadParameter if the core process has rejected the configuration.
 func (c *Client) submit(ctx context.Context, config *configuration.Config, base, current configuration.Version) error {
 	header := http.Header{headerBaseVersion: {base.String()}, "Content-Type": {"application/json"}}
-	for range maxSends {
+	for range maxSubmitAttempts {
 		status, answer, err := c.request(ctx, http.MethodPost, pathReplace, header, config.Raw)
 		if err != nil {
 			continue
--- a/internal/mesh/operations/meshctl/diff.go
+++ b/internal/mesh/operations/meshctl/diff.go
@@ -8,8 +8,8 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// Diff returns the differences between two configurations, a line for each, in the order of the tables. from may be nil. Changes of
-// tenants' keys are mentioned; the keys themselves are never printed.
+// Diff returns a line for each difference between two configurations, in the order of the tables. from may be nil, which means an empty
+// configuration. A line says that the keys of a tenant change, but never has the keys themselves.
 func Diff(from, to *configuration.Config) []string {
 	if from == nil {
 		from = &configuration.Config{}
@@ -28,59 +28,59 @@
 	return lines
 }
 
-// diffByName compares two tables by the names of their rows. It returns added (+) and changed (~) rows in the order of to, then removed
-// ones (-) in the order of from.
+// diffByName compares two tables by the names of their rows. It returns lines for the added (+) and changed (~) rows in the order of to,
+// and then for the removed rows (-) in the order of from.
 func diffByName[T any](from, to []T, name, text func(T) string) []string {
-	old := map[string]string{}
-	for _, x := range from {
-		old[name(x)] = text(x)
+	oldTexts := map[string]string{}
+	for _, row := range from {
+		oldTexts[name(row)] = text(row)
 	}
 	var lines []string
-	for _, x := range to {
-		was, ok := old[name(x)]
-		delete(old, name(x))
-		now := text(x)
+	for _, row := range to {
+		oldText, ok := oldTexts[name(row)]
+		delete(oldTexts, name(row))
+		newText := text(row)
 		switch {
 		case !ok:
-			lines = append(lines, "+ "+name(x)+": "+now)
-		case was != now:
-			lines = append(lines, "~ "+name(x)+": "+was+" -> "+now)
+			lines = append(lines, "+ "+name(row)+": "+newText)
+		case oldText != newText:
+			lines = append(lines, "~ "+name(row)+": "+oldText+" -> "+newText)
 		}
 	}
-	for _, x := range from {
-		if _, ok := old[name(x)]; ok {
-			lines = append(lines, "- "+name(x))
+	for _, row := range from {
+		if _, ok := oldTexts[name(row)]; ok {
+			lines = append(lines, "- "+name(row))
 		}
 	}
 	return lines
 }
 
-// diffKeys returns a line for each tenant whose keys change.
+// diffKeys returns a line for each tenant of both tables whose keys differ.
 func diffKeys(from, to []configuration.Tenant) []string {
-	keys := map[string][]string{}
-	for _, t := range from {
-		keys[t.Name] = t.Keys
+	oldKeys := map[string][]string{}
+	for _, tenant := range from {
+		oldKeys[tenant.Name] = tenant.Keys
 	}
 	var lines []string
-	for _, t := range to {
-		if old, ok := keys[t.Name]; ok && !slices.Equal(old, t.Keys) {
-			lines = append(lines, fmt.Sprintf("tenant %s: keys change (%d before, %d now)", t.Name, len(old), len(t.Keys)))
+	for _, tenant := range to {
+		if old, ok := oldKeys[tenant.Name]; ok && !slices.Equal(old, tenant.Keys) {
+			lines = append(lines, fmt.Sprintf("tenant %s: keys change (%d before, %d now)", tenant.Name, len(old), len(tenant.Keys)))
 		}
 	}
 	return lines
 }
 
-// routeName returns how a change names a route: by its host and path prefix.
+// routeName returns the name of a route in a line of Diff: its host and path prefix.
 func routeName(r configuration.Route) string { return "route " + r.Host + r.Prefix }
 
-// serviceName returns how a change names a service.
+// serviceName returns the name of a service in a line of Diff.
 func serviceName(s configuration.Service) string { return "service " + s.Name }
 
-// tenantName returns how a change names a tenant.
+// tenantName returns the name of a tenant in a line of Diff.
 func tenantName(t configuration.Tenant) string { return "tenant " + t.Name }
 
-// routeText returns a route as it is printed. The names in this text, and in those of the functions that follow, are part of the output and
-// do not change with the fields' names.
+// routeText returns the text of a route in a line of Diff. The field names in this text, and in the texts of the functions below, are part
+// of the output; they stay the same when the fields are renamed.
 func routeText(r configuration.Route) string {
 	split := make([]string, len(r.Split))
 	for i, share := range r.Split {
@@ -90,17 +90,17 @@
 		r.Name, r.Host, r.Prefix, r.Kind, r.Timeout, r.Target, r.Priority, r.MaxAttempts, strings.Join(split, " "), r.Public)
 }
 
-// serviceText returns a service as it is printed.
+// serviceText returns the text of a service in a line of Diff.
 func serviceText(s configuration.Service) string {
 	return fmt.Sprintf("{Name:%s HealthPath:%s ConnectionCap:%d}", s.Name, s.HealthPath, s.ConnectionCap)
 }
 
-// tenantText returns a tenant as it is printed, without its keys.
+// tenantText returns the text of a tenant in a line of Diff, without its keys.
 func tenantText(t configuration.Tenant) string {
 	return fmt.Sprintf("rank %d, rate %v, burst %v", t.Priority, t.Rate, t.Burst)
 }
 
-// limitsText returns limits as they are printed.
+// limitsText returns the text of limits in a line of Diff.
 func limitsText(l configuration.Limits) string {
 	return fmt.Sprintf("{HeaderMax:%d BodyMax:%d HeaderTimeout:%v IdleTimeout:%v}", l.HeaderMax, l.BodyMax, l.HeaderTimeout, l.IdleTimeout)
 }
--- a/internal/mesh/operations/meshctl/example_test.go
+++ b/internal/mesh/operations/meshctl/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/operations/meshctl"
 )
 
-// The differences of a new configuration are printed before it is submitted. Keys are never printed.
+// Diff returns the differences that are printed before a new configuration is submitted. Keys are never printed.
 func ExampleDiff() {
 	parse := func(version, key string, rate int) *configuration.Config {
 		text := fmt.Sprintf(`{"configVersion":%q,"routeTable":[],"tenantTable":[{"name":"north","accessKeys":[%q],"ratePerS":%d}]}`,
--- a/internal/mesh/operations/meshctl/golden_test.go
+++ b/internal/mesh/operations/meshctl/golden_test.go
@@ -20,7 +20,7 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// goldenState returns a core process's state with a value in each field.
+// goldenState returns the state that a core process reports, with a value in each field.
 func goldenState(confirmed bool) agent.State {
 	return agent.State{
 		Node: "core-1", Version: "r12", Confirmed: confirmed, Voters: []string{"10.1.0.44:8105", "10.2.0.35:8105"}, Ready: true,
@@ -46,22 +46,22 @@
 	}
 }
 
-// goldenCore starts a core process that answers with a fixed state, the configuration in a file under testdata, and a status for each
-// change. It returns the core process's address.
-func goldenCore(t *testing.T, confirmed bool, configuration, status int) string {
+// goldenCore starts a server that stands in for a core process, and returns its address. The server answers with a fixed state, with the
+// configuration in a file under testdata and the status retrieveStatus, and with the status replaceStatus to each change.
+func goldenCore(t *testing.T, confirmed bool, retrieveStatus, replaceStatus int) string {
 	t.Helper()
 	config, err := os.ReadFile("testdata/before.json")
 	qt.Assert(t, err, qt.IsNil)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /configuration/retrieve":
-			w.WriteHeader(configuration)
+			w.WriteHeader(retrieveStatus)
 			_, _ = w.Write(config)
 		case "GET /mesh/state":
 			_ = json.NewEncoder(w).Encode(goldenState(confirmed))
 		case "POST /configuration/replace":
 			_, _ = io.Copy(io.Discard, r.Body)
-			w.WriteHeader(status)
+			w.WriteHeader(replaceStatus)
 			_, _ = fmt.Fprintf(w, "base %s\n", r.Header.Get("Base-Version"))
 		default:
 			w.WriteHeader(http.StatusNotFound)
@@ -71,12 +71,12 @@
 	return server.Listener.Addr().String()
 }
 
-// What each command prints, for people and for programs, with its error and exit code.
+// The golden files have the output of each command for people and for programs, with its error and exit code.
 func TestGoldenOutput(t *testing.T) {
 	for name, test := range map[string]struct {
-		confirmed             bool
-		configuration, status int
-		commands              []string
+		confirmed                     bool
+		retrieveStatus, replaceStatus int
+		commands                      []string
 	}{
 		"commands": {true, 200, 200, []string{
 			"members", "--json members", "endpoints", "endpoints --service carts", "--json endpoints --service carts",
@@ -93,7 +93,7 @@
 		"unreachable": {true, 503, 200, []string{"config get"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := goldenCore(t, test.confirmed, test.configuration, test.status)
+			address := goldenCore(t, test.confirmed, test.retrieveStatus, test.replaceStatus)
 			folder, err := filepath.Abs(".")
 			qt.Assert(t, err, qt.IsNil)
 			var lines strings.Builder
@@ -116,7 +116,7 @@
 	}
 }
 
-// The commands, flags and variables that people and scripts use.
+// The golden file has the commands, flags and environment variables that people and scripts use.
 func TestGoldenUsage(t *testing.T) {
 	t.Setenv("COLUMNS", "80") // kong wraps lines at this width
 	var lines strings.Builder
@@ -127,7 +127,7 @@
 		parser, err := kong.New(&line, kong.Name("meshctl"), kong.Writers(&lines, &lines), kong.Exit(func(int) {}))
 		qt.Assert(t, err, qt.IsNil)
 		fmt.Fprintf(&lines, "$ meshctl %s --help\n", command)
-		_, _ = parser.Parse(append(strings.Fields(command), "--help")) // missing arguments are no error with --help
+		_, _ = parser.Parse(append(strings.Fields(command), "--help")) // with --help, missing arguments are no failure of the command line
 	}
 	golden.Text(t, "usage.txt", []byte(lines.String()))
 	qt.Assert(t, []int{ExitInvalid, ExitConflict, ExitUnavailable}, qt.DeepEquals, []int{2, 3, 4})
--- a/internal/mesh/operations/meshctl/meshctl.go
+++ b/internal/mesh/operations/meshctl/meshctl.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// CommandLine is the command line as kong parses it: its fields are the flags and the commands.
+// CommandLine is the command line that kong parses. Its fields are the flags and the commands.
 type CommandLine struct {
 	Core []string `help:"Control addresses of core processes; the first that answers is asked." env:"QUINCEGAP_CORE" required:"" sep:","`
 	JSON bool     `help:"JSON for programs."`
@@ -18,10 +18,10 @@
 	Why       WhyCommand       `cmd:"" help:"Where a request would go, be refused or wait."`
 }
 
-// requestTimeout bounds the time for a core process to answer a request.
+// requestTimeout limits the time that a core process has to answer a request.
 const requestTimeout = 3 * time.Second
 
-// Client returns the client for a command line. It prints to out.
+// Client returns the client for a command line. The client prints to out.
 func (l *CommandLine) Client(out io.Writer) *Client {
 	return &Client{Cores: l.Core, JSON: l.JSON, Output: out, HTTP: http.Client{Timeout: requestTimeout}}
 }
--- a/internal/mesh/operations/meshctl/state.go
+++ b/internal/mesh/operations/meshctl/state.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// milliseconds formats a number of milliseconds, like 1.04s.
-func milliseconds(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
+// formatMilliseconds formats a number of milliseconds, for example as 1.04s.
+func formatMilliseconds(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
 
-// MembersCommand prints the processes that run.
+// MembersCommand prints the processes that are members of the mesh.
 type MembersCommand struct{}
 
-// Run prints the members of the core process's view.
+// Run prints the members that the core process knows.
 func (MembersCommand) Run(ctx context.Context, client *Client) error {
 	state, err := client.state(ctx)
 	if err != nil {
@@ -23,17 +23,17 @@
 	}
 	output := table{columns: []string{"ADDRESS", "ZONE", "ROLE", "SERVICE", "HEARD"}}
 	for _, m := range state.Members {
-		output.add(m.Address, m.Zone, m.Role, m.Service, milliseconds(m.AgeMs))
+		output.add(m.Address, m.Zone, m.Role, m.Service, formatMilliseconds(m.AgeMs))
 	}
 	return client.printTable(&output, state.Members)
 }
 
-// EndpointsCommand prints endpoints.
+// EndpointsCommand prints the endpoints of all services or of one.
 type EndpointsCommand struct {
 	Service string `help:"Of this service only."`
 }
 
-// Run prints the endpoints, of one service if the flag is set.
+// Run prints the endpoints; only those of one service if the flag is set.
 func (e EndpointsCommand) Run(ctx context.Context, client *Client) error {
 	state, err := client.state(ctx)
 	if err != nil {
@@ -41,13 +41,14 @@
 	}
 	endpoints := slices.DeleteFunc(state.Endpoints, func(x agent.EndpointState) bool { return e.Service != "" && x.Service != e.Service })
 	output := table{columns: []string{"ENDPOINT", "SERVICE", "ZONE", "STATE", "SLOTS", "WITNESS", "LEASE"}}
-	for _, x := range endpoints {
-		output.add(x.ID, x.Service, x.Zone, x.State, strconv.Itoa(x.Slots), x.Sidecar, milliseconds(x.LeaseMs))
+	for _, endpoint := range endpoints {
+		output.add(endpoint.ID, endpoint.Service, endpoint.Zone, endpoint.State,
+			strconv.Itoa(endpoint.Slots), endpoint.Sidecar, formatMilliseconds(endpoint.LeaseMs))
 	}
 	return client.printTable(&output, endpoints)
 }
 
-// DutiesCommand prints the singleton roles and the voters.
+// DutiesCommand prints the singleton roles and the voters. "Duty" is the term for a singleton role in the output.
 type DutiesCommand struct{}
 
 // Run prints the holder and the fencing token of each role, and the voters.
@@ -57,8 +58,8 @@
 		return err
 	}
 	output := table{columns: []string{"DUTY", "HOLDER", "NUMBER"}}
-	for _, r := range state.Roles {
-		output.add(r.Name, r.Holder, strconv.FormatUint(r.FencingToken, 10))
+	for _, role := range state.Roles {
+		output.add(role.Name, role.Holder, strconv.FormatUint(role.FencingToken, 10))
 	}
 	for _, voter := range state.Voters {
 		output.add("voter", voter, "")
--- a/internal/mesh/operations/meshctl/table.go
+++ b/internal/mesh/operations/meshctl/table.go
@@ -15,10 +15,10 @@
 	rows    [][]string
 }
 
-// add adds a row.
+// add appends a row.
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// printTable prints a table for people, or a value as JSON for programs.
+// printTable prints the table for people or, with --json, the value as JSON for programs.
 func (c *Client) printTable(t *table, value any) error {
 	if c.JSON {
 		encoder := json.NewEncoder(c.Output)
--- a/internal/mesh/operations/meshctl/why.go
+++ b/internal/mesh/operations/meshctl/why.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// WhyCommand explains how the mesh would handle a request.
+// WhyCommand explains how the mesh would handle a request with a host, a path and a key.
 type WhyCommand struct {
 	Host string `arg:"" help:"The Host header."`
 	Path string `arg:"" help:"The path."`
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// explainTenant prints the tenant of the key, and reports whether a request with the key is accepted on a route.
+// explainTenant prints the tenant to which the key belongs, and reports whether a request with the key is accepted on a route.
 func (w WhyCommand) explainTenant(client *Client, config *configuration.Config, route *configuration.Route) bool {
 	if !config.HasTenantTable {
 		return true
@@ -59,15 +59,15 @@
 	return true
 }
 
-// explainEndpoints prints the services among which a route is split, with the numbers of their endpoints.
+// explainEndpoints prints the services among which a route is split, each with its share and its numbers of endpoints.
 func explainEndpoints(client *Client, route *configuration.Route, endpoints []agent.EndpointState) {
 	total := 0.0
 	for _, share := range route.Split {
 		total += share.Weight
 	}
 	for _, share := range route.Split {
-		inService := count(endpoints, share.Service, agent.StateInService)
-		draining := count(endpoints, share.Service, agent.StateDraining)
+		inService := countEndpoints(endpoints, share.Service, agent.StateInService)
+		draining := countEndpoints(endpoints, share.Service, agent.StateDraining)
 		client.printf("%3.0f%% to %s: %d endpoints in service, %d draining\n", 100*share.Weight/total, share.Service, inService, draining)
 		if inService == 0 {
 			client.printf("     503 until one is there\n")
@@ -75,8 +75,8 @@
 	}
 }
 
-// count returns the number of endpoints of a service in a state.
-func count(endpoints []agent.EndpointState, service, state string) int {
+// countEndpoints returns the number of endpoints of a service that are in a state.
+func countEndpoints(endpoints []agent.EndpointState, service, state string) int {
 	n := 0
 	for _, e := range endpoints {
 		if e.Service == service && e.State == state {
--- a/internal/mesh/operations/settings/errors.go
+++ b/internal/mesh/operations/settings/errors.go
@@ -7,11 +7,11 @@
 	"github.com/gravitational/trace"
 )
 
-// FieldError reports a field that is invalid.
+// FieldError reports an invalid field of a settings file.
 type FieldError struct {
-	Path   string // of the field, like ownNode.ipAddress
-	Wanted string // the valid values, for people
-	Found  string // the value; empty if the field is not in the file
+	Path   string // path of the field in the file, such as ownNode.ipAddress
+	Wanted string // description of the valid values, for people
+	Found  string // value in the file; empty if the field is missing
 }
 
 // Error implements error.
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("%s: wanted %s, found %q", e.Path, e.Wanted, e.Found)
 }
 
-// InvalidError reports the invalid fields of a settings file, one at least. To package trace it is a BadParameter.
+// InvalidError reports the invalid fields of a settings file; there is at least one. trace.IsBadParameter reports true for it.
 type InvalidError struct{ Fields []FieldError }
 
 // Error implements error.
@@ -31,5 +31,5 @@
 	return strings.Join(texts, "; ")
 }
 
-// Unwrap returns an error by which trace.IsBadParameter reports true.
+// Unwrap returns an error for which trace.IsBadParameter reports true.
 func (e *InvalidError) Unwrap() error { return &trace.BadParameterError{Message: e.Error()} }
--- a/internal/mesh/operations/settings/example_test.go
+++ b/internal/mesh/operations/settings/example_test.go
@@ -7,9 +7,9 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// All invalid fields of a file are reported at once.
+// All invalid fields of a file are reported together.
 func ExampleParse() {
-	s, err := settings.Parse([]byte(`
+	parsed, err := settings.Parse([]byte(`
 [ownNode]
 nodeName = "sidecar-1"
 ipAddress = "10.1.0.40"
@@ -22,13 +22,13 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(s.InternalAddress(), s.SeedAddresses(), s.Bounds.Grace)
+	fmt.Println(parsed.InternalAddress(), parsed.SeedAddresses(), parsed.Bounds.Grace)
 
 	_, err = settings.Parse([]byte("[ownNode]\nnodeName = \"sidecar-1\"\nipAddress = \"10.1.0.40\"\n"))
 	var invalid *settings.InvalidError
 	if errors.As(err, &invalid) {
-		for _, f := range invalid.Fields {
-			fmt.Println(f.Path)
+		for _, field := range invalid.Fields {
+			fmt.Println(field.Path)
 		}
 	}
 	// Output:
--- a/internal/mesh/operations/settings/fields.go
+++ b/internal/mesh/operations/settings/fields.go
@@ -42,7 +42,7 @@
 	pathQuotaSlack        = "termTable.boundSet.quotaSlack"
 )
 
-// Defaults of fields that are not in the file. Other fields are 0, false or empty then.
+// Defaults of the fields that may be missing from the file. Other missing fields are 0, false or empty.
 const (
 	defaultMemoryMB        = 256
 	defaultFileDescriptors = 1024
--- a/internal/mesh/operations/settings/golden_test.go
+++ b/internal/mesh/operations/settings/golden_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/golden"
 )
 
-// dump returns each setting with its path in the file, in the file's order.
+// dump returns a line for each setting with its path in the file, and lines for the addresses that are derived from settings.
 func dump(settings *Settings) string {
 	var lines strings.Builder
 	for _, field := range []struct {
@@ -65,14 +65,14 @@
 func TestGoldenSettings(t *testing.T) {
 	for _, name := range []string{"access", "core", "least"} {
 		t.Run(name, func(t *testing.T) {
-			s, err := Load(filepath.Join("testdata", name+".toml"))
+			settings, err := Load(filepath.Join("testdata", name+".toml"))
 			qt.Assert(t, err, qt.IsNil)
-			golden.Text(t, name+".txt", []byte(dump(s)))
+			golden.Text(t, name+".txt", []byte(dump(settings)))
 		})
 	}
 }
 
-// The error for each invalid field names its path, the wanted value and the value that was found.
+// The error for an invalid field has the path of the field, a description of the valid values, and the value in the file.
 func TestGoldenBadSettings(t *testing.T) {
 	least, err := os.ReadFile("testdata/least.toml")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/mesh/operations/settings/parse.go
+++ b/internal/mesh/operations/settings/parse.go
@@ -10,9 +10,10 @@
 	"github.com/tidwall/gjson"
 )
 
-const maxPort = 65535
+const maxPort = 65535 // highest port number
 
-// Parse parses the text of a settings file. The error is an *InvalidError, or another trace.BadParameter if the text is not TOML.
+// Parse parses the text of a settings file. It fails with an *InvalidError if fields are invalid, and with another trace.BadParameter if
+// the text is not TOML.
 func Parse(data []byte) (*Settings, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
@@ -22,29 +23,29 @@
 	if err != nil {
 		return nil, trace.BadParameter("%v", err)
 	}
-	p := parser{root: gjson.ParseBytes(text)}
+	fields := parser{root: gjson.ParseBytes(text)}
 	var settings Settings
-	p.node(&settings)
-	p.listenAddresses(&settings)
-	settings.KeepaliveInterval = p.duration(pathKeepalive, defaultKeepalive)
-	settings.ToleratedMachines = int(p.number(pathToleratedMachines, 0))
-	settings.Bounds = p.bounds()
-	settings.InternalPorts = p.ports()
-	settings.Seeds = p.seeds()
-	settings.RegionOfZone = p.zones()
-	if len(p.invalid) > 0 {
-		return nil, &InvalidError{Fields: p.invalid}
+	fields.node(&settings)
+	fields.listenAddresses(&settings)
+	settings.KeepaliveInterval = fields.duration(pathKeepalive, defaultKeepalive)
+	settings.ToleratedMachines = int(fields.number(pathToleratedMachines, 0))
+	settings.Bounds = fields.bounds()
+	settings.InternalPorts = fields.internalPorts()
+	settings.Seeds = fields.seeds()
+	settings.RegionOfZone = fields.regionOfZone()
+	if len(fields.invalid) > 0 {
+		return nil, &InvalidError{Fields: fields.invalid}
 	}
 	return &settings, nil
 }
 
-// parser parses fields, and collects the invalid ones.
+// parser parses the fields of a settings file, and collects errors for the invalid ones.
 type parser struct {
-	root    gjson.Result
-	invalid []FieldError
+	root    gjson.Result // whole file
+	invalid []FieldError // errors for the invalid fields, in the order in which the fields were parsed
 }
 
-// node parses the fields of the process itself.
+// node parses the fields that describe the process and its machine.
 func (p *parser) node(settings *Settings) {
 	settings.Name = p.requiredText(pathName)
 	settings.Role = p.text(pathRole)
@@ -61,7 +62,7 @@
 	settings.LinkMbps = p.number(pathLinkMbps, 0)
 }
 
-// listenAddresses parses the addresses at which the process listens.
+// listenAddresses parses the addresses on which the process listens.
 func (p *parser) listenAddresses(settings *Settings) {
 	settings.InboundAddress = p.address(pathInbound)
 	settings.OutboundAddress = p.address(pathOutbound)
@@ -69,7 +70,7 @@
 	settings.ControlAddress = p.address(pathControl)
 }
 
-// bounds parses the bounds of the platform's rules.
+// bounds parses the bounds that the platform's rules set.
 func (p *parser) bounds() Bounds {
 	return Bounds{
 		Contact:           p.duration(pathContact, defaultContact),
@@ -86,27 +87,27 @@
 	}
 }
 
-// ports parses the first and the last internal port.
-func (p *parser) ports() [2]int {
+// internalPorts parses the first and the last internal port. It returns zeros if they are invalid.
+func (p *parser) internalPorts() [2]int {
 	values := p.root.Get(pathInternalPorts).Array()
 	if len(values) != 2 {
-		p.fault(pathInternalPorts, wantedPorts)
+		p.addInvalid(pathInternalPorts, wantedPorts)
 		return [2]int{}
 	}
 	first, last := values[0].Int(), values[1].Int()
 	if first < 1 || last > maxPort || last < first {
-		p.fault(pathInternalPorts, wantedPorts)
+		p.addInvalid(pathInternalPorts, wantedPorts)
 		return [2]int{}
 	}
 	return [2]int{int(first), int(last)}
 }
 
-// seeds parses the addresses of the seeds, without invalid ones.
+// seeds parses the addresses of the seeds. It omits invalid ones.
 func (p *parser) seeds() []string {
 	var seeds []string
 	for i, value := range p.root.Get(pathSeeds).Array() {
 		if _, _, err := net.SplitHostPort(value.String()); err != nil {
-			p.fault(fmt.Sprintf("%s.%d", pathSeeds, i), wantedAddress)
+			p.addInvalid(fmt.Sprintf("%s.%d", pathSeeds, i), wantedAddress)
 			continue
 		}
 		seeds = append(seeds, value.String())
@@ -114,8 +115,8 @@
 	return seeds
 }
 
-// zones parses the region of each zone.
-func (p *parser) zones() map[string]string {
+// regionOfZone parses the region of each zone.
+func (p *parser) regionOfZone() map[string]string {
 	regions := map[string]string{}
 	p.root.Get(pathZones).ForEach(func(zone, region gjson.Result) bool {
 		regions[zone.String()] = region.String()
--- a/internal/mesh/operations/settings/values.go
+++ b/internal/mesh/operations/settings/values.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Texts of FieldError.Wanted.
+// Values of FieldError.Wanted.
 const (
 	wantedText     = "a text"
 	wantedAddress  = "an address like 10.0.0.4:8080"
@@ -17,63 +17,63 @@
 	wantedPorts    = "two ports, the first and the last"
 )
 
-// fault adds a field to the invalid ones.
-func (p *parser) fault(path, wanted string) {
+// addInvalid records an error for the field at a path.
+func (p *parser) addInvalid(path, wanted string) {
 	p.invalid = append(p.invalid, FieldError{Path: path, Wanted: wanted, Found: p.root.Get(path).String()})
 }
 
-// text returns a string that may be missing.
+// text returns the string at a path, which may be missing; then it is empty.
 func (p *parser) text(path string) string {
 	value := p.root.Get(path)
 	if value.Exists() && value.Type != gjson.String {
-		p.fault(path, wantedText)
+		p.addInvalid(path, wantedText)
 	}
 	return value.String()
 }
 
-// requiredText returns a string that must not be missing or empty.
+// requiredText returns the string at a path, which must not be missing or empty.
 func (p *parser) requiredText(path string) string {
 	value := p.root.Get(path)
 	if value.Type != gjson.String || value.String() == "" {
-		p.fault(path, wantedText)
+		p.addInvalid(path, wantedText)
 	}
 	return value.String()
 }
 
-// address returns a host:port that may be missing or empty.
+// address returns the host:port at a path, which may be missing or empty.
 func (p *parser) address(path string) string {
 	address := p.text(path)
 	if address == "" {
 		return ""
 	}
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		p.fault(path, wantedAddress)
+		p.addInvalid(path, wantedAddress)
 	}
 	return address
 }
 
-// flag returns a boolean; false if it is missing.
+// flag returns the boolean at a path; false if it is missing.
 func (p *parser) flag(path string) bool {
 	value := p.root.Get(path)
 	if value.Exists() && !value.IsBool() {
-		p.fault(path, wantedFlag)
+		p.addInvalid(path, wantedFlag)
 	}
 	return value.Bool()
 }
 
-// number returns a number that must not be negative; fallback if it is missing.
+// number returns the number at a path, which must not be negative; fallback if it is missing.
 func (p *parser) number(path string, fallback float64) float64 {
 	value := p.root.Get(path)
 	if !value.Exists() {
 		return fallback
 	}
 	if value.Type != gjson.Number || value.Float() < 0 {
-		p.fault(path, wantedNumber)
+		p.addInvalid(path, wantedNumber)
 	}
 	return value.Float()
 }
 
-// duration returns a duration that must not be negative; fallback if it is missing.
+// duration returns the duration at a path, which must not be negative; fallback if it is missing.
 func (p *parser) duration(path string, fallback time.Duration) time.Duration {
 	value := p.root.Get(path)
 	if !value.Exists() {
@@ -81,7 +81,7 @@
 	}
 	d, err := time.ParseDuration(value.String())
 	if err != nil || d < 0 {
-		p.fault(path, wantedDuration)
+		p.addInvalid(path, wantedDuration)
 	}
 	return d
 }
