--- a/internal/mesh/operations/eventlog/log_test.go
+++ b/internal/mesh/operations/eventlog/log_test.go
@@ -70,9 +70,9 @@
 		c.Assert([]string{address, cursor}, qt.DeepEquals, []string{"core", "9"})
 		found, next, _, err := eventLog.After(events.Cursor{Incarnation: 1, Number: 1}, 99, events.Filter{})
 		c.Assert(err, qt.IsNil)
-		c.Assert(found[0].Detail, qt.Equals, "1 events are no longer kept")
+		c.Assert(found[0].Detail, qt.Equals, "1 events are no longer kept", qt.Commentf("the store failed after %d writes", writes))
 		for i, e := range found[1:] {
-			c.Assert(e.Detail, qt.Equals, strconv.Itoa(i+2))
+			c.Assert(e.Detail, qt.Equals, strconv.Itoa(i+2), qt.Commentf("the store failed after %d writes", writes))
 		}
 		c.Assert(next.Number, qt.Equals, uint64(10))
 	}
--- a/internal/mesh/operations/events/cursor.go
+++ b/internal/mesh/operations/events/cursor.go
@@ -16,7 +16,7 @@
 // the oldest retained event.
 type Cursor struct {
 	Incarnation uint64 // identifies one run of the process that provides the feed
-	Number      uint64 // number of the last event that was read
+	Number      uint64 // number of the event after which the position is
 }
 
 // String returns the text of the cursor, such as 1a2b-17.
