--- a/internal/mesh/operations/meshctl/config.go
+++ b/internal/mesh/operations/meshctl/config.go
@@ -96,8 +96,8 @@
 	Base string `help:"The version that it builds on; what is in force now if left out."`
 }
 
-// Run checks the file, prints its differences from the newest configuration, and submits it. Its errors are those of submit, and
-// trace.BadParameter for an invalid file or base version.
+// Run checks the file, prints its differences from the newest configuration, and submits it. Its errors are those of configuration and
+// submit, and trace.BadParameter for an invalid file or base version.
 func (c ConfigApplyCommand) Run(ctx context.Context, client *Client) error {
 	config, err := readConfigFile(c.File)
 	if err != nil {
