--- a/internal/mesh/dataplane/admission/controller.go
+++ b/internal/mesh/dataplane/admission/controller.go
@@ -12,29 +12,29 @@
 	serviceTimeWeight = 0.05
 	// initialServiceTime is the assumed mean service time before the first execution.
 	initialServiceTime = 60 * time.Millisecond
-	// maxWaitFraction is the largest fraction of a request's slack that it may be expected to wait. More of it rejects fewer requests,
-	// and answers more of them late.
+	// maxWaitFraction is the largest fraction of its slack that a request may be expected to wait. A larger fraction rejects fewer
+	// requests but answers more of them late.
 	maxWaitFraction = 0.5
 	// minWait is the expected wait below which no request is shed.
 	minWait = 20 * time.Millisecond
-	// drainGrace is how long a draining endpoint still gets requests, of senders that have not been notified yet.
+	// drainGrace is how long a draining endpoint still gets requests, from senders that have not been notified of the drain yet.
 	drainGrace = 1500 * time.Millisecond
-	// maxQueue bounds the queued requests.
+	// maxQueue bounds the number of queued requests.
 	maxQueue = 2048
-	// responseMargin is the time that an answer needs on its way back.
+	// responseMargin is the time reserved for sending an answer back to the client.
 	responseMargin = 10 * time.Millisecond
 )
 
-// Controller admits requests to one endpoint. It is not safe for concurrent use. The decisions that a method returns may concern other
-// requests than its argument, and are to be carried out in their order.
+// Controller admits requests to one endpoint. It is not safe for concurrent use. A method may return decisions on requests other than the
+// one in its argument; the caller must carry out the decisions in the returned order.
 type Controller struct {
 	endpoint      Endpoint
 	state         State
-	drainingSince time.Duration            // valid in state Draining
-	running       map[uint64]time.Duration // by token: when each request that occupies a slot was admitted
+	drainingSince time.Duration            // when the drain began; valid in state Draining
+	running       map[uint64]time.Duration // admission time of each request that occupies a slot, by token
 	queue         queue
 	serviceTime   time.Duration // exponentially weighted mean
-	decisions     []Decision    // of the method that is being executed
+	decisions     []Decision    // decisions to be returned by the current method call
 }
 
 // New returns a controller that rejects all requests until UpdateEndpoint is called.
@@ -48,13 +48,13 @@
 // Endpoint returns the endpoint.
 func (c *Controller) Endpoint() Endpoint { return c.endpoint }
 
-// Load returns the number of requests that occupy a slot, and of those that are queued.
+// Load returns the number of requests that occupy a slot, and the number of queued requests.
 func (c *Controller) Load() (running, waiting int) { return len(c.running), len(c.queue) }
 
 // ServiceTime returns the mean time for which a request occupies its slot.
 func (c *Controller) ServiceTime() time.Duration { return c.serviceTime }
 
-// UpdateEndpoint sets the endpoint and its state. A state that the same endpoint has passed already is ignored, with all of the update.
+// UpdateEndpoint sets the endpoint and its state. If the same endpoint is already in a later state, the whole update is ignored.
 func (c *Controller) UpdateEndpoint(now time.Duration, endpoint Endpoint, state State) []Decision {
 	c.decisions = nil
 	switch {
@@ -74,19 +74,19 @@
 	return c.decisions
 }
 
-// replaceEndpoint replaces the endpoint by another one, and rejects what is queued for it.
+// replaceEndpoint replaces the endpoint by another one, and rejects the requests that are queued for the old one.
 func (c *Controller) replaceEndpoint(now time.Duration, endpoint Endpoint, state State) {
 	c.rejectAll(outcome.Misdirected)
 	c.endpoint = endpoint
 	c.state = state
 	c.drainingSince = now
-	if state == Draining { // it began to drain before this process started, at an unknown time: the grace period counts as over
+	if state == Draining { // the drain began at an unknown time before this process started, so the grace period counts as over
 		c.drainingSince = now - drainGrace - 1
 	}
 	c.running = map[uint64]time.Duration{}
 }
 
-// Submit submits a request: it is admitted, queued (without a decision) or rejected. Other requests may be shed in favour of it.
+// Submit submits a request, which is admitted, rejected, or queued without a decision. Other queued requests may be shed in its favour.
 func (c *Controller) Submit(now time.Duration, r Request) []Decision {
 	c.decisions = nil
 	if kind := c.rejection(now, &r); kind != outcome.None {
@@ -99,7 +99,7 @@
 	return c.decisions
 }
 
-// rejection returns why a request can't be queued; outcome.None if it can.
+// rejection returns the reason why a request can't be queued; outcome.None if it can.
 func (c *Controller) rejection(now time.Duration, r *Request) outcome.Kind {
 	if kind := c.closedReason(now); kind != outcome.None {
 		return kind
@@ -126,11 +126,11 @@
 	return c.decisions
 }
 
-// Cancel removes a request from the queue. It returns false if the request is not queued, as it was admitted or has ended.
+// Cancel removes a request from the queue. It returns false if the request is not queued because it was admitted or has ended.
 func (c *Controller) Cancel(token uint64) bool { return c.queue.removeToken(token) }
 
-// Expire rejects the queued requests that can't be answered before their deadlines any more, and all of them once the endpoint accepts
-// none. It is to be called every few milliseconds while requests are queued.
+// Expire rejects the queued requests that can no longer be answered before their deadlines. Once the endpoint accepts no requests, it
+// rejects all queued ones. It must be called every few milliseconds while requests are queued.
 func (c *Controller) Expire(now time.Duration) []Decision {
 	c.decisions = nil
 	if kind := c.closedReason(now); kind != outcome.None {
@@ -149,7 +149,7 @@
 	return c.decisions
 }
 
-// decide adds a decision to those that the method being executed returns.
+// decide adds a decision to those that the current method call returns.
 func (c *Controller) decide(token uint64, kind outcome.Kind) {
 	c.decisions = append(c.decisions, Decision{Token: token, Kind: kind})
 }
@@ -162,7 +162,7 @@
 	c.queue = nil
 }
 
-// closedReason returns why the endpoint accepts no requests; outcome.None if it does.
+// closedReason returns the reason why the endpoint accepts no requests; outcome.None if it accepts them.
 func (c *Controller) closedReason(now time.Duration) outcome.Kind {
 	switch {
 	case c.state == Unknown || c.state == Terminated:
@@ -191,7 +191,7 @@
 	}
 }
 
-// shed rejects the queued requests that are not expected to start in time, and those beyond maxQueue.
+// shed rejects the queued requests that are not expected to start in time, and those past position maxQueue.
 func (c *Controller) shed() {
 	if c.endpoint.Slots == 0 {
 		return
--- a/internal/mesh/dataplane/admission/queue.go
+++ b/internal/mesh/dataplane/admission/queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// queuedRequest is a request that waits for a slot.
+// queuedRequest is a request that is waiting for a slot.
 type queuedRequest struct {
 	Request
 	queuedAt time.Duration
 }
 
-// usefulUntil returns the time until which an answer is of use. For a nested call that is the deadline, not the latency target, as the
-// request that waits for it fails without it.
+// usefulUntil returns the time until which an answer is useful. For a nested call that is the deadline instead of the latency target,
+// because the calling request fails without the answer.
 func (r *queuedRequest) usefulUntil() time.Duration {
 	if r.Nested {
 		return r.Deadline
@@ -20,7 +20,7 @@
 	return r.TargetDeadline
 }
 
-// goesBefore reports whether a request is admitted before another one regardless of their arrival.
+// goesBefore reports whether a request is admitted before another one regardless of their order of arrival.
 func (r *queuedRequest) goesBefore(other *queuedRequest) bool {
 	if r.Nested != other.Nested {
 		return r.Nested
@@ -28,11 +28,11 @@
 	return r.Priority < other.Priority
 }
 
-// queue holds the queued requests in the order in which they will be admitted: nested calls first, as the requests that wait for them
-// occupy slots; then by priority, then by arrival.
+// queue holds the queued requests in the order in which they will be admitted: nested calls first, because the requests that wait for
+// their answers occupy slots; then by priority, then by arrival.
 type queue []queuedRequest
 
-// insert inserts a request behind all requests that it does not go before.
+// insert inserts a request after all requests that it does not precede.
 func (q *queue) insert(r queuedRequest) {
 	i, _ := slices.BinarySearchFunc(*q, r, func(queued, inserted queuedRequest) int {
 		if inserted.goesBefore(&queued) {
--- a/internal/mesh/dataplane/inbound/answer.go
+++ b/internal/mesh/dataplane/inbound/answer.go
@@ -13,38 +13,39 @@
 
 // Bounds on the endpoint's answers to one request.
 const (
-	maxResponseBytes       = 64 << 20 // of an answer's body
-	maxMismatchedResponses = 4        // answers that are read for a request, including interim ones and those to other requests
+	maxResponseBytes       = 64 << 20 // bound on the size of an answer's body
+	maxMismatchedResponses = 4        // bound on the answers read for one request, including interim ones and those to other requests
 )
 
-var errResponseTooLarge = errors.New("the body of the answer is too large")
+var errResponseTooLarge = errors.New("response body exceeds the size limit")
 
-// endpointAnswer is an answer of the endpoint, read completely.
+// endpointAnswer is an answer of the endpoint that was read completely.
 type endpointAnswer struct {
 	status int
 	header http.Header
 	body   []byte
-	closes bool // the endpoint closes the connection after it
+	closes bool // whether the endpoint closes the connection after this answer
 }
 
-// readResponse reads the answer to a request, and skips interim answers and those to other requests. The kind is outcome.None, or why
-// there is no answer. Only a complete answer with the request's ID is accepted, since an endpoint may answer an earlier request twice, and
-// the second answer comes before that to the next request. A rejection without an ID is accepted if no other request can be meant.
+// readResponse reads the answer to a request, and skips interim answers and those to other requests. The kind is outcome.None, or the
+// reason why there is no answer. Only a complete answer with the request's ID is accepted, since an endpoint may answer an earlier request
+// twice, and the second answer arrives before the answer to the next request. A rejection without an ID is accepted if it can't belong to
+// another request.
 func readResponse(conn *connection, request *ForwardRequest) (endpointAnswer, outcome.Kind) {
-	onlyRequest := !conn.used // no answer to an earlier request can come on the connection
+	onlyRequest := !conn.used // a new connection can't deliver an answer to an earlier request
 	for range maxMismatchedResponses {
-		answer, kind := readOne(conn.reader, request.Method)
+		answer, kind := readAnswer(conn.reader, request.Method)
 		if kind != outcome.None {
 			return endpointAnswer{}, kind
 		}
-		if answer.status < http.StatusOK { // an interim one
+		if answer.status < http.StatusOK { // an interim answer
 			continue
 		}
 		id := answer.header.Get(HeaderAttemptID)
 		if id == request.AttemptID {
 			return answer, outcome.None
 		}
-		conn.unusable = true // further answers to other requests may come
+		conn.unusable = true // more answers to other requests may arrive
 		if id == "" {
 			if onlyRequest && reportsNotExecuted(&answer) {
 				return answer, outcome.None
@@ -56,9 +57,9 @@
 	return endpointAnswer{}, outcome.InvalidResponse
 }
 
-// readOne reads the next answer on a connection, with its body unless it is an interim one. The kind is outcome.None, or why there is no
-// answer.
-func readOne(reader *bufio.Reader, method string) (endpointAnswer, outcome.Kind) {
+// readAnswer reads the next answer on a connection, with its body unless it is an interim answer. The kind is outcome.None, or the reason
+// why there is no answer.
+func readAnswer(reader *bufio.Reader, method string) (endpointAnswer, outcome.Kind) {
 	resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
 		if isConnectionError(err) {
@@ -66,7 +67,7 @@
 		}
 		return endpointAnswer{}, outcome.InvalidResponse
 	}
-	defer resp.Body.Close() //nolint:errcheck // it reads the rest of the body; the next read on the connection returns the error
+	defer resp.Body.Close() //nolint:errcheck // Close reads the rest of the body; the next read on the connection returns the error
 	answer := endpointAnswer{status: resp.StatusCode, header: resp.Header, closes: resp.Close}
 	if answer.status < http.StatusOK {
 		return answer, outcome.None
@@ -79,7 +80,7 @@
 }
 
 // readBody reads an answer's body completely. A body with neither a length nor chunks ends with the connection: it is complete if the
-// endpoint has closed the connection, and incomplete if it was reset.
+// endpoint closed the connection, and incomplete if the connection was reset. It fails if the body exceeds maxResponseBytes.
 func readBody(resp *http.Response, method string) ([]byte, error) {
 	if method == http.MethodHead {
 		return nil, nil
@@ -99,7 +100,7 @@
 	return body, err
 }
 
-// isConnectionError reports whether an error is one of the connection, as opposed to bytes that are not an HTTP response.
+// isConnectionError reports whether a read failed because of the connection, as opposed to bytes that are not a valid HTTP response.
 func isConnectionError(err error) bool {
 	var netError net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netError) ||
--- a/internal/mesh/dataplane/inbound/attempt.go
+++ b/internal/mesh/dataplane/inbound/attempt.go
@@ -9,11 +9,11 @@
 // maxConnectTime bounds the time to connect to the endpoint, which is on the same machine.
 const maxConnectTime = 400 * time.Millisecond
 
-// attempt sends a request to the endpoint and returns the response. If nothing of the request could be written to a reused connection, it
-// is sent on another one, so that it reaches the endpoint once at most.
+// attempt sends a request to the endpoint and returns the response. If not a single byte could be written to a reused connection, the
+// request is sent on another one; so it reaches the endpoint at most once.
 func (p *Proxy) attempt(pending *pendingRequest) ForwardResponse {
 	for {
-		c, kind := p.acquireConnection(pending)
+		conn, kind := p.acquireConnection(pending)
 		if kind != outcome.None {
 			return ForwardResponse{Kind: kind}
 		}
@@ -21,43 +21,43 @@
 		if remaining <= 0 {
 			return ForwardResponse{Kind: outcome.Expired}
 		}
-		_ = c.SetDeadline(time.Now().Add(remaining)) // it fails only on a closed connection, where the write fails too
-		reused := c.used
-		response := roundTrip(c, pending.request, appendRequest(nil, pending.request, remaining), p.now)
-		c.used = true
+		_ = conn.SetDeadline(time.Now().Add(remaining)) // fails only on a closed connection, where the write fails too
+		reused := conn.used
+		response := roundTrip(conn, pending.request, appendRequest(nil, pending.request, remaining), p.now)
+		conn.used = true
 		switch {
 		case !response.ReachedEndpoint && reused:
 			p.discardConnection(pending)
 			continue
-		case !response.ReachedEndpoint: // a new connection that was reset before anything was written: an endpoint at capacity does so
+		case !response.ReachedEndpoint: // an endpoint at capacity resets a new connection before anything is written
 			response.Kind = outcome.AtCapacity
-		case response.Kind == outcome.EndpointReset && p.now() >= pending.deadline-time.Millisecond: // the connection's deadline, set above
+		case response.Kind == outcome.EndpointReset && p.now() >= pending.deadline-time.Millisecond: // ended by SetDeadline above
 			response.Kind = outcome.TimedOut
 		}
 		return response
 	}
 }
 
-// acquireConnection returns an idle connection that may carry a request, or else a new one. The kind is outcome.None, or why there is no
-// connection.
+// acquireConnection returns an idle connection that may carry a request, or else a new one. The kind is outcome.None, or the reason why
+// there is no connection.
 func (p *Proxy) acquireConnection(pending *pendingRequest) (*connection, outcome.Kind) {
 	for {
-		c, cancelled := p.claimIdle(pending)
+		conn, cancelled := p.claimIdle(pending)
 		switch {
 		case cancelled:
 			return nil, outcome.Cancelled
-		case c == nil:
+		case conn == nil:
 			return p.connect(pending)
-		case c.reusable(p.now()):
-			return c, outcome.None
+		case conn.reusable(p.now()):
+			return conn, outcome.None
 		}
 		p.discardConnection(pending)
 	}
 }
 
-// claimIdle assigns an idle connection that may carry a request to it, and returns the connection; nil if there is none, or if the
+// claimIdle assigns an idle connection to a request that the connection may carry, and returns the connection; nil if there is none or the
 // request is cancelled.
-func (p *Proxy) claimIdle(pending *pendingRequest) (c *connection, cancelled bool) {
+func (p *Proxy) claimIdle(pending *pendingRequest) (conn *connection, cancelled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pending.cancelled {
@@ -67,7 +67,8 @@
 	return pending.conn, false
 }
 
-// connect assigns a new connection to a request, and returns it. The kind is outcome.None, or why there is no connection.
+// connect assigns a new connection to a request, and returns the connection. The kind is outcome.None, or the reason why there is no
+// connection.
 func (p *Proxy) connect(pending *pendingRequest) (*connection, outcome.Kind) {
 	timeout := min(maxConnectTime, pending.deadline-p.now())
 	if timeout <= 0 {
@@ -98,21 +99,21 @@
 }
 
 // releaseConnection returns the connection of a request that has ended to the pool if the answer was read completely and no other answer
-// can come on the connection; else it closes the connection. The lock is held.
+// can arrive on the connection; else it closes the connection. The caller holds the lock.
 func (p *Proxy) releaseConnection(pending *pendingRequest, response *ForwardResponse) {
-	c := pending.conn
-	if c == nil {
+	conn := pending.conn
+	if conn == nil {
 		return
 	}
 	pending.conn = nil
-	if c.unusable || pending.cancelled || !response.ReachedEndpoint || leavesAnswerUnread(response.Kind) {
-		c.discard()
+	if conn.unusable || pending.cancelled || !response.ReachedEndpoint || leavesAnswerUnread(response.Kind) {
+		conn.discard()
 		return
 	}
-	p.connections.put(c)
+	p.connections.put(conn)
 }
 
-// leavesAnswerUnread reports whether an answer, or the rest of one, may still come on a connection after a request with that outcome.
+// leavesAnswerUnread reports whether an answer, or the rest of one, may still arrive on the connection of a request with this outcome.
 func leavesAnswerUnread(kind outcome.Kind) bool {
 	switch kind {
 	case outcome.EndpointReset, outcome.InvalidResponse, outcome.TimedOut:
--- a/internal/mesh/dataplane/inbound/classify.go
+++ b/internal/mesh/dataplane/inbound/classify.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// maxRetryAfter bounds the seconds of an endpoint's Retry-After; a header with more is ignored.
+// maxRetryAfter bounds an endpoint's Retry-After, in seconds; a longer one is ignored.
 const maxRetryAfter = 3600
 
 // reportsNotExecuted reports whether an answer declares that the endpoint has not executed the request.
@@ -16,7 +16,7 @@
 	return answer.header.Get(HeaderNotExecuted) != "" || answer.status == http.StatusMisdirectedRequest
 }
 
-// classify sets the fields of a response that follow from the endpoint's answer.
+// classify sets those fields of a response that the endpoint's answer determines.
 func classify(response *ForwardResponse, request *ForwardRequest, answer *endpointAnswer) {
 	response.Status = answer.status
 	response.Kind = classifyKind(answer)
@@ -29,7 +29,7 @@
 	}
 }
 
-// classifyKind returns the outcome of a request by the endpoint's answer.
+// classifyKind returns the outcome that the endpoint's answer gives to its request.
 func classifyKind(answer *endpointAnswer) outcome.Kind {
 	header := answer.header
 	switch {
@@ -39,7 +39,7 @@
 		return outcome.Misdirected
 	case answer.status/100 == 2 && (header.Get(HeaderEndpointSeal) == "" || header.Get(headerContentEncoding) != ""):
 		return outcome.InvalidResponse
-	case promisesNotExecuted(answer.status): // without the header Not-Executed it may have been executed
+	case promisesNotExecuted(answer.status): // without the header Not-Executed the request may have been executed
 		return outcome.InvalidResponse
 	}
 	return outcome.Answered
@@ -54,10 +54,10 @@
 	return false
 }
 
-// endToEndHeader returns the header fields of an answer that are passed on to the client: each name, followed by its value.
+// endToEndHeader returns those header fields of an answer that are passed on to the client, as alternating names and values.
 func endToEndHeader(header http.Header, method string) (fields []string) {
 	for name, values := range header {
-		lengthOfHead := name == headerContentLength && method == http.MethodHead // there is no body that has this length
+		lengthOfHead := name == headerContentLength && method == http.MethodHead // an answer to HEAD has no body with this length
 		if HopByHopHeaders[name] && !lengthOfHead {
 			continue
 		}
@@ -68,7 +68,8 @@
 	return fields
 }
 
-// parseRetryAfter parses a Retry-After header field, in seconds with an optional fraction; 0 if it is empty, invalid or out of bounds.
+// parseRetryAfter parses a Retry-After header field, in seconds with an optional fraction. It returns 0 if the field is empty, invalid or
+// out of bounds.
 func parseRetryAfter(value string) time.Duration {
 	seconds, err := strconv.ParseFloat(value, 64)
 	if err != nil || seconds < 0 || seconds > maxRetryAfter {
--- a/internal/mesh/dataplane/inbound/connection.go
+++ b/internal/mesh/dataplane/inbound/connection.go
@@ -14,14 +14,14 @@
 
 // Bounds on a connection to the endpoint.
 const (
-	// defaultIdleTime is how long a connection may stay idle if the endpoint announces no time-out.
+	// defaultIdleTime is how long a connection may stay idle if the endpoint announces no idle time-out.
 	defaultIdleTime = 4 * time.Second
-	// idleMargin is how long before the announced time-out a connection is given up: a request that is sent while the endpoint closes
-	// the connection would be lost.
+	// idleMargin is how long before the announced idle time-out a connection is no longer reused: a request that is sent while the endpoint
+	// closes the connection would be lost.
 	idleMargin = 1500 * time.Millisecond
-	// maxAnnouncedIdle bounds the seconds of an endpoint's Keep-Alive; a header with as many or more is ignored.
+	// maxAnnouncedIdle bounds the time-out in an endpoint's Keep-Alive, in seconds; a time-out that is as long or longer is ignored.
 	maxAnnouncedIdle = 3600
-	// maxRejections is how many requests the endpoint may reject on a connection before it is not used any more.
+	// maxRejections is how many requests the endpoint may reject on a connection that is still reused.
 	maxRejections = 8
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
@@ -31,11 +31,11 @@
 type connection struct {
 	net.Conn
 	reader    *bufio.Reader
-	idleUntil time.Duration // on the proxy's clock: until then it may be reused
-	used      bool          // it has carried a request
-	unusable  bool          // it must not carry another one
+	idleUntil time.Duration // time until which the connection may be reused, on the proxy's clock
+	used      bool          // whether the connection has carried a request
+	unusable  bool          // whether the connection must not carry another request
 	// rejectedIDs are the attempt IDs of the requests that the endpoint has rejected on this connection. An endpoint may send a rejection
-	// twice, and the second one would be read in place of the next answer; so no request with the same ID is sent on it again.
+	// twice, and the second one would be read in place of the next answer; so a request with one of these IDs is not sent on the connection.
 	rejectedIDs []string
 }
 
@@ -43,36 +43,37 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 }
 
-// discard closes the connection. Its error is ignored, as nothing more is sent or read.
+// discard closes the connection. An error of Close is ignored, as nothing more is sent or read.
 func (c *connection) discard() { _ = c.Close() }
 
-// mayCarry reports whether a request may be sent on the connection: no second rejection of an earlier attempt with its ID can be read.
+// mayCarry reports whether a request with an attempt ID may be sent on the connection. It may not if an earlier attempt with the same ID
+// was rejected there, as a second copy of that rejection could be read as the answer.
 func (c *connection) mayCarry(attemptID string) bool {
 	return !slices.Contains(c.rejectedIDs, attemptID)
 }
 
-// reusable reports whether an idle connection may carry another request: its time is not over, no byte has been received on it, and the
-// endpoint has not closed it.
+// reusable reports whether an idle connection may carry another request: idleUntil has not passed, no unread byte has been received, and
+// the endpoint has not closed the connection.
 func (c *connection) reusable(now time.Duration) bool {
 	if now >= c.idleUntil || c.reader.Buffered() > 0 {
 		return false
 	}
 	socket, ok := c.Conn.(syscall.Conn)
-	if !ok { // not a socket, as in tests: it can't be checked
+	if !ok { // a connection that is not a socket, as in tests, can't be checked
 		return true
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	nothingReceived := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		nothingReceived = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && nothingReceived
 }
 
 // updateKeepAlive determines after an answer whether the connection may be reused, and until when.
@@ -88,8 +89,8 @@
 	}
 }
 
-// parseKeepAlive returns the time-out of a Keep-Alive header field, such as "timeout=5, max=100". The last valid one counts; ok reports
-// whether there is one.
+// parseKeepAlive returns the time-out of a Keep-Alive header field, such as "timeout=5, max=100". If there are several valid time-outs it
+// returns the last one; ok reports whether there is one.
 func parseKeepAlive(value string) (timeout time.Duration, ok bool) {
 	for _, parameter := range strings.Split(value, ",") {
 		name, text, found := strings.Cut(textproto.TrimString(parameter), "=")
--- a/internal/mesh/dataplane/inbound/encode.go
+++ b/internal/mesh/dataplane/inbound/encode.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// appendRequest appends a request to a buffer, encoded as HTTP/1.1 for the endpoint. remaining is the time until its deadline.
+// appendRequest appends a request to a buffer, encoded as HTTP/1.1 for the endpoint. remaining is the time until the request's deadline.
 func appendRequest(buf []byte, request *ForwardRequest, remaining time.Duration) []byte {
 	buf = fmt.Appendf(buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.URI, request.Host)
 	for i := 0; i+1 < len(request.Header); i += 2 {
--- a/internal/mesh/dataplane/inbound/message.go
+++ b/internal/mesh/dataplane/inbound/message.go
@@ -7,29 +7,29 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// MethodForward is the number of the method by which a request is forwarded to the sidecar beside its endpoint. It is part of the wire
+// MethodForward is the number of the transport method that forwards a request to the sidecar beside its endpoint. It is part of the wire
 // protocol.
 const MethodForward = 1
 
-// ForwardRequest is a client's request, as its sidecar forwards it to the sidecar beside the endpoint: one attempt.
+// ForwardRequest is one attempt of a client's request, as the client's sidecar forwards it to the sidecar beside the endpoint.
 type ForwardRequest struct {
-	EndpointID      string // the endpoint that was chosen
+	EndpointID      string // ID of the endpoint that the balancer chose
 	Service         string
 	Method          string
-	URI             string // path and query as they came
+	URI             string // path and query as received from the client
 	Host            string
-	Header          []string // names and values in turn, without the hop-by-hop fields
+	Header          []string // alternating names and values, without the hop-by-hop fields
 	Body            []byte
-	HasBody         bool   // the client sent a body, which may be empty
+	HasBody         bool   // whether the client sent a body, which may be empty
 	AttemptID       string // the client's Attempt-Id; the same in all attempts that sidecars make of one request
-	CallingService  string // the service on the machine of the client's sidecar; empty for none
-	Tenant          string // name; empty for none
+	CallingService  string // service on the machine of the client's sidecar; empty for none
+	Tenant          string // the tenant's name; empty for none
 	Priority        int    // 0 is highest
-	Nested          bool   // made by an endpoint that is executing another request
+	Nested          bool   // whether the request was made by an endpoint that is executing another request
 	Idempotent      bool
-	TargetRemaining time.Duration // until the latency target is missed, from when it was sent; negative if it was missed before
-	TimeRemaining   time.Duration // until the client gives up, from when it was sent
-	Route           string        // name; answers to requests of one route are expected to be of similar size
+	TargetRemaining time.Duration // time from sending this message until the latency target is missed; negative if it is missed already
+	TimeRemaining   time.Duration // time from sending this message until the client gives up
+	Route           string        // the route's name; answers to requests of one route are expected to be of similar size
 }
 
 // Fields implements codec.Message.
@@ -53,19 +53,19 @@
 	v.String(17, &r.Route)
 }
 
-// ForwardResponse is the response to a ForwardRequest. Its RetryAfter is set only for outcome.Rejected; Status, Header and Body are the
-// endpoint's answer.
+// ForwardResponse is the response to a ForwardRequest. RetryAfter is set only for outcome.Rejected; Status, Header and Body are those of
+// the endpoint's answer.
 type ForwardResponse struct {
 	Kind            outcome.Kind
 	Status          int      // HTTP status of the endpoint's answer; 0 without one
-	Header          []string // names and values in turn, of the endpoint's answer, without the hop-by-hop fields
+	Header          []string // alternating names and values of the endpoint's answer, without the hop-by-hop fields
 	Body            []byte
-	ServiceTime     time.Duration // from when the request was sent to the endpoint until the answer was complete
-	Slots           int           // of the endpoint
-	Running         int           // requests that occupy a slot
-	Waiting         int           // requests that are queued for a slot
-	RetryAfter      time.Duration // of the endpoint's answer; 0 for none
-	ReachedEndpoint bool          // part of the request at least was sent to the endpoint
+	ServiceTime     time.Duration // time from sending the request to the endpoint until its answer was complete
+	Slots           int           // number of the endpoint's slots
+	Running         int           // number of requests that occupy a slot
+	Waiting         int           // number of requests that are queued for a slot
+	RetryAfter      time.Duration // Retry-After of the endpoint's answer; 0 for none
+	ReachedEndpoint bool          // whether at least part of the request was sent to the endpoint
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/dataplane/inbound/pending.go
+++ b/internal/mesh/dataplane/inbound/pending.go
@@ -9,14 +9,14 @@
 
 // pendingRequest is a request without an outcome yet. The proxy's lock guards conn, cancelled and running.
 type pendingRequest struct {
-	token         uint64 // of the request, to the admission controller
+	token         uint64 // identifies the request to the admission controller
 	request       *ForwardRequest
-	deadline      time.Duration // on the proxy's clock
+	deadline      time.Duration // time on the proxy's clock
 	done          func(*ForwardResponse)
-	conn          *connection // that it is sent on; nil for none
+	conn          *connection // connection that the request is sent on; nil for none
 	cancelled     bool
-	running       bool    // it was admitted
-	expectedBytes float64 // that its answer is expected to add to the link's backlog; 0 unless large
+	running       bool    // whether the request was admitted
+	expectedBytes float64 // bytes that the answer is expected to add to the link's backlog; 0 unless the answer is large
 }
 
 // run sends an admitted request to the endpoint, and completes it with the response.
@@ -27,8 +27,8 @@
 	}
 }
 
-// complete ends an admitted request with its response, and frees its slot. It returns the endpoint's ID if the endpoint is found to be
-// down; else it returns an empty string.
+// complete ends an admitted request with its response, and frees its slot. If the endpoint turns out to be down it returns the endpoint's
+// ID, else an empty string.
 func (p *Proxy) complete(pending *pendingRequest, response *ForwardResponse) (downEndpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,8 +45,8 @@
 	return p.detectDown(pending)
 }
 
-// detectDown marks the endpoint as terminated, and returns its ID, if it refuses connections and the request was meant for it; else it
-// returns an empty string. The lock is held.
+// detectDown marks the endpoint as terminated and returns its ID if the endpoint refuses connections and the request was meant for it; else
+// it returns an empty string. The caller holds the lock.
 func (p *Proxy) detectDown(pending *pendingRequest) (downEndpoint string) {
 	if !p.connections.endpointDown() {
 		return ""
--- a/internal/mesh/dataplane/inbound/pool.go
+++ b/internal/mesh/dataplane/inbound/pool.go
@@ -10,16 +10,16 @@
 // A Dialer connects to an address, and fails after a time-out.
 type Dialer func(address string, timeout time.Duration) (net.Conn, error)
 
-// maxConnectFailures is the number of failures to connect in a row at which the endpoint counts as down.
+// maxConnectFailures is the number of consecutive failures to connect after which the endpoint counts as down.
 const maxConnectFailures = 2
 
-// connectionPool keeps the idle connections to the endpoint, and counts failures to connect. The proxy's lock guards it, except for dial
+// connectionPool holds the idle connections to the endpoint, and counts failures to connect. The proxy's lock guards it, except for dial
 // and address, which do not change once there are requests.
 type connectionPool struct {
 	address         string
 	dial            Dialer                   // set before the first request
-	idle            deque.Deque[*connection] // the one that has been idle for longest at the front
-	connectFailures int                      // in a row
+	idle            deque.Deque[*connection] // longest idle connection at the front
+	connectFailures int                      // number of consecutive failures
 }
 
 func dialTCP(address string, timeout time.Duration) (net.Conn, error) {
@@ -27,7 +27,7 @@
 	return d.Dial("tcp4", address)
 }
 
-// take removes and returns the connection that was used last of those that may carry an attempt; nil for none.
+// take removes and returns the most recently used connection that may carry an attempt; nil for none.
 func (p *connectionPool) take(attemptID string) *connection {
 	for i := p.idle.Len() - 1; i >= 0; i-- {
 		if c := p.idle.At(i); c.mayCarry(attemptID) {
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// put returns a connection that may carry another request to the pool.
+// put returns a connection, which may carry another request, to the pool.
 func (p *connectionPool) put(c *connection) {
-	_ = c.SetDeadline(time.Time{}) // it fails only on a closed connection, which reusable detects
+	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, which reusable detects
 	p.idle.PushBack(c)
 }
 
@@ -60,5 +60,5 @@
 	p.connectFailures = 0
 }
 
-// endpointDown reports whether maxConnectFailures attempts to connect, or more, have failed in a row.
+// endpointDown reports whether at least maxConnectFailures consecutive attempts to connect have failed.
 func (p *connectionPool) endpointDown() bool { return p.connectFailures >= maxConnectFailures }
--- a/internal/mesh/dataplane/inbound/proxy.go
+++ b/internal/mesh/dataplane/inbound/proxy.go
@@ -20,10 +20,11 @@
 	now            func() time.Duration
 	log            *logrus.Logger
 	onEndpointDown func(endpointID string)
-	// linkBacklog returns the time until the bytes that wait for the machine's link, and more bytes, have been sent; nil before Register.
+	// linkBacklog returns the time until all bytes queued for the machine's link, and moreBytes after them, have been sent; nil before
+	// Register.
 	linkBacklog func(moreBytes float64) time.Duration
 
-	mu              sync.Mutex // guards what follows; it is not held by onEndpointDown, done functions and dialling
+	mu              sync.Mutex // guards the fields below; not held while onEndpointDown, a done function or the dialer is called
 	controller      *admission.Controller
 	lastToken       uint64
 	pending         map[uint64]*pendingRequest // by token
@@ -32,8 +33,8 @@
 	sizes           responseSizes
 }
 
-// New returns a proxy to the endpoint at an address. now is a monotonic clock. onEndpointDown is called without locks when the endpoint
-// refuses connections; it may be nil.
+// New returns a proxy to the endpoint at an address. now is a monotonic clock. onEndpointDown is called without locks held when the
+// endpoint refuses connections; it may be nil.
 func New(address string, now func() time.Duration, log *logrus.Logger, onEndpointDown func(endpointID string)) *Proxy {
 	return &Proxy{
 		now:            now,
@@ -46,7 +47,7 @@
 	}
 }
 
-// SetDialer replaces the function that dials the endpoint, TCP by default. It must be called before the first request.
+// SetDialer replaces the function that dials the endpoint; by default it dials TCP. SetDialer must be called before the first request.
 func (p *Proxy) SetDialer(dial Dialer) { p.connections.dial = dial }
 
 // Register registers MethodForward with a hub, so that peer sidecars can forward requests here. It must be called before the first
@@ -60,8 +61,8 @@
 func (p *Proxy) serveForward(call *transport.IncomingCall) {
 	var request ForwardRequest
 	if err := codec.Unmarshal(call.Body, &request); err != nil {
-		p.log.WithField("peer", call.From.Name).WithError(err).Warn("inbound: forwarded request cannot be decoded")
-		call.Reply(&ForwardResponse{Kind: outcome.Misdirected}) // this process can't serve requests of that caller
+		p.log.WithField("peer", call.From.Name).WithError(err).Warn("inbound: cannot decode the forwarded request of a peer sidecar")
+		call.Reply(&ForwardResponse{Kind: outcome.Misdirected}) // this process can't serve that caller's requests
 		return
 	}
 	deadline := p.now() + request.TimeRemaining
@@ -73,7 +74,7 @@
 	call.OnCancel(cancel)
 }
 
-// UpdateEndpoint updates the endpoint and its state, by the endpoint's keepalives or deregistration, or as this sidecar shuts down.
+// UpdateEndpoint updates the endpoint and its state, upon the endpoint's keepalives or deregistration or when this sidecar shuts down.
 func (p *Proxy) UpdateEndpoint(endpoint admission.Endpoint, state admission.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,8 @@
 	p.apply(p.controller.UpdateEndpoint(p.now(), endpoint, state))
 }
 
-// Endpoint returns the endpoint and its state, by the last UpdateEndpoint or as found to be down.
+// Endpoint returns the endpoint and its state, as set by the last UpdateEndpoint; the state is Terminated if the endpoint was found to be
+// down since.
 func (p *Proxy) Endpoint() (admission.Endpoint, admission.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,22 +99,22 @@
 	return len(p.pending)
 }
 
-// Forward forwards a request of a client on this machine. targetDeadline and deadline are times on the proxy's clock: an answer after the
-// former has little value, one after the latter none. done is called once, on another goroutine, with the response. cancel cancels the
-// request; done is still called.
+// Forward forwards a request of a client on this machine. targetDeadline and deadline are times on the proxy's clock: an answer after
+// targetDeadline has little value, and an answer after deadline has none. done is called once, on another goroutine, with the response.
+// cancel cancels the request; done is still called.
 func (p *Proxy) Forward(request *ForwardRequest, targetDeadline, deadline time.Duration, done func(*ForwardResponse)) (cancel func()) {
 	return p.forward(request, targetDeadline, deadline, false, done)
 }
 
-// forward is Forward, also for a remote request, whose answer is sent over the machine's link. The link may be the bottleneck: if a large
-// answer is expected, the time to send it is subtracted from both deadlines.
+// forward forwards a local or remote request. The answer to a remote request is sent over the machine's link, which may be the bottleneck:
+// if a large answer is expected, the time to send it is subtracted from both deadlines.
 func (p *Proxy) forward(
 	request *ForwardRequest, targetDeadline, deadline time.Duration, remote bool, done func(*ForwardResponse),
 ) (cancel func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastToken++
-	answerBytes := 0.0 // unless a large answer is expected
+	answerBytes := 0.0 // remains 0 unless a large answer is expected
 	if remote && p.linkBacklog != nil {
 		answerBytes = p.sizes.largeSize(request.Route)
 	}
@@ -141,14 +143,14 @@
 	return func() { p.cancel(pending) }
 }
 
-// rejectUnqueued rejects a request that was not submitted to the admission controller. The lock is held.
+// rejectUnqueued rejects a request that was not submitted to the admission controller. The caller holds the lock.
 func (p *Proxy) rejectUnqueued(done func(*ForwardResponse)) {
 	response := &ForwardResponse{Kind: outcome.AtCapacity}
 	p.reportLoad(response)
 	go done(response)
 }
 
-// apply carries out decisions of the admission controller. The lock is held.
+// apply carries out decisions of the admission controller. The caller holds the lock.
 func (p *Proxy) apply(decisions []admission.Decision) {
 	for _, decision := range decisions {
 		pending := p.pending[decision.Token]
@@ -164,7 +166,7 @@
 	}
 }
 
-// finish ends a request with its response. The lock is held.
+// finish ends a request with its response. It does nothing if the request has ended already. The caller holds the lock.
 func (p *Proxy) finish(pending *pendingRequest, response *ForwardResponse) {
 	if p.pending[pending.token] != pending {
 		return
@@ -175,14 +177,14 @@
 	go pending.done(response)
 }
 
-// reportLoad adds the endpoint's load to a response. The lock is held.
+// reportLoad adds the endpoint's load to a response. The caller holds the lock.
 func (p *Proxy) reportLoad(response *ForwardResponse) {
 	response.Slots = p.controller.Endpoint().Slots
 	response.Running, response.Waiting = p.controller.Load()
 }
 
-// cancel cancels a request. A queued one ends at once; for a running one the connection is closed, upon which most endpoints abandon the
-// request.
+// cancel cancels a request. A queued request ends at once. The connection of a running request is closed, upon which most endpoints abandon
+// the request.
 func (p *Proxy) cancel(pending *pendingRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,7 +202,7 @@
 	}
 }
 
-// scheduleExpiry schedules the next check of deadlines, if requests are queued and none is scheduled. The lock is held.
+// scheduleExpiry schedules the next check of deadlines if requests are queued and no check is scheduled. The caller holds the lock.
 func (p *Proxy) scheduleExpiry() {
 	if _, waiting := p.controller.Load(); p.expiryScheduled || waiting == 0 {
 		return
@@ -209,7 +211,7 @@
 	time.AfterFunc(expiryInterval, p.expire)
 }
 
-// expire rejects the queued requests that can't be answered in time any more.
+// expire rejects the queued requests that can no longer be answered in time.
 func (p *Proxy) expire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/dataplane/outcome/doc.go
+++ b/internal/mesh/dataplane/outcome/doc.go
@@ -5,9 +5,9 @@
 //
 //	Answered               the endpoint's own answer
 //	not executed           no endpoint has executed the request, and none will: any request may be retried
-//	may have been executed an endpoint may have executed it: only an idempotent request may be retried
+//	may have been executed an endpoint may have executed the request: only an idempotent one may be retried
 //
-// Only kinds that were certainly not executed have statuses that promise so to the client (408, 429, 503).
+// The statuses that tell the client that its request was not executed (408, 429, 503) are used only for kinds where that is certain.
 //
-// The package does not decide whether a request is retried: the balancer and the retry budget do, within what Next allows.
+// The package does not decide whether a request is retried: the balancer and the retry budget do, within the limits set by Next.
 package outcome
--- a/internal/mesh/dataplane/outcome/next.go
+++ b/internal/mesh/dataplane/outcome/next.go
@@ -1,33 +1,33 @@
 package outcome
 
-// firstServerError is the lowest HTTP status by which an endpoint reports a failure of its own.
+// firstServerError is the lowest HTTP status with which an endpoint reports its own failure.
 const firstServerError = 500
 
-// Next is what may follow an attempt. Whether the next attempt is taken out of the retry budget depends on whether the last one has reached
-// an endpoint (outbound.serviceBalancer.allowNextAttempt), not on Next.
+// Next is what may follow an attempt. Whether the next attempt is charged to the retry budget does not depend on Next, but on whether the
+// last attempt reached an endpoint (outbound.serviceBalancer.allowNextAttempt).
 type Next uint8
 
 // What may follow an attempt.
 const (
-	Stop            Next = iota // no retry: the request is answered by the table
+	Stop            Next = iota // no retry; the client gets the answer that the outcome's Entry defines
 	Deliver                     // the endpoint's answer is passed on to the client
-	Retry                       // the request was not executed: it may be retried
-	RetryIdempotent             // the request may have been executed, and is idempotent: it may be retried
+	Retry                       // a retry is allowed because the request was not executed
+	RetryIdempotent             // a retry is allowed because the request, which may have been executed, is idempotent
 )
 
 // String returns a name for tests and logs.
 func (n Next) String() string { return [...]string{"stop", "deliver", "send again", "repeat"}[n] }
 
-// Next returns what may follow an attempt that ended with this kind. status is the HTTP status of the endpoint's answer, 0 without one. The
-// page control-safety.md, section 5, has the rule as a table.
+// Next returns what may follow an attempt that ended with this kind. status is the HTTP status of the endpoint's answer, or 0 if there was
+// no answer. Section 5 of control-safety.md has the rule as a table.
 func (k Kind) Next(status int, idempotent bool) Next {
-	e := k.Entry()
+	entry := k.Entry()
 	switch {
 	case k == Answered && (status < firstServerError || !idempotent):
 		return Deliver
-	case !e.EndsAttempt:
+	case !entry.EndsAttempt:
 		return Stop
-	case e.NotExecuted:
+	case entry.NotExecuted:
 		return Retry
 	case idempotent:
 		return RetryIdempotent
--- a/internal/mesh/dataplane/outcome/outcome.go
+++ b/internal/mesh/dataplane/outcome/outcome.go
@@ -5,7 +5,7 @@
 // Kind is how a request, or one attempt of it, ended.
 type Kind uint64
 
-// None means that there is no outcome yet. It is never sent.
+// None is the zero Kind: a request without an outcome yet. It is never sent.
 const None Kind = 0
 
 // The kinds. Their numbers go over the wire between sidecars and never change.
@@ -16,13 +16,13 @@
 
 	AtCapacity    // the endpoint will have no free slot in time
 	Draining      // the endpoint is draining and accepts no new requests
-	Misdirected   // the endpoint is not, or not any more, at that sidecar
+	Misdirected   // the endpoint is not, or no longer, at that sidecar
 	Unreachable   // no connection could be established, or the request was not sent completely
 	Rejected      // the endpoint itself has reported that it did not execute the request
-	Expired       // its deadline passed before it was sent to an endpoint
-	Cancelled     // its caller cancelled it before it was sent to an endpoint
-	Overloaded    // no endpoint of the service can serve it in time
-	QuotaExceeded // its tenant's rate limit is reached
+	Expired       // the request's deadline passed before it was sent to an endpoint
+	Cancelled     // the caller cancelled the request before it was sent to an endpoint
+	Overloaded    // no endpoint of the service can serve the request in time
+	QuotaExceeded // the tenant's rate limit is reached
 	NotReady      // this process has no configuration yet
 	ShuttingDown  // this process is shutting down
 
@@ -30,41 +30,41 @@
 
 	ConnectionLost  // the connection to the peer sidecar ended after the request had been sent
 	InvalidResponse // the response is not a valid answer to this request
-	TimedOut        // no answer in time
+	TimedOut        // no answer arrived in time
 
 	// The request itself is faulty; it was not executed.
 
-	NoRoute        // no route matches its host and path
-	Unauthorized   // it has no tenant's key, and its route is not public
-	Malformed      // it can't be parsed, or lacks an attempt ID
-	BodyTooLarge   // its body exceeds the configured bound
-	HeaderTooLarge // its header exceeds the configured bound
-	BodyTimeout    // its body was not received completely in time
+	NoRoute        // no route matches the request's host and path
+	Unauthorized   // the request has no tenant's key, and its route is not public
+	Malformed      // the request can't be parsed, or lacks an attempt ID
+	BodyTooLarge   // the request's body exceeds the configured bound
+	HeaderTooLarge // the request's header exceeds the configured bound
+	BodyTimeout    // the request's body was not received completely in time
 
-	// The request may have been executed. The number is the last one, as the kind was added last.
+	// The request may have been executed. The kind is numbered last because it was added last.
 
-	EndpointReset // the endpoint has closed the connection before it answered
+	EndpointReset // the endpoint closed the connection before it answered
 )
 
-// unknownStatus is the HTTP status for kinds of later versions. It does not promise that the request was not executed.
+// unknownStatus is the HTTP status for kinds that only later versions know. It does not promise that the request was not executed.
 const unknownStatus = 502
 
 // Entry has the properties of a Kind.
 type Entry struct {
-	Name   string // in logs; never changes
-	Status int    // HTTP status of the answer; of Answered the endpoint's status is used
+	Name   string // name in logs; never changes
+	Status int    // HTTP status of the client's answer; for Answered the endpoint's own status is used instead
 
-	// NotExecuted: no endpoint has executed the request, and none will.
+	// NotExecuted states that no endpoint has executed the request, and that none will.
 	NotExecuted bool
 
-	// SuspectsEndpoint: the endpoint, or its sidecar, may be down. outbound.balancerStatus gives these kinds the statuses for which the
-	// balancer ejects an endpoint; a test holds the two together.
+	// SuspectsEndpoint states that the endpoint or its sidecar may be down. outbound.balancerStatus maps these kinds to the statuses for
+	// which the balancer ejects an endpoint; a test checks that the two agree.
 	SuspectsEndpoint bool
 
-	// EndsAttempt: an attempt can have this outcome. The other kinds are outcomes of requests that were sent to no endpoint.
+	// EndsAttempt states that an attempt can have this outcome. The other kinds are outcomes of requests that were sent to no endpoint.
 	EndsAttempt bool
 
-	// RetryAfter is the least time after which a rejected client is to retry; 0 if it is not advised to.
+	// RetryAfter is the minimum time that a rejected client should wait before it retries; 0 if it is given no such time.
 	RetryAfter time.Duration
 }
 
@@ -102,7 +102,7 @@
 	BodyTimeout:    {Name: "slow", Status: 408, NotExecuted: true},
 }
 
-// Entry returns the properties of a kind. An unknown kind, of a later version, may have been executed.
+// Entry returns the properties of a kind. A request whose kind is unknown, because a later version sent it, may have been executed.
 func (k Kind) Entry() Entry {
 	if e, ok := table[k]; ok {
 		return e
@@ -113,8 +113,8 @@
 // String returns the kind's name.
 func (k Kind) String() string { return k.Entry().Name }
 
-// NotExecuted reports whether a request with this outcome was executed by no endpoint, and will be by none.
+// NotExecuted reports whether it is certain that no endpoint has executed, or will execute, a request with this outcome.
 func (k Kind) NotExecuted() bool { return k.Entry().NotExecuted }
 
-// RetryAfter returns the least time after which a rejected client is to retry; 0 if it is not advised to.
+// RetryAfter returns the minimum time that a rejected client should wait before it retries; 0 if it is given no such time.
 func (k Kind) RetryAfter() time.Duration { return k.Entry().RetryAfter }
