--- a/internal/mesh/dataplane/inbound/attempt.go
+++ b/internal/mesh/dataplane/inbound/attempt.go
@@ -57,7 +57,7 @@
 
 // claimIdle assigns an idle connection to a request that the connection may carry, and returns the connection; nil if there is none or the
 // request is cancelled.
-func (p *Proxy) claimIdle(pending *pendingRequest) (conn *connection, cancelled bool) {
+func (p *Proxy) claimIdle(pending *pendingRequest) (idle *connection, cancelled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pending.cancelled {
@@ -101,16 +101,16 @@
 // releaseConnection returns the connection of a request that has ended to the pool if the answer was read completely and no other answer
 // can arrive on the connection; else it closes the connection. The caller holds the lock.
 func (p *Proxy) releaseConnection(pending *pendingRequest, response *ForwardResponse) {
-	conn := pending.conn
-	if conn == nil {
+	released := pending.conn
+	if released == nil {
 		return
 	}
 	pending.conn = nil
-	if conn.unusable || pending.cancelled || !response.ReachedEndpoint || leavesAnswerUnread(response.Kind) {
-		conn.discard()
+	if released.unusable || pending.cancelled || !response.ReachedEndpoint || leavesAnswerUnread(response.Kind) {
+		released.discard()
 		return
 	}
-	p.connections.put(conn)
+	p.connections.put(released)
 }
 
 // leavesAnswerUnread reports whether an answer, or the rest of one, may still arrive on the connection of a request with this outcome.
--- a/internal/mesh/dataplane/outbound/accept.go
+++ b/internal/mesh/dataplane/outbound/accept.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// minQuotaRetryAfter is the least Retry-After of a request that its tenant's rate limit rejects.
+	// minQuotaRetryAfter is the minimum Retry-After of a request that is rejected by its tenant's rate limit.
 	minQuotaRetryAfter = 50 * time.Millisecond
-	// maxTimeRemaining bounds a client's Time-Remaining, in milliseconds; a header with more is ignored.
+	// maxTimeRemaining bounds a client's Time-Remaining, in milliseconds; a header that is as large or larger is ignored.
 	maxTimeRemaining = 1e9
-	// requestLineOverhead and fieldOverhead are bytes of a header other than its names and values: separators and line ends.
+	// requestLineOverhead and fieldOverhead are the bytes of separators and line ends in a request line and in a header field.
 	requestLineOverhead = 20
 	fieldOverhead       = 4
 )
 
-// accept checks a client's request, in this order: its header, its route, the time until this process ends, its tenant, its ID and the
-// tenant's rate limit, for whose token it waits. It returns the request with the fields that were set before a check failed, and why it
-// is rejected; outcome.None if it is accepted.
+// accept checks a client's request, in this order: its header, its route, the time until this process ends, its tenant, its attempt ID and
+// the tenant's rate limit, whose decision accept waits for. It returns the request, with the fields that were set before a check failed, and
+// the reason for a rejection; outcome.None if the request is accepted.
 //
 // Accepting a request is not admitting it: whether it can be served in time is decided by the service's balancer and, at the endpoint's
 // sidecar, by package admission.
@@ -62,7 +62,7 @@
 	return pending, outcome.None
 }
 
-// fillForward sets what is forwarded to the endpoint. It chooses the service of a split route.
+// fillForward sets the fields that are forwarded to the endpoint. It chooses the service of a split route.
 func (p *Proxy) fillForward(pending *request, req *http.Request, attemptID string) {
 	forward := &pending.forward
 	forward.Route = pending.route.Name
@@ -76,7 +76,8 @@
 	forward.Header = forwardedHeader(req.Header)
 }
 
-// checkHeader checks what does not depend on the route.
+// checkHeader checks those properties of a request's header that do not depend on its route. It returns the reason for a rejection;
+// outcome.None if the header is valid.
 func checkHeader(config *configuration.Config, req *http.Request) outcome.Kind {
 	if headerBytes(req) > config.Limits.HeaderMax {
 		return outcome.HeaderTooLarge
@@ -98,12 +99,13 @@
 	return n
 }
 
-// isNestedCall reports whether a request was made by an endpoint that is executing another one: such calls carry no tenant's key.
+// isNestedCall reports whether a request was made by an endpoint that is executing another request: such calls carry no tenant's key.
 func isNestedCall(config *configuration.Config, req *http.Request) bool {
 	return config.HasTenantTable && len(req.Header[inbound.HeaderKey]) == 0
 }
 
-// findTenant returns the tenant of a request's key; nil if the request needs none. The kind is outcome.Unauthorized if it needs one.
+// findTenant returns the tenant of a request's key; nil if the request needs no tenant. The kind is outcome.Unauthorized if the request
+// needs a tenant and its key belongs to none; else outcome.None.
 func findTenant(config *configuration.Config, route *configuration.Route, keys []string) (*configuration.Tenant, outcome.Kind) {
 	if !config.HasTenantTable {
 		return nil, outcome.None
@@ -119,10 +121,10 @@
 	return nil, outcome.Unauthorized
 }
 
-// setTimes sets a request's deadlines by its route, and by the client's Time-Remaining: the milliseconds until the client gives up.
+// setTimes sets a request's deadlines from its route and from the client's Time-Remaining: the milliseconds until the client gives up.
 func (r *request) setTimes(now time.Duration, timeRemaining string) {
 	remaining := r.route.Timeout
-	var spent time.Duration // by the client, on earlier attempts of its own
+	var spent time.Duration // time that the client has spent on its earlier attempts
 	ms, err := strconv.ParseFloat(timeRemaining, 64)
 	if err == nil && ms >= 0 && ms < maxTimeRemaining {
 		remaining = min(remaining, time.Duration(ms*float64(time.Millisecond)))
@@ -136,12 +138,12 @@
 		r.targetDeadline = r.deadline
 	case spent < target:
 		r.targetDeadline = min(r.deadline, now+target-spent)
-	default: // the target is missed already: the request may wait, but less than those that can still meet theirs
+	default: // the target is missed already: the request may wait, but less than requests that can still meet their target
 		r.targetDeadline = min(r.deadline, now+target/2)
 	}
 }
 
-// acquireQuota takes one request out of a tenant's rate limit. It returns 0, or the time after which to retry if the limit is reached.
+// acquireQuota charges one request to a tenant's rate limit. It returns 0, or the time after which to retry if the limit is reached.
 func (p *Proxy) acquireQuota(tenant *configuration.Tenant) (retryAfter time.Duration) {
 	if p.options.AcquireQuota == nil || tenant.Rate <= 0 {
 		return 0
@@ -157,7 +159,7 @@
 	return <-answers
 }
 
-// rejectionRetryAfter returns the Retry-After of a request that accept or readBody has rejected.
+// rejectionRetryAfter returns the Retry-After for a request that accept or readBody has rejected.
 func (r *request) rejectionRetryAfter(kind outcome.Kind) time.Duration {
 	if kind == outcome.QuotaExceeded {
 		return max(r.quotaRetryAfter, minQuotaRetryAfter)
--- a/internal/mesh/dataplane/outbound/answer.go
+++ b/internal/mesh/dataplane/outbound/answer.go
@@ -8,7 +8,8 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// writeAnswer writes a request's answer. Errors are ignored: the client has gone, and the request's outcome is decided.
+// writeAnswer writes a request's answer. Errors are ignored: they mean that the client has disconnected, and the request's outcome is
+// decided already.
 func (p *Proxy) writeAnswer(w http.ResponseWriter, res result) {
 	header := w.Header()
 	if p.shutdown.rejecting.Load() {
@@ -16,7 +17,7 @@
 	} else {
 		p.connections.advertiseIdleTimeout(header)
 	}
-	// Nil keeps the server from adding these two: an answer has the endpoint's, or none.
+	// Nil values keep the server from adding these two fields: an answer has the endpoint's values, or none.
 	header[headerContentType] = nil
 	header[headerDate] = nil
 	if res.kind == outcome.Answered {
@@ -34,14 +35,14 @@
 		header[name] = append(header[name], value)
 	}
 	bodiless := response.Status == http.StatusNoContent || response.Status == http.StatusNotModified
-	if !bodiless && header[headerContentLength] == nil { // an answer to HEAD has the endpoint's
+	if !bodiless && header[headerContentLength] == nil { // an answer to HEAD already has the endpoint's Content-Length
 		header[headerContentLength] = []string{strconv.Itoa(len(response.Body))}
 	}
 	w.WriteHeader(response.Status)
 	_, _ = w.Write(response.Body)
 }
 
-// writeTableAnswer writes the answer to a request without an endpoint's answer, by the table of package outcome.
+// writeTableAnswer writes the answer that the table of package outcome defines for a request that no endpoint has answered.
 func writeTableAnswer(w http.ResponseWriter, res result) {
 	header := w.Header()
 	entry := res.kind.Entry()
--- a/internal/mesh/dataplane/outbound/attempt.go
+++ b/internal/mesh/dataplane/outbound/attempt.go
@@ -9,41 +9,41 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// maxAttempts bounds the attempts of one request, including those that reached no endpoint: they are not charged to the retry budget, and
-// would otherwise be repeated until the deadline.
+// maxAttempts bounds the attempts of one request, including those that reached no endpoint: such attempts are not charged to the retry
+// budget, and would otherwise be repeated until the deadline.
 const maxAttempts = 8
 
-// attempt is one attempt to have a request executed. The balancer knows of one at a time. An attempt that it has cancelled in favour of
-// another is superseded, and goes on until either is answered, as its endpoint may be executing the request.
+// attempt is one attempt to have a request executed. The balancer tracks one attempt of a request at a time. An attempt that the balancer
+// has cancelled in favour of another is superseded: it continues until the request is answered, as its endpoint may be executing it.
 type attempt struct {
 	request    *request
 	endpoint   balancer.EndpointID
-	number     int // of the request's attempts, from 0
+	number     int // position among the request's attempts, counted from 0
 	sentAt     time.Duration
 	superseded bool
-	cancelled  bool   // cancel was called, or will be
-	cancel     func() // cancels the attempt at its endpoint; nil if it was not sent
+	cancelled  bool   // whether cancel was called or is scheduled
+	cancel     func() // cancels the attempt at its endpoint; nil if the attempt was not sent
 }
 
-// startAttempt starts an attempt of a request. One that can't be sent ends at once, after the current event.
-func (b *serviceBalancer) startAttempt(r *request, to balancer.EndpointID) {
-	a := &attempt{request: r, endpoint: to, number: r.attempts.sent, sentAt: b.dispatcher.now()}
-	r.attempts.sent++
-	r.attempts.active = a
+// startAttempt starts an attempt of a request. An attempt that can't be sent ends right after the current event.
+func (b *serviceBalancer) startAttempt(pending *request, to balancer.EndpointID) {
+	started := &attempt{request: pending, endpoint: to, number: pending.attempts.sent, sentAt: b.dispatcher.now()}
+	pending.attempts.sent++
+	pending.attempts.active = started
 	endpoint := b.endpoints.byNumber[to]
 	switch {
-	case endpoint == nil: // removed between two events
-		b.endUnsent(a, outcome.Misdirected)
-	case r.attempts.mayHaveExecuted && !r.route.Kind.IsIdempotent(): // the balancer makes no such attempt; a safeguard against its faults
-		b.dispatcher.options.Log.WithField("attempt", r.forward.AttemptID).
-			Error("outbound: retry suppressed of a request that may have been executed")
-		b.endUnsent(a, outcome.Cancelled)
+	case endpoint == nil: // the endpoint was removed between two events
+		b.endUnsent(started, outcome.Misdirected)
+	case pending.attempts.mayHaveExecuted && !pending.route.Kind.IsIdempotent(): // a safeguard: the balancer should start no such attempt
+		b.dispatcher.options.Log.WithField("attempt", pending.forward.AttemptID).
+			Error("outbound: suppressed the retry of a non-idempotent request that may have been executed")
+		b.endUnsent(started, outcome.Cancelled)
 	default:
-		b.send(a, endpoint)
+		b.send(started, endpoint)
 	}
 }
 
-// endUnsent ends an attempt that is not sent.
+// endUnsent ends an attempt without sending it.
 func (b *serviceBalancer) endUnsent(a *attempt, kind outcome.Kind) {
 	b.dispatcher.deferLocked(func(now time.Duration) { b.attemptEnded(now, a, &inbound.ForwardResponse{Kind: kind}) })
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt at its endpoint. Its outcome is still reported.
+// cancelAttempt cancels an attempt at its endpoint. The attempt's outcome is still reported to attemptEnded.
 func (b *serviceBalancer) cancelAttempt(a *attempt) {
 	if a.cancelled || a.cancel == nil {
 		return
@@ -87,28 +87,29 @@
 	b.dispatcher.deferLocked(func(time.Duration) { a.cancel() })
 }
 
-// supersede makes the active attempt a superseded one, and reports it to the balancer as cancelled, so that it starts another one for the
-// request. The attempt itself goes on until the client has an answer: its endpoint may be executing it, and the next attempt may never be
-// served. If the route or the retry budget allows no further attempt nothing changes, and the balancer gets the attempt's own outcome.
+// supersede makes the active attempt a superseded one, and reports it to the balancer as cancelled, so that the balancer starts another
+// attempt of the request. The superseded attempt continues until the client has an answer: its endpoint may be executing it, and the next
+// attempt may never be served. If the route or the retry budget allows no further attempt, supersede does nothing and the balancer gets the
+// outcome of the active attempt when it ends.
 func (b *serviceBalancer) supersede(r *request) {
 	if r.attempts.sent >= maxAttempts || !b.acquireRetry(b.dispatcher.now(), r) {
 		return
 	}
-	a := r.attempts.active
+	previous := r.attempts.active
 	r.attempts.supersede()
 	b.dispatcher.deferLocked(func(now time.Duration) {
 		b.balancer.HandleOutcome(now, balancer.Outcome{
 			ID:       r.id,
-			Endpoint: a.endpoint,
-			Attempt:  a.number,
-			Elapsed:  now - a.sentAt,
+			Endpoint: previous.endpoint,
+			Attempt:  previous.number,
+			Elapsed:  now - previous.sentAt,
 			Status:   balancer.StatusCancelled,
 		})
 	})
 }
 
 // attemptEnded handles the response to an attempt. It answers the request if the response is final, and reports the outcome to the
-// balancer, which may start another attempt if not.
+// balancer, which may start another attempt if the response is not final.
 func (b *serviceBalancer) attemptEnded(now time.Duration, ended *attempt, response *inbound.ForwardResponse) {
 	pending := ended.request
 	pending.attempts.end(ended, response)
@@ -139,8 +140,9 @@
 	b.forget(pending)
 }
 
-// supersededEnded handles the end of a superseded attempt, which the balancer has forgotten. If it has answered the request, the balancer
-// is notified as if the client had gone; if not, and the balancer has given the request up, the last attempt to end answers it.
+// supersededEnded handles the end of a superseded attempt, which the balancer no longer tracks. If the request is answered, the balancer is
+// notified as if the client had disconnected. If it is not answered, and the balancer has given it up, it is answered when its last attempt
+// has ended.
 func (b *serviceBalancer) supersededEnded(now time.Duration, r *request) {
 	switch {
 	case r.answered:
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -14,19 +14,19 @@
 
 // Bounds on the bodies of clients' requests, in addition to those of the configuration.
 const (
-	// initialBodyCapacity bounds the bytes that are allocated for a body before any of it is read.
+	// initialBodyCapacity bounds the bytes that are allocated for a body before it is read.
 	initialBodyCapacity = 64 << 10
-	// maxDiscardBytes bounds how much of the body of a rejected request is still read.
+	// maxDiscardBytes bounds the bytes that are read and discarded of a rejected request's body.
 	maxDiscardBytes = 1 << 20
-	// discardTimeout bounds the time for that.
+	// discardTimeout bounds the time for reading and discarding a rejected request's body.
 	discardTimeout = time.Second
 )
 
-// errBodyCapacity is returned when the bodies of all requests together exceed Options.MaxBodyBytes.
-var errBodyCapacity = errors.New("the bodies of requests under way have reached their bound")
+// errBodyCapacity is returned when the bodies of all requests in flight together exceed Options.MaxBodyBytes.
+var errBodyCapacity = errors.New("bodies of requests in flight exceed their total size limit")
 
-// readBody reads a request's body completely, as the body may have to be sent more than once. It returns why the request is rejected;
-// outcome.None if it is not. releaseBody is to be called in any case.
+// readBody reads a request's body completely, as the body may have to be sent more than once. It returns the reason for a rejection;
+// outcome.None if the request is not rejected. The caller must call releaseBody in both cases.
 func (p *Proxy) readBody(config *configuration.Config, w http.ResponseWriter, req *http.Request, pending *request) outcome.Kind {
 	declaredEmpty := req.ContentLength == 0 && len(req.Header[headerContentLength]) > 0
 	pending.forward.HasBody = req.ContentLength > 0 || len(req.TransferEncoding) > 0 || declaredEmpty
@@ -75,8 +75,8 @@
 	return outcome.Malformed
 }
 
-// readAll appends all that a reader has to a buffer. It calls reserve with the number of bytes of each read; if that returns false, the
-// error is errBodyCapacity.
+// readAll appends all bytes of a reader to a buffer. It calls reserve with the number of bytes of each read; if reserve returns false,
+// readAll fails with errBodyCapacity.
 func readAll(reader io.Reader, buf []byte, reserve func(n int) bool) ([]byte, error) {
 	for {
 		if len(buf) == cap(buf) {
@@ -96,26 +96,26 @@
 	}
 }
 
-// discardBody reads the rest of the body of a request that is answered already, within bounds. The kernel resets a connection that is
-// closed with unread bytes, and a reset may discard the answer before the client has read it.
+// discardBody reads the rest of the body of a request that is answered already, up to maxDiscardBytes and discardTimeout. The kernel resets
+// a connection that is closed with unread bytes, and a reset may discard the answer before the client has read it.
 func discardBody(w http.ResponseWriter, req *http.Request) {
-	if req.Header.Get(headerExpect) != "" { // the client waits for a go-ahead before it sends any
+	if req.Header.Get(headerExpect) != "" { // the client sends no body before it gets status 100
 		return
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout)) // fails on a closed connection alone
-	_, _ = io.CopyN(io.Discard, req.Body, maxDiscardBytes)                            // if there is more, the server closes the connection
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout)) // fails only on a closed connection
+	_, _ = io.CopyN(io.Discard, req.Body, maxDiscardBytes)                            // if the body is longer, the server closes the connection
 }
 
-// bodyReads tracks the bodies that are being read, by the controllers of their connections, and bounds the time for each. On shutdown all
-// of them are interrupted, so that their requests are answered in time too. Errors of SetReadDeadline are ignored: it fails only on a
-// closed connection, on which reads fail as well.
+// bodyReads tracks the bodies that are being read, by the controllers of their responses, and bounds the time for each. On shutdown it
+// interrupts all reads, so that these requests are answered in time too. Errors of SetReadDeadline are ignored: it fails only on a closed
+// connection, on which reads fail as well.
 type bodyReads struct {
 	mu      sync.Mutex
 	stopped bool
 	open    map[*http.ResponseController]struct{}
 }
 
-// begin starts to track a body, which is to be read by a deadline.
+// begin starts tracking a body, which must be read by a deadline.
 func (b *bodyReads) begin(controller *http.ResponseController, deadline time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -129,8 +129,8 @@
 	_ = controller.SetReadDeadline(deadline)
 }
 
-// end stops to track a body and resets the deadline, which the server would otherwise take for the end of the client while the request is
-// served.
+// end stops tracking a body and resets the deadline. Without the reset, the server would treat a deadline that passes while the request is
+// served as a disconnected client.
 func (b *bodyReads) end(controller *http.ResponseController) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,7 +138,7 @@
 	_ = controller.SetReadDeadline(time.Time{})
 }
 
-// stop interrupts the reading of all bodies, now and from now on.
+// stop interrupts the reads in progress and all later ones.
 func (b *bodyReads) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/mesh/dataplane/outbound/connections.go
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -11,23 +11,23 @@
 const (
 	// sweepInterval is the time between two checks of idle connections.
 	sweepInterval = 500 * time.Millisecond
-	// shutdownSweepInterval is the same during shutdown.
+	// shutdownSweepInterval is the time between two checks of idle connections during shutdown.
 	shutdownSweepInterval = 20 * time.Millisecond
-	// idleTimeoutMargin is by how much the idle time-out that is advertised to clients is shorter than the real one.
+	// idleTimeoutMargin is the difference between the actual idle time-out and the shorter one that is advertised to clients.
 	idleTimeoutMargin = time.Second
-	// defaultIdleTimeout applies until there is a configuration.
+	// defaultIdleTimeout is the idle time-out until there is a configuration.
 	defaultIdleTimeout = 15 * time.Second
 )
 
 // clientConnection is the state of a client's connection.
 type clientConnection struct {
 	state     http.ConnState
-	idleUntil time.Time // when it is closed if it is still idle
-	expired   bool      // sweep has set a read deadline in the past
+	idleUntil time.Time // time at which the connection is closed if it is still idle
+	expired   bool      // whether sweep has set a read deadline in the past
 }
 
-// shouldClose reports whether a connection is to be closed now: no request is in flight on it, and it has been idle for too long or the
-// phase demands so.
+// shouldClose reports whether a connection must be closed now: no request is in flight on it, and it has been idle for too long or the
+// closing phase requires it.
 func (c clientConnection) shouldClose(now time.Time, phase closingPhase) bool {
 	switch c.state {
 	case http.StateNew:
@@ -38,22 +38,22 @@
 	return false
 }
 
-// closingPhase determines which connections are closed for the shutdown of the process.
+// closingPhase determines which connections without a request in flight are closed because the process shuts down.
 type closingPhase int
 
 const (
 	closingNone closingPhase = iota
-	closingIdle              // those that have carried a request; on a new one the first request is still read, and rejected
-	closingAll               // also new ones
+	closingIdle              // connections that have carried a request; the first request on a new one is still read, and rejected
+	closingAll               // also new connections
 )
 
 // clientConnections tracks the clients' open connections, and closes those that have been idle for too long.
 type clientConnections struct {
-	idleTimeout func() time.Duration // the idle time-out in force
+	idleTimeout func() time.Duration // returns the currently configured idle time-out
 
 	mu       sync.Mutex
 	open     map[net.Conn]clientConnection
-	sweeping bool // a call of sweep is scheduled
+	sweeping bool // whether a call of sweep is scheduled
 	phase    closingPhase
 }
 
@@ -69,7 +69,7 @@
 		c.open = map[net.Conn]clientConnection{}
 	}
 	if state == http.StateActive && c.open[conn].expired {
-		_ = conn.SetReadDeadline(time.Time{}) // a request was read all the same; to the server the deadline would mean that the client has gone
+		_ = conn.SetReadDeadline(time.Time{}) // a request was read despite the deadline, which would look like a disconnected client
 	}
 	c.open[conn] = clientConnection{state: state, idleUntil: time.Now().Add(c.idleTimeout())}
 	if !c.sweeping {
@@ -78,16 +78,16 @@
 	}
 }
 
-// sweep ends the connections for which shouldClose reports true, by a read deadline in the past instead of Close: the server's reader then
-// either has a complete request, and answers it, or has none, and closes the connection. So a request that was read is never dropped.
-// The deadline may be set after the server has read a request and before it calls track, which resets it then.
+// sweep ends the connections for which shouldClose reports true. It sets a read deadline in the past instead of calling Close: the server
+// then either has a complete request, and answers it, or has none, and closes the connection. So a request that was read is never dropped.
+// If the deadline is set after the server has read a request and before it calls track, track resets the deadline.
 func (c *clientConnections) sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for conn, known := range c.open {
 		if known.shouldClose(now, c.phase) {
-			_ = conn.SetReadDeadline(now.Add(-time.Second)) // fails on a closed connection alone
+			_ = conn.SetReadDeadline(now.Add(-time.Second)) // fails only on a closed connection
 			known.expired = true
 			c.open[conn] = known
 		}
@@ -102,7 +102,7 @@
 	}
 }
 
-// close closes connections, now and from now on, as the phase demands.
+// close closes the connections that a closing phase applies to, now and as they become idle.
 func (c *clientConnections) close(phase closingPhase) {
 	c.mu.Lock()
 	c.phase = phase
@@ -117,7 +117,7 @@
 	return len(c.open)
 }
 
-// advertiseIdleTimeout sets the Keep-Alive header field, by which the client knows for how many seconds its connection may stay idle.
+// advertiseIdleTimeout sets the Keep-Alive header field, which tells the client for how many seconds its connection may stay idle.
 func (c *clientConnections) advertiseIdleTimeout(header http.Header) {
 	if seconds := int((c.idleTimeout() - idleTimeoutMargin) / time.Second); seconds > 0 {
 		header[headerKeepAlive] = []string{"timeout=" + strconv.Itoa(seconds)}
--- a/internal/mesh/dataplane/outbound/dispatcher.go
+++ b/internal/mesh/dataplane/outbound/dispatcher.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// nestedCallValue is the value of a nested call, in values of a client's request of the highest priority. The request that waits for
-	// the call occupies a slot, and its execution so far is wasted if the call fails.
+	// nestedCallValue is the value of a nested call, as a multiple of the value of a client's request with the highest priority. It is higher
+	// because the request that waits for the call occupies a slot, and its execution so far is wasted if the call fails.
 	nestedCallValue = 4
-	// maxPriorityRank bounds the rank of a priority, 0 for the highest: a request has half the value of one a rank higher.
+	// maxPriorityRank bounds the rank of a priority; rank 0 is the highest. Each further rank halves the value of a request.
 	maxPriorityRank = 16
-	// requestIDBase is the base in which requests are numbered for the balancer.
+	// requestIDBase is the numeral base of the request IDs that are passed to the balancer.
 	requestIDBase = 36
 )
 
-// dispatcher hands the requests that were accepted to the balancers, one for each service.
+// dispatcher passes accepted requests to the balancers, of which there is one for each service.
 type dispatcher struct {
 	options *Options
 
-	mu           sync.Mutex                  // guards what follows, the balancers and their requests
-	balancers    map[string]*serviceBalancer // by service
-	zoneNumbers  map[string]int              // by zone
-	deferred     []func(now time.Duration)   // by deferLocked, in order
+	mu           sync.Mutex                  // guards the fields below, the balancers and their requests
+	balancers    map[string]*serviceBalancer // balancers by service
+	zoneNumbers  map[string]int              // the balancers' zone numbers, by zone name
+	deferred     []func(now time.Duration)   // functions scheduled by deferLocked, in order
 	lastRequest  uint64                      // number of the last request
-	sidecarCount int                         // sidecars that share the fleet's retry budget; 1 at least
+	sidecarCount int                         // number of sidecars that share the fleet's retry budget; at least 1
 }
 
 func newDispatcher(options *Options) *dispatcher {
@@ -55,11 +55,11 @@
 	}
 }
 
-// deferLocked calls f after the event that is being handled, with the lock still held: a balancer must not be called while it calls its
-// host.
+// deferLocked schedules a call of f after the current event, with the lock still held. It is needed because a balancer must not be called
+// while it is calling its host.
 func (d *dispatcher) deferLocked(f func(now time.Duration)) { d.deferred = append(d.deferred, f) }
 
-// zoneNumber returns the number by which balancers know a zone. The lock is held.
+// zoneNumber returns the number by which balancers know a zone. The caller holds the lock.
 func (d *dispatcher) zoneNumber(name string) int {
 	number, ok := d.zoneNumbers[name]
 	if !ok {
@@ -69,14 +69,14 @@
 	return number
 }
 
-// balancerFor returns a service's balancer; nil if none can be made. The lock is held.
+// balancerFor returns a service's balancer, and creates it if there is none; nil if that fails. The caller holds the lock.
 func (d *dispatcher) balancerFor(service string) *serviceBalancer {
 	if b := d.balancers[service]; b != nil {
 		return b
 	}
 	b, err := newServiceBalancer(d, service, d.options.Seed+uint64(len(d.balancers)))
 	if err != nil {
-		d.options.Log.WithField("service", service).WithError(err).Error("outbound: balancer of a service cannot be made")
+		d.options.Log.WithField("service", service).WithError(err).Error("outbound: cannot create the balancer of a service")
 		return nil
 	}
 	d.balancers[service] = b
@@ -97,7 +97,7 @@
 	d.runLocked(func(time.Duration) { d.sidecarCount = max(n, 1) })
 }
 
-// submit hands a request to its service's balancer. The result is sent once, on r.results.
+// submit passes a request to its service's balancer. The result is sent once, on r.results.
 func (d *dispatcher) submit(r *request) {
 	d.runLocked(func(now time.Duration) {
 		b := d.balancerFor(r.forward.Service)
@@ -121,8 +121,8 @@
 	return 1 / float64(int(1)<<rank)
 }
 
-// expire gives up a request that has not been answered, and cancels its attempts. Their outcomes, which are still reported, decide on its
-// answer.
+// expire gives up a request that has not been answered, and cancels its attempts. The outcomes of the attempts are still reported, and
+// determine the request's answer.
 func (d *dispatcher) expire(r *request) {
 	d.runLocked(func(now time.Duration) {
 		if r.balancer == nil || r.answered || r.expired {
--- a/internal/mesh/dataplane/outbound/endpoints.go
+++ b/internal/mesh/dataplane/outbound/endpoints.go
@@ -7,13 +7,13 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// knownEndpoint is an endpoint, with the number by which the balancer knows it.
+// knownEndpoint is an endpoint with the number by which the balancer knows it.
 type knownEndpoint struct {
 	number balancer.EndpointID
 	discovery.Endpoint
 }
 
-// endpointTable numbers the endpoints of one service. An application that restarts is another endpoint: it has another ID, and gets another
+// endpointTable assigns numbers to the endpoints of one service. A restarted application is a new endpoint with another ID, and gets a new
 // number.
 type endpointTable struct {
 	byNumber    map[balancer.EndpointID]*knownEndpoint
@@ -26,7 +26,8 @@
 	return endpointTable{byNumber: map[balancer.EndpointID]*knownEndpoint{}, byID: map[string]*knownEndpoint{}}
 }
 
-// update replaces the endpoints by the complete list, and returns that in the balancer's form, without those that have crashed or left.
+// update replaces the endpoints by the given complete list. It returns the list in the balancer's form, without endpoints that have crashed
+// or left.
 func (t *endpointTable) update(now time.Duration, endpoints []discovery.Endpoint, zoneNumber func(string) int) balancer.EndpointList {
 	t.listVersion++
 	list := balancer.EndpointList{Kind: balancer.ListFull, Version: t.listVersion}
@@ -35,7 +36,7 @@
 		if endpoint.State >= discovery.Crashed {
 			continue
 		}
-		known := t.find(endpoint.ID)
+		known := t.findOrAdd(endpoint.ID)
 		known.Endpoint = endpoint
 		listed[endpoint.ID] = true
 		list.Entries = append(list.Entries, listEntry(now, known, zoneNumber(endpoint.Zone)))
@@ -49,8 +50,8 @@
 	return list
 }
 
-// find returns the entry of an endpoint; a new one, with the next number, if there is none.
-func (t *endpointTable) find(id string) *knownEndpoint {
+// findOrAdd returns the entry of an endpoint. If there is none it adds one with the next number.
+func (t *endpointTable) findOrAdd(id string) *knownEndpoint {
 	if known := t.byID[id]; known != nil {
 		return known
 	}
--- a/internal/mesh/dataplane/outbound/headers.go
+++ b/internal/mesh/dataplane/outbound/headers.go
@@ -20,7 +20,7 @@
 	headerRetryAfter    = "Retry-After"
 )
 
-// systemHeaders are the header fields that only the mesh sets: a client's are not forwarded. In canonical form.
+// systemHeaders are the header fields that only the mesh sets; a client's values are not forwarded. The names are in canonical form.
 var systemHeaders = map[string]bool{
 	inbound.HeaderAttemptID:      true,
 	inbound.HeaderBaseVersion:    true,
@@ -33,7 +33,7 @@
 	headerHost:                   true,
 }
 
-// forwardedHeader returns the header fields that are forwarded to the endpoint: each name, followed by its value.
+// forwardedHeader returns the header fields that are forwarded to the endpoint, as alternating names and values.
 func forwardedHeader(header http.Header) (fields []string) {
 	connectionFields := namedByConnection(header)
 	for name, values := range header {
@@ -47,7 +47,7 @@
 	return fields
 }
 
-// namedByConnection returns the names of the fields that a Connection field declares to be hop-by-hop; nil for none.
+// namedByConnection returns the names of the fields that the Connection fields of a header declare to be hop-by-hop; nil for none.
 func namedByConnection(header http.Header) (names map[string]bool) {
 	for _, value := range header[headerConnection] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/mesh/dataplane/outbound/host.go
+++ b/internal/mesh/dataplane/outbound/host.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/balancer"
 )
 
-// The methods of this file implement balancer.Host: the balancer calls them to act. They are called with the dispatcher's lock held.
+// The methods in this file implement balancer.Host: the balancer calls them to carry out its decisions, with the dispatcher's lock held.
 var _ balancer.Host = (*serviceBalancer)(nil)
 
 // Send starts an attempt of a request.
@@ -16,8 +16,8 @@
 	}
 }
 
-// Cancel gives up an attempt of a request, because the balancer wants to send the request to another endpoint or the request has ended.
-// In the former case the attempt is superseded, not cancelled.
+// Cancel gives up an attempt of a request, because the balancer will send the request to another endpoint or because the request has ended.
+// If the request has not ended, the attempt is superseded instead of cancelled.
 func (b *serviceBalancer) Cancel(id balancer.RequestID, number int) {
 	r := b.requests[id]
 	if r == nil || r.attempts.active == nil || r.attempts.active.number != number {
@@ -30,7 +30,7 @@
 	b.supersede(r)
 }
 
-// Reject ends a request that no endpoint serves. The client is to retry after a time.
+// Reject ends a request that no endpoint can serve. The client should retry after retryAfter.
 func (b *serviceBalancer) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	b.conclude(id, retryAfter)
 }
@@ -38,8 +38,8 @@
 // Fail ends a request that may have been executed.
 func (b *serviceBalancer) Fail(id balancer.RequestID) { b.conclude(id, 0) }
 
-// conclude notes that the balancer has given a request up. It is answered at once, unless a superseded attempt is outstanding, whose
-// endpoint may still answer.
+// conclude records that the balancer has given up a request. The request is answered at once, unless a superseded attempt is outstanding,
+// whose endpoint may still answer.
 func (b *serviceBalancer) conclude(id balancer.RequestID, retryAfter time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.answered {
@@ -52,15 +52,14 @@
 	}
 }
 
-// SetTimer calls the balancer's HandleTimer with a token after a time. Timers are never stopped; the balancer ignores a token that is of
-// no use any more.
+// SetTimer calls the balancer's HandleTimer with a token after a delay. Timers are never stopped; the balancer ignores obsolete tokens.
 func (b *serviceBalancer) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		b.dispatcher.runLocked(func(now time.Duration) { b.balancer.HandleTimer(now, token) })
 	})
 }
 
-// FetchEndpoints fetches the service's list of endpoints anew from the owners of its registry.
+// FetchEndpoints requests the service's complete list of endpoints again from its registry owners. It does not wait for the list.
 func (b *serviceBalancer) FetchEndpoints() {
 	if refresh := b.dispatcher.options.RefreshEndpoints; refresh != nil {
 		go refresh(b.service)
@@ -72,13 +71,13 @@
 	b.dispatcher.options.Log.WithField("service", b.service).Info("balancer: " + text)
 }
 
-// HealthCheck does nothing: the endpoints' own sidecars vouch for them.
+// HealthCheck does nothing: each endpoint's own sidecar monitors and reports its health.
 func (b *serviceBalancer) HealthCheck(balancer.EndpointID) {}
 
-// SendToPeer does nothing: balancers of the mesh have no peers.
+// SendToPeer does nothing: balancers in the mesh have no peers.
 func (b *serviceBalancer) SendToPeer(int, []byte) {}
 
-// WatchEndpoints does nothing: lists of endpoints are pushed.
+// WatchEndpoints does nothing: endpoint lists are pushed to this process.
 func (b *serviceBalancer) WatchEndpoints(bool) {}
 
 // CloseIdleConnections does nothing: the endpoint's own sidecar holds its connections.
--- a/internal/mesh/dataplane/outbound/proxy.go
+++ b/internal/mesh/dataplane/outbound/proxy.go
@@ -17,21 +17,21 @@
 // Options configure a Proxy. Hub, Inbound and Log are required.
 type Options struct {
 	Hub     *transport.Hub
-	Inbound *inbound.Proxy // to the endpoint on this machine
+	Inbound *inbound.Proxy // proxy to the endpoint on this machine
 	Bounds  settings.Bounds
-	Service string // of the endpoint on this machine; sent to endpoints as the calling service
+	Service string // service of the endpoint on this machine; sent to endpoints as the calling service
 	Log     *logrus.Logger
-	Seed    uint64 // of the balancers' random draws
+	Seed    uint64 // seed of the balancers' random draws
 
-	// MaxBodyBytes bounds the bytes of the bodies of all clients' requests in flight together. A request whose body would exceed it is
-	// rejected as outcome.Overloaded.
+	// MaxBodyBytes bounds the total size in bytes of the bodies of all clients' requests in flight. A request whose body would exceed it
+	// is rejected as outcome.Overloaded.
 	MaxBodyBytes int64
 
-	// RefreshEndpoints fetches the endpoints of a service anew. It is called on a goroutine of its own; nil for no such call.
+	// RefreshEndpoints requests the complete endpoint list of a service again. It is called on a new goroutine, and may be nil.
 	RefreshEndpoints func(service string)
 
-	// AcquireQuota takes one request out of a tenant's rate limit. It calls done once: with ok, or with the time after which the client
-	// is to retry. nil for no rate limits.
+	// AcquireQuota charges one request to a tenant's rate limit. It calls done once: with ok, or with the time after which the client
+	// should retry. It is nil if there are no rate limits.
 	AcquireQuota func(tenant *configuration.Tenant, done func(ok bool, retryAfter time.Duration))
 }
 
@@ -42,8 +42,8 @@
 	config        atomic.Pointer[configuration.Config]
 	trafficSplits splitSequences
 	dispatcher    *dispatcher
-	openRequests  atomic.Int64 // clients' requests in flight
-	bodyBytes     atomic.Int64 // bytes of their bodies that have been read
+	openRequests  atomic.Int64 // number of clients' requests in flight
+	bodyBytes     atomic.Int64 // bytes read of the bodies of requests in flight
 	bodyReads     bodyReads
 	connections   clientConnections
 	shutdown      shutdown
@@ -59,7 +59,7 @@
 // Now returns the time on the hub's monotonic clock.
 func (p *Proxy) Now() time.Duration { return p.options.Hub.Now() }
 
-// Configure puts a configuration in force; one that is no newer than the one in force changes nothing.
+// Configure activates a configuration. It does nothing if the active configuration has the same version or a later one.
 func (p *Proxy) Configure(config *configuration.Config) {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
@@ -70,7 +70,7 @@
 	p.trafficSplits.retain(config)
 }
 
-// Config returns the configuration in force; nil for none.
+// Config returns the active configuration; nil for none.
 func (p *Proxy) Config() *configuration.Config { return p.config.Load() }
 
 // UpdateEndpoints replaces the list of a service's endpoints. endpoints is the complete list.
@@ -87,11 +87,11 @@
 // OpenConnections returns the number of clients' open connections.
 func (p *Proxy) OpenConnections() int { return p.connections.count() }
 
-// CloseConnections closes each client's connection as soon as no request is in flight on it, those included that never carried one. The
-// caller has closed the listener before; OpenConnections returns how many connections are left.
+// CloseConnections closes each client's connection as soon as no request is in flight on it, including connections that never carried a
+// request. The caller must have closed the listener before; OpenConnections returns the number of connections that are left.
 func (p *Proxy) CloseConnections() { p.connections.close(closingAll) }
 
-// idleTimeout returns how long a client's connection may stay idle, by the configuration in force.
+// idleTimeout returns how long a client's connection may stay idle, according to the active configuration.
 func (p *Proxy) idleTimeout() time.Duration {
 	if config := p.config.Load(); config != nil && config.Limits.IdleTimeout > 0 {
 		return min(config.Limits.IdleTimeout, maxIdleTime)
--- a/internal/mesh/dataplane/outbound/request.go
+++ b/internal/mesh/dataplane/outbound/request.go
@@ -10,42 +10,42 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// request is one client's request. From submit on the dispatcher's lock guards it.
+// request is one client's request. Once it is submitted, the dispatcher's lock guards it.
 type request struct {
 	id             balancer.RequestID
 	route          *configuration.Route
-	balancer       *serviceBalancer       // nil until it is submitted
-	forward        inbound.ForwardRequest // what every attempt sends
-	targetDeadline time.Duration          // by which the latency target is met; a later answer has little value
-	deadline       time.Duration          // a later answer has no value
+	balancer       *serviceBalancer       // balancer that the request was submitted to; nil before
+	forward        inbound.ForwardRequest // the part of the message that is the same in every attempt
+	targetDeadline time.Duration          // time at which the latency target is missed; a later answer has little value
+	deadline       time.Duration          // time after which an answer has no value
 	attempts       attempts
-	concluded      bool          // the balancer has given it up
-	retryAfter     time.Duration // of a concluded request: when the client is to retry, by the balancer
-	answered       bool          // its result was sent
-	expired        bool          // its deadline was near, its client had gone or the process was shutting down
-	results        chan result   // buffered, for its one result
-
-	bodyBytes       int64         // bytes of its body that are counted in Proxy.bodyBytes
-	quotaRetryAfter time.Duration // when the client is to retry, if its tenant's rate limit is reached; else 0
+	concluded      bool          // whether the balancer has given up the request
+	retryAfter     time.Duration // time after which the client should retry a concluded request, according to the balancer
+	answered       bool          // whether the result was sent on results
+	expired        bool          // whether the request ended because its deadline was near, its client had gone or this process shut down
+	results        chan result   // channel for the request's only result, with a buffer for it
+
+	bodyBytes       int64         // bytes of the request's body that are counted in Proxy.bodyBytes
+	quotaRetryAfter time.Duration // time after which the client should retry if the tenant's rate limit is reached; else 0
 }
 
-// result is how a request ended, from which its answer is written.
+// result is how a request ended. The client's answer is derived from it.
 type result struct {
 	kind       outcome.Kind
-	response   *inbound.ForwardResponse // the endpoint's answer, for outcome.Answered
-	retryAfter time.Duration            // the least for the Retry-After of a rejection; 0 for that of package outcome's table
+	response   *inbound.ForwardResponse // the endpoint's answer; used only for outcome.Answered
+	retryAfter time.Duration            // lower bound on the Retry-After of a rejection; 0 to use the one in package outcome's table
 }
 
 // attempts is the state of a request's attempts.
 type attempts struct {
-	sent            int        // attempts that were started, whether or not they reached an endpoint
-	reached         int        // attempts that have ended and had reached an endpoint
-	active          *attempt   // the attempt in flight that the balancer knows of; nil for none
-	superseded      []*attempt // other attempts in flight; to the balancer they were cancelled
-	mayHaveExecuted bool       // an endpoint has executed the request, or may have
-
-	last            *inbound.ForwardResponse // of the attempt that ended last, but for cancelled ones; nil for none
-	endpointFailure *inbound.ForwardResponse // an endpoint's own failure: the answer, unless a later attempt is served; nil for none
+	sent            int        // number of attempts that were started, whether or not they reached an endpoint
+	reached         int        // number of attempts that have ended and had reached an endpoint
+	active          *attempt   // the attempt in flight that the balancer tracks; nil for none
+	superseded      []*attempt // other attempts in flight, which the balancer considers cancelled
+	mayHaveExecuted bool       // whether an endpoint has executed the request, or may have
+
+	last            *inbound.ForwardResponse // response to the attempt that ended last, not counting cancelled ones; nil for none
+	endpointFailure *inbound.ForwardResponse // an endpoint's own failure, sent to the client if no later attempt is served; nil for none
 }
 
 // outstanding reports whether any attempt has not ended.
@@ -59,7 +59,7 @@
 	return len(a.superseded) + 1
 }
 
-// supersede makes the active attempt a superseded one; the balancer will start another.
+// supersede makes the active attempt a superseded one. The balancer will start another attempt.
 func (a *attempts) supersede() {
 	a.active.superseded = true
 	a.superseded = append(a.superseded, a.active)
@@ -82,7 +82,7 @@
 		a.last = response
 	}
 	if response.Kind == outcome.Answered {
-		a.endpointFailure = response // unless it is a success, which answers the request anyway
+		a.endpointFailure = response // may also be a success, but then the request is answered with it right away
 	}
 }
 
@@ -97,8 +97,8 @@
 	return outcome.Expired
 }
 
-// kindOnConclusion returns the outcome of a request that the balancer has given up. It promises that the request was not executed only
-// where no attempt may have been.
+// kindOnConclusion returns the outcome of a request that the balancer has given up. The outcome promises that the request was not executed
+// only if no attempt of it may have been executed.
 func (a *attempts) kindOnConclusion() outcome.Kind {
 	switch {
 	case a.endpointFailure != nil:
@@ -113,7 +113,7 @@
 	return outcome.Overloaded
 }
 
-// answer sends the request's result, once. The dispatcher's lock is held.
+// answer sends the request's result unless one was sent already. The caller holds the dispatcher's lock.
 func (r *request) answer(res result) {
 	if r.answered {
 		return
@@ -122,14 +122,14 @@
 	r.results <- res
 }
 
-// answerExpired answers a request that has expired. The dispatcher's lock is held.
+// answerExpired answers a request that has expired. The caller holds the dispatcher's lock.
 func (r *request) answerExpired() {
 	kind := r.attempts.kindOnExpiry()
 	r.answer(result{kind: kind, response: r.attempts.endpointFailure, retryAfter: kind.RetryAfter()})
 	r.balancer.forget(r)
 }
 
-// answerConcluded answers a request that the balancer has given up. The dispatcher's lock is held.
+// answerConcluded answers a request that the balancer has given up. The caller holds the dispatcher's lock.
 func (r *request) answerConcluded() {
 	kind := r.attempts.kindOnConclusion()
 	retryAfter := r.retryAfter
--- a/internal/mesh/dataplane/outbound/response.go
+++ b/internal/mesh/dataplane/outbound/response.go
@@ -17,14 +17,14 @@
 	maxStatus = 999
 )
 
-// parseResponse returns the response to an attempt from the reply to the call of the endpoint's sidecar, or from the call's error.
+// parseResponse returns the response to an attempt, given the reply of the endpoint's sidecar or the error of the call to it.
 func parseResponse(body []byte, err error) *inbound.ForwardResponse {
 	switch {
 	case err != nil && mayHaveBeenSent(err):
 		return &inbound.ForwardResponse{Kind: outcome.ConnectionLost, ReachedEndpoint: true}
 	case err != nil:
 		return &inbound.ForwardResponse{Kind: outcome.Unreachable}
-	case len(body) == 0: // the sidecar has no memory for the call, or does not know its method: not executed
+	case len(body) == 0: // the sidecar has no memory for the call or does not know its method, so it has not executed the request
 		return &inbound.ForwardResponse{Kind: outcome.AtCapacity}
 	}
 	response := &inbound.ForwardResponse{}
@@ -34,7 +34,8 @@
 	return response
 }
 
-// mayHaveBeenSent reports whether a call that ended with an error may have reached the peer. Only a ConnectionError rules that out.
+// mayHaveBeenSent reports whether a call that ended with an error may have reached the peer. Only a ConnectionError without Sent rules that
+// out.
 func mayHaveBeenSent(err error) bool {
 	var lost *transport.ConnectionError
 	return !errors.As(err, &lost) || lost.Sent
@@ -48,8 +49,8 @@
 	return response.Kind != outcome.Answered || response.Status >= minStatus && response.Status <= maxStatus
 }
 
-// balancerStatus returns the balancer's status for a response. Kinds that were certainly not executed map to statuses that never ran,
-// whether or not the attempt was cancelled.
+// balancerStatus returns the balancer's status for a response. Kinds that were certainly not executed map to statuses for which NeverRan
+// reports true, whether or not the attempt was cancelled.
 func balancerStatus(response *inbound.ForwardResponse, cancelled bool) balancer.Status {
 	switch response.Kind {
 	case outcome.Answered:
@@ -68,7 +69,7 @@
 		return balancer.StatusNotSent
 	case outcome.ConnectionLost:
 		return balancer.StatusReset
-	case outcome.InvalidResponse, outcome.EndpointReset: // concerns one connection; the endpoint's own sidecar reports if it is down
+	case outcome.InvalidResponse, outcome.EndpointReset: // affects only one connection; a down endpoint is reported by its own sidecar
 		return balancer.StatusInvalidResponse
 	}
 	if cancelled {
--- a/internal/mesh/dataplane/outbound/retry.go
+++ b/internal/mesh/dataplane/outbound/retry.go
@@ -8,14 +8,14 @@
 )
 
 // allowNextAttempt reports whether the balancer may start another attempt of a request after a response. next is what may follow the
-// response; final reports whether the request is answered, so that no attempt follows and none is taken out of the retry budget. If the
-// attempt has reached an endpoint, the next one is taken out of the fleet's retry budget.
+// response. final reports whether the request is answered, so that no attempt follows and the retry budget is not charged. Otherwise, if the
+// ended attempt has reached an endpoint, the next attempt is charged to the fleet's retry budget.
 func (b *serviceBalancer) allowNextAttempt(
 	now time.Duration, pending *request, response *inbound.ForwardResponse, next outcome.Next, final bool,
 ) bool {
-	unsafe := pending.attempts.mayHaveExecuted && !pending.route.Kind.IsIdempotent()
+	mayRunTwice := pending.attempts.mayHaveExecuted && !pending.route.Kind.IsIdempotent()
 	switch {
-	case pending.expired || next == outcome.Stop || unsafe:
+	case pending.expired || next == outcome.Stop || mayRunTwice:
 		return false
 	case final:
 		return true
@@ -27,8 +27,8 @@
 	return b.acquireRetry(now, pending)
 }
 
-// acquireRetry takes one attempt for a request out of the fleet's retry budget. It returns false if the budget is exhausted, or if the
-// request has as many attempts that reach an endpoint as its route allows; an attempt in flight counts as one that does.
+// acquireRetry charges one attempt of a request to the fleet's retry budget. It returns false if the budget is exhausted, or if the request
+// already has as many attempts that reached an endpoint as its route allows; attempts in flight count as having reached one.
 func (b *serviceBalancer) acquireRetry(now time.Duration, pending *request) bool {
 	if pending.attempts.reached+pending.attempts.inFlight() >= max(pending.route.MaxAttempts, 1) {
 		return false
--- a/internal/mesh/dataplane/outbound/server.go
+++ b/internal/mesh/dataplane/outbound/server.go
@@ -12,20 +12,20 @@
 
 // Bounds on clients, in addition to those of the configuration.
 const (
-	// maxHeaderBytes is the largest header that the server reads; one beyond the configuration's bound, but within this, is answered.
+	// maxHeaderBytes is the size of the largest header that the server reads. A header within this size that exceeds the configured bound is
+	// rejected by accept.
 	maxHeaderBytes = 256 << 10
-	// headerTimeout bounds the time in which a client must have sent a header.
+	// headerTimeout bounds the time that a client may take to send a header.
 	headerTimeout = 5 * time.Second
 	// maxIdleTime bounds the configured idle time-out of clients' connections.
 	maxIdleTime = 90 * time.Second
 	// expiryMargin is how long before its deadline a request expires, so that its answer reaches the client in time.
 	expiryMargin = 30 * time.Millisecond
-	// expiryWait is how long the cancelled attempts of an expired request have to report how far they came. It is shorter than
-	// expiryMargin.
+	// expiryWait is how long an expired request waits for the outcomes of its cancelled attempts. It is shorter than expiryMargin.
 	expiryWait = 22 * time.Millisecond
 )
 
-// Server returns the HTTP server for clients. Its caller starts it, and closes it.
+// Server returns the HTTP server for clients. The caller starts and closes it.
 func (p *Proxy) Server() *http.Server {
 	return &http.Server{
 		Handler:           http.HandlerFunc(p.serve),
@@ -33,7 +33,7 @@
 		IdleTimeout:       maxIdleTime,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         p.connections.track,
-		ErrorLog:          log.New(io.Discard, "", 0), // clients' errors are not logged here
+		ErrorLog:          log.New(io.Discard, "", 0), // errors caused by clients are not logged
 	}
 }
 
@@ -55,9 +55,9 @@
 		return true
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.EnableFullDuplex() // else the server reads the body before it answers; it fails on no HTTP/1 connection
+	_ = controller.EnableFullDuplex() // else the server reads the body before it answers; never fails on an HTTP/1 connection
 	p.writeAnswer(w, res)
-	_ = controller.Flush() // fails if the client has gone
+	_ = controller.Flush() // fails if the client has disconnected
 	return false
 }
 
@@ -84,19 +84,20 @@
 }
 
 // servesNestedCall reports whether a request is served although this process rejects others: a nested call of the endpoint on this
-// machine, while that endpoint executes requests. If it were rejected, the request that waits for it, accepted before, would fail.
+// machine, while that endpoint executes requests. If the call were rejected, the request that waits for it, which was accepted before,
+// would fail.
 func (p *Proxy) servesNestedCall(config *configuration.Config, req *http.Request) bool {
 	select {
-	case <-p.shutdown.due:
+	case <-p.shutdown.expirePending:
 		return false
 	default:
 		return isNestedCall(config, req) && p.options.Inbound.Pending() > 0
 	}
 }
 
-// await waits for a request's result. If the deadline is near, the client has gone or this process shuts down before, the request expires
-// and the result is what is known of its attempts. There is a result even if the client seems to have gone: one that has closed only its
-// sending half still reads the answer.
+// await waits for a request's result. If the deadline comes near, the client disconnects or this process shuts down before there is one,
+// the request expires and the result is derived from what is known of its attempts. There is a result even if the client seems to have
+// disconnected, since a client that has closed only its sending half still reads the answer.
 func (p *Proxy) await(pending *request, clientGone <-chan struct{}) result {
 	timer := time.NewTimer(pending.deadline - p.Now() - expiryMargin)
 	defer timer.Stop()
@@ -104,7 +105,7 @@
 	case res := <-pending.results:
 		return res
 	case <-timer.C:
-	case <-p.shutdown.due:
+	case <-p.shutdown.expirePending:
 	case <-clientGone:
 	}
 	p.dispatcher.expire(pending)
--- a/internal/mesh/dataplane/outbound/service_balancer.go
+++ b/internal/mesh/dataplane/outbound/service_balancer.go
@@ -8,37 +8,39 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// Settings of the balancer that are the mesh's, not the operator's.
+// Settings of the balancer that the mesh fixes and the operator can't change.
 const (
 	// decisionInterval is the shortest time between two rounds of the balancer's events.
 	decisionInterval = 5 * time.Millisecond
-	// slowStartWindow is how long after its start an endpoint is warming up, and slowStartMinShare its share of requests at first. The
-	// endpoint's keepalives report how much of the window remains.
+	// slowStartWindow is how long an endpoint warms up after its start, and slowStartMinShare its initial share of requests. The endpoint's
+	// keepalives report how much of the window remains.
 	slowStartWindow   = 3 * time.Second
 	slowStartMinShare = 0.4
-	// overloadMultiple and overloadDuration are how many times its usual latency, and for how long, make an endpoint overloaded.
+	// overloadMultiple and overloadDuration define an overloaded endpoint: its latency has been this multiple of its usual latency for
+	// this long.
 	overloadMultiple = 2.5
 	overloadDuration = time.Second
 	// maxRetryAfter bounds the balancer's retry-after of rejected requests.
 	maxRetryAfter = time.Second
-	// connectTimeout bounds the time until an attempt has reached the endpoint's sidecar.
+	// connectTimeout bounds the time that an attempt may take to reach the endpoint's sidecar.
 	connectTimeout = 250 * time.Millisecond
 	// lateValueShare is the share of an answer's value that remains once the latency target is missed.
 	lateValueShare = 0.2
-	// defaultTarget and defaultDeadline are those of class 0, for requests whose own class could not be added.
+	// defaultTarget and defaultDeadline are the latency target and the deadline of class 0, which is used for requests whose own class
+	// could not be added.
 	defaultTarget   = time.Second
 	defaultDeadline = 2 * time.Second
 )
 
-// serviceBalancer serves the requests of one service. It carries out the decisions of the balancer that picks the endpoints, as its
-// balancer.Host. The dispatcher's lock guards it.
+// serviceBalancer serves the requests of one service. As the balancer.Host of the balancer that picks the endpoints, it carries out the
+// balancer's decisions. The dispatcher's lock guards it.
 type serviceBalancer struct {
 	dispatcher  *dispatcher
 	service     string
 	balancer    *balancer.Balancer
 	endpoints   endpointTable
 	classes     classTable
-	requests    map[balancer.RequestID]*request // not answered yet, or with outstanding attempts
+	requests    map[balancer.RequestID]*request // requests that are not answered yet or have outstanding attempts
 	retryBudget *ratelimit.RetryBudget
 }
 
@@ -82,7 +84,7 @@
 	b.balancer.HandleEndpoints(now, b.endpoints.update(now, endpoints, b.dispatcher.zoneNumber))
 }
 
-// submit hands a new request to the balancer.
+// submit passes a new request to the balancer.
 func (b *serviceBalancer) submit(now time.Duration, r *request) {
 	b.requests[r.id] = r
 	b.retryBudget.CountRequest(now)
@@ -94,7 +96,7 @@
 	})
 }
 
-// forget drops a request that is answered and has no attempt outstanding.
+// forget removes a request if it is answered and has no outstanding attempt.
 func (b *serviceBalancer) forget(r *request) {
 	if r.answered && !r.attempts.outstanding() {
 		delete(b.requests, r.id)
--- a/internal/mesh/dataplane/outbound/shutdown.go
+++ b/internal/mesh/dataplane/outbound/shutdown.go
@@ -7,22 +7,22 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// minTargetsBeforeShutdown is the time that must be left until answersDue, in latency targets of the route, for a request to be accepted
-// whose deadline is later than answersDue.
+// minTargetsBeforeShutdown is the minimum time until answersDue, as a multiple of the route's latency target, at which a request whose
+// deadline is later than answersDue is still accepted.
 const minTargetsBeforeShutdown = 2
 
-// shutdown is the progress of the process's graceful shutdown, as it concerns clients' requests.
+// shutdown is the state of the process's graceful shutdown that concerns clients' requests.
 type shutdown struct {
-	answersDue atomic.Pointer[time.Duration] // by then, on the hub's clock, every request is answered; nil before ShutDownBy
-	rejecting  atomic.Bool                   // new requests are rejected
-	due        chan struct{}                 // closed expiryMargin before answersDue: the requests in flight expire then
+	answersDue    atomic.Pointer[time.Duration] // time on the hub's clock by which every request is answered; nil before ShutDownBy
+	rejecting     atomic.Bool                   // whether new requests are rejected
+	expirePending chan struct{}                 // closed expiryMargin before answersDue, when the requests in flight expire
 }
 
-func newShutdown() shutdown { return shutdown{due: make(chan struct{})} }
+func newShutdown() shutdown { return shutdown{expirePending: make(chan struct{})} }
 
-// ShutDownBy starts the shutdown: every request that was read, or is read from now on, is answered by answersDue on the hub's clock. A
-// new one that can't be expected to be served by then is rejected at once; one that is not served by then expires. Only the first call
-// has an effect.
+// ShutDownBy starts the shutdown: every request, whether it was read before or is read later, is answered by answersDue on the hub's clock.
+// A new request that can't be expected to be served by then is rejected at once; a request that is not served by then expires. Only the
+// first call has an effect.
 func (p *Proxy) ShutDownBy(answersDue time.Duration) {
 	if !p.shutdown.answersDue.CompareAndSwap(nil, &answersDue) {
 		return
@@ -30,7 +30,7 @@
 	time.AfterFunc(answersDue-expiryMargin-p.Now(), func() {
 		p.shutdown.rejecting.Store(true)
 		p.bodyReads.stop()
-		close(p.shutdown.due)
+		close(p.shutdown.expirePending)
 	})
 }
 
@@ -41,7 +41,8 @@
 	p.connections.close(closingIdle)
 }
 
-// bound bounds a request's deadline by answersDue. It returns outcome.ShuttingDown if the request can't be expected to be served by then.
+// bound moves a request's deadline to answersDue if it is later. It returns outcome.ShuttingDown if the request can't be expected to be
+// served by then; else outcome.None.
 func (s *shutdown) bound(r *request, now time.Duration) outcome.Kind {
 	answersDue := s.answersDue.Load()
 	if answersDue == nil || r.deadline <= *answersDue {
--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -8,19 +8,20 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// goldenStep is the fractional part of the golden ratio: multiples of it, taken modulo one, are spread evenly over any number of steps.
+// goldenStep is the fractional part of the golden ratio. Its multiples modulo 1 are spread evenly over the interval from 0 to 1, whatever
+// their number.
 const goldenStep = math.Phi - 1
 
-// splitSequences choose the services of routes that are split by weights, each route's by a low-discrepancy sequence. Independent random
-// draws would miss a service's share of 300 requests by 3 in 100, in the mean; with a sequence each sidecar misses it by one request or
-// two. Sequences begin at random, so that those of different sidecars differ.
+// splitSequences choose the services of routes that are split by weights, with one low-discrepancy sequence for each route. With independent
+// random draws, a service's share of 300 requests would be off by 3 in 100 on average; with a sequence it is off by one or two requests at
+// each sidecar. Sequences begin at random points, so that those of different sidecars differ.
 type splitSequences struct {
-	start func() float64 // draws where a sequence begins, from 0 up to but not including 1; nil for the global random source
-	mu    sync.Mutex
-	last  map[string]float64 // by route, from 0 up to but not including 1
+	drawStart func() float64 // draws the start of a sequence from [0, 1); nil for the global random source
+	mu        sync.Mutex
+	last      map[string]float64 // last number of each route's sequence, in [0, 1)
 }
 
-// chooseService returns the service that a request of a route goes to.
+// chooseService returns the service that a request of a route is sent to.
 func (s *splitSequences) chooseService(route *configuration.Route) string {
 	if len(route.Split) < 2 {
 		return route.PickService(0)
@@ -28,7 +29,7 @@
 	return route.PickService(s.next(route.Name))
 }
 
-// next returns the next number of a route's sequence, from 0 up to but not including 1.
+// next returns the next number of a route's sequence, in [0, 1).
 func (s *splitSequences) next(route string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,22 +38,22 @@
 	}
 	x, begun := s.last[route]
 	if !begun {
-		x = s.first()
+		x = s.randomStart()
 	}
 	_, x = math.Modf(x + goldenStep)
 	s.last[route] = x
 	return x
 }
 
-// first draws where a new sequence begins.
-func (s *splitSequences) first() float64 {
-	if s.start != nil {
-		return s.start()
+// randomStart draws the start of a new sequence.
+func (s *splitSequences) randomStart() float64 {
+	if s.drawStart != nil {
+		return s.drawStart()
 	}
 	return rand.Float64()
 }
 
-// retain forgets the routes that a configuration does not have.
+// retain discards the sequences of routes that a configuration does not have.
 func (s *splitSequences) retain(config *configuration.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -26,7 +26,7 @@
 	for range 50 {
 		sidecars := make([]splitSequences, 12)
 		for i := range sidecars {
-			sidecars[i].start = random.Float64
+			sidecars[i].drawStart = random.Float64
 		}
 		count := map[string]float64{}
 		for i := range 300 {
