--- a/internal/mesh/dataplane/admission/admission_test.go
+++ b/internal/mesh/dataplane/admission/admission_test.go
@@ -19,13 +19,13 @@
 	submitForSecond
 	finishOne
 	cancelLast
-	passTime // beyond the grace period of draining
+	passTime // advances the clock beyond the grace period of draining
 	stepCount
 )
 
-// submitted is a request that was submitted, and how it ended.
+// submitted is a request that was submitted, and its outcome.
 type submitted struct {
-	endpoint           string // the endpoint that was chosen for it
+	endpoint           string // ID of the endpoint that was chosen for the request
 	admitted, rejected bool
 }
 
@@ -35,13 +35,13 @@
 	steps      []int
 	controller *Controller
 	now        time.Duration
-	drained    time.Duration // when the endpoint began to drain; 0 for not at all
+	drainBegan time.Duration // time at which the endpoint began to drain; 0 if it has not
 	lastToken  uint64
-	submitted  map[uint64]*submitted // by token
+	submitted  map[uint64]*submitted // submitted requests by token
 	running    map[uint64]bool
 }
 
-// apply carries out decisions, and checks each.
+// apply carries out decisions, and checks each of them.
 func (r *orderRun) apply(decisions []Decision) {
 	for _, d := range decisions {
 		if d.Kind == outcome.None {
@@ -55,10 +55,10 @@
 func (r *orderRun) reject(d Decision) {
 	request := r.submitted[d.Token]
 	if request.admitted || request.rejected {
-		r.Fatalf("%v: request %d ends twice", r.steps, d.Token)
+		r.Fatalf("steps %v: request %d is rejected, but already has an outcome", r.steps, d.Token)
 	}
 	if !d.Kind.NotExecuted() {
-		r.Fatalf("%v: %s does not promise that the request was not executed", r.steps, d.Kind)
+		r.Fatalf("steps %v: request is rejected as %s, want a kind that rules out execution", r.steps, d.Kind)
 	}
 	request.rejected = true
 }
@@ -66,25 +66,27 @@
 func (r *orderRun) admit(token uint64) {
 	request, endpoint, state := r.submitted[token], r.controller.Endpoint().ID, r.controller.State()
 	if request.admitted || request.rejected || request.endpoint != endpoint {
-		r.Fatalf("%v: request %d is admitted to %q after %+v", r.steps, token, endpoint, *request)
+		r.Fatalf("steps %v: request %d is admitted to endpoint %q, want a pending request to this endpoint; got %+v",
+			r.steps, token, endpoint, *request)
 	}
-	if state == Terminated || state == Unknown || r.drained != 0 && r.now-r.drained > drainGrace {
-		r.Fatalf("%v: admitted in state %d, %v after it began to drain", r.steps, state, r.now-r.drained)
+	if state == Terminated || state == Unknown || r.drainBegan != 0 && r.now-r.drainBegan > drainGrace {
+		r.Fatalf("steps %v: request is admitted in state %d, %v after the drain began; want Serving or a drain within its grace period",
+			r.steps, state, r.now-r.drainBegan)
 	}
 	request.admitted = true
 	r.running[token] = true
 	if len(r.running) > 1 {
-		r.Fatalf("%v: %d are admitted to one slot", r.steps, len(r.running))
+		r.Fatalf("steps %v: %d requests run at once, want 1 at most in the only slot", r.steps, len(r.running))
 	}
 }
 
 func (r *orderRun) update(id string, state State) {
 	if id != r.controller.Endpoint().ID {
 		r.running = map[uint64]bool{}
-		r.drained = 0
+		r.drainBegan = 0
 	}
 	if state == Draining && r.controller.State() < Draining {
-		r.drained = r.now
+		r.drainBegan = r.now
 	}
 	r.apply(r.controller.UpdateEndpoint(r.now, Endpoint{ID: id, Service: "s", Slots: 1}, state))
 }
@@ -98,7 +100,7 @@
 	}))
 }
 
-// finish ends the request that runs, if there is one.
+// finish ends the running request, if there is one.
 func (r *orderRun) finish() {
 	for token := range r.running {
 		delete(r.running, token)
@@ -133,7 +135,7 @@
 	}
 }
 
-// end lets everything end, and checks that every request was admitted or rejected.
+// end ends the running requests, lets the others expire, and checks that every request was admitted or rejected.
 func (r *orderRun) end() {
 	r.now += time.Minute
 	for token := range r.running {
@@ -142,14 +144,14 @@
 	r.apply(r.controller.Expire(r.now))
 	for token, request := range r.submitted {
 		if !request.admitted && !request.rejected {
-			r.Fatalf("%v: request %d has no outcome", r.steps, token)
+			r.Fatalf("steps %v: request %d has no outcome, want it admitted or rejected", r.steps, token)
 		}
 	}
 }
 
-// Heartbeat, drain, end, a new endpoint at the same address, requests for either endpoint, their ends, cancellations and time, in all
-// orders: nothing is admitted beyond the slots, to another endpoint than the chosen one, after the grace period of draining or after
-// being cancelled; and every request is admitted or rejected, once.
+// Plays all sequences of six steps: heartbeat, drain, termination, a new endpoint at the same address, requests for either endpoint, their
+// ends, cancellations and the passing of time. No request may be admitted without a free slot, to another endpoint than the chosen one,
+// after the grace period of draining or after being cancelled. Every request must be admitted or rejected, exactly once.
 func TestAllOrders(t *testing.T) {
 	const depth = 6
 	var playAll func(steps []int)
@@ -169,8 +171,8 @@
 	playAll(nil)
 }
 
-// newServing returns a controller whose endpoint "one" of service "s" is serving.
-func newServing(slots int) *Controller {
+// newServingController returns a controller whose endpoint "one" of service "s" is serving.
+func newServingController(slots int) *Controller {
 	controller := New()
 	controller.UpdateEndpoint(0, Endpoint{ID: "one", Service: "s", Slots: slots}, Serving)
 	return controller
@@ -178,7 +180,7 @@
 
 func TestNestedCallsGoFirstThenPriority(t *testing.T) {
 	c := qt.New(t)
-	controller := newServing(1)
+	controller := newServingController(1)
 	submit := func(r Request) []Decision {
 		r.TargetDeadline = 5 * time.Second
 		r.Deadline = 5 * time.Second
@@ -207,7 +209,7 @@
 
 func TestRequestsThatCannotBeServedInTimeAreRejectedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	controller := newServing(2)
+	controller := newServingController(2)
 	rejected := 0
 	for token := range uint64(100) {
 		for _, d := range controller.Submit(0, Request{Token: token, TargetDeadline: 300 * time.Millisecond, Deadline: 2 * time.Second}) {
@@ -221,7 +223,7 @@
 	c.Assert(time.Duration(waiting)*controller.ServiceTime()/2 < 200*time.Millisecond, qt.IsTrue)
 }
 
-// An endpoint that a sidecar first sees as draining began to drain before the sidecar started, at an unknown time: nothing is admitted.
+// An endpoint that a sidecar first sees as draining began to drain at an unknown time before the sidecar started: no request is admitted.
 func TestEndpointFirstSeenAsDraining(t *testing.T) {
 	c := qt.New(t)
 	controller := New()
@@ -233,11 +235,11 @@
 	c.Assert(decisions, qt.DeepEquals, []Decision{{Token: 1, Kind: outcome.Draining}})
 }
 
-// The slots are occupied by long executions. A request with a short latency target is rejected, as it would be late; a nested call may wait
-// until its deadline.
+// The only slot is occupied by a long execution. A request with a short latency target is rejected, as its answer would be late; a nested
+// call may wait until its deadline.
 func TestNestedRequestsWaitUntilTheirDeadline(t *testing.T) {
 	c := qt.New(t)
-	controller := newServing(1)
+	controller := newServingController(1)
 	for token := range uint64(200) {
 		controller.Submit(0, Request{Token: token, TargetDeadline: time.Hour, Deadline: time.Hour})
 		controller.Done(210*time.Millisecond, token)
--- a/internal/mesh/dataplane/admission/example_test.go
+++ b/internal/mesh/dataplane/admission/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// An endpoint with one slot: the first request is admitted, the second waits until the first is done.
+// The endpoint has one slot: the first request is admitted, and the second one waits until the first is done.
 func ExampleController() {
 	controller := admission.New()
 	controller.UpdateEndpoint(0, admission.Endpoint{ID: "shop-1", Service: "shop", Slots: 1}, admission.Serving)
--- a/internal/mesh/dataplane/inbound/golden_test.go
+++ b/internal/mesh/dataplane/inbound/golden_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Both messages, each of their fields set, written and read back.
+// Fixes the encoding of both messages, empty and with each field set, and reads the latter back.
 func TestGoldenMessages(t *testing.T) {
 	request, response := goldenRequest(), goldenResponse()
 	golden.Hex(t, "forward_request.hex", codec.MarshalAppend(nil, &request))
@@ -50,7 +50,7 @@
 	qt.Check(t, readResponse, qt.DeepEquals, response)
 }
 
-// Names and numbers that other processes rely on.
+// Fixes the names and numbers that other processes rely on.
 func TestGoldenNames(t *testing.T) {
 	qt.Check(t, MethodForward, qt.Equals, 1)
 	qt.Check(t, []string{
@@ -70,7 +70,7 @@
 	golden.Text(t, "hop_headers.txt", []byte(strings.Join(hopByHop, "\n")+"\n"))
 }
 
-// The bytes of requests to an endpoint; net/http parses the same from them.
+// Fixes the bytes of requests to an endpoint, and checks that net/http parses the same request from them.
 func TestGoldenRequestToTheEndpoint(t *testing.T) {
 	full := goldenRequest()
 	bare := ForwardRequest{EndpointID: "e", Method: "GET", URI: "/", Host: "h", AttemptID: "a", HasBody: true}
@@ -78,14 +78,14 @@
 	golden.Hex(t, "endpoint_request.hex", appendRequest(nil, &full, 1234567*time.Microsecond))
 	golden.Hex(t, "endpoint_request_empty_body.hex", appendRequest([]byte("before "), &bare, 0))
 	golden.Hex(t, "endpoint_request_no_body.hex", appendRequest(nil, &bodiless, time.Minute))
-	q, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(appendRequest(nil, &full, time.Second))))
+	parsed, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(appendRequest(nil, &full, time.Second))))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, q.Header.Get(HeaderAttemptID), qt.Equals, full.AttemptID)
-	qt.Check(t, q.Header["Accept"], qt.DeepEquals, []string{"text/plain", "*/*"})
-	qt.Check(t, q.ContentLength, qt.Equals, int64(4))
+	qt.Check(t, parsed.Header.Get(HeaderAttemptID), qt.Equals, full.AttemptID)
+	qt.Check(t, parsed.Header["Accept"], qt.DeepEquals, []string{"text/plain", "*/*"})
+	qt.Check(t, parsed.ContentLength, qt.Equals, int64(4))
 }
 
-// The outcome and the connection's state after each kind of answer of an endpoint.
+// Fixes the outcome and the connection's state after each kind of answer of an endpoint.
 func TestGoldenClassification(t *testing.T) {
 	const seal = "Attempt-Id: a-1\r\nEndpoint-Seal: s\r\n"
 	var text strings.Builder
@@ -112,31 +112,31 @@
 			if method == "GET" && !strings.HasPrefix(answer, "204") {
 				raw += "ok"
 			}
-			c := &connection{reader: bufio.NewReader(strings.NewReader(raw))}
+			conn := &connection{reader: bufio.NewReader(strings.NewReader(raw))}
 			request := ForwardRequest{Method: method, AttemptID: "a-1"}
 			status, _, _ := strings.Cut(answer, "\r\n")
-			answer, kind := readResponse(c, &request)
+			answer, kind := readResponse(conn, &request)
 			if kind != 0 {
 				fmt.Fprintf(&text, "%s %s: %s\n", method, status, kind)
 				continue
 			}
-			var o ForwardResponse
-			classify(&o, &request, &answer)
-			c.updateKeepAlive(&answer, time.Second)
+			var response ForwardResponse
+			classify(&response, &request, &answer)
+			conn.updateKeepAlive(&answer, time.Second)
 			var header []string
-			for i := 0; i < len(o.Header); i += 2 {
-				header = append(header, o.Header[i]+": "+o.Header[i+1])
+			for i := 0; i < len(response.Header); i += 2 {
+				header = append(header, response.Header[i]+": "+response.Header[i+1])
 			}
 			slices.Sort(header)
-			fmt.Fprintf(&text, "%s %s: %s, status %d, back %v, body %q, header %q, kept until %v, closes %t\n", method, status, o.Kind, o.Status,
-				o.RetryAfter, o.Body, header, c.idleUntil, c.unusable)
+			fmt.Fprintf(&text, "%s %s: %s, status %d, back %v, body %q, header %q, kept until %v, closes %t\n", method, status,
+				response.Kind, response.Status, response.RetryAfter, response.Body, header, conn.idleUntil, conn.unusable)
 		}
 	}
 	golden.Text(t, "judgements.txt", []byte(text.String()))
 }
 
-// The allocations of writing a request to an endpoint, and of both messages between sidecars. The race detector
-// empties the pools of fmt at random, so it adds some to the first.
+// Bounds the allocations for encoding a request to an endpoint, and for encoding and decoding both messages between sidecars. The race
+// detector empties the pools of package fmt at random, so encoding a request to an endpoint allocates more under it.
 func TestAllocations(t *testing.T) {
 	request, response := goldenRequest(), goldenResponse()
 	buffer := make([]byte, 0, 1024)
--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -19,8 +19,8 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// startEndpoint starts an endpoint that calls a function to answer each request, with the number of earlier requests on the connection. It
-// returns the endpoint's address.
+// startEndpoint starts an endpoint, and returns its address. The endpoint calls a function to answer each request; before is the number of
+// earlier requests on the connection.
 func startEndpoint(t *testing.T, answer func(conn net.Conn, r *http.Request, before int)) string {
 	t.Helper()
 	var listen net.ListenConfig
@@ -51,10 +51,10 @@
 	}
 }
 
-// closeQuietly closes a connection that the other side, or the answer itself, may have closed before.
+// closeQuietly closes a connection. It ignores the error, as the other side or the answer function may have closed the connection before.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
 
-// write writes to a connection; the proxy may have closed it.
+// write writes to a connection. It ignores errors, as the proxy may have closed the connection.
 func write(conn net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(conn, format, args...) }
 
 func newProxy(address string) *Proxy {
@@ -65,7 +65,7 @@
 	return proxy
 }
 
-// dialPatiently dials with a longer time-out than the proxy's, for a machine under load.
+// dialPatiently dials with a longer time-out than the proxy's, so that tests pass on a machine under load.
 func dialPatiently(address string, _ time.Duration) (net.Conn, error) {
 	return dialTCP(address, 20*time.Second)
 }
@@ -85,7 +85,7 @@
 	return <-got
 }
 
-// The outcome of a request by the bytes that the endpoint sends; the next request on the same connection gets its own answer.
+// Checks the outcome of a request for different answers of the endpoint. The next request must get its own answer.
 func TestResponsesAreClassified(t *testing.T) {
 	const (
 		header   = "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nEndpoint-Seal: s\r\n"
@@ -99,28 +99,28 @@
 	encoded := strings.Replace(valid, "\r\n\r\n", "\r\nContent-Encoding: gzip\r\n\r\n", 1)
 	empty := "HTTP/1.1 %s\r\nAttempt-Id: ID\r\nContent-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
-		bytes string // with ID in place of the attempt's ID
-		close bool   // the endpoint closes the connection after the bytes
+		bytes string // bytes that the endpoint sends, with ID in place of the attempt's ID
+		close bool   // whether the endpoint closes the connection after the bytes
 		kind  outcome.Kind
 	}{
 		"complete":                    {valid, false, outcome.Answered},
 		"in chunks":                   {chunked + "4\r\nbody\r\n0\r\n\r\n", false, outcome.Answered},
-		"after an interim one":        {"HTTP/1.1 102 Processing\r\n\r\n" + valid, false, outcome.Answered},
-		"after another's":             {complete("other", "theirs") + valid, false, outcome.Answered},
-		"and a surplus one":           {valid + complete("ID", "again"), false, outcome.Answered},
-		"its own failure":             {fmt.Sprintf(empty, "500 Oops"), false, outcome.Answered},
+		"after an interim answer":     {"HTTP/1.1 102 Processing\r\n\r\n" + valid, false, outcome.Answered},
+		"after another's answer":      {complete("other", "theirs") + valid, false, outcome.Answered},
+		"sent twice":                  {valid + complete("ID", "again"), false, outcome.Answered},
+		"endpoint's own failure":      {fmt.Sprintf(empty, "500 Oops"), false, outcome.Answered},
 		"rejected":                    {rejected, false, outcome.Rejected},
 		"another endpoint":            {misdirected, false, outcome.Misdirected},
 		"503 without Not-Executed":    {fmt.Sprintf(empty, "503 Full"), false, outcome.InvalidResponse},
 		"no seal":                     {strings.Replace(valid, "Endpoint-Seal", "X", 1), false, outcome.InvalidResponse},
 		"encoded":                     {encoded, false, outcome.InvalidResponse},
-		"another's alone, then ended": {complete("other", "theirs"), true, outcome.EndpointReset},
+		"another's only, then closed": {complete("other", "theirs"), true, outcome.EndpointReset},
 		"truncated":                   {valid[:len(valid)-2], true, outcome.InvalidResponse},
-		"a truncated chunk":           {chunked + "4\r\nbo", true, outcome.InvalidResponse},
-		"without length, ended":       {noLength, true, outcome.Answered},
+		"truncated chunk":             {chunked + "4\r\nbo", true, outcome.InvalidResponse},
+		"no length, then closed":      {noLength, true, outcome.Answered},
 		"not HTTP":                    {"\x00\x01 garbage\r\n\r\n", true, outcome.InvalidResponse},
 		"no ID":                       {strings.Replace(valid, "Attempt-Id", "X", 1), false, outcome.InvalidResponse},
-		"nothing, then ended":         {"", true, outcome.EndpointReset},
+		"nothing, then closed":        {"", true, outcome.EndpointReset},
 		"nothing":                     {"", false, outcome.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) { checkClassified(t, test.bytes, test.close, test.kind) })
@@ -132,8 +132,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s.%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
 
-// checkClassified checks the outcome of a request to which the endpoint sends bytes, with the attempt's ID in place of ID, and then closes
-// the connection if closes is set. A second request gets a valid answer.
+// checkClassified checks the outcome of a request that the endpoint answers with bytes, in which the attempt's ID replaces ID. If closes is
+// set, the endpoint then closes the connection. A second request gets a valid answer.
 func checkClassified(t *testing.T, bytes string, closes bool, kind outcome.Kind) {
 	t.Helper()
 	c := qt.New(t)
@@ -164,7 +164,7 @@
 	c.Assert(string(next.Body), qt.Equals, "next")
 }
 
-// An answer without a length ends with its connection. If the connection is reset the answer is incomplete, however many bytes were read.
+// An answer without a length ends with its connection. If the connection is reset, the answer is incomplete, however many bytes were read.
 func TestAResetDoesNotCompleteAResponse(t *testing.T) {
 	c := qt.New(t)
 	read := make(chan struct{}, 1)
@@ -202,17 +202,17 @@
 	return n, err
 }
 
-// An endpoint's rejection is accepted only where it can't belong to another attempt: with no ID on a connection that carried something
-// before it may be of any request, and with the request's own ID it may be of an earlier attempt.
+// An endpoint's rejection is accepted only if it can't belong to another attempt. A rejection without an ID may belong to any request that
+// the connection has carried, and one with the request's own ID may belong to an earlier attempt.
 func TestARejectionOfAnEarlierAttemptIsNotAccepted(t *testing.T) {
 	rejection := "HTTP/1.1 503 Full\r\n%sNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	answer := "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
-	t.Run("the same id", func(t *testing.T) {
+	t.Run("ID of an earlier attempt", func(t *testing.T) {
 		c := qt.New(t)
 		var first atomic.Bool
 		proxy := newProxy(startEndpoint(t, func(conn net.Conn, r *http.Request, before int) {
 			id := r.Header.Get(HeaderAttemptID)
-			if !first.Swap(true) || before > 0 { // on the same connection: the surplus one comes late, while the request runs
+			if !first.Swap(true) || before > 0 { // on the first connection the rejection is repeated late, while the next request runs
 				write(conn, rejection, "Attempt-Id: "+id+"\r\n")
 				return
 			}
@@ -221,7 +221,7 @@
 		c.Assert(perform(proxy, "x", 10*time.Second).Kind, qt.Equals, outcome.Rejected)
 		c.Assert(perform(proxy, "x", 10*time.Second).Kind, qt.Equals, outcome.Answered)
 	})
-	t.Run("no id", func(t *testing.T) {
+	t.Run("no ID", func(t *testing.T) {
 		c := qt.New(t)
 		proxy := newProxy(startEndpoint(t, func(conn net.Conn, r *http.Request, before int) {
 			if before > 0 {
@@ -233,7 +233,7 @@
 		c.Assert(perform(proxy, "a", 10*time.Second).Kind, qt.Equals, outcome.Answered)
 		c.Assert(perform(proxy, "b", 10*time.Second).Kind, qt.Equals, outcome.InvalidResponse)
 	})
-	t.Run("no id, the first on its connection", func(t *testing.T) {
+	t.Run("no ID, first request on the connection", func(t *testing.T) {
 		c := qt.New(t)
 		proxy := newProxy(startEndpoint(t, func(conn net.Conn, _ *http.Request, _ int) { write(conn, rejection, "") }))
 		c.Assert(perform(proxy, "a", 10*time.Second).Kind, qt.Equals, outcome.Rejected)
@@ -254,15 +254,15 @@
 	}
 }
 
-// If nothing of a request can be written to a connection, the request is sent on another one. If that fails too it was certainly not
-// executed.
+// If not a single byte of a request can be written to a reused connection, the request is sent on another one. If that fails too, the
+// request was certainly not executed.
 func TestARequestThatWasNotSentWasNotExecuted(t *testing.T) {
 	c := qt.New(t)
 	address := startEndpoint(t, func(conn net.Conn, r *http.Request, _ int) {
 		write(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nEndpoint-Seal: s\r\nContent-Length: 0\r\n\r\n", r.Header.Get(HeaderAttemptID))
 	})
 	proxy := newProxy(address)
-	broken := false // of connections yet to come
+	broken := false // whether connections dialled from now on are broken
 	var conns []*refusingConn
 	proxy.SetDialer(func(address string, timeout time.Duration) (net.Conn, error) {
 		conn, err := dialPatiently(address, timeout)
@@ -297,11 +297,11 @@
 func TestConnectionRefusedMeansNotExecuted(t *testing.T) {
 	c := qt.New(t)
 	var listen net.ListenConfig
-	l, err := listen.Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	listener, err := listen.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	c.Assert(l.Close(), qt.IsNil)
+	c.Assert(listener.Close(), qt.IsNil)
 	down := make(chan string, 1)
-	proxy := newProxy(l.Addr().String())
+	proxy := newProxy(listener.Addr().String())
 	proxy.onEndpointDown = func(endpointID string) { down <- endpointID }
 	for range 2 {
 		response := perform(proxy, "a", 10*time.Second)
@@ -312,13 +312,14 @@
 	c.Assert(perform(proxy, "b", 10*time.Second).Kind, qt.Equals, outcome.Misdirected)
 }
 
-// All slots are occupied: a queued request that is cancelled never reaches the endpoint; the connection of a running one is closed.
+// All slots are occupied. A queued request that is cancelled never reaches the endpoint, and the connection of a running request that is
+// cancelled is closed.
 func TestCancelled(t *testing.T) {
 	c := qt.New(t)
-	came := make(chan string, 8)
+	received := make(chan string, 8)
 	release := make(chan struct{})
 	proxy := newProxy(startEndpoint(t, func(_ net.Conn, r *http.Request, _ int) {
-		came <- r.Header.Get(HeaderAttemptID)
+		received <- r.Header.Get(HeaderAttemptID)
 		<-release
 	}))
 	defer close(release)
@@ -329,13 +330,13 @@
 		deadline := proxy.now() + 20*time.Second
 		cancel = append(cancel, proxy.Forward(r, deadline, deadline, func(response *ForwardResponse) { got <- response }))
 		if i < 4 {
-			<-came
+			<-received
 		}
 	}
 	cancel[4]()
 	c.Assert((<-got).Kind, qt.Equals, outcome.Cancelled)
 	cancel[0]()
 	c.Assert((<-got).Kind, qt.Equals, outcome.TimedOut)
-	c.Assert(came, qt.HasLen, 0)
+	c.Assert(received, qt.HasLen, 0)
 	c.Assert(proxy.Pending(), qt.Equals, 3)
 }
--- a/internal/mesh/dataplane/inbound/response_sizes_test.go
+++ b/internal/mesh/dataplane/inbound/response_sizes_test.go
@@ -33,27 +33,27 @@
 	c.Check(sizes.mean, qt.HasLen, maxTrackedRoutes)
 }
 
-// A peer's request whose answer would be late because of the machine's link is rejected at once. The same request of a client on this
-// machine, whose answer is not sent over the link, is served.
+// A peer's request whose answer would be late because of the machine's link is rejected at once. The same request from a client on this
+// machine is accepted, as its answer is not sent over the link.
 func TestALargeAnswerThatWouldBeLateIsRejected(t *testing.T) {
 	c := qt.New(t)
 	proxy := New("", func() time.Duration { return time.Hour }, logrus.New(), nil)
 	proxy.UpdateEndpoint(admission.Endpoint{ID: "i-1", Slots: 0}, admission.Serving)
 	proxy.sizes.observe("pull", 100_000)
-	var asked []float64
+	var backlogQueries []float64
 	proxy.linkBacklog = func(moreBytes float64) time.Duration {
-		asked = append(asked, moreBytes)
+		backlogQueries = append(backlogQueries, moreBytes)
 		return time.Duration(moreBytes) * 10 * time.Microsecond
 	}
 	target, deadline := time.Hour+1500*time.Millisecond, time.Hour+3*time.Second
 	responses := make(chan *ForwardResponse, 3)
 	done := func(response *ForwardResponse) { responses <- response }
 	request := &ForwardRequest{Route: "pull"}
-	cancel := proxy.forward(request, target, deadline, true, done) // its answer takes a second
+	cancel := proxy.forward(request, target, deadline, true, done) // sending the answer takes a second
 	defer cancel()
-	proxy.forward(request, target, deadline, true, done) // and this one two
+	proxy.forward(request, target, deadline, true, done) // sending this answer after the first one takes two seconds
 	c.Check((<-responses).Kind, qt.Equals, outcome.AtCapacity)
-	c.Check(asked, qt.DeepEquals, []float64{100_000, 200_000})
+	c.Check(backlogQueries, qt.DeepEquals, []float64{100_000, 200_000})
 	c.Check(proxy.Pending(), qt.Equals, 1)
 	cancel = proxy.Forward(request, target, deadline, done)
 	defer cancel()
--- a/internal/mesh/dataplane/outbound/accept.go
+++ b/internal/mesh/dataplane/outbound/accept.go
@@ -21,8 +21,8 @@
 )
 
 // accept checks a client's request, in this order: its header, its route, the time until this process ends, its tenant, its attempt ID and
-// the tenant's rate limit, whose decision accept waits for. It returns the request, with the fields that were set before a check failed, and
-// the reason for a rejection; outcome.None if the request is accepted.
+// the tenant's rate limit, whose decision accept waits for. It returns the request, with the fields that were set before a check failed,
+// and the reason for a rejection; outcome.None if the request is accepted.
 //
 // Accepting a request is not admitting it: whether it can be served in time is decided by the service's balancer and, at the endpoint's
 // sidecar, by package admission.
--- a/internal/mesh/dataplane/outbound/answers_test.go
+++ b/internal/mesh/dataplane/outbound/answers_test.go
@@ -17,8 +17,8 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// The kernel accepts connections for a suspended process. A call is sent only after the process's own hello, so requests for a suspended
-// process are not executed, are rejected as such, and are not executed late when it resumes.
+// The kernel accepts connections for a suspended process. A call is sent only after the process itself has sent its hello. So requests for
+// a suspended process are not executed, are rejected as not executed, and are not executed late when the process resumes.
 func TestNoCallGoesToAProcessThatStandsStill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -33,8 +33,8 @@
 	})
 }
 
-// A process that is suspended with calls in its buffers executes none of them when it resumes, if they have expired. The caller does not
-// know that, and does not promise that they were not executed.
+// A process that is suspended with calls in its buffers executes none of the expired ones when it resumes. The caller does not know that,
+// and does not promise that they were not executed.
 func TestAFrozenProcessBeginsNothingLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -48,7 +48,8 @@
 	})
 }
 
-// The answer to HEAD is read without a body, even from an endpoint that sends one, whose bytes are not taken for another request's answer.
+// The answer to HEAD is read without a body, even from an endpoint that sends one. The bytes of such a body are not read as the answer to
+// another request.
 func TestHeadGoesThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pair := startPair(t)
@@ -58,7 +59,7 @@
 	})
 }
 
-// A client that closes its sending half, or disconnects, gets the outcome of its request as far as it is known, never an empty success.
+// A client that closes its sending half or disconnects gets the outcome of its request as far as it is known, never an empty success.
 func TestAClientThatHasGoneGetsNoEmptySuccess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -78,8 +79,8 @@
 	})
 }
 
-// A process that shuts down accepts a request if twice the latency target of 500 ms fits before the end. The requests that it has accepted,
-// before or after the shutdown began, are answered by then.
+// A process that shuts down accepts a request only if at least twice the latency target of 500 ms is left until the end of the shutdown.
+// The requests that it has accepted, before or after the shutdown began, are answered by that time.
 func TestRequestsNearTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -100,16 +101,16 @@
 		c.Assert(pair.a.hub.Now()-asked < 10*time.Millisecond, qt.IsTrue)
 		c.Assert(<-pending, qt.Equals, 504)
 		c.Assert(<-before, qt.Equals, 504)
-		c.Assert(pair.a.hub.Now() <= end, qt.IsTrue, qt.Commentf("%v", pair.a.hub.Now()))
+		c.Assert(pair.a.hub.Now() <= end, qt.IsTrue, qt.Commentf("answers arrived by %v, want %v at the latest", pair.a.hub.Now(), end))
 		c.Assert(pair.ask(t, "POST", "after", 2*time.Second), qt.Equals, 503)
 		time.Sleep(6 * time.Second)
 		for _, id := range []string{"accepted before", "pending", "does not fit", "after"} {
-			c.Assert(pair.executions(id), qt.Equals, 0, qt.Commentf("%s", id))
+			c.Assert(pair.executions(id), qt.Equals, 0, qt.Commentf("executions of request %q", id))
 		}
 	})
 }
 
-// For each outcome of an attempt and each kind of route, through the proxies: how often the request is sent, and the client's answer.
+// Checks, for each outcome of an attempt and each kind of route, how often the proxies send the request, and the client's answer.
 func TestEachEndOfAnAttemptByKindOfRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
@@ -123,7 +124,8 @@
 	})
 }
 
-// checkOutcome plays a request whose first attempt has one outcome, and whose other attempts are served.
+// checkOutcome sends a request whose first attempt ends with the given outcome, and whose other attempts are served. It checks the number
+// of attempts and the status of the client's answer.
 func checkOutcome(t *testing.T, kind outcome.Kind, route string) {
 	t.Helper()
 	status := http.StatusOK
@@ -139,26 +141,27 @@
 	case outcome.Retry, outcome.RetryIdempotent:
 		wantSent, wantStatus = 2, http.StatusOK
 	}
-	qt.Check(t, []int{sent, got}, qt.DeepEquals, []int{wantSent, wantStatus}, qt.Commentf("%s, %s", kind, route))
+	qt.Check(t, []int{sent, got}, qt.DeepEquals, []int{wantSent, wantStatus},
+		qt.Commentf("attempts and status after outcome %s on a route of kind %s", kind, route))
 }
 
 func servedResponse() *inbound.ForwardResponse {
 	return &inbound.ForwardResponse{Kind: outcome.Answered, Status: http.StatusOK, ReachedEndpoint: true}
 }
 
-// An endpoint's own failure is the answer if no later attempt is served: it is not replaced by one of the mesh's answers.
+// If no later attempt is served, the client gets the endpoint's own failure. It is not replaced by an answer of the mesh.
 func TestAnEndpointsFailureIsNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, later := range []outcome.Kind{outcome.AtCapacity, outcome.ConnectionLost, outcome.TimedOut, outcome.InvalidResponse} {
 			failure := &inbound.ForwardResponse{Kind: outcome.Answered, Status: http.StatusInternalServerError, ReachedEndpoint: true}
 			_, got := answerAttempts(t, "idempotent", failure, &inbound.ForwardResponse{Kind: later, ReachedEndpoint: !later.NotExecuted()})
-			qt.Check(t, got, qt.Equals, http.StatusInternalServerError, qt.Commentf("%s", later))
+			qt.Check(t, got, qt.Equals, http.StatusInternalServerError, qt.Commentf("status after a later attempt with outcome %s", later))
 		}
 	})
 }
 
-// answerAttempts plays a request whose first attempt gets one response, and whose other attempts get another one. It returns the number of
-// attempts, and the status of the client's answer.
+// answerAttempts sends a request. Its first attempt gets the response first, and each other attempt gets others. answerAttempts returns the
+// number of attempts and the status of the client's answer.
 func answerAttempts(t *testing.T, route string, first, others *inbound.ForwardResponse) (sent, got int) {
 	t.Helper()
 	network := newNetwork(1, false)
--- a/internal/mesh/dataplane/outbound/bodies.go
+++ b/internal/mesh/dataplane/outbound/bodies.go
@@ -103,7 +103,7 @@
 		return
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout)) // fails only on a closed connection
-	_, _ = io.CopyN(io.Discard, req.Body, maxDiscardBytes)                            // if the body is longer, the server closes the connection
+	_, _ = io.CopyN(io.Discard, req.Body, maxDiscardBytes)                            // after a longer body the server closes the connection
 }
 
 // bodyReads tracks the bodies that are being read, by the controllers of their responses, and bounds the time for each. On shutdown it
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -32,7 +32,7 @@
 
 var answerBody = make([]byte, 128)
 
-// answerCall is an endpoint that does no work.
+// answerCall is the handler of an endpoint that does no work.
 func answerCall(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 	w.Header().Set("Endpoint-Seal", "s."+r.Header.Get("Attempt-Id"))
@@ -47,11 +47,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { _ = l.Close() }) // a server may have closed it
+	b.Cleanup(func() { _ = l.Close() }) // a server may have closed the listener
 	return l
 }
 
-// startHub starts a hub that accepts links on loopback, after the function declare has registered methods.
+// startHub starts a hub that accepts links on loopback. It calls declare to register methods before.
 func startHub(b *testing.B, log *logrus.Logger, incarnation uint64, declare func(hub *transport.Hub)) (hub *transport.Hub, address string) {
 	b.Helper()
 	l := listen(b)
@@ -63,13 +63,13 @@
 	return hub, hello.Address
 }
 
-// usage is the processor time and the allocations of the process so far.
+// usage is the processor time that this process has used, and its number of allocations.
 type usage struct {
 	cpu    time.Duration
 	allocs uint64
 }
 
-func used() usage {
+func readUsage() usage {
 	var u syscall.Rusage
 	var m runtime.MemStats
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -77,7 +77,7 @@
 	return usage{time.Duration(u.Utime.Nano() + u.Stime.Nano()), m.Mallocs}
 }
 
-// callUsage is the mean usage of a call.
+// callUsage is the mean usage per call.
 type callUsage struct {
 	cpuMicroseconds float64
 	allocs          float64
@@ -85,34 +85,34 @@
 
 // caller makes calls one after another on one connection.
 type caller struct {
-	b      *testing.B
-	client *http.Client
-	base   string
-	calls  int
-	times  []time.Duration
+	b       *testing.B
+	client  *http.Client
+	baseURL string
+	calls   int
+	times   []time.Duration
 }
 
 // measure returns the mean usage of the calls that a function makes.
 func (c *caller) measure(f func()) callUsage {
-	before := used()
+	before := readUsage()
 	f()
-	after := used()
+	after := readUsage()
 	calls := float64(len(c.times))
 	cpu := float64((after.cpu - before.cpu).Nanoseconds()) / 1000
 	return callUsage{cpuMicroseconds: cpu / calls, allocs: float64(after.allocs-before.allocs) / calls}
 }
 
-func newCaller(b *testing.B, base string) *caller {
+func newCaller(b *testing.B, baseURL string) *caller {
 	b.Helper()
 	t := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	b.Cleanup(t.CloseIdleConnections)
-	return &caller{b: b, client: &http.Client{Transport: t}, base: base}
+	return &caller{b: b, client: &http.Client{Transport: t}, baseURL: baseURL}
 }
 
 func (c *caller) call() {
 	c.calls++
-	ctx := context.Background() // the client allocates more for any other one
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/p/item?x=1", nil)
+	ctx := context.Background() // the client allocates more for other contexts
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/p/item?x=1", nil)
 	if err != nil {
 		c.b.Fatal(err)
 	}
@@ -131,19 +131,20 @@
 	c.times = append(c.times, time.Since(began))
 	if err != nil || resp.StatusCode != http.StatusOK || len(body) != len(answerBody) ||
 		resp.Header.Get("Attempt-Id") != request.Header.Get("Attempt-Id") {
-		c.b.Fatalf("call %d: status %d, %d bytes, %v", c.calls, resp.StatusCode, len(body), err)
+		c.b.Fatalf("call %d: got status %d, %d bytes, error %v; want status 200, the complete body and the call's Attempt-Id",
+			c.calls, resp.StatusCode, len(body), err)
 	}
 }
 
-// quantile returns the time in microseconds within which a share of the calls were answered.
+// quantile returns the time in microseconds within which the given share of the calls was answered.
 func (c *caller) quantile(share float64) float64 {
 	sorted := slices.Sorted(slices.Values(c.times))
 	rank := min(int(share*float64(len(sorted))), len(sorted)-1)
 	return float64(sorted[rank].Nanoseconds()) / 1000
 }
 
-// warm makes calls that are not measured.
-func (c *caller) warm(n int) {
+// warmUp makes calls that are not measured.
+func (c *caller) warmUp(n int) {
 	c.times = slices.Grow(c.times, 1<<16)
 	for range n {
 		c.call()
@@ -152,8 +153,8 @@
 	runtime.GC()
 }
 
-// BenchmarkCall is one call after another through the code of both sidecars, over loopback, with the client and the endpoints
-// in the same process; "direct" is the same call asked of an endpoint itself. Control messages are not part of it.
+// BenchmarkCall measures sequential calls through the code of both sidecars, over loopback, with the client and the endpoints in the same
+// process. Metrics named "direct" are for the same calls sent to an endpoint without sidecars. Control messages are not included.
 func BenchmarkCall(b *testing.B) {
 	for _, n := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("neighbours-%d", n), func(b *testing.B) { benchmarkCall(b, n) })
@@ -166,45 +167,45 @@
 	log.SetLevel(logrus.ErrorLevel)
 	hub, _ := startHub(b, log, 1, func(*transport.Hub) {})
 	var endpoints []discovery.Endpoint
-	direct := ""
+	directURL := ""
 	for i := range peers {
 		app := httptest.NewServer(http.HandlerFunc(answerCall))
 		b.Cleanup(app.Close)
-		direct = app.URL
+		directURL = app.URL
 		endpoints = append(endpoints, startPeerSidecar(b, log, i, app.Listener.Addr().String()))
 	}
-	front := startFront(b, log, hub, endpoints)
+	frontURL := startFront(b, log, hub, endpoints)
 
-	plain := newCaller(b, direct)
-	plain.warm(200)
-	plainUse := plain.measure(func() {
+	direct := newCaller(b, directURL)
+	direct.warmUp(200)
+	directUsage := direct.measure(func() {
 		for range 4000 {
-			plain.call()
+			direct.call()
 		}
 	})
-	through := newCaller(b, front)
-	through.warm(200 + 20*peers) // links are dialled, connections to the endpoints made
-	throughUse := through.measure(func() {
+	mesh := newCaller(b, frontURL)
+	mesh.warmUp(200 + 20*peers) // opens the links and the connections to the endpoints
+	meshUsage := mesh.measure(func() {
 		for b.Loop() {
-			through.call()
+			mesh.call()
 		}
 	})
-	b.ReportMetric(throughUse.cpuMicroseconds, "cpu-us/call")
-	b.ReportMetric(throughUse.allocs, "allocs/call")
-	b.ReportMetric(through.quantile(0.5), "p50-us")
-	b.ReportMetric(through.quantile(0.99), "p99-us")
-	b.ReportMetric(through.quantile(0.5)-plain.quantile(0.5), "added-p50-us")
-	b.ReportMetric(through.quantile(0.99)-plain.quantile(0.99), "added-p99-us")
-	b.ReportMetric(plainUse.cpuMicroseconds, "direct-cpu-us/call")
-	b.ReportMetric(plainUse.allocs, "direct-allocs/call")
+	b.ReportMetric(meshUsage.cpuMicroseconds, "cpu-us/call")
+	b.ReportMetric(meshUsage.allocs, "allocs/call")
+	b.ReportMetric(mesh.quantile(0.5), "p50-us")
+	b.ReportMetric(mesh.quantile(0.99), "p99-us")
+	b.ReportMetric(mesh.quantile(0.5)-direct.quantile(0.5), "added-p50-us")
+	b.ReportMetric(mesh.quantile(0.99)-direct.quantile(0.99), "added-p99-us")
+	b.ReportMetric(directUsage.cpuMicroseconds, "direct-cpu-us/call")
+	b.ReportMetric(directUsage.allocs, "direct-allocs/call")
 	links, _ := hub.LinkCounts()
 	if links == 0 {
-		b.Fatal("no call went over a link")
+		b.Fatal("no call used a link between sidecars, want at least one link")
 	}
 	b.ReportMetric(float64(links), "links")
 }
 
-// startPeerSidecar starts the sidecar beside an endpoint, and returns the endpoint's entry in the list.
+// startPeerSidecar starts the sidecar beside an endpoint, and returns the endpoint's entry in the endpoint list.
 func startPeerSidecar(b *testing.B, log *logrus.Logger, number int, app string) discovery.Endpoint {
 	b.Helper()
 	id := fmt.Sprintf("i-%d", number)
@@ -219,7 +220,7 @@
 	}
 }
 
-// startFront starts the clients' side, and returns the URL at which it listens.
+// startFront starts the outbound proxy that clients call, and returns its URL.
 func startFront(b *testing.B, log *logrus.Logger, hub *transport.Hub, endpoints []discovery.Endpoint) string {
 	b.Helper()
 	config, err := configuration.Parse([]byte(callConfig))
@@ -231,7 +232,7 @@
 	proxy.UpdateEndpoints("shop", endpoints)
 	l := listen(b)
 	server := proxy.Server()
-	go func() { _ = server.Serve(l) }() // until it is closed
+	go func() { _ = server.Serve(l) }() // returns an error when the server is closed
 	b.Cleanup(func() { _ = server.Close() })
 	return "http://" + l.Addr().String()
 }
--- a/internal/mesh/dataplane/outbound/classes.go
+++ b/internal/mesh/dataplane/outbound/classes.go
@@ -20,8 +20,8 @@
 	target, timeout time.Duration
 }
 
-// classTable numbers the classes of one service's requests for its balancer. Each change of a route's times may need a new class; once there
-// are maxClasses, further routes use the existing class with the nearest times.
+// classTable numbers the classes of one service's requests for its balancer. Each change of a route's times may need a new class; once
+// there are maxClasses, further routes use the existing class with the nearest times.
 type classTable struct {
 	balancer *balancer.Balancer
 	log      *logrus.Logger
--- a/internal/mesh/dataplane/outbound/connections_test.go
+++ b/internal/mesh/dataplane/outbound/connections_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// deadlineConn remembers its read deadline.
+// deadlineConn is a connection that records its read deadline.
 type deadlineConn struct {
 	net.Conn
 	deadline time.Time
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// A request is read just when its connection is closed as idle. The read deadline that was to close the connection is reset before the
-// request is served, since to the server it would mean that the client has gone, and would cancel the request.
+// A request is read just as its connection is being closed as idle. The read deadline that was set to close the connection must be reset
+// before the request is served; otherwise the server would treat it as a disconnected client and cancel the request.
 func TestARequestThatCrossesTheCloseIsServed(t *testing.T) {
 	c := qt.New(t)
 	proxy := New(Options{})
@@ -35,7 +35,7 @@
 	proxy.connections.track(conn, http.StateActive)
 	c.Assert(conn.deadline.IsZero(), qt.IsTrue)
 	proxy.connections.sweep()
-	c.Assert(conn.deadline.IsZero(), qt.IsTrue, qt.Commentf("a request is in flight"))
+	c.Assert(conn.deadline.IsZero(), qt.IsTrue, qt.Commentf("sweep must set no read deadline while a request is in flight"))
 	proxy.connections.track(conn, http.StateClosed)
 	c.Assert(proxy.OpenConnections(), qt.Equals, 0)
 }
--- a/internal/mesh/dataplane/outbound/discard_test.go
+++ b/internal/mesh/dataplane/outbound/discard_test.go
@@ -16,19 +16,19 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// answer is what a client reads of an answer.
+// answer is the part of an answer that these tests check.
 type answer struct {
 	status     int
 	retryAfter string
 }
 
-// postUnready sends a request with a body to a proxy that rejects all, as it has no configuration.
+// postUnready sends a request with a body to a proxy that rejects all requests, as it has no configuration.
 func postUnready(t *testing.T, headers string, bytes int, send func(conn net.Conn, body []byte)) answer {
 	t.Helper()
 	return post(t, New(Options{}), headers, bytes, send)
 }
 
-// post sends a request with a body to a proxy, on a connection of its own, and then reads its answer. send brings the body.
+// post sends a request to a proxy on a new connection, calls send to write the body, and then reads the answer.
 func post(t *testing.T, proxy *Proxy, headers string, bytes int, send func(conn net.Conn, body []byte)) answer {
 	t.Helper()
 	address := serve(t, proxy)
@@ -38,16 +38,16 @@
 	qt.Assert(t, err, qt.IsNil)
 	send(conn, make([]byte, bytes))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	qt.Assert(t, err, qt.IsNil, qt.Commentf("%q, %d bytes", headers, bytes))
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("reading the answer to a request with headers %q, body of %d bytes", headers, bytes))
 	_, err = io.Copy(io.Discard, response.Body)
-	qt.Assert(t, err, qt.IsNil, qt.Commentf("%q, %d bytes", headers, bytes))
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("reading the body of the answer to a request with headers %q, body of %d bytes", headers, bytes))
 	qt.Assert(t, response.Body.Close(), qt.IsNil)
 	return answer{status: response.StatusCode, retryAfter: response.Header.Get(headerRetryAfter)}
 }
 
-// A client sends all of its body before it reads the answer to a request that was rejected long before, on a connection that is closed
-// after the answer. It can send the body and read the answer: many clients fail if they can't write, and a reset may discard an answer
-// that was not read yet.
+// A request is rejected long before the client has sent its whole body, and the client reads the answer only after that. The client must
+// be able to send the body and read the answer, although the connection is closed after the answer: many clients fail if they can't
+// write, and a reset may discard an answer that was not read yet.
 func TestARejectionOutlivesTheCloseOfItsConnection(t *testing.T) {
 	for _, headers := range []string{"", "Connection: close\r\n"} {
 		for _, bytes := range []int{1, 5_000, 100_000, 900_000} {
@@ -55,26 +55,27 @@
 				const parts = 4
 				for i := range parts {
 					_, err := conn.Write(body[i*bytes/parts : (i+1)*bytes/parts])
-					qt.Check(t, err, qt.IsNil, qt.Commentf("%q, part %d of %d bytes", headers, i, bytes))
-					time.Sleep(20 * time.Millisecond) // it is answered meanwhile
+					qt.Check(t, err, qt.IsNil, qt.Commentf("request headers %q: writing part %d of a body of %d bytes", headers, i, bytes))
+					time.Sleep(20 * time.Millisecond) // the request is answered meanwhile
 				}
 			})
-			comment := qt.Commentf("%q, %d bytes", headers, bytes)
+			comment := qt.Commentf("answer to a request with headers %q, body of %d bytes", headers, bytes)
 			qt.Check(t, got.status, qt.Equals, http.StatusServiceUnavailable, comment)
 			qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "", comment)
 		}
 	}
 }
 
-// It is answered at once, however long its body takes to come.
+// A rejected request is answered at once, however long the client takes to send its body.
 func TestARejectionDoesNotWaitForTheBody(t *testing.T) {
 	began := time.Now()
 	got := postUnready(t, "", 100_000, func(conn net.Conn, body []byte) { _, _ = conn.Write(body[:10]) })
 	qt.Check(t, got.status, qt.Equals, http.StatusServiceUnavailable)
-	qt.Check(t, time.Since(began) < discardTimeout/2, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	qt.Check(t, time.Since(began) < discardTimeout/2, qt.IsTrue,
+		qt.Commentf("answered after %v, want less than %v", time.Since(began), discardTimeout/2))
 }
 
-// A process shuts down while a body is being received: the request is answered in time, with a Retry-After.
+// A process shuts down while it is receiving a body: the request is answered in time, with a Retry-After.
 func TestARequestWhoseBodyIsStillComingIsAnsweredAtTheEnd(t *testing.T) {
 	config, err := configuration.Parse([]byte(`{"configVersion":"r1","routeTable":[
 		{"name":"x","hostName":"h","pathPrefix":"/","routeKind":"non_idempotent","timeout":"9000ms",
@@ -98,15 +99,15 @@
 	})
 	qt.Check(t, got.status, qt.Equals, http.StatusServiceUnavailable)
 	qt.Check(t, got.retryAfter, qt.Not(qt.Equals), "")
-	qt.Check(t, time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	qt.Check(t, time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("answered after %v, want less than 2s", time.Since(began)))
 }
 
-// reading returns the bodies that are being read.
+// reading returns the controllers of the bodies that are being read.
 func (b *bodyReads) reading() (list []*http.ResponseController) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for c := range b.open {
-		list = append(list, c)
+	for controller := range b.open {
+		list = append(list, controller)
 	}
 	return list
 }
--- a/internal/mesh/dataplane/outbound/loopback_test.go
+++ b/internal/mesh/dataplane/outbound/loopback_test.go
@@ -15,11 +15,11 @@
 	var config net.ListenConfig
 	l, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = l.Close() }) // a server may have closed it
+	t.Cleanup(func() { _ = l.Close() }) // a server may have closed the listener
 	return l
 }
 
-// serve serves clients on loopback until the end of the test, and returns the address.
+// serve starts a proxy's server on loopback until the end of the test, and returns its address.
 func serve(t *testing.T, proxy *Proxy) string {
 	t.Helper()
 	l := listen(t)
@@ -33,7 +33,7 @@
 	return l.Addr().String()
 }
 
-// dial opens a client's connection, until the end of the test.
+// dial opens a client's connection, which is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -44,5 +44,5 @@
 	return conn
 }
 
-// closeQuietly closes a connection that the other side may have closed before.
+// closeQuietly closes a connection. It ignores the error, as the other side may have closed the connection before.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
--- a/internal/mesh/dataplane/outbound/response_test.go
+++ b/internal/mesh/dataplane/outbound/response_test.go
@@ -13,8 +13,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// An outcome that was certainly not executed is so to the balancer too, whether or not the attempt was cancelled. Only a lost link or a
-// refused connection makes the balancer suspect the endpoint, as the endpoint's own sidecar vouches for it.
+// A request that was certainly not executed is reported to the balancer as one that never ran, whether or not the attempt was cancelled.
+// Only a lost link or a refused connection makes the balancer suspect the endpoint; otherwise the endpoint's own sidecar monitors its health.
 func TestEveryOutcomeIsReportedToTheBalancer(t *testing.T) {
 	for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -29,7 +29,8 @@
 			c := qt.New(t)
 			for _, cancelled := range []bool{false, true} {
 				status := balancerStatus(&inbound.ForwardResponse{Kind: kind, Status: 200}, cancelled)
-				c.Check(status.NeverRan(), qt.Equals, kind.NotExecuted(), qt.Commentf("cancelled %v", cancelled))
+				c.Check(status.NeverRan(), qt.Equals, kind.NotExecuted(),
+					qt.Commentf("NeverRan of status %d, attempt cancelled: %v", status, cancelled))
 				suspects := status == balancer.StatusReset || status == balancer.StatusConnectFailed
 				if !cancelled {
 					c.Check(suspects, qt.Equals, kind.Entry().SuspectsEndpoint)
@@ -53,13 +54,13 @@
 	}{
 		{"not executed", encoded(outcome.Draining, 0), nil, outcome.Draining},
 		{"answered", encoded(outcome.Answered, 200), nil, outcome.Answered},
-		{"nothing", nil, nil, outcome.AtCapacity},
-		{"no message", []byte{0xff}, nil, outcome.InvalidResponse},
-		{"no status", encoded(outcome.Answered, 0), nil, outcome.InvalidResponse}, // no server could write it
-		{"status beyond 999", encoded(outcome.Answered, 1000), nil, outcome.InvalidResponse},
+		{"empty reply", nil, nil, outcome.AtCapacity},
+		{"invalid encoding", []byte{0xff}, nil, outcome.InvalidResponse},
+		{"no status", encoded(outcome.Answered, 0), nil, outcome.InvalidResponse}, // the HTTP server can't write status 0
+		{"status above 999", encoded(outcome.Answered, 1000), nil, outcome.InvalidResponse},
 		{"lost after it was sent", nil, &transport.ConnectionError{Sent: true}, outcome.ConnectionLost},
 		{"lost before it was sent", nil, &transport.ConnectionError{}, outcome.Unreachable},
-		{"another error", nil, errors.New("anything else"), outcome.ConnectionLost},
+		{"another error", nil, errors.New("some other error"), outcome.ConnectionLost},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			qt.Check(t, parseResponse(test.body, test.err).Kind, qt.Equals, test.kind)
--- a/internal/mesh/dataplane/outbound/retry.go
+++ b/internal/mesh/dataplane/outbound/retry.go
@@ -8,8 +8,8 @@
 )
 
 // allowNextAttempt reports whether the balancer may start another attempt of a request after a response. next is what may follow the
-// response. final reports whether the request is answered, so that no attempt follows and the retry budget is not charged. Otherwise, if the
-// ended attempt has reached an endpoint, the next attempt is charged to the fleet's retry budget.
+// response. final reports whether the request is answered, so that no attempt follows and the retry budget is not charged. Otherwise, if
+// the ended attempt has reached an endpoint, the next attempt is charged to the fleet's retry budget.
 func (b *serviceBalancer) allowNextAttempt(
 	now time.Duration, pending *request, response *inbound.ForwardResponse, next outcome.Next, final bool,
 ) bool {
--- a/internal/mesh/dataplane/outbound/split.go
+++ b/internal/mesh/dataplane/outbound/split.go
@@ -12,9 +12,9 @@
 // their number.
 const goldenStep = math.Phi - 1
 
-// splitSequences choose the services of routes that are split by weights, with one low-discrepancy sequence for each route. With independent
-// random draws, a service's share of 300 requests would be off by 3 in 100 on average; with a sequence it is off by one or two requests at
-// each sidecar. Sequences begin at random points, so that those of different sidecars differ.
+// splitSequences choose the services of routes that are split by weights, with one low-discrepancy sequence for each route. With
+// independent random draws, a service's share of 300 requests would be off by 3 in 100 on average; with a sequence it is off by one or two
+// requests at each sidecar. Sequences begin at random points, so that those of different sidecars differ.
 type splitSequences struct {
 	drawStart func() float64 // draws the start of a sequence from [0, 1); nil for the global random source
 	mu        sync.Mutex
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -10,10 +10,10 @@
 	"quincegap/internal/mesh/control/configuration"
 )
 
-// A dozen sidecars choose the services of 300 requests of a route, in turn and each by a sequence of its own: every service gets its
-// share within three in a hundred, and of each hundred requests of one sidecar within three requests. The dozen's sequences begin at
-// seeded points: of sets of a dozen random points, one in some 3,400 misses the bound by a request. One sidecar's bound holds wherever its
-// sequence begins, so that one begins at random, as in production.
+// Twelve sidecars choose in turn the services of 300 requests of a route, each sidecar with a separate sequence. Every service must get its
+// share to within 3 in 100, and of each 100 requests of a single sidecar to within three requests. The sequences of the twelve sidecars
+// start at seeded points, as about one in 3,400 sets of twelve random points exceeds the bound by a request. The bound for a single sidecar holds
+// wherever its sequence starts, so that sequence starts at a random point, as in production.
 func TestServicesOfASplitRouteGetTheirShares(t *testing.T) {
 	c := qt.New(t)
 	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{
@@ -34,7 +34,7 @@
 		}
 		for _, s := range route.Split {
 			off := math.Abs(count[s.Service]/300 - s.Weight/100)
-			c.Assert(off < 0.03, qt.IsTrue, qt.Commentf("%s: %v of 300", s.Service, count[s.Service]))
+			c.Assert(off < 0.03, qt.IsTrue, qt.Commentf("service %s got %v of 300 requests, want %v%%", s.Service, count[s.Service], s.Weight))
 		}
 	}
 	var one splitSequences
@@ -44,7 +44,8 @@
 			count[one.chooseService(route)]++
 		}
 		for _, s := range route.Split {
-			c.Assert(math.Abs(count[s.Service]-s.Weight) <= 3, qt.IsTrue, qt.Commentf("%s: %v of 100", s.Service, count[s.Service]))
+			c.Assert(math.Abs(count[s.Service]-s.Weight) <= 3, qt.IsTrue,
+				qt.Commentf("service %s got %v of 100 requests, want %v", s.Service, count[s.Service], s.Weight))
 		}
 	}
 	one.retain(&configuration.Config{})
--- a/internal/mesh/dataplane/outcome/example_test.go
+++ b/internal/mesh/dataplane/outcome/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/mesh/dataplane/outcome"
 )
 
-// A booking must not be executed twice: it is retried only after an attempt that was certainly not executed.
+// A booking must not be executed twice: it may be retried only after an attempt that was certainly not executed.
 func ExampleKind_Next() {
 	const idempotent = false
 	for _, kind := range []outcome.Kind{outcome.AtCapacity, outcome.TimedOut} {
--- a/internal/mesh/dataplane/outcome/golden_test.go
+++ b/internal/mesh/dataplane/outcome/golden_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/golden"
 )
 
-// All kinds: their numbers and names, which processes exchange and log, and their answers.
+// Fixes the number and the name of every kind, which processes exchange and log, and the properties of its answer.
 func TestGoldenTable(t *testing.T) {
 	var text strings.Builder
 	fmt.Fprintln(&text, "number name status not-run blame attempt retry-after")
@@ -20,12 +20,12 @@
 }
 
 func writeLine(text *strings.Builder, kind Kind) {
-	e := kind.Entry()
-	fmt.Fprintf(text, "%d %q %d %t %t %t %v\n", uint64(kind), kind.String(), e.Status, e.NotExecuted, e.SuspectsEndpoint,
-		e.EndsAttempt, e.RetryAfter)
+	entry := kind.Entry()
+	fmt.Fprintf(text, "%d %q %d %t %t %t %v\n", uint64(kind), kind.String(), entry.Status, entry.NotExecuted,
+		entry.SuspectsEndpoint, entry.EndsAttempt, entry.RetryAfter)
 }
 
-// The numbers of the kinds do not change with the names of their constants.
+// Fixes the numbers of the kinds, whatever the names and the order of their constants.
 func TestGoldenNumbers(t *testing.T) {
 	for number, kind := range []Kind{
 		0: None, 1: Answered, 2: AtCapacity, 3: Draining, 4: Misdirected, 5: Unreachable, 6: Rejected, 7: Expired, 8: Cancelled,
@@ -33,12 +33,12 @@
 		16: NoRoute, 17: Unauthorized, 18: Malformed, 19: BodyTooLarge, 20: HeaderTooLarge, 21: BodyTimeout, 22: EndpointReset,
 	} {
 		if uint64(kind) != uint64(number) {
-			t.Errorf("%s is number %d, want %d", kind, kind, number)
+			t.Errorf("kind %s has number %d, want %d", kind, kind, number)
 		}
 	}
 }
 
-// What may follow an attempt, by its outcome, the status of the answer, and whether the request is idempotent.
+// Fixes what may follow an attempt, by its outcome, the status of the answer, and whether the request is idempotent.
 func TestGoldenNext(t *testing.T) {
 	var text strings.Builder
 	for kind := Kind(0); kind < 24; kind++ {
--- a/internal/mesh/dataplane/outcome/outcome_test.go
+++ b/internal/mesh/dataplane/outcome/outcome_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The table of the page control-safety.md, section 5, cell by cell.
+// Checks each cell of the table in section 5 of control-safety.md.
 func TestWhenARequestMayBeRetried(t *testing.T) {
-	type cell struct{ idempotent, once Next }
+	type cell struct{ idempotent, nonIdempotent Next }
 	want := map[Kind]cell{
 		AtCapacity:      {Retry, Retry},
 		Draining:        {Retry, Retry},
@@ -32,15 +32,15 @@
 		BodyTooLarge:    {Stop, Stop},
 		HeaderTooLarge:  {Stop, Stop},
 		BodyTimeout:     {Stop, Stop},
-		Kind(999):       {RetryIdempotent, Stop}, // of a later version
+		Kind(999):       {RetryIdempotent, Stop}, // a kind that only later versions know
 	}
 	c := qt.New(t)
-	c.Assert(len(want), qt.Equals, len(table)) // Answered is below, and one kind is of no table
+	c.Assert(len(want), qt.Equals, len(table)) // want lacks Answered, which is checked below, but has one kind that the table lacks
 	for kind, next := range want {
 		t.Run(kind.String(), func(t *testing.T) {
 			c := qt.New(t)
 			c.Check(kind.Next(0, true), qt.Equals, next.idempotent)
-			c.Check(kind.Next(0, false), qt.Equals, next.once)
+			c.Check(kind.Next(0, false), qt.Equals, next.nonIdempotent)
 		})
 	}
 	for status, next := range map[int]cell{
@@ -54,37 +54,37 @@
 		t.Run(fmt.Sprintf("answered %d", status), func(t *testing.T) {
 			c := qt.New(t)
 			c.Check(Answered.Next(status, true), qt.Equals, next.idempotent)
-			c.Check(Answered.Next(status, false), qt.Equals, next.once)
+			c.Check(Answered.Next(status, false), qt.Equals, next.nonIdempotent)
 		})
 	}
 }
 
-// A request that is not idempotent is retried only if the attempt was certainly not executed, whatever its kind.
+// A request that is not idempotent may be retried only if the attempt was certainly not executed, whatever its kind.
 func TestOnlyWhatWasNotExecutedIsRetried(t *testing.T) {
 	c := qt.New(t)
 	for kind := Kind(0); kind < 64; kind++ {
 		for status := 100; status < 600; status++ {
 			next := kind.Next(status, false)
-			c.Assert(next == RetryIdempotent, qt.IsFalse, qt.Commentf("%s %d", kind, status))
-			c.Assert(next == Retry && !kind.NotExecuted(), qt.IsFalse, qt.Commentf("%s %d", kind, status))
+			c.Assert(next == RetryIdempotent, qt.IsFalse, qt.Commentf("retry as idempotent after kind %s, status %d", kind, status))
+			c.Assert(next == Retry && !kind.NotExecuted(), qt.IsFalse, qt.Commentf("retry after kind %s, status %d", kind, status))
 		}
 	}
 }
 
-// The table has an entry for every kind. Only kinds that were certainly not executed have statuses that promise so, and 429 and 503 have a
-// Retry-After.
+// The table has an entry for every kind. Only kinds that were certainly not executed have statuses that promise this to the client, and
+// statuses 429 and 503 have a Retry-After.
 func TestOutcomeTableIsComplete(t *testing.T) {
 	for kind := Answered; kind <= EndpointReset; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
 			c := qt.New(t)
-			e := kind.Entry()
-			c.Check(e.Name, qt.Not(qt.Equals), "unknown")
-			promises := e.Status == 429 || e.Status == 503 || e.Status == 408 || e.Status == 421
-			if promises {
-				c.Check(e.NotExecuted, qt.IsTrue)
+			entry := kind.Entry()
+			c.Check(entry.Name, qt.Not(qt.Equals), "unknown")
+			promisesNotExecuted := entry.Status == 429 || entry.Status == 503 || entry.Status == 408 || entry.Status == 421
+			if promisesNotExecuted {
+				c.Check(entry.NotExecuted, qt.IsTrue)
 			}
-			if e.Status == 429 || e.Status == 503 {
-				c.Check(e.RetryAfter > 0, qt.IsTrue)
+			if entry.Status == 429 || entry.Status == 503 {
+				c.Check(entry.RetryAfter > 0, qt.IsTrue)
 			}
 		})
 	}
