--- a/internal/mesh/dataplane/outbound/classes_test.go
+++ b/internal/mesh/dataplane/outbound/classes_test.go
@@ -22,13 +22,13 @@
 	for change := range 3 * maxClasses {
 		for _, kind := range []configuration.RouteKind{configuration.Idempotent, configuration.NonIdempotent} {
 			r := route(kind, change)
-			number := balancer.classes.number(r)
-			first, ok := firstKeys[number]
+			class := balancer.classes.number(r)
+			first, ok := firstKeys[class]
 			if !ok {
 				first = classKey{r.Kind, r.Target, r.Timeout}
-				firstKeys[number] = first
+				firstKeys[class] = first
 			}
-			c.Assert(number, qt.Not(qt.Equals), 0)
+			c.Assert(class, qt.Not(qt.Equals), 0)
 			c.Assert(first.kind, qt.Equals, kind, qt.Commentf("kind of the route's class after change %d", change))
 		}
 	}
--- a/internal/mesh/dataplane/outbound/example_test.go
+++ b/internal/mesh/dataplane/outbound/example_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// A client's request is routed to the endpoint of the service "shop", which is beside the same sidecar.
+// The proxy routes a client's request to an endpoint of the service "shop", which is beside the same sidecar.
 func ExampleProxy() {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(inbound.HeaderAttemptID, r.Header.Get(inbound.HeaderAttemptID))
--- a/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
+++ b/internal/mesh/dataplane/outbound/flawed_endpoint_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// flawedEndpoint answers as faulty endpoints do, and counts the requests that it has executed.
+// flawedEndpoint is an endpoint that may send faulty answers. It counts the requests that it has executed.
 type flawedEndpoint struct {
-	n        *network
+	testNet  *network
 	id       string
 	flawed   bool
 	listener *listener
 	mu       sync.Mutex
-	executed map[string]int // how often each request was executed, by its ID
+	executed map[string]int // number of executions of each request, by request ID
 	conns    []net.Conn
 }
 
 func startEndpoint(network *network, address, id string, flawed bool) *flawedEndpoint {
-	endpoint := &flawedEndpoint{n: network, id: id, flawed: flawed, listener: network.listen(address), executed: map[string]int{}}
+	endpoint := &flawedEndpoint{testNet: network, id: id, flawed: flawed, listener: network.listen(address), executed: map[string]int{}}
 	go func() {
 		for {
 			conn, err := endpoint.listener.Accept()
@@ -55,21 +55,21 @@
 	return f.executed[id]
 }
 
-// serve answers the requests of a connection, one after the other. What it writes is buffered until it is read, as by a socket.
+// serve answers the requests of a connection one after another. Its output is buffered until the other side reads it, as in a socket.
 func (f *flawedEndpoint) serve(conn net.Conn) {
 	defer closeQuietly(conn)
 	out := make(chan string, 64)
 	defer close(out)
 	go func() {
 		for text := range out {
-			if text == "" { // a reset
+			if text == "" { // stands for a reset
 				closeQuietly(conn)
 			}
 			_, _ = io.WriteString(conn, text)
 		}
 	}()
 	reader := bufio.NewReader(conn)
-	last := "0"
+	previousID := "0"
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -79,8 +79,8 @@
 		if err != nil {
 			return
 		}
-		f.answer(request, string(body), last, out)
-		last = request.Header.Get("Attempt-Id")
+		f.answer(request, string(body), previousID, out)
+		previousID = request.Header.Get("Attempt-Id")
 	}
 }
 
@@ -92,7 +92,7 @@
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
 }
 
-// answerText is the body of the answer to a request.
+// answerText returns the body of the answer to a request.
 func answerText(id, uri, body string) string {
 	text := id + " " + uri + " " + body + " "
 	if strings.HasPrefix(uri, "/downlink/") {
@@ -101,8 +101,9 @@
 	return text
 }
 
-// answer writes the endpoint's answer to a request, which may have a flaw.
-func (f *flawedEndpoint) answer(request *http.Request, body, last string, out chan<- string) {
+// answer writes the endpoint's answer to a request. The answer may have a random flaw. previousID is the ID of the connection's previous
+// request.
+func (f *flawedEndpoint) answer(request *http.Request, body, previousID string, out chan<- string) {
 	id := request.Header.Get("Attempt-Id")
 	if request.Header.Get("Target-Endpoint") != f.id {
 		out <- fmt.Sprintf("HTTP/1.1 421 Misdirected\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
@@ -111,24 +112,24 @@
 	rejection := fmt.Sprintf("HTTP/1.1 503 Full\r\nAttempt-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 	flaw := 100
 	if f.flawed {
-		flaw = f.n.draw(100)
+		flaw = f.testNet.draw(100)
 	}
 	switch {
 	case flaw < 4:
 		out <- rejection
 		return
-	case flaw < 8: // twice
+	case flaw < 8: // a rejection that is sent twice
 		out <- rejection
 		out <- rejection
 		return
-	case flaw < 10: // reset before it began
+	case flaw < 10: // a reset before the execution began
 		out <- ""
 		return
 	}
 	f.mu.Lock()
 	f.executed[id]++
 	f.mu.Unlock()
-	time.Sleep(time.Duration(1+f.n.draw(40)) * time.Millisecond)
+	time.Sleep(time.Duration(1+f.testNet.draw(40)) * time.Millisecond)
 	text := answerText(id, request.RequestURI, body)
 	complete := completeAnswer(id, text)
 	switch {
@@ -136,17 +137,17 @@
 		out <- ""
 	case flaw < 16: // no answer
 	case flaw < 20:
-		out <- complete[:len(complete)-1-f.n.draw(len(text))]
+		out <- complete[:len(complete)-1-f.testNet.draw(len(text))]
 		out <- ""
 	case flaw < 22:
 		out <- "\x00\x01 no answer\r\n\r\n"
-	case flaw < 25: // the answer to another request, late
-		out <- completeAnswer(last, answerText(last, request.RequestURI, body))
+	case flaw < 25: // a late second answer to the previous request
+		out <- completeAnswer(previousID, answerText(previousID, request.RequestURI, body))
 		out <- complete
-	case flaw < 30: // twice
+	case flaw < 30: // an answer that is sent twice
 		out <- complete
 		out <- complete
-	case flaw < 33: // bytes of no request behind it
+	case flaw < 33: // an answer followed by one that belongs to no request
 		out <- complete + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxyz"
 	case flaw < 36:
 		out <- "HTTP/1.1 102 Processing\r\n\r\n" + complete
@@ -154,7 +155,7 @@
 		out <- completeAnswer(id, text, "Content-Encoding: gzip")
 	case flaw < 41:
 		out <- fmt.Sprintf("HTTP/1.1 500 Oops\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
-	case flaw < 43: // a promise that it does not keep
+	case flaw < 43: // a status that promises no execution, after an execution
 		out <- fmt.Sprintf("HTTP/1.1 503 Full\r\nAttempt-Id: %s\r\nContent-Length: 0\r\n\r\n", id)
 	case flaw < 46:
 		out <- completeAnswer(id, text, "Connection: close")
--- a/internal/mesh/dataplane/outbound/golden_test.go
+++ b/internal/mesh/dataplane/outbound/golden_test.go
@@ -44,19 +44,19 @@
 {"name":"quick","accessKeys":["q"],"priority":0,"ratePerS":5,"burstSize":5},
 {"name":"over","accessKeys":["o"],"priority":1,"ratePerS":5,"burstSize":5}]}`
 
-// A body that is too large for goldenConfig, and the same in one chunk.
+// tooLargeBody is a body that is too large for goldenConfig. tooLargeChunk is the same body, encoded as one chunk.
 var (
 	tooLargeBody  = strings.Repeat("b", 101)
 	tooLargeChunk = "65\r\n" + tooLargeBody + "\r\n0\r\n\r\n"
 )
 
-const endpointDate = "Mon, 01 Jan 2024 00:00:00 GMT" // of the endpoint's answers
+const endpointDate = "Mon, 01 Jan 2024 00:00:00 GMT" // Date header field of the endpoint's answers
 
-// goldenSidecar is a sidecar with an endpoint of service s beside it; its server listens on loopback.
+// goldenSidecar is a sidecar with an endpoint of service s beside it. Its server listens on loopback.
 type goldenSidecar struct {
-	proxy   *Proxy
-	address string
-	came    chan string // the bytes of each request that the endpoint has received
+	proxy    *Proxy
+	address  string
+	received chan string // bytes of each request that the endpoint has received
 }
 
 func startGolden(t *testing.T, configure bool) *goldenSidecar {
@@ -65,7 +65,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	sidecar := &goldenSidecar{came: make(chan string, 64)}
+	sidecar := &goldenSidecar{received: make(chan string, 64)}
 	hub := transport.NewHub(transport.Hello{Incarnation: 1, Address: "127.0.0.1:1"}, time.Now(), 1<<20, log)
 	t.Cleanup(hub.Close)
 	endpointProxy := inbound.New(sidecar.startEndpoint(t), hub.Now, log, nil)
@@ -124,12 +124,12 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		g.came <- seen.String()
+		g.received <- seen.String()
 		_, _ = io.WriteString(conn, goldenEndpointAnswer(r)) // the proxy may have closed the connection
 	}
 }
 
-// goldenEndpointAnswer returns the endpoint's answer to a request; empty if it sends none.
+// goldenEndpointAnswer returns the endpoint's answer to a request; an empty string if the endpoint does not answer.
 func goldenEndpointAnswer(r *http.Request) string {
 	id := r.Header.Get(inbound.HeaderAttemptID)
 	_, last, _ := strings.Cut(r.URL.Path[1:], "/")
@@ -151,11 +151,11 @@
 	return head + "body"
 }
 
-// ask sends bytes on a connection of its own and returns the answer, its header fields in alphabetical order.
+// ask sends bytes on a new connection and returns the answer as text, with the header fields in alphabetical order.
 func (g *goldenSidecar) ask(t *testing.T, method, raw string) string {
 	t.Helper()
 	conn := dial(t, g.address)
-	_, _ = io.WriteString(conn, raw) // the server may answer, and close, before it has read all
+	_, _ = io.WriteString(conn, raw) // the server may answer and close the connection before it has read everything
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
 	if err != nil {
 		return "no answer: " + err.Error() + "\n"
@@ -180,7 +180,7 @@
 	return status + "\n" + strings.Join(lines, "") + fmt.Sprintf("  body: %q\n", body)
 }
 
-// The answers to valid and invalid requests, and to rejected ones, each on a connection of its own.
+// Fixes the answers to valid, invalid and rejected requests, each on a separate connection.
 func TestGoldenAnswers(t *testing.T) {
 	const id, key = "Attempt-Id: a-1\r\n", "Key: k\r\n"
 	request := func(line, headers string) string { return line + " HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" }
@@ -244,16 +244,16 @@
 	golden.Text(t, "answers.txt", []byte(text.String()))
 }
 
-// The bodies of all requests together have a bound: a request beyond it is rejected.
+// The total size of the bodies of all requests in flight is bounded: a request whose body would exceed the bound is rejected.
 func TestGoldenBodyCapacity(t *testing.T) {
-	s := startGolden(t, true)
-	s.proxy.bodyBytes.Add(249)
-	answer := s.ask(t, "POST", "POST /book/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nContent-Length: 2\r\n\r\nab")
+	sidecar := startGolden(t, true)
+	sidecar.proxy.bodyBytes.Add(249)
+	answer := sidecar.ask(t, "POST", "POST /book/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\nContent-Length: 2\r\n\r\nab")
 	golden.Text(t, "no_room.txt", []byte(answer))
-	qt.Check(t, s.proxy.bodyBytes.Load(), qt.Equals, int64(249))
+	qt.Check(t, sidecar.proxy.bodyBytes.Load(), qt.Equals, int64(249))
 }
 
-// The answer for each kind of outcome, with the table's Retry-After and with a longer one.
+// Fixes the answer for each kind of outcome, with the table's Retry-After and with a longer one, before and during shutdown.
 func TestGoldenAnswersByKind(t *testing.T) {
 	answered := &inbound.ForwardResponse{
 		Kind: outcome.Answered, Status: 201, Header: []string{"A", "1", "A", "2", "Content-Type", "x/y", "Server", "s"},
@@ -263,21 +263,22 @@
 	for _, ending := range []bool{false, true} {
 		proxy := startGolden(t, true).proxy
 		proxy.shutdown.rejecting.Store(ending)
-		for _, back := range []time.Duration{0, 700 * time.Millisecond} {
+		for _, minRetryAfter := range []time.Duration{0, 700 * time.Millisecond} {
 			for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
-				w := httptest.NewRecorder()
-				proxy.writeAnswer(w, result{kind: kind, response: answered, retryAfter: back})
-				fmt.Fprintf(&text, "%s, back %v, ending %t: %s", kind, back, ending, formatAnswer(w.Result().Status, w.Header(), w.Body.Bytes()))
+				recorder := httptest.NewRecorder()
+				proxy.writeAnswer(recorder, result{kind: kind, response: answered, retryAfter: minRetryAfter})
+				fmt.Fprintf(&text, "%s, back %v, ending %t: %s", kind, minRetryAfter, ending,
+					formatAnswer(recorder.Result().Status, recorder.Header(), recorder.Body.Bytes()))
 			}
 		}
 	}
 	golden.Text(t, "answers_by_kind.txt", []byte(text.String()))
 }
 
-// The requests as their endpoint receives them: with the client's header fields, but for those of its connection and those that only the
+// Fixes the requests that the endpoint receives: they have the client's header fields, except for hop-by-hop fields and those that only the
 // mesh sets.
 func TestGoldenForwardedRequests(t *testing.T) {
-	s := startGolden(t, true)
+	sidecar := startGolden(t, true)
 	var text strings.Builder
 	for _, raw := range []string{
 		"GET /read/x?y=%20&z HTTP/1.1\r\nHost: h\r\nAttempt-Id: a-1\r\nKey: k\r\nAccept: a\r\nAccept: b\r\nUser-Agent: u\r\n" +
@@ -287,8 +288,8 @@
 		"POST /book/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a-2\r\nContent-Length: 0\r\nContent-Type: text/plain\r\n\r\n",
 		"POST /book/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: a-3\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
 	} {
-		s.ask(t, "GET", raw)
-		lines := strings.Split(<-s.came, "\r\n")
+		sidecar.ask(t, "GET", raw)
+		lines := strings.Split(<-sidecar.received, "\r\n")
 		head := lines[1 : len(lines)-2]
 		for i, line := range head {
 			if name, _, _ := strings.Cut(line, ":"); name == "Time-Remaining" {
@@ -301,31 +302,31 @@
 	golden.Text(t, "forwarded.txt", []byte(text.String()))
 }
 
-// A request's deadlines, by its route's target, whether it is a nested call, and the client's Time-Remaining.
+// Fixes a request's deadlines, by its route's latency target, whether it is a nested call, and the client's Time-Remaining.
 func TestGoldenTimes(t *testing.T) {
 	var text strings.Builder
 	for _, target := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second} {
 		for _, nested := range []bool{false, true} {
 			for _, remaining := range []string{"", "0", "1", "1500", "1999.5", "3000", "-1", "1e9", "x", "NaN"} {
-				r := &request{route: &configuration.Route{Timeout: 2 * time.Second, Target: target}}
-				r.forward.Nested = nested
-				r.setTimes(10*time.Second, remaining)
+				pending := &request{route: &configuration.Route{Timeout: 2 * time.Second, Target: target}}
+				pending.forward.Nested = nested
+				pending.setTimes(10*time.Second, remaining)
 				fmt.Fprintf(&text, "target %v, inner %t, remaining %q: aim %v, deadline %v\n",
-					target, nested, remaining, r.targetDeadline, r.deadline)
+					target, nested, remaining, pending.targetDeadline, pending.deadline)
 			}
 		}
 	}
 	golden.Text(t, "times.txt", []byte(text.String()))
 }
 
-// The balancer's status for each outcome, as a number, and the response to an attempt for each reply or error of the call to the endpoint's
-// sidecar.
+// Fixes the number of the balancer's status for each outcome, and the response to an attempt for each reply or error of the call to the
+// endpoint's sidecar.
 func TestGoldenStatuses(t *testing.T) {
 	var text strings.Builder
 	for kind := outcome.Kind(0); kind <= outcome.EndpointReset+1; kind++ {
 		for _, code := range []int{0, 200, 404, 500} {
-			o := &inbound.ForwardResponse{Kind: kind, Status: code}
-			fmt.Fprintf(&text, "%s %d: %d, withdrawn: %d\n", kind, code, balancerStatus(o, false), balancerStatus(o, true))
+			response := &inbound.ForwardResponse{Kind: kind, Status: code}
+			fmt.Fprintf(&text, "%s %d: %d, withdrawn: %d\n", kind, code, balancerStatus(response, false), balancerStatus(response, true))
 		}
 	}
 	for _, test := range []struct {
@@ -346,9 +347,10 @@
 		{"lost, wrapped", nil, fmt.Errorf("wrapped: %w", &transport.ConnectionError{})},
 		{"another error", nil, errors.New("x")},
 	} {
-		o := parseResponse(test.body, test.err)
+		response := parseResponse(test.body, test.err)
 		fmt.Fprintf(&text, "%s: %s, status %d, arrived %t, work %v, slots %d, running %d, waiting %d\n",
-			test.name, o.Kind, o.Status, o.ReachedEndpoint, o.ServiceTime, o.Slots, o.Running, o.Waiting)
+			test.name, response.Kind, response.Status, response.ReachedEndpoint, response.ServiceTime,
+			response.Slots, response.Running, response.Waiting)
 	}
 	golden.Text(t, "statuses.txt", []byte(text.String()))
 }
--- a/internal/mesh/dataplane/outbound/network_test.go
+++ b/internal/mesh/dataplane/outbound/network_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// network carries connections in memory, for tests in virtual time: they can be reset at any byte, drop all bytes, and be suspended
-// with the node at one of their ends.
+// network is an in-memory network for tests in virtual time. Its connections can be reset at any byte, drop all bytes, or be suspended
+// along with the node at one of their ends.
 type network struct {
 	mu        sync.Mutex
 	random    *rand.Rand
@@ -19,7 +19,7 @@
 	faulty    bool
 }
 
-// node is a machine whose processes may be suspended.
+// node is a machine whose processes can be suspended.
 type node struct {
 	mu          sync.Mutex
 	frozenUntil time.Time
@@ -31,7 +31,7 @@
 	n.frozenUntil = time.Now().Add(d)
 }
 
-// wait returns once the node is not frozen.
+// wait waits until the node is not frozen.
 func (n *node) wait() {
 	for {
 		n.mu.Lock()
@@ -48,7 +48,7 @@
 	return &network{random: rand.New(rand.NewPCG(seed, 1)), listeners: map[string]*listener{}, nodes: map[string]*node{}, faulty: faulty}
 }
 
-// draw returns a random number below another.
+// draw returns a random number from 0 to below-1.
 func (n *network) draw(below int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,73 +83,73 @@
 func (n *network) dialLocal(address string) (net.Conn, error) {
 	listener := n.listenerAt(address)
 	if listener == nil {
-		return nil, errNobodyThere
+		return nil, errNoListener
 	}
 	near, far := net.Pipe()
 	listener.incoming <- far
 	return near, nil
 }
 
-// connectClient opens a client's connection to a node's sidecar.
+// connectClient opens a client's connection to a node's sidecar, without faults.
 func (n *network) connectClient(node string) net.Conn {
 	near, far := net.Pipe()
 	n.listenerAt(node + clientPort).incoming <- far
 	return near
 }
 
-// dial connects two nodes; an address is a node's name with a port.
+// dial connects two nodes. address is the name of the second node with a port. A faulty network may give the connection a random fault.
 func (n *network) dial(from, address string) (net.Conn, error) {
 	listener := n.listenerAt(address)
 	if listener == nil {
 		return nil, syscall.ECONNREFUSED
 	}
 	near, far := net.Pipe()
-	w := &wire{ends: [2]net.Conn{near, far}, left: -1}
+	connection := &wire{ends: [2]net.Conn{near, far}, bytesLeft: -1}
 	if n.faulty {
-		n.drawFault(w)
+		n.drawFault(connection)
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case listener.incoming <- &wireEnd{Conn: far, wire: w, node: n.node(host)}:
-		return &wireEnd{Conn: near, wire: w, node: n.node(from)}, nil
+	case listener.incoming <- &wireEnd{Conn: far, wire: connection, node: n.node(host)}:
+		return &wireEnd{Conn: near, wire: connection, node: n.node(from)}, nil
 	case <-listener.closed:
 		return nil, syscall.ECONNREFUSED
 	}
 }
 
-// drawFault draws the fault of a wire, if it is to have one.
+// drawFault gives a wire a random fault, or none.
 func (n *network) drawFault(w *wire) {
 	switch x := n.draw(100); {
 	case x < 25:
-		w.left = n.draw(3000)
+		w.bytesLeft = n.draw(3000)
 	case x < 45:
-		w.left = n.draw(300_000)
+		w.bytesLeft = n.draw(300_000)
 	case x < 55:
 		w.droppedFrom = time.Now().Add(time.Duration(n.draw(1500)) * time.Millisecond)
 	}
 }
 
-// wire is one connection with its faults.
+// wire is a connection between two nodes, with its faults.
 type wire struct {
 	ends        [2]net.Conn
 	mu          sync.Mutex
-	left        int       // bytes until it is reset; negative for never
-	droppedFrom time.Time // from then on all bytes are dropped; zero for never
+	bytesLeft   int       // number of bytes until the connection is reset; negative for never
+	droppedFrom time.Time // time from which all bytes are dropped; zero for never
 }
 
-// pass returns how many of n bytes may pass now, and whether they are dropped on the way.
+// pass accounts for n bytes to be sent. It returns how many of them may be sent, and whether they are dropped on the way.
 func (w *wire) pass(n int) (passed int, lost bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.droppedFrom.IsZero() && time.Now().After(w.droppedFrom) {
 		return n, true
 	}
-	if w.left >= 0 {
-		n = min(n, w.left)
-		w.left -= n
+	if w.bytesLeft >= 0 {
+		n = min(n, w.bytesLeft)
+		w.bytesLeft -= n
 	}
 	return n, false
 }
@@ -187,7 +187,7 @@
 	return n, err
 }
 
-// listener accepts the connections to an address of the network.
+// listener accepts connections to an address of the network.
 type listener struct {
 	address  string
 	incoming chan net.Conn
@@ -195,7 +195,7 @@
 	once     sync.Once
 }
 
-var errListenerClosed = errors.New("closed")
+var errListenerClosed = errors.New("listener is closed")
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
@@ -208,7 +208,7 @@
 
 func (l *listener) close() { l.once.Do(func() { close(l.closed) }) }
 
-// Close closes the listener; it may be closed already.
+// Close closes the listener. It may be called more than once.
 func (l *listener) Close() error {
 	l.close()
 	return nil
--- a/internal/mesh/dataplane/outbound/response_test.go
+++ b/internal/mesh/dataplane/outbound/response_test.go
@@ -14,7 +14,7 @@
 )
 
 // A request that was certainly not executed is reported to the balancer as one that never ran, whether or not the attempt was cancelled.
-// Only a lost link or a refused connection makes the balancer suspect the endpoint; otherwise the endpoint's own sidecar monitors its health.
+// Only a lost link or a refused connection makes the balancer suspect the endpoint, as the endpoint's own sidecar monitors its health.
 func TestEveryOutcomeIsReportedToTheBalancer(t *testing.T) {
 	for kind := outcome.Answered; kind <= outcome.EndpointReset; kind++ {
 		t.Run(kind.String(), func(t *testing.T) {
--- a/internal/mesh/dataplane/outbound/sidecar_test.go
+++ b/internal/mesh/dataplane/outbound/sidecar_test.go
@@ -33,14 +33,14 @@
 "serviceTable":[{"name":"s","healthPath":"/health","connectionCap":100,"protocol":"h1","tlsMode":false}],
 "limitSet":{"headerMaxBytes":16384,"bodyMaxBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}`
 
-// Ports of each node of the network.
+// The ports on each node of the network.
 const (
 	linkPort     = ":7"
 	clientPort   = ":8"
 	endpointPort = ":9"
 )
 
-var errNobodyThere = errors.New("nobody listens there")
+var errNoListener = errors.New("no listener at this address")
 
 // sidecar is one process of the data plane on a node of a network.
 type sidecar struct {
@@ -86,19 +86,19 @@
 
 func (s *sidecar) close() {
 	s.hub.Close()
-	_ = s.server.Close() // the listeners' errors, which have none
+	_ = s.server.Close() // returns only errors of closing listeners, and these listeners return none
 	for _, l := range s.listeners {
 		l.close()
 	}
 	s.serving.Wait()
 }
 
-// closeQuietly closes a connection that the other side may have closed, or reset, before.
+// closeQuietly closes a connection. It ignores the error, as the other side may have closed or reset the connection before.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
 
-// pair is a caller's sidecar a, and sidecar b with an endpoint that has no flaws, on a network without faults.
+// pair is a caller's sidecar a, and a sidecar b beside an endpoint without flaws, on a network without faults.
 type pair struct {
-	n        *network
+	testNet  *network
 	a, b     *sidecar
 	endpoint *flawedEndpoint
 }
@@ -106,14 +106,14 @@
 func startPair(t *testing.T) *pair {
 	t.Helper()
 	network := newNetwork(1, false)
-	started := &pair{n: network, a: startSidecar(t, network, "a", 1), b: startSidecar(t, network, "b", 2)}
+	started := &pair{testNet: network, a: startSidecar(t, network, "a", 1), b: startSidecar(t, network, "b", 2)}
 	started.endpoint = startEndpoint(network, "b"+endpointPort, "i-b", false)
 	started.b.inbound.UpdateEndpoint(admission.Endpoint{ID: "i-b", Service: "s", Slots: 3}, admission.Serving)
 	started.a.outbound.UpdateEndpoints("s", []discovery.Endpoint{servingEndpoint("i-b", "b", 3)})
 	return started
 }
 
-// servingEndpoint is an endpoint of service s behind a node's sidecar.
+// servingEndpoint returns an endpoint of service s, which is beside a node's sidecar.
 func servingEndpoint(id, node string, slots int) discovery.Endpoint {
 	return discovery.Endpoint{ID: id, Service: "s", SidecarAddress: node + linkPort, Zone: "z", State: discovery.Serving, Slots: slots}
 }
@@ -122,13 +122,13 @@
 	p.a.close()
 	p.b.close()
 	p.endpoint.close()
-	time.Sleep(time.Second) // of virtual time: what is left sees that it is closed
+	time.Sleep(time.Second) // lets the remaining goroutines end; takes no real time
 }
 
 // connect opens a client's connection to sidecar a.
-func (p *pair) connect() net.Conn { return p.n.connectClient("a") }
+func (p *pair) connect() net.Conn { return p.testNet.connectClient("a") }
 
-// ask sends a request and returns the status of its answer.
+// ask sends a request to sidecar a on a new connection, and returns the status of its answer.
 func (p *pair) ask(t *testing.T, method, id string, remaining time.Duration) int {
 	t.Helper()
 	conn := p.connect()
@@ -137,7 +137,7 @@
 		method, id, remaining.Milliseconds()))
 }
 
-// askOn sends a request on a connection and returns the status of its answer, whose body it reads.
+// askOn sends a request on a connection, reads the complete answer, and returns its status.
 func askOn(t *testing.T, conn net.Conn, method, request string) int {
 	t.Helper()
 	go func() { _, _ = io.WriteString(conn, request) }()
@@ -152,7 +152,7 @@
 // executions returns how often the endpoint has executed a request.
 func (p *pair) executions(id string) int { return p.endpoint.executions(id) }
 
-// startPeer starts the links of a sidecar b, whose methods the test declares.
+// startPeer starts only the hub of a sidecar b, on which the test registers methods.
 func startPeer(n *network) (peer *transport.Hub, stop func()) {
 	peer = transport.NewHub(transport.Hello{Incarnation: 2, Address: "b" + linkPort}, time.Now(), 1<<20, quietLog())
 	links := n.listen("b" + linkPort)
--- a/internal/mesh/dataplane/outbound/split_test.go
+++ b/internal/mesh/dataplane/outbound/split_test.go
@@ -11,9 +11,9 @@
 )
 
 // Twelve sidecars choose in turn the services of 300 requests of a route, each sidecar with a separate sequence. Every service must get its
-// share to within 3 in 100, and of each 100 requests of a single sidecar to within three requests. The sequences of the twelve sidecars
-// start at seeded points, as about one in 3,400 sets of twelve random points exceeds the bound by a request. The bound for a single sidecar holds
-// wherever its sequence starts, so that sequence starts at a random point, as in production.
+// share to within 3 in 100, and of each 100 requests of a single sidecar to within three requests. The twelve sequences start at seeded
+// points, as about one in 3,400 sets of twelve random points exceeds the bound by a request. The bound for a single sidecar holds wherever
+// its sequence starts, so that sequence starts at a random point, as in production.
 func TestServicesOfASplitRouteGetTheirShares(t *testing.T) {
 	c := qt.New(t)
 	route := &configuration.Route{Name: "r", Split: []configuration.WeightedService{
--- a/internal/mesh/dataplane/outbound/supersede_test.go
+++ b/internal/mesh/dataplane/outbound/supersede_test.go
@@ -19,23 +19,23 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// usualServiceTime is how long the endpoints of a slowRun take for all other attempts.
+// usualServiceTime is the service time of all attempts in a slowRun except for the first attempt of the slow request.
 const usualServiceTime = 20 * time.Millisecond
 
-// slowRun is a run in which endpoints answer within usualServiceTime, except for the first attempt of one request, the slow one.
+// slowRun is a run in which endpoints answer within usualServiceTime, except for the first attempt of one request, the slow request.
 type slowRun struct {
-	length time.Duration           // service time of the first attempt
-	second inbound.ForwardResponse // to the second attempt, after usualServiceTime
+	slowServiceTime time.Duration           // service time of the slow request's first attempt
+	hedgeResponse   inbound.ForwardResponse // response to the slow request's later attempts, after usualServiceTime
 
-	n      *network
-	caller *sidecar
+	testNet *network
+	caller  *sidecar
 
 	mu          sync.Mutex
-	sent        int           // attempts of the slow request
-	cancelledAt time.Duration // when its first attempt was cancelled; 0 for never
+	sent        int           // number of attempts of the slow request
+	cancelledAt time.Duration // time at which the slow request's first attempt was cancelled; 0 for never
 
-	status int           // of the client's answer to the slow request; 0 for none
-	after  time.Duration // from the request to the answer
+	status  int           // status of the client's answer to the slow request; 0 for none
+	elapsed time.Duration // time from sending the slow request until its answer
 }
 
 // serve answers the attempts that reach the endpoints' sidecar.
@@ -51,10 +51,10 @@
 	defer s.mu.Unlock()
 	s.sent++
 	if s.sent > 1 {
-		time.AfterFunc(usualServiceTime, func() { call.Reply(&s.second) })
+		time.AfterFunc(usualServiceTime, func() { call.Reply(&s.hedgeResponse) })
 		return
 	}
-	timer := time.AfterFunc(s.length, func() { call.Reply(servedResponse()) })
+	timer := time.AfterFunc(s.slowServiceTime, func() { call.Reply(servedResponse()) })
 	call.OnCancel(func() {
 		s.mu.Lock()
 		s.cancelledAt = s.caller.hub.Now()
@@ -64,12 +64,12 @@
 	})
 }
 
-// play runs the slow request amid others.
+// play sends the slow request while other requests are being served.
 func (s *slowRun) play(t *testing.T) {
 	t.Helper()
-	s.n = newNetwork(1, false)
-	s.caller = startSidecar(t, s.n, "a", 1)
-	peer, stopPeer := startPeer(s.n)
+	s.testNet = newNetwork(1, false)
+	s.caller = startSidecar(t, s.testNet, "a", 1)
+	peer, stopPeer := startPeer(s.testNet)
 	defer func() {
 		s.caller.close()
 		stopPeer()
@@ -87,13 +87,13 @@
 	time.Sleep(4 * time.Second)
 	began := s.caller.hub.Now()
 	s.status = s.ask("slow")
-	s.after = s.caller.hub.Now() - began
+	s.elapsed = s.caller.hub.Now() - began
 	time.Sleep(time.Second)
 	close(stop)
 	others.Wait()
 }
 
-// sendOthers sends requests one after another, and ignores the answers.
+// sendOthers sends requests one after another until stop is closed, and ignores the answers.
 func (s *slowRun) sendOthers(client int, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -108,7 +108,7 @@
 
 // ask sends an idempotent request, and returns the status of its answer; 0 for none.
 func (s *slowRun) ask(id string) int {
-	conn := s.n.connectClient("a")
+	conn := s.testNet.connectClient("a")
 	defer closeQuietly(conn)
 	request := fmt.Sprintf("GET /idempotent/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Remaining: 1900\r\n\r\n", id)
 	go func() { _, _ = io.WriteString(conn, request) }()
@@ -120,36 +120,37 @@
 	return response.StatusCode
 }
 
-// A request whose endpoint takes long is hedged. The first attempt goes on: it is cancelled when the client has an answer, and is the
-// answer if the hedged one is rejected.
+// A request whose endpoint takes long is hedged by a second attempt, while the first attempt continues. If the hedge is served, the first
+// attempt is cancelled once the client has the answer. If the hedge is rejected or reset, the client gets the answer to the first attempt.
 func TestARepeatDoesNotCostTheAttemptBefore(t *testing.T) {
-	t.Run("the hedged one is rejected", func(t *testing.T) {
+	t.Run("the hedge is rejected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			run := &slowRun{length: 800 * time.Millisecond, second: inbound.ForwardResponse{Kind: outcome.AtCapacity}}
+			run := &slowRun{slowServiceTime: 800 * time.Millisecond, hedgeResponse: inbound.ForwardResponse{Kind: outcome.AtCapacity}}
 			run.play(t)
-			c.Check(run.sent > 1, qt.IsTrue, qt.Commentf("it is repeated: sent %d times", run.sent))
+			c.Check(run.sent > 1, qt.IsTrue, qt.Commentf("the slow request was sent %d times, want more than once", run.sent))
 			c.Check(run.status, qt.Equals, 200)
 			c.Check(run.cancelledAt, qt.Equals, time.Duration(0))
-			c.Check(run.after >= run.length && run.after < run.length+100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", run.after))
+			c.Check(run.elapsed >= run.slowServiceTime && run.elapsed < run.slowServiceTime+100*time.Millisecond, qt.IsTrue,
+				qt.Commentf("answered after %v, want the first attempt's service time %v and up to 100ms more", run.elapsed, run.slowServiceTime))
 		})
 	})
-	t.Run("the hedged one is served first", func(t *testing.T) {
+	t.Run("the hedge is served first", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			run := &slowRun{length: 1800 * time.Millisecond, second: *servedResponse()}
+			run := &slowRun{slowServiceTime: 1800 * time.Millisecond, hedgeResponse: *servedResponse()}
 			run.play(t)
 			c.Check(run.sent, qt.Equals, 2)
 			c.Check(run.status, qt.Equals, 200)
-			c.Check(run.after < 800*time.Millisecond, qt.IsTrue, qt.Commentf("%v", run.after))
+			c.Check(run.elapsed < 800*time.Millisecond, qt.IsTrue, qt.Commentf("answered after %v, want less than 800ms", run.elapsed))
 			c.Check(run.cancelledAt > 0, qt.IsTrue)
 		})
 	})
-	t.Run("the hedged one is reset", func(t *testing.T) {
+	t.Run("the hedge is reset", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			second := inbound.ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true}
-			run := &slowRun{length: 800 * time.Millisecond, second: second}
+			hedgeResponse := inbound.ForwardResponse{Kind: outcome.EndpointReset, ReachedEndpoint: true}
+			run := &slowRun{slowServiceTime: 800 * time.Millisecond, hedgeResponse: hedgeResponse}
 			run.play(t)
 			c.Check(run.sent > 1, qt.IsTrue)
 			c.Check(run.status, qt.Equals, 200)
