--- a/internal/mesh/dataplane/admission/doc.go
+++ b/internal/mesh/dataplane/admission/doc.go
@@ -16,8 +16,8 @@
 // An endpoint ID never returns to an earlier state. An endpoint with another ID, which is a later start of the process, begins in the
 // state in which it is first reported; the requests queued for its predecessor are rejected.
 //
-// The queue is ordered by nested calls first, then by priority, then by arrival. A request that is not expected to start in time, by the
-// mean service time, is shed at once; one whose deadline passes while it is queued is rejected by Expire.
+// The queue is ordered by nested calls first, then by priority, then by arrival. A request that is not expected to start in time, given the
+// mean service time, is shed at once; a request whose deadline passes while it is queued is rejected by Expire.
 //
 // Times are durations on a monotonic clock that the caller chooses; the caller passes the current time to each method. The package does no
 // I/O, starts no goroutines and takes no locks.
--- a/internal/mesh/dataplane/outbound/call_bench_test.go
+++ b/internal/mesh/dataplane/outbound/call_bench_test.go
@@ -51,7 +51,7 @@
 	return l
 }
 
-// startHub starts a hub that accepts links on loopback. It calls declare to register methods before.
+// startHub starts a hub that accepts links on loopback. It first calls declare, which registers methods.
 func startHub(b *testing.B, log *logrus.Logger, incarnation uint64, declare func(hub *transport.Hub)) (hub *transport.Hub, address string) {
 	b.Helper()
 	l := listen(b)
--- a/internal/mesh/dataplane/outbound/request.go
+++ b/internal/mesh/dataplane/outbound/request.go
@@ -22,7 +22,7 @@
 	concluded      bool          // whether the balancer has given up the request
 	retryAfter     time.Duration // time after which the client should retry a concluded request, according to the balancer
 	answered       bool          // whether the result was sent on results
-	expired        bool          // whether the request ended because its deadline was near, its client had gone or this process shut down
+	expired        bool          // whether the request ended because its deadline was near, its client disconnected or this process shut down
 	results        chan result   // channel for the request's only result, with a buffer for it
 
 	bodyBytes       int64         // bytes of the request's body that are counted in Proxy.bodyBytes
--- a/internal/mesh/dataplane/outcome/outcome.go
+++ b/internal/mesh/dataplane/outcome/outcome.go
@@ -64,7 +64,7 @@
 	// EndsAttempt states that an attempt can have this outcome. The other kinds are outcomes of requests that were sent to no endpoint.
 	EndsAttempt bool
 
-	// RetryAfter is the minimum time that a rejected client should wait before it retries; 0 if it is given no such time.
+	// RetryAfter is the minimum time that a rejected client should wait before it retries; 0 for kinds without a Retry-After.
 	RetryAfter time.Duration
 }
 
@@ -116,5 +116,5 @@
 // NotExecuted reports whether it is certain that no endpoint has executed, or will execute, a request with this outcome.
 func (k Kind) NotExecuted() bool { return k.Entry().NotExecuted }
 
-// RetryAfter returns the minimum time that a rejected client should wait before it retries; 0 if it is given no such time.
+// RetryAfter returns the minimum time that a rejected client should wait before it retries; 0 for kinds without a Retry-After.
 func (k Kind) RetryAfter() time.Duration { return k.Entry().RetryAfter }
