--- a/internal/mesh/discovery/endpoint.go
+++ b/internal/mesh/discovery/endpoint.go
@@ -6,37 +6,37 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// State of an endpoint; a worse one is higher. Its values are data on the wire.
+// State is the state of an endpoint. Worse states have higher values. The values are part of the wire format.
 type State uint8
 
 const (
-	// Serving endpoints take requests.
+	// Serving endpoints accept requests.
 	Serving State = 0
-	// Draining endpoints will end soon, and take no new requests.
+	// Draining endpoints will end soon, and accept no new requests.
 	Draining State = 1
-	// Crashed endpoints have ended without announcing it, as far as is known: a newer keepalive brings them back.
+	// Crashed endpoints are presumed to have ended without reporting it. A newer keepalive restores them.
 	Crashed State = 2
-	// Deregistered endpoints have announced their end or were superseded. They never come back.
+	// Deregistered endpoints have reported their end or were superseded. They are never restored.
 	Deregistered State = 3
 )
 
-// Endpoint is the record of one run of an endpoint, as it is sent.
+// Endpoint is the record of one run of an endpoint, as it is sent to other processes.
 type Endpoint struct {
-	ID                 string // new at each start of the endpoint
+	ID                 string // identifies one run of the endpoint; new at each start
 	Service            string
-	SidecarAddress     string // ip:port of the sidecar beside it
+	SidecarAddress     string // ip:port of the sidecar beside the endpoint
 	SidecarIncarnation uint64
-	AppAddress         string // its own ip:port
+	AppAddress         string // ip:port of the endpoint
 	Zone               string
-	Slots              int // requests that it works on at a time
+	Slots              int // number of requests that the endpoint processes concurrently
 	State              State
-	WarmupRemaining    time.Duration // what is left of its slow start when the record is sent
-	Sequence           uint64        // callSequence of the newest keepalive that the record is based on
-	Revision           uint64        // counts the changes, beyond Sequence, of all records of its publisher
-	LeaseRemaining     time.Duration // what is left of the record's lease when it is sent
+	WarmupRemaining    time.Duration // remaining time of the endpoint's slow start when the record is sent
+	Sequence           uint64        // callSequence of the newest keepalive on which the record is based
+	Revision           uint64        // number of changes so far to all records of the publisher, not counting changes of Sequence
+	LeaseRemaining     time.Duration // remaining time of the record's lease when the record is sent
 }
 
-// Fields implements codec.Message. An unknown state, of a newer release, is read as Deregistered, the worst.
+// Fields implements codec.Message. An unknown state, which a newer release may send, is read as Deregistered, the worst state.
 func (e *Endpoint) Fields(v *codec.Visitor) {
 	v.String(1, &e.ID)
 	v.String(2, &e.Service)
@@ -54,5 +54,5 @@
 	v.Duration(12, &e.LeaseRemaining)
 }
 
-// hasEnded reports whether an endpoint in the state has ended.
+// hasEnded reports whether an endpoint in this state has ended.
 func (s State) hasEnded() bool { return s >= Crashed }
--- a/internal/mesh/discovery/example_test.go
+++ b/internal/mesh/discovery/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// A publisher announces its endpoint to the registry owner until that is acknowledged, and renews its lease.
+// A publisher announces its endpoint to the registry owner until the owner acknowledges that, and renews the lease.
 func ExamplePublisher() {
 	p := discovery.NewPublisher(discovery.Config{})
 	p.SetOwners([]string{"10.0.0.9:7400"})
@@ -28,7 +28,7 @@
 	// due after a third of the lease: 1
 }
 
-// A lease that isn't renewed expires: the endpoint is taken for crashed, and remembered in that state for a while.
+// A lease that isn't renewed expires. The endpoint is then presumed crashed, and retained in that state for TombstoneRetention.
 func ExampleRegistry() {
 	r := discovery.NewRegistry(discovery.Config{})
 	r.Apply(0, discovery.Endpoint{ID: "i-1", Service: "checkout", Sequence: 1, LeaseRemaining: 2 * time.Second})
@@ -45,7 +45,7 @@
 	// 1 changed since version 1; nothing is missing: true
 }
 
-// A subscriber requests the records that have changed since the version that it has.
+// A subscriber requests the records that have changed since the last version that it received.
 func ExampleSubscription() {
 	owner := discovery.RegistryOwner{Address: "10.0.0.9:7400", Incarnation: 1}
 	s := discovery.NewSubscription(discovery.Config{})
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -15,7 +15,8 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// An endpoint with a value in each field is marshaled to the bytes that other releases send, and these are unmarshaled to the endpoint.
+// An endpoint with a value in each field, and an empty one, are marshaled to the bytes that other releases send, and these bytes are
+// unmarshaled to the same endpoint.
 func TestGoldenEndpoint(t *testing.T) {
 	for name, value := range map[string]Endpoint{
 		"endpoint.hex": {
@@ -43,7 +44,7 @@
 	}
 }
 
-// The states are numbers on the wire. An unknown one, which a newer release may add, is read as the worst.
+// States are encoded as numbers. An unknown number, which a newer release may send, is read as Deregistered, the worst state.
 func TestGoldenStates(t *testing.T) {
 	qt.Check(t, []State{Serving, Draining, Crashed, Deregistered}, qt.DeepEquals, []State{0, 1, 2, 3})
 	read := Endpoint{}
@@ -53,47 +54,47 @@
 	qt.Check(t, read.State, qt.Equals, Deregistered)
 }
 
-// schedule runs a publisher for each of three sidecars, a registry at each of three owners, and one subscriber, in virtual time with random
-// events. It computes a digest of everything that they return, in order.
-type schedule struct {
-	rng          *rand.Rand
-	now          time.Duration
-	sum          hash.Hash
-	owners       []string // addresses, which are part of the digests
-	registries   map[string]*Registry
-	subscribers  map[string]*Subscribers
-	callers      *Registry // the subscriber's
-	subscription *Subscription
-	publishers   []*Publisher    // by sidecar, as are the next two
-	newest       []Endpoint      // the sidecar's endpoint
-	pausedUntil  []time.Duration // the publisher sends nothing before that
-	sends        int
-	expired      int
+// simulation runs a publisher for each of three sidecars, a registry at each of three owners, and one subscriber, in virtual time with
+// random events. It computes a digest of everything that they return, in order.
+type simulation struct {
+	rng            *rand.Rand
+	now            time.Duration
+	digest         hash.Hash
+	owners         []string // addresses of the owners, which are part of the digest
+	registries     map[string]*Registry
+	subscribers    map[string]*Subscribers
+	callerRegistry *Registry // registry of the subscriber
+	subscription   *Subscription
+	publishers     []*Publisher    // publisher of each sidecar
+	endpoints      []Endpoint      // newest endpoint of each sidecar
+	pausedUntil    []time.Duration // time until which the publisher of each sidecar sends nothing
+	sentCount      int
+	expiredCount   int
 }
 
-// scheduleService is the service of all endpoints.
-const scheduleService = "s"
+// simulatedService is the service of all endpoints.
+const simulatedService = "s"
 
-// newSchedule returns a schedule in which each sidecar has started an endpoint.
-func newSchedule(seed uint64) *schedule {
-	s := &schedule{
-		rng:          rand.New(rand.NewPCG(seed, 7)),
-		sum:          sha256.New(),
-		owners:       []string{"home-a", "home-b", "home-c"},
-		registries:   map[string]*Registry{},
-		subscribers:  map[string]*Subscribers{},
-		callers:      NewRegistry(Config{}),
-		subscription: NewSubscription(Config{}),
+// newSimulation returns a simulation in which each sidecar has started an endpoint.
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{
+		rng:            rand.New(rand.NewPCG(seed, 7)),
+		digest:         sha256.New(),
+		owners:         []string{"home-a", "home-b", "home-c"},
+		registries:     map[string]*Registry{},
+		subscribers:    map[string]*Subscribers{},
+		callerRegistry: NewRegistry(Config{}),
+		subscription:   NewSubscription(Config{}),
 	}
 	var owners []RegistryOwner
-	for i, h := range s.owners {
-		s.registries[h], s.subscribers[h] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
-		owners = append(owners, RegistryOwner{Address: h, Incarnation: uint64(i + 1)})
+	for i, address := range s.owners {
+		s.registries[address], s.subscribers[address] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
+		owners = append(owners, RegistryOwner{Address: address, Incarnation: uint64(i + 1)})
 	}
-	s.subscription.SetOwners(scheduleService, owners)
+	s.subscription.SetOwners(simulatedService, owners)
 	for i := range 3 {
 		s.publishers = append(s.publishers, NewPublisher(Config{}))
-		s.newest = append(s.newest, Endpoint{})
+		s.endpoints = append(s.endpoints, Endpoint{})
 		s.pausedUntil = append(s.pausedUntil, 0)
 		s.publishers[i].SetOwners(s.owners[:2])
 		s.restart(i)
@@ -101,23 +102,23 @@
 	return s
 }
 
-// note adds values to the digest.
-func (s *schedule) note(what string, values ...any) {
-	s.sum.Write(fmt.Appendln(nil, s.now, what, values))
+// addValues adds values to the digest.
+func (s *simulation) addValues(what string, values ...any) {
+	s.digest.Write(fmt.Appendln(nil, s.now, what, values))
 }
 
-// noteEndpoints adds endpoints to the digest.
-func (s *schedule) noteEndpoints(what string, all []Endpoint) {
+// addEndpoints adds endpoints to the digest.
+func (s *simulation) addEndpoints(what string, all []Endpoint) {
 	for i := range all {
-		s.note(what, codec.MarshalAppend(nil, &all[i]))
+		s.addValues(what, codec.MarshalAppend(nil, &all[i]))
 	}
 }
 
-// restart starts a new endpoint in place of a sidecar's last one.
-func (s *schedule) restart(i int) {
-	s.newest[i] = Endpoint{
+// restart starts a new endpoint that replaces a sidecar's last one.
+func (s *simulation) restart(i int) {
+	s.endpoints[i] = Endpoint{
 		ID:                 fmt.Sprintf("%d-%x", i, s.rng.Uint64()),
-		Service:            scheduleService,
+		Service:            simulatedService,
 		SidecarAddress:     fmt.Sprintf("10.0.0.%d:1", i),
 		SidecarIncarnation: uint64(i / 2),
 		AppAddress:         fmt.Sprintf("10.0.0.%d:8080", i/2),
@@ -126,13 +127,13 @@
 		WarmupRemaining:    time.Duration(s.rng.IntN(3000)) * time.Millisecond,
 		Sequence:           1,
 	}
-	s.publishers[i].Set(s.now, s.newest[i])
+	s.publishers[i].Set(s.now, s.endpoints[i])
 }
 
-// event draws an event, and the sidecar and the owner that it happens to.
-func (s *schedule) event() {
+// event causes a random event at a random sidecar or owner.
+func (s *simulation) event() {
 	sidecar := s.rng.IntN(len(s.publishers))
-	publisher, endpoint := s.publishers[sidecar], &s.newest[sidecar]
+	publisher, endpoint := s.publishers[sidecar], &s.endpoints[sidecar]
 	owner := s.owners[s.rng.IntN(len(s.owners))]
 	switch s.rng.IntN(16) {
 	case 0:
@@ -162,43 +163,43 @@
 	}
 }
 
-// deliver sends the announcements and requests that are due. It loses some of them, and some of the answers.
-func (s *schedule) deliver() {
+// deliver sends the announcements and requests that are due. It drops a random part of them and of the acknowledgements.
+func (s *simulation) deliver() {
 	for i, publisher := range s.publishers {
 		if s.now < s.pausedUntil[i] {
 			continue
 		}
 		for _, due := range publisher.Tick(s.now) {
-			s.sends++
-			s.noteEndpoints("send "+due.To, []Endpoint{due.Endpoint})
+			s.sentCount++
+			s.addEndpoints("send "+due.To, []Endpoint{due.Endpoint})
 			if s.rng.IntN(4) == 0 {
 				continue
 			}
-			s.note("apply", s.registries[due.To].Apply(s.now, due.Endpoint), s.registries[due.To].Version())
+			s.addValues("apply", s.registries[due.To].Apply(s.now, due.Endpoint), s.registries[due.To].Version())
 			if s.rng.IntN(4) > 0 {
 				publisher.Acknowledged(due.To, due.Endpoint.ID, due.Endpoint.Revision)
 			}
-			s.note("confirmed", publisher.AcknowledgedElsewhere(due.Endpoint.ID, s.owners[0]))
+			s.addValues("confirmed", publisher.AcknowledgedElsewhere(due.Endpoint.ID, s.owners[0]))
 		}
 	}
 	for _, request := range s.subscription.Tick(s.now) {
-		s.note("ask", request.To, request.Incarnation, request.Service, request.SinceVersion)
+		s.addValues("ask", request.To, request.Incarnation, request.Service, request.SinceVersion)
 		if s.rng.IntN(4) == 0 {
 			continue
 		}
 		s.subscribers[request.To].Renew(s.now, request.Service, "caller")
 		changed, version, ok := s.registries[request.To].ChangedSince(s.now, request.Service, request.SinceVersion)
-		s.note("since", version, ok)
-		s.noteEndpoints("changed", changed)
+		s.addValues("since", version, ok)
+		s.addEndpoints("changed", changed)
 		for _, e := range changed {
-			s.note("take", s.callers.Apply(s.now, e))
+			s.addValues("take", s.callerRegistry.Apply(s.now, e))
 		}
 		s.subscription.Received(s.now, RegistryOwner{Address: request.To, Incarnation: request.Incarnation}, request.Service, version)
 	}
 }
 
-// step advances the time by half a second.
-func (s *schedule) step() {
+// step advances the time by half a second, and adds the results of all parts to the digest.
+func (s *simulation) step() {
 	s.now += 500 * time.Millisecond
 	if s.rng.IntN(3) == 0 {
 		s.event()
@@ -206,29 +207,30 @@
 	s.deliver()
 	for _, owner := range s.owners {
 		changed := s.registries[owner].Expire(s.now)
-		s.expired += len(changed)
-		s.noteEndpoints("expired at "+owner, changed)
-		s.note("notify", s.subscribers[owner].Active(s.now, scheduleService))
+		s.expiredCount += len(changed)
+		s.addEndpoints("expired at "+owner, changed)
+		s.addValues("notify", s.subscribers[owner].Active(s.now, simulatedService))
 	}
-	s.noteEndpoints("expired here", s.callers.Expire(s.now))
-	s.noteEndpoints("list", s.callers.List(s.now, scheduleService))
-	s.noteEndpoints("all", s.callers.All(s.now))
-	for i := range s.newest {
-		e, ok := s.callers.EndpointAt(s.now, s.newest[i].AppAddress)
-		s.note("at", codec.MarshalAppend(nil, &e), ok)
+	s.addEndpoints("expired here", s.callerRegistry.Expire(s.now))
+	s.addEndpoints("list", s.callerRegistry.List(s.now, simulatedService))
+	s.addEndpoints("all", s.callerRegistry.All(s.now))
+	for i := range s.endpoints {
+		e, ok := s.callerRegistry.EndpointAt(s.now, s.endpoints[i].AppAddress)
+		s.addValues("at", codec.MarshalAppend(nil, &e), ok)
 	}
 }
 
-// The same seed gives the same run: the same announcements, requests, changes and expiries, in the same order.
+// A run depends only on its seed: the announcements, requests, changes and expiries, and their order, must equal those in the golden
+// file.
 func TestGoldenSchedules(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(4) {
-		s := newSchedule(seed)
+		s := newSimulation(seed)
 		for i := range 400 {
 			s.step()
 			if i%80 == 79 {
 				fmt.Fprintf(&text, "seed %d at %v: %d sent, %d expired, version %d, %x\n",
-					seed, s.now, s.sends, s.expired, s.callers.Version(), s.sum.Sum(nil)[:12])
+					seed, s.now, s.sentCount, s.expiredCount, s.callerRegistry.Version(), s.digest.Sum(nil)[:12])
 			}
 		}
 	}
--- a/internal/mesh/discovery/membership/agreement.go
+++ b/internal/mesh/discovery/membership/agreement.go
@@ -8,31 +8,32 @@
 const (
 	// agreementAgeUnit is the unit of the ages in Shuffle.AgreementAges.
 	agreementAgeUnit = 500 * time.Millisecond
-	// unknownAgreementAge stands for a zone of which no agreement is known, and for all higher ages.
+	// unknownAgreementAge is the age for a zone without a known agreement, and for any age too high to encode.
 	unknownAgreementAge = 255
 )
 
-// agreement records whether peers know the same members as a view, and caches what is computed from the set of members.
+// agreement records whether peers know the same members as a view, and caches values that are computed from the set of members.
 type agreement struct {
-	lastAgreed   time.Duration            // last time that a peer's digests were equal to the own ones; 0 for never
-	lastDiffered time.Duration            // last time that they differed, or that a connection broke
-	zoneAgreedAt map[string]time.Duration // by zone, the last time that its members are known to have agreed on the members of the zone
-	changeCount  uint64                   // arrivals, departures and changes of records
-	monitorTurn  int                      // counts the regular shuffles while the view is quiet
+	lastAgreed   time.Duration            // last time that a peer had the same digests; 0 for never
+	lastDiffered time.Duration            // last time that a peer had other digests, or that a connection broke
+	zoneAgreedAt map[string]time.Duration // by zone: last time that its members are known to have agreed on the zone's members
+	changeCount  uint64                   // number of arrivals, departures and changes of records
+	monitorTurn  int                      // number of regular shuffles sent while the view was quiet
 
-	current      bool     // the fields below belong to the present members (refreshAgreement)
-	zoneDigest   uint64   // see digests
-	sharedDigest uint64   // see digests
-	zones        []string // that have members, sorted
-	monitored    []*entry // see addMonitored
+	cacheValid   bool     // the fields below were computed from the current members (refreshAgreement)
+	zoneDigest   uint64   // digest of the members of this process's zone
+	sharedDigest uint64   // digest of the members that every view must hold
+	zones        []string // zones that have members, sorted
+	monitored    []*entry // members that addMonitored has selected
 }
 
-// newAgreement returns the agreement of a view that has not heard from any peer.
+// newAgreement returns the agreement of a view that has not received any shuffle.
 func newAgreement() agreement {
 	return agreement{zoneAgreedAt: map[string]time.Duration{}, lastDiffered: longAgo}
 }
 
-// nextMonitored returns a monitored member at every other call, each of them in turn; else nil, so that other members have their turn.
+// nextMonitored returns the monitored members in turn, one at every other call. At the calls between it returns nil, so that other members
+// are contacted as well.
 func (a *agreement) nextMonitored() *entry {
 	a.monitorTurn++
 	if a.monitorTurn%2 != 0 || len(a.monitored) == 0 {
@@ -41,14 +42,14 @@
 	return a.monitored[a.monitorTurn/2%len(a.monitored)]
 }
 
-// refreshAgreement computes what depends on the set of members, if that has changed. A digest is the sum of the members' hashes, and so
-// doesn't depend on their order.
+// refreshAgreement recomputes the values that depend on the set of members, if the set has changed. A digest is the sum of the members'
+// hashes, so it doesn't depend on their order.
 func (v *View) refreshAgreement() {
 	a := &v.agreement
-	if a.current {
+	if a.cacheValid {
 		return
 	}
-	a.current = true
+	a.cacheValid = true
 	eligible := v.eligibleOwners()
 	ofOwnZone := filterEntries(v.table.hashOrder, func(e *entry) bool { return e.Zone == v.self.Zone })
 	a.zoneDigest = sumHashes(ofOwnZone, func(*entry) bool { return true })
@@ -60,17 +61,17 @@
 	v.addMonitored(eligible)
 }
 
-// sumHashes returns the sum of the hashes of the entries for which among is true.
-func sumHashes(all []*entry, among func(*entry) bool) (sum uint64) {
+// sumHashes returns the sum of the hashes of the entries for which among returns true.
+func sumHashes(all []*entry, include func(*entry) bool) (sum uint64) {
 	for _, e := range all {
-		if among(e) {
+		if include(e) {
 			sum += e.hash
 		}
 	}
 	return sum
 }
 
-// zonesOf returns the zones of members, sorted and without duplicates. It uses the memory of zones, which is empty.
+// zonesOf returns the zones of members, sorted and without duplicates. It appends to zones, an empty slice whose memory is reused.
 func zonesOf(all []*entry, zones []string) []string {
 	known := map[string]bool{}
 	for _, e := range all {
@@ -83,7 +84,7 @@
 	return zones
 }
 
-// addMonitored monitors the MonitoredPeers members that follow this process in a list, which is treated as a ring.
+// addMonitored adds the MonitoredPeers members that follow this process in a list, treated as a ring, to the monitored members.
 func (v *View) addMonitored(ring []*entry) {
 	self := slices.IndexFunc(ring, func(e *entry) bool { return e.Incarnation == v.self.Incarnation })
 	if self < 0 {
@@ -96,15 +97,15 @@
 	}
 }
 
-// digests returns the digest of the members of the own zone, and that of the members that every view is to hold: the core members and
-// the eligible owners of registries.
+// digests returns the digest of the members of this process's zone, and the digest of the members that every view must hold: the core
+// members and the eligible registry owners.
 func (v *View) digests() (zone, shared uint64) {
 	v.refreshAgreement()
 	return v.agreement.zoneDigest, v.agreement.sharedDigest
 }
 
-// agreementAges returns, for Shuffle.AgreementAges, how long ago the members of each zone last agreed, as far as is known: in units of
-// agreementAgeUnit, rounded up.
+// agreementAges returns the value of Shuffle.AgreementAges: for each zone, the time since its members last agreed as far as this process
+// knows, in units of agreementAgeUnit, rounded up.
 func (v *View) agreementAges(now time.Duration) []byte {
 	v.refreshAgreement()
 	ages := make([]byte, len(v.agreement.zones))
@@ -118,14 +119,14 @@
 	return ages
 }
 
-// compareDigests reports whether a peer knows the same members, by the digests of its shuffle. If so, the members of the peer's zone are
-// taken for alive now, and those of other zones as lately as the peer reports.
+// compareDigests compares the digests of a peer's shuffle with those of this view, and reports whether the peer knows the same members. If
+// so, the members of the peer's zone count as alive now, and those of other zones as alive at the times that the peer reports.
 func (v *View) compareDigests(now time.Duration, s *Shuffle) bool {
 	zone, shared := v.digests()
 	sameZone := s.From.Zone == v.self.Zone
 	if s.SharedDigest != shared || sameZone && s.ZoneDigest != zone {
 		if e := v.table.byIncarnation[s.From.Incarnation]; e != nil && s.Reply && v.isQuiet(now) {
-			e.lastContacted = longAgo // it was sent a brief shuffle: the next one is for this peer, and carries what it lacks
+			e.lastContacted = longAgo // the peer got a brief shuffle, so it is contacted next and is sent the members it lacks
 		}
 		v.noteDifference(now)
 		return false
@@ -135,8 +136,8 @@
 	return true
 }
 
-// mergeAgreementAges merges the agreement ages of a peer that agrees. They can be read only if its list of zones is as long as the own
-// one.
+// mergeAgreementAges merges the agreement ages of a peer that knows the same members. The ages carry no zone names, so they are used only
+// if there are as many of them as zones known here.
 func (v *View) mergeAgreementAges(now time.Duration, s *Shuffle) {
 	a := &v.agreement
 	for i, zone := range a.zones {
--- a/internal/mesh/discovery/membership/bench_test.go
+++ b/internal/mesh/discovery/membership/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkQuiet reports the bytes and messages per member and second, in virtual time, from 15 s after all members have joined, and the
-// CPU time per member and second that the simulation takes.
+// BenchmarkQuiet reports the bytes and messages per member and second of virtual time, measured from 15 s after all members have joined,
+// and the CPU time per member and virtual second that the simulation takes.
 func BenchmarkQuiet(b *testing.B) {
 	sizes := []fleetSize{
 		{members: 18, cores: 1, seeds: 3, zones: zoneNames(4)},
--- a/internal/mesh/discovery/membership/example_test.go
+++ b/internal/mesh/discovery/membership/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/mesh/discovery/membership"
 )
 
-// Two processes find each other through a seed. The program that uses a View sends its shuffles and passes it the time.
+// Two processes find each other through a seed. The program that uses a View sends the view's shuffles and passes it the current time.
 func ExampleView() {
 	newView := func(incarnation uint64, address string) *membership.View {
 		self := membership.Member{Incarnation: incarnation, Address: address, Zone: "zone-a"}
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	linkIdleTimeout = 30 * time.Second       // after which an unused connection is closed
-	linkPingTimeout = 3 * time.Second        // after which a connection breaks whose pings aren't answered
-	messageDelay    = time.Millisecond       // that a message takes
-	connectTimeout  = time.Second            // until a message to a process that can't be reached fails
-	checkInterval   = 100 * time.Millisecond // between two checks of a condition that a test waits for
+	linkIdleTimeout = 30 * time.Second       // time after which an unused connection is closed
+	linkPingTimeout = 3 * time.Second        // time after which a connection breaks if its pings aren't answered
+	messageDelay    = time.Millisecond       // transit time of a message
+	connectTimeout  = time.Second            // time after which a message to an unreachable process fails
+	checkInterval   = 100 * time.Millisecond // time between two checks of a condition that a test waits for
 )
 
-// fleet simulates members in virtual time. A process that has sent a shuffle to another keeps the connection. The connection breaks at
-// once if the other process ends while its machine goes on, as in a restart, and after linkPingTimeout if the machine doesn't respond. A
-// seed always gives the same run.
+// fleet simulates members in virtual time. A process that has sent a shuffle to another one keeps the connection open. The connection
+// breaks immediately if the other process ends while its machine continues to run, as in a restart, and after linkPingTimeout if the
+// machine doesn't respond. The same seed always gives the same run.
 type fleet struct {
 	t           testing.TB
 	rng         *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	scheduled   int              // number of events so far
-	nodes       map[string]*node // the newest at each address
-	order       []*node          // by address, in the order in which the addresses were first used
+	scheduled   int              // number of events scheduled so far
+	nodes       map[string]*node // newest node at each address
+	order       []*node          // newest node at each address, in the order of the first use of the addresses
 	seeds       []string
 	partition   func(a, b *node) bool // reports whether two nodes can't reach each other
-	partitionAt time.Duration         // when the partition began
+	partitionAt time.Duration         // time at which the partition began
 	traffic     traffic
 
 	// Hooks, which may be nil.
@@ -46,23 +46,23 @@
 type traffic struct {
 	messages    int
 	bytes       int
-	bytesAcross int // between zones
-	changes     int // shuffles that changed a view
+	bytesAcross int // bytes sent between zones
+	changes     int // number of shuffles that changed a view
 }
 
 // node is one incarnation of a process.
 type node struct {
 	*View
-	dead, frozen bool
-	since        time.Duration // when it died or was frozen
-	unread       []func()      // receive the messages that have arrived while it was frozen
-	links        []*link
+	dead, frozen      bool
+	unresponsiveSince time.Duration // time at which the node became unresponsive, by its end or by a freeze
+	undelivered       []func()      // functions that receive the messages that arrived while the node was frozen
+	links             []*link
 }
 
 // link is a connection that a node has opened.
 type link struct {
-	to   *node
-	used time.Duration // last
+	to     *node
+	usedAt time.Duration // time of the last use
 }
 
 // newFleet returns a fleet without members.
@@ -71,7 +71,7 @@
 	return &fleet{t: tb, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*node{}, partition: noPartition}
 }
 
-// noPartition is the partition of a fleet in which all nodes reach each other.
+// noPartition is the partition function of a fleet in which all nodes can reach each other.
 func noPartition(_, _ *node) bool { return false }
 
 // fleetSize holds the size of a fleet. The members are assigned to the zones in turn; the first ones are the core members and the seeds.
@@ -80,7 +80,7 @@
 	zones                 []string
 }
 
-// startFleet returns a fleet whose members start within the first half second.
+// startFleet returns a fleet whose members start at random times within the first half second.
 func startFleet(tb testing.TB, seed uint64, size fleetSize) *fleet {
 	tb.Helper()
 	f := newFleet(tb, seed)
@@ -109,7 +109,7 @@
 // memberAddress returns the address of member i of startFleet.
 func memberAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/256, i%256) }
 
-// start starts a process. One that runs at its address ends.
+// start starts a process. It ends a process that runs at the same address.
 func (f *fleet) start(address, zone string, role Role) {
 	m := newMember(f.rng.Uint64(), address, zone, 1)
 	m.Role = role
@@ -127,22 +127,22 @@
 	f.after(time.Duration(f.rng.IntN(500))*ms, func() { f.tick(n) })
 }
 
-// kill ends a process and its machine: connections to it break after linkPingTimeout.
+// kill ends a process together with its machine: connections to the process break after linkPingTimeout.
 func (f *fleet) kill(n *node) {
 	n.dead = true
-	n.since = f.now
+	n.unresponsiveSince = f.now
 }
 
-// killProcess ends a process whose machine goes on: connections to it break at once.
+// killProcess ends a process whose machine continues to run: connections to the process break immediately.
 func (f *fleet) killProcess(n *node) {
 	n.dead = true
-	n.since = f.now - linkPingTimeout
+	n.unresponsiveSince = f.now - linkPingTimeout
 }
 
-// freeze suspends a process: it receives and sends nothing.
+// freeze suspends a process, which then sends and receives nothing.
 func (f *fleet) freeze(n *node) {
 	n.frozen = true
-	n.since = f.now
+	n.unresponsiveSince = f.now
 }
 
 // partitionBy partitions the fleet from now on: two nodes can't reach each other if the function returns true for them.
@@ -154,58 +154,58 @@
 // heal ends the partition.
 func (f *fleet) heal() { f.partition = noPartition }
 
-// connect opens a connection from a node to another, or marks the one that it has as used.
+// connect opens a connection from a node to another one, or marks the existing connection as used.
 func (f *fleet) connect(from, to *node) {
 	i := slices.IndexFunc(from.links, func(l *link) bool { return l.to == to })
 	if i < 0 {
 		i = len(from.links)
 		from.links = append(from.links, &link{to: to})
 	}
-	from.links[i].used = f.now
+	from.links[i].usedAt = f.now
 }
 
-// closeLinks closes the connections of a node that are unused, and breaks those whose pings aren't answered.
+// closeLinks closes the unused connections of a node, and breaks those whose pings aren't answered.
 func (f *fleet) closeLinks(n *node) {
 	n.links = slices.DeleteFunc(n.links, func(l *link) bool {
 		unresponsive := l.to.dead || l.to.frozen
-		since := l.to.since
+		unresponsiveSince := l.to.unresponsiveSince
 		if !unresponsive && f.partition(n, l.to) {
 			unresponsive = true
-			since = f.partitionAt
+			unresponsiveSince = f.partitionAt
 		}
-		if unresponsive && f.now-since >= linkPingTimeout {
+		if unresponsive && f.now-unresponsiveSince >= linkPingTimeout {
 			n.ConnectionLost(f.now, l.to.self.Address)
 			return true
 		}
-		return f.now-l.used > linkIdleTimeout
+		return f.now-l.usedAt > linkIdleTimeout
 	})
 }
 
-// after schedules an event.
+// after schedules an event after a delay.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.scheduled++
 	heap.Push(&f.queue, event{f.now + d, f.scheduled, do})
 }
 
-// run advances the time until done returns true, and returns how long that took. It is an error if that takes longer than limit. If done
-// is nil, run advances the time by limit.
+// run advances the time until done returns true, and returns the time that passed. The test fails if that takes longer than limit. If
+// done is nil, run advances the time by limit.
 func (f *fleet) run(limit time.Duration, done func() bool) time.Duration {
 	f.t.Helper()
 	start := f.now
 	for check := f.now; f.now < start+limit; check += checkInterval {
-		f.playUntil(check)
+		f.runEventsUntil(check)
 		if done != nil && done() {
 			return f.now - start
 		}
 	}
 	if done != nil {
-		f.t.Errorf("not within %v", limit)
+		f.t.Errorf("the expected state was not reached within %v", limit)
 	}
 	return limit
 }
 
-// playUntil plays the events up to a time.
-func (f *fleet) playUntil(at time.Duration) {
+// runEventsUntil runs the events up to the given time.
+func (f *fleet) runEventsUntil(at time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= at {
 		e := heap.Pop(&f.queue).(event)
 		f.now = e.at
@@ -214,23 +214,23 @@
 	f.now = at
 }
 
-// tick runs one turn of a process's main loop, and schedules the next.
+// tick runs one turn of a process's main loop unless the process is frozen, and schedules the next turn.
 func (f *fleet) tick(n *node) {
 	if n.dead {
 		return
 	}
 	if !n.frozen {
-		f.wakeUp(n)
+		f.runTurn(n)
 	}
 	f.after(max(100*ms, min(n.NextTick()-f.now, 250*ms)), func() { f.tick(n) })
 }
 
-// wakeUp receives the messages that arrived while a process was frozen, and sends what is due.
-func (f *fleet) wakeUp(n *node) {
-	for _, receive := range n.unread {
+// runTurn receives the messages that arrived while a process was frozen, and sends the shuffle that is due.
+func (f *fleet) runTurn(n *node) {
+	for _, receive := range n.undelivered {
 		receive()
 	}
-	n.unread = nil
+	n.undelivered = nil
 	f.closeLinks(n)
 	to, s := n.Tick(f.now)
 	for _, address := range to {
@@ -258,7 +258,7 @@
 	if !shuffle.Reply {
 		f.connect(from, to)
 	}
-	if to.frozen { // its pings aren't answered
+	if to.frozen { // the process doesn't answer pings
 		f.after(connectTimeout, func() { from.ConnectionLost(f.now, address) })
 	}
 	if from.self.Zone != to.self.Zone {
@@ -267,12 +267,12 @@
 	f.after(messageDelay, func() { f.deliver(from, to, shuffle) })
 }
 
-// deliver delivers a shuffle to a process. A frozen process receives it once it is thawed.
+// deliver delivers a shuffle to a process. A frozen process receives it after it resumes.
 func (f *fleet) deliver(from, to *node, shuffle *Shuffle) {
 	receive := func() { f.receive(from, to, shuffle) }
 	switch {
 	case to.frozen:
-		to.unread = append(to.unread, receive)
+		to.undelivered = append(to.undelivered, receive)
 	case !to.dead:
 		receive()
 	}
@@ -292,8 +292,8 @@
 	}
 }
 
-// live returns the processes that run in a zone, or in all zones if zone is empty.
-func (f *fleet) live(zone string) (out []*node) {
+// runningNodes returns the running processes of a zone, or of all zones if zone is empty.
+func (f *fleet) runningNodes(zone string) (out []*node) {
 	for _, n := range f.order {
 		if !n.dead && (zone == "" || n.self.Zone == zone) {
 			out = append(out, n)
@@ -302,18 +302,18 @@
 	return out
 }
 
-// converged reports whether each view holds exactly the running members of its zone and no member of another zone that has ended, and
-// whether all views have the same registry owners for services in zones.
+// converged reports whether each view holds exactly the running members of its own zone and no ended member of another zone, and whether
+// all views return the same registry owners for the given services and zones.
 func (f *fleet) converged(zones, services []string) bool {
 	running := map[string][]uint64{}
 	for _, zone := range zones {
-		for _, n := range f.live(zone) {
+		for _, n := range f.runningNodes(zone) {
 			running[zone] = append(running[zone], n.self.Incarnation)
 		}
 		slices.Sort(running[zone])
 	}
 	owners := map[string][]uint64{}
-	for _, n := range f.live("") {
+	for _, n := range f.runningNodes("") {
 		if !n.knowsExactly(running) || !n.agreesOnOwners(owners, zones, services) {
 			return false
 		}
@@ -321,8 +321,8 @@
 	return true
 }
 
-// knowsExactly reports whether a view holds all running members of its own zone, and no member that doesn't run. running holds sorted
-// incarnations, by zone.
+// knowsExactly reports whether a view holds all running members of its own zone, and no member of any zone that has ended. running holds
+// the sorted incarnations of each zone.
 func (n *node) knowsExactly(running map[string][]uint64) bool {
 	var ofZone []uint64
 	for _, m := range n.Members() {
@@ -336,7 +336,7 @@
 	return slices.Equal(ofZone, running[n.self.Zone])
 }
 
-// agreesOnOwners reports whether a view has the registry owners that another view has added to owners, and adds those that are missing.
+// agreesOnOwners reports whether a view returns the registry owners in owners, and adds its own ones where owners has none.
 func (n *node) agreesOnOwners(owners map[string][]uint64, zones, services []string) bool {
 	for _, zone := range zones {
 		for _, service := range services {
@@ -356,40 +356,40 @@
 	return true
 }
 
-// kept returns the pairs of incarnations of which the view of the first holds the second, among those that a view is to hold: the members
-// of its own zone, and the first ones of each other zone.
-func (f *fleet) kept(zones []string) map[[2]uint64]bool {
-	kept := map[[2]uint64]bool{}
+// heldPairs returns pairs of incarnations where the view of the first holds the second. It considers only members that a view must hold:
+// the members of its own zone, and the first members of each other zone.
+func (f *fleet) heldPairs(zones []string) map[[2]uint64]bool {
+	heldPairs := map[[2]uint64]bool{}
 	for _, zone := range zones {
-		members := f.live(zone)
+		members := f.runningNodes(zone)
 		slices.SortFunc(members, func(a, b *node) int {
 			return cmp.Compare(rendezvous.Mix(a.self.Incarnation), rendezvous.Mix(b.self.Incarnation))
 		})
 		for i, m := range members {
-			for _, n := range f.live("") {
-				toKeep := i < n.config.MaxMembersPerRemoteZone || n.self.Zone == zone
-				if toKeep && n.table.byIncarnation[m.self.Incarnation] != nil {
-					kept[[2]uint64{n.self.Incarnation, m.self.Incarnation}] = true
+			for _, n := range f.runningNodes("") {
+				mustHold := i < n.config.MaxMembersPerRemoteZone || n.self.Zone == zone
+				if mustHold && n.table.byIncarnation[m.self.Incarnation] != nil {
+					heldPairs[[2]uint64{n.self.Incarnation, m.self.Incarnation}] = true
 				}
 			}
 		}
 	}
-	return kept
+	return heldPairs
 }
 
-// logTraffic logs the traffic of a span, for each member and second, and resets it.
+// logTraffic logs the traffic per member and second in a period, and resets the counters.
 func (f *fleet) logTraffic(what string, span time.Duration) {
 	f.t.Helper()
-	n := float64(len(f.live(""))) * max(span.Seconds(), 0.1)
-	f.t.Logf("%s: %v; for each member and second %.1f messages, %.1f kB, %.1f kB of them across, %.2f changes", what, span,
+	n := float64(len(f.runningNodes(""))) * max(span.Seconds(), 0.1)
+	f.t.Logf("%s: %v; per member and second: %.1f messages, %.1f kB (%.1f kB between zones), %.2f changes of views", what, span,
 		float64(f.traffic.messages)/n, float64(f.traffic.bytes)/n/1e3, float64(f.traffic.bytesAcross)/n/1e3, float64(f.traffic.changes)/n)
 	f.traffic = traffic{}
 }
 
-// event is a function that is called at a time. Of two at one time the one that was scheduled first is called first.
+// event is a function that is called at a given time. Events with the same time are called in the order in which they were scheduled.
 type event struct {
 	at    time.Duration
-	order int // fleet.scheduled when it was scheduled
+	order int // value of fleet.scheduled when the event was scheduled
 	do    func()
 }
 
--- a/internal/mesh/discovery/membership/golden_test.go
+++ b/internal/mesh/discovery/membership/golden_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// checkFrame checks that a message with a value in each field is marshaled to the bytes that other releases send, and that these are
+// checkFrame checks that a message is marshaled to the bytes in a golden file, which other releases send, and that these bytes are
 // unmarshaled to the message.
 func checkFrame[T any, P interface {
 	*T
@@ -28,7 +28,7 @@
 	qt.Check(t, read, qt.DeepEquals, value)
 }
 
-// goldenMember returns a member with a value in each field.
+// goldenMember returns a member with a non-zero value in each field.
 func goldenMember() Member {
 	return Member{
 		Incarnation:  0x0123456789abcdef,
@@ -44,7 +44,7 @@
 	}
 }
 
-// goldenShuffle returns a shuffle with a value in each field.
+// goldenShuffle returns a shuffle with a non-zero value in each field.
 func goldenShuffle() Shuffle {
 	other := Member{
 		Incarnation:  0xfedcba9876543210,
@@ -82,7 +82,7 @@
 	t.Run("empty shuffle", func(t *testing.T) { checkFrame(t, "shuffle-empty.hex", Shuffle{}) })
 }
 
-// An age is sent in whole milliseconds, rounded up. One of more than an hour is read as an hour.
+// Ages are sent in whole milliseconds, rounded up. An age above one hour is read as one hour.
 func TestGoldenAges(t *testing.T) {
 	var text strings.Builder
 	for _, age := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, time.Minute, time.Hour, 2 * time.Hour} {
@@ -97,7 +97,7 @@
 	qt.Check(t, []Role{RoleAccess, RoleCore}, qt.DeepEquals, []Role{0, 1})
 }
 
-// fingerprint computes a digest of all messages that are sent, and of everything that views return, in order.
+// fingerprint computes a digest of all messages that a fleet sends and of the values that its views return, in order.
 type fingerprint struct {
 	fleet *fleet
 	seed  uint64
@@ -105,19 +105,19 @@
 	text  strings.Builder
 }
 
-// step writes a line with the digest so far. The first line that differs from the golden file shows in which step two runs diverge.
+// step writes a line with the digest so far. The first line that differs from the golden file shows the step at which the runs diverge.
 func (f *fingerprint) step(what string) {
 	for _, n := range f.fleet.order {
-		f.add(n)
+		f.addView(n)
 	}
 	fmt.Fprintf(&f.text, "seed %d, %s: at %v, %d messages, %d bytes, %x\n",
 		f.seed, what, f.fleet.now, f.fleet.traffic.messages, f.fleet.traffic.bytes, f.sum.Sum(nil)[:12])
 }
 
-// add adds everything that a view returns.
-func (f *fingerprint) add(n *node) {
+// addView adds the values that a view returns to the digest.
+func (f *fingerprint) addView(n *node) {
 	zones := n.Zones()
-	f.print(n.dead, n.ChangeCount(), n.NextTick(), zones)
+	f.addValues(n.dead, n.ChangeCount(), n.NextTick(), zones)
 	for _, m := range n.Members() {
 		f.sum.Write(codec.MarshalAppend(nil, &m))
 	}
@@ -130,10 +130,11 @@
 	}
 }
 
-// print adds values.
-func (f *fingerprint) print(values ...any) { f.sum.Write(fmt.Appendln(nil, values...)) }
+// addValues adds values to the digest.
+func (f *fingerprint) addValues(values ...any) { f.sum.Write(fmt.Appendln(nil, values...)) }
 
-// The same seed gives the same run: the same random draws, members, order of messages and bytes in them.
+// A run depends only on its seed: the random draws, the members, and the order and bytes of the messages must equal those in the golden
+// file.
 func TestGoldenFleet(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
@@ -142,13 +143,13 @@
 	golden.Text(t, "fleet.txt", []byte(text.String()))
 }
 
-// fleetFingerprint takes a fleet through a scenario, and returns the text of its fingerprint.
+// fleetFingerprint runs a fleet through a scenario, and returns the text of its fingerprint.
 func fleetFingerprint(t *testing.T, seed uint64, members int) string {
 	t.Helper()
 	fleet := startFleet(t, seed, fleetSize{members: members, cores: 3, seeds: 2, zones: zoneNames(3)})
 	digest := &fingerprint{fleet: fleet, seed: seed, sum: sha256.New()}
 	fleet.onSend = func(from *node, address string, data []byte) {
-		digest.print(fleet.now, from.self.Address, address, len(data))
+		digest.addValues(fleet.now, from.self.Address, address, len(data))
 		digest.sum.Write(data)
 	}
 	fleet.run(6*time.Second, nil)
--- a/internal/mesh/discovery/membership/gossip.go
+++ b/internal/mesh/discovery/membership/gossip.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// startupHeartbeats is the heartbeat up to which a process counts as just started, and sends its shuffles to more peers.
+// startupHeartbeats is the heartbeat up to which a process counts as just started. Until then it sends its shuffles to more peers.
 const startupHeartbeats = 4
 
-// Tick advances the view to a time. It returns a shuffle that is to be sent now, and the addresses to send it to, sorted; both are nil if
-// none is due. It may be called at any time, and is to be called at NextTick, after other calls on the view, and at least every second.
+// Tick advances the view to the given time. It returns a shuffle to send now, and the sorted addresses to send it to; both are nil if no
+// shuffle is due. It may be called at any time. It must be called at NextTick, after other calls on the view, and at least every second.
 func (v *View) Tick(now time.Duration) (to []string, shuffle *Shuffle) {
 	if !v.schedule.started || now-v.schedule.lastTick > v.config.FreezeThreshold {
 		v.restartTimeouts(now)
@@ -20,11 +20,11 @@
 
 	zone := v.self.Zone
 	if now >= v.schedule.nextGossip {
-		to, zone = v.beginExchange(now)
+		to, zone = v.beginRegularShuffle(now)
 	}
 	to = append(to, v.reconnectRecent(now)...)
-	for i := range v.reappeared {
-		to = append(to, v.reappeared[i].Address)
+	for i := range v.reappearedTombstones {
+		to = append(to, v.reappearedTombstones[i].Address)
 	}
 	to, raiseHeartbeat := v.contactUnreachable(now, to)
 	if len(to) == 0 {
@@ -33,13 +33,14 @@
 	slices.Sort(to)
 	shuffle = v.newShuffle(now, zone, false, v.isQuiet(now))
 	shuffle.RaiseHeartbeat = raiseHeartbeat
-	shuffle.Tombstones = append(shuffle.Tombstones, v.reappeared...)
-	v.reappeared = nil
+	shuffle.Tombstones = append(shuffle.Tombstones, v.reappearedTombstones...)
+	v.reappearedTombstones = nil
 	return slices.Compact(to), shuffle
 }
 
-// beginExchange returns the addresses that a regular shuffle goes to, and the zone of the first peer among them.
-func (v *View) beginExchange(now time.Duration) (to []string, zone string) {
+// beginRegularShuffle starts a regular shuffle: it raises the heartbeat of this process and schedules the next regular shuffle. It returns
+// the addresses of the shuffle's receivers, and the zone of the first receiver.
+func (v *View) beginRegularShuffle(now time.Duration) (to []string, zone string) {
 	v.schedule.nextGossip = now + v.jitter(v.gossipInterval(now))
 	v.schedule.lastGossip = now
 	v.self.Heartbeat++
@@ -49,25 +50,25 @@
 		zone = first.Zone
 	}
 	for range v.extraPeers(now) {
-		if e := v.leastRecentPeer(alive); e != nil {
+		if e := v.nextPeer(alive); e != nil {
 			to = v.contact(now, to, e)
 		}
 	}
-	if e := v.leastRecentPeer(suspected); e != nil { // it may be reachable again after a partition
+	if e := v.nextPeer(suspected); e != nil { // the member may be reachable again after a partition
 		to = v.contact(now, to, e)
 	}
 	to = append(to, v.contactSeeds(now)...)
 	return append(to, v.reconnectAny(now)...), zone
 }
 
-// contact appends the address of a member that is sent a shuffle now.
+// contact appends the address of a member to the receivers of a shuffle, and records that the member is contacted now.
 func (v *View) contact(now time.Duration, to []string, e *entry) []string {
 	e.lastContacted = now
 	return append(to, e.Address)
 }
 
-// contactUnreachable appends the unreachable members, every half GossipInterval, and those that another process reports as unreachable or
-// ended. If there are any, the shuffle asks its receivers to raise their heartbeats.
+// contactUnreachable appends the addresses of the unreachable members, every half GossipInterval, and of the members that another process
+// reports as unreachable or ended. If it appends any, the shuffle must ask its receivers to raise their heartbeats.
 func (v *View) contactUnreachable(now time.Duration, to []string) (all []string, raiseHeartbeat bool) {
 	for _, e := range v.table.entries {
 		retry := e.state == unreachable && now-e.lastContacted >= v.config.GossipInterval/2
@@ -80,8 +81,8 @@
 	return to, raiseHeartbeat
 }
 
-// firstPeer returns the first peer of a regular shuffle: while the view is quiet a monitored member every other time, else the alive
-// member that was contacted least recently.
+// firstPeer returns the first peer of a regular shuffle, or nil if there is none. At every other call while the view is quiet, that is a
+// monitored member; otherwise it is the alive member that was contacted least recently.
 func (v *View) firstPeer(now time.Duration) *entry {
 	if v.isQuiet(now) {
 		v.refreshAgreement()
@@ -89,10 +90,10 @@
 			return monitored
 		}
 	}
-	return v.leastRecentPeer(alive)
+	return v.nextPeer(alive)
 }
 
-// extraPeers returns the number of further peers of a regular shuffle: there are some after the start and while there are updates.
+// extraPeers returns the number of additional peers of a regular shuffle. It is above 0 after the start and while there are updates.
 func (v *View) extraPeers(now time.Duration) int {
 	switch {
 	case v.self.Heartbeat <= startupHeartbeats:
@@ -105,24 +106,24 @@
 	return 0
 }
 
-// leastRecentPeer returns the member in a state that was contacted least recently, or nil. With many members it is mostly one of the own
-// zone.
-func (v *View) leastRecentPeer(in state) *entry {
+// nextPeer returns the least recently contacted member in a state, or nil if there is none. If there are more members than a
+// shuffle carries, it prefers members of this process's zone in three of four cases.
+func (v *View) nextPeer(in state) *entry {
 	if len(v.table.entries) > v.config.MaxMembersPerShuffle && v.rng.IntN(4) > 0 {
 		ofOwnZone := func(e *entry) bool { return e.state == in && e.Zone == v.self.Zone }
-		if e := v.leastRecent(ofOwnZone); e != nil {
+		if e := v.leastRecentlyContacted(ofOwnZone); e != nil {
 			return e
 		}
 	}
-	return v.leastRecent(func(e *entry) bool { return e.state == in })
+	return v.leastRecentlyContacted(func(e *entry) bool { return e.state == in })
 }
 
-// leastRecent returns the member that was contacted least recently, of those for which among is true, or nil.
-func (v *View) leastRecent(among func(*entry) bool) (best *entry) {
+// leastRecentlyContacted returns the least recently contacted member among those for which among returns true, or nil if there is none.
+func (v *View) leastRecentlyContacted(include func(*entry) bool) (oldest *entry) {
 	for _, e := range v.table.entries {
-		if among(e) && (best == nil || e.lastContacted < best.lastContacted) {
-			best = e
+		if include(e) && (oldest == nil || e.lastContacted < oldest.lastContacted) {
+			oldest = e
 		}
 	}
-	return best
+	return oldest
 }
--- a/internal/mesh/discovery/membership/member.go
+++ b/internal/mesh/discovery/membership/member.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Role is the kind of a member's process. Its values are data on the wire.
+// Role is the kind of a member's process. Its values are part of the wire format.
 type Role uint8
 
 const (
@@ -16,24 +16,24 @@
 	RoleCore Role = 1
 )
 
-// maxHeartbeatAge is the highest age of a heartbeat that is read from a message; a higher one is reduced to it.
+// maxHeartbeatAge is the maximum age of a heartbeat that is read from a message. A higher age is reduced to it.
 const maxHeartbeatAge = time.Hour
 
 // Member is the record of one incarnation of one process.
 type Member struct {
-	Incarnation  uint64 // random, new at each start of the process; never 0
-	Address      string // ip:port where its peers reach it
+	Incarnation  uint64 // random number, new at each start of the process; never 0
+	Address      string // ip:port at which peers reach the process
 	Zone         string
 	Region       string
 	Role         Role
-	Service      string        // of the endpoint beside it, if it is a sidecar
-	AppAddress   string        // that endpoint's address
-	Heartbeat    uint64        // a counter that the member raises at each gossip interval
-	Seed         bool          // field 9 on the wire; nothing sets or reads it
-	HeartbeatAge time.Duration // in a message, how long ago the heartbeat was new as far as the sender knows; else 0
+	Service      string        // service of the endpoint beside the process, if the process is a sidecar
+	AppAddress   string        // address of the endpoint beside the process, if the process is a sidecar
+	Heartbeat    uint64        // counter that the member raises at each gossip interval
+	Seed         bool          // unused; reserves field 9 of the wire format
+	HeartbeatAge time.Duration // time since the heartbeat was new, as far as the sender of a message knows; 0 outside messages
 }
 
-// Fields implements codec.Message. An age is sent in whole milliseconds, rounded up: a heartbeat must not seem newer than it is.
+// Fields implements codec.Message. An age is sent in whole milliseconds, rounded up so that the heartbeat doesn't seem newer than it is.
 func (m *Member) Fields(v *codec.Visitor) {
 	v.Fixed64(1, &m.Incarnation)
 	v.String(2, &m.Address)
--- a/internal/mesh/discovery/membership/merge.go
+++ b/internal/mesh/discovery/membership/merge.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// newcomerHeartbeats is the heartbeat below which an unknown sender counts as just started. One with a higher heartbeat has come back.
+// newcomerHeartbeats is the heartbeat below which an unknown sender counts as just started. An unknown sender with a higher heartbeat has
+// been running for longer, for example in another partition.
 const newcomerHeartbeats = 8
 
-// Receive merges a shuffle into the view. It returns the reply to it, which is nil if the shuffle is itself a reply, and reports whether
-// the members have changed by more than their heartbeats.
+// Receive merges a shuffle into the view. It returns the reply, which is nil if the shuffle is itself a reply or comes from this process,
+// and reports whether anything but heartbeats has changed in the set of members.
 func (v *View) Receive(now time.Duration, shuffle *Shuffle) (reply *Shuffle, changed bool) {
 	senderKnown := v.table.byIncarnation[shuffle.From.Incarnation] != nil
 	changed = v.mergeRecords(now, shuffle)
@@ -26,8 +27,8 @@
 	return reply, changed
 }
 
-// mergeRecords merges the sender, the tombstones and the members of a shuffle, in this order: a member must not be added by the same
-// shuffle that reports its end.
+// mergeRecords merges the sender, the tombstones and the members of a shuffle, in this order, so that a shuffle can't add a member whose
+// end it reports. It reports whether anything but heartbeats has changed.
 func (v *View) mergeRecords(now time.Duration, shuffle *Shuffle) (changed bool) {
 	changed = v.mergeMember(now, shuffle.From, true)
 	for _, t := range shuffle.Tombstones {
@@ -39,13 +40,14 @@
 	return changed
 }
 
-// mergeMember merges the record of a member, which was sent by the member itself (direct) or by another one.
+// mergeMember merges the record of a member. direct means that the member itself has sent the record. It reports whether anything but the
+// heartbeat has changed.
 func (v *View) mergeMember(now time.Duration, record Member, direct bool) (changed bool) {
 	age := max(record.HeartbeatAge, 0)
 	if direct {
 		age = 0
 	}
-	if !v.isForeign(&record) || age >= v.failureTimeout(&record) {
+	if !v.identifiesPeer(&record) || age >= v.failureTimeout(&record) {
 		return false
 	}
 	record.HeartbeatAge = 0
@@ -57,7 +59,7 @@
 		return v.updateMember(now, seen, e, record, direct)
 	}
 	if old := v.table.byAddress[record.Address]; old != nil {
-		// An age lacks the time that the message took, so that an incarnation that ended may seem a little newer than the present one.
+		// An age doesn't include the transit time of the message, so an incarnation that ended may seem slightly newer than the running one.
 		if !direct && seen < old.lastSeen+v.config.GossipInterval {
 			return false
 		}
@@ -69,12 +71,12 @@
 	return true
 }
 
-// isForeign reports whether a record has the fields that identify a member, and is not of this process or its address.
-func (v *View) isForeign(m *Member) bool {
+// identifiesPeer reports whether a record identifies a member that is neither this process nor at its address.
+func (v *View) identifiesPeer(m *Member) bool {
 	return m.Incarnation != 0 && m.Address != "" && m.Incarnation != v.self.Incarnation && m.Address != v.self.Address
 }
 
-// updateMember merges a record of a member that is known. It reports whether more than the heartbeat has changed.
+// updateMember merges a record into the entry of its member. It reports whether anything but the heartbeat has changed.
 func (v *View) updateMember(now, seen time.Duration, known *entry, record Member, direct bool) (changed bool) {
 	switch {
 	case record.Heartbeat < known.Heartbeat:
@@ -86,7 +88,7 @@
 		known.lastSeen = min(known.lastSeen, seen)
 		return false
 	case known.Address != record.Address:
-		return false // an incarnation has one address
+		return false // an incarnation never changes its address
 	}
 	if changed = !sameRecord(&known.Member, &record); changed {
 		v.invalidate()
@@ -102,7 +104,8 @@
 	return changed
 }
 
-// replaceMember removes a member because a newer incarnation is at its address. direct means that the newer one has sent a message itself.
+// replaceMember removes a member because a newer incarnation has its address, and adds a tombstone of it. direct means that the newer
+// incarnation itself has sent a message.
 func (v *View) replaceMember(now time.Duration, old *entry, direct bool) {
 	v.remove(old)
 	heartbeat := old.Heartbeat
@@ -112,8 +115,8 @@
 	v.tombstones.add(now, old.Incarnation, tombstoneEntry{heartbeat: heartbeat, address: old.Address, replaced: true})
 }
 
-// addMember adds a member that isn't known. Its lastContacted is a random time long ago, so that new members are contacted before others,
-// and in random order.
+// addMember adds a new member. Its lastContacted is a random time in the minute after longAgo, so that new members are contacted before
+// others, and in random order.
 func (v *View) addMember(now, seen time.Duration, m Member) {
 	v.tombstones.remove(m.Incarnation)
 	v.noteUpdate(now)
@@ -126,10 +129,10 @@
 	v.departed.remove(m.Address)
 }
 
-// ensureCapacity reports whether there is capacity for a new member. In another zone a new member replaces the last one by compareHash if
-// it precedes that, so that all views hold the same ones.
+// ensureCapacity reports whether the view has room for a new member. In another zone a new member that precedes the last one by
+// compareHash replaces that one, so that all views hold the same members of the zone.
 func (v *View) ensureCapacity(m *Member) bool {
-	count, last := v.membersAlike(m)
+	count, last := v.membersUnderSameLimit(m)
 	switch {
 	case m.Role == RoleCore:
 		return count < v.config.MaxCoreMembers
@@ -144,8 +147,8 @@
 	return true
 }
 
-// membersAlike returns the number of members that count against the same limit as m, and the last of them by compareHash.
-func (v *View) membersAlike(m *Member) (count int, last *entry) {
+// membersUnderSameLimit returns the number of members to which the same limit applies as to m, and the last of them by compareHash.
+func (v *View) membersUnderSameLimit(m *Member) (count int, last *entry) {
 	for _, e := range v.table.entries {
 		if e.Role != m.Role || m.Role != RoleCore && e.Zone != m.Zone {
 			continue
--- a/internal/mesh/discovery/membership/message.go
+++ b/internal/mesh/discovery/membership/message.go
@@ -2,7 +2,7 @@
 
 import "quincegap/internal/mesh/transport/codec"
 
-// Tombstone reports that an incarnation ended. It is refuted by a heartbeat of the incarnation above the tombstone's.
+// Tombstone reports that an incarnation ended. A heartbeat of the incarnation that is higher than Heartbeat refutes it.
 type Tombstone struct {
 	Incarnation uint64
 	Address     string
@@ -16,29 +16,29 @@
 	v.Uint64(3, &t.Heartbeat)
 }
 
-// Suspicion reports that the sender can't reach an incarnation, and the newest heartbeat of it that the sender knows. Unlike a tombstone
-// it removes no member: a receiver that can reach the member asks it to raise its heartbeat above this one.
+// Suspicion reports that the sender can't reach an incarnation. Heartbeat is the highest one of the incarnation that the sender knows.
+// Unlike a tombstone, a suspicion removes no member: a receiver that can reach the member asks it to raise its heartbeat above this one.
 type Suspicion struct {
 	Incarnation uint64
 	Address     string
 	Heartbeat   uint64
 }
 
-// Fields implements codec.Message. The fields are those of a Tombstone.
+// Fields implements codec.Message. The encoding is the same as that of a Tombstone.
 func (s *Suspicion) Fields(v *codec.Visitor) { (*Tombstone)(s).Fields(v) }
 
-// Shuffle is a part of one member's view, for a peer.
+// Shuffle is a message that carries a part of the sender's view to a peer.
 type Shuffle struct {
-	From           Member // the sender
+	From           Member // record of the sender
 	Members        []Member
 	Tombstones     []Tombstone
-	Reply          bool        // the shuffle answers another one, and isn't answered itself
-	ConfigVersion  uint64      // of the configuration that is applied at the sender; this package only carries it
-	ZoneDigest     uint64      // of the members of the sender's zone (View.digests)
-	SharedDigest   uint64      // of the members that every view is to hold (View.digests)
-	AgreementAges  []byte      // for each zone, sorted: how long ago its members last agreed, in units of agreementAgeUnit
+	Reply          bool        // the shuffle is the reply to another one, and gets no reply itself
+	ConfigVersion  uint64      // version of the configuration applied at the sender; this package only transmits it
+	ZoneDigest     uint64      // digest of the members of the sender's zone (View.digests)
+	SharedDigest   uint64      // digest of the members that every view must hold (View.digests)
+	AgreementAges  []byte      // time since the members of each zone last agreed, by sorted zone, in units of agreementAgeUnit
 	Unreachable    []Suspicion // members that the sender can't reach
-	RaiseHeartbeat bool        // the receiver is to raise its heartbeat, as some process can't reach it
+	RaiseHeartbeat bool        // the receiver must raise its heartbeat, because some process can't reach it
 }
 
 // Fields implements codec.Message.
--- a/internal/mesh/discovery/membership/owners.go
+++ b/internal/mesh/discovery/membership/owners.go
@@ -8,12 +8,12 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// RegistryOwners returns the n registry owners of a service in a zone: the first members of the zone by a rendezvous hash of service and
-// incarnation. If the zone has no members, they are chosen among those of its region, and if that has none either, among all. Views that
-// hold the same members return the same owners.
+// RegistryOwners returns up to n registry owners of a service in a zone: the first eligible members of the zone by a rendezvous hash of
+// service and incarnation. If the zone has no members, the owners are chosen among the members of its region, and if the region has none
+// either, among all members. Views that hold the same members return the same owners.
 func (v *View) RegistryOwners(service, zone string, n int) []Member {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(service)) // a hash never fails
+	_, _ = h.Write([]byte(service)) // Write of a hash never fails
 	item := rendezvous.Mix(h.Sum64())
 	score := func(e *entry) uint64 { return rendezvous.Mix(item ^ e.hash) }
 
@@ -28,7 +28,7 @@
 	return out
 }
 
-// ownerCandidates returns the members that the owners of a zone's services are chosen from. The caller may change the list.
+// ownerCandidates returns the members from which the owners of a zone's services are chosen. The caller may modify the list.
 func (v *View) ownerCandidates(zone string) []*entry {
 	eligible := v.eligibleOwners()
 	if ofZone := filterEntries(eligible, func(e *entry) bool { return e.Zone == zone }); len(ofZone) > 0 {
@@ -42,15 +42,15 @@
 	return slices.Clone(eligible)
 }
 
-// eligibleOwners returns the members that can be registry owners, whatever their states, ordered by compareHash: the first
-// MaxMembersPerRemoteZone of each zone, which are the same ones in every view.
+// eligibleOwners returns the members that can be registry owners, in any state, ordered by compareHash. They are the first
+// MaxMembersPerRemoteZone members of each zone, which are the same in every view.
 func (v *View) eligibleOwners() []*entry {
-	if v.eligible == nil {
+	if v.eligibleCache == nil {
 		ofZone := map[string]int{}
-		v.eligible = filterEntries(v.table.hashOrder, func(e *entry) bool {
+		v.eligibleCache = filterEntries(v.table.hashOrder, func(e *entry) bool {
 			ofZone[e.Zone]++
 			return ofZone[e.Zone] <= v.config.MaxMembersPerRemoteZone
 		})
 	}
-	return v.eligible
+	return v.eligibleCache
 }
--- a/internal/mesh/discovery/membership/partition_test.go
+++ b/internal/mesh/discovery/membership/partition_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Machines are partitioned for twenty seconds, during which members on the other side apply a new configuration. Shuffles carry its
-// version: by shuffles alone all members know it within two seconds after the partition.
+// A partition lasts twenty seconds, in which two members apply a new configuration. Shuffles carry its version: by shuffles alone, all
+// members must know the version within two seconds after the end of the partition.
 func TestVersionAfterPartition(t *testing.T) {
 	isCore := func(n *node) bool { return n.self.Role == RoleCore }
 	partitions := map[string]func(first, a, b *node) bool{
@@ -25,36 +25,36 @@
 			for seed := range uint64(8) {
 				slowest = max(slowest, versionAfterPartition(t, seed, partition))
 			}
-			t.Logf("all know it after %v at most", slowest)
+			t.Logf("all members know the version %v after the partition at the latest", slowest)
 			qt.Check(t, slowest <= 2*time.Second, qt.IsTrue)
 		})
 	}
 }
 
-// versionAfterPartition returns the time from the end of a partition until all members know a version. Two of them know it halfway through
-// the partition, in which the first member takes part.
+// versionAfterPartition returns the time from the end of a partition until all members know a version. The second and the third member
+// learn the version halfway through the partition. The partition function gets the first member as its first argument.
 func versionAfterPartition(t *testing.T, seed uint64, partition func(first, a, b *node) bool) time.Duration {
 	t.Helper()
 	const members = 15
-	f := startFleet(t, seed, fleetSize{members: members, cores: 3, seeds: 3, zones: zoneNames(3)})
+	fleet := startFleet(t, seed, fleetSize{members: members, cores: 3, seeds: 3, zones: zoneNames(3)})
 	versions := map[*node]int{}
-	f.onReceive = func(from, to *node) { versions[to] = max(versions[to], versions[from]) }
-	f.run(20*time.Second, nil)
-	first := f.order[0]
-	f.partitionBy(func(a, b *node) bool { return partition(first, a, b) })
-	f.run(10*time.Second, nil)
-	versions[f.order[1]] = 1
-	versions[f.order[2]] = 1
-	f.run(10*time.Second, nil)
-	f.heal()
-	return f.run(30*time.Second, func() bool { return len(versions) == members && lowest(versions) == 1 })
+	fleet.onReceive = func(from, to *node) { versions[to] = max(versions[to], versions[from]) }
+	fleet.run(20*time.Second, nil)
+	first := fleet.order[0]
+	fleet.partitionBy(func(a, b *node) bool { return partition(first, a, b) })
+	fleet.run(10*time.Second, nil)
+	versions[fleet.order[1]] = 1
+	versions[fleet.order[2]] = 1
+	fleet.run(10*time.Second, nil)
+	fleet.heal()
+	return fleet.run(30*time.Second, func() bool { return len(versions) == members && lowestVersion(versions) == 1 })
 }
 
-// lowest returns the lowest version of all nodes.
-func lowest(versions map[*node]int) int {
-	least := 1 << 30
+// lowestVersion returns the lowest version that any node knows.
+func lowestVersion(versions map[*node]int) int {
+	minimum := 1 << 30
 	for _, version := range versions {
-		least = min(least, version)
+		minimum = min(minimum, version)
 	}
-	return least
+	return minimum
 }
--- a/internal/mesh/discovery/membership/reconnect.go
+++ b/internal/mesh/discovery/membership/reconnect.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// departedMember is the address of a member that has departed. The member may only have been partitioned from this process. Its address is
-// tried again, so that two partitions find each other soon after the network is healed.
+// departedMember is the address of a member that has departed. The member may only have been partitioned from this process. Connections to
+// its address are tried again, so that separated processes find each other soon after a partition ends.
 type departedMember struct {
 	address    string
 	departedAt time.Duration
 }
 
-// departedList holds the departed members, the newest last. Above its capacity the oldest is forgotten.
+// departedList holds the departed members, ordered from the first to the last departure. When it exceeds its capacity, the first is
+// evicted.
 type departedList struct {
 	capacity int
 	members  []departedMember
@@ -32,7 +33,7 @@
 	d.members = slices.DeleteFunc(d.members, func(m departedMember) bool { return m.address == address })
 }
 
-// since returns the members that departed after a time.
+// since returns the members that departed after the given time.
 func (d *departedList) since(at time.Duration) []departedMember {
 	first := slices.IndexFunc(d.members, func(m departedMember) bool { return m.departedAt > at })
 	if first < 0 {
@@ -41,14 +42,15 @@
 	return d.members[first:]
 }
 
-// depart removes a member from the view, and remembers its address, to try it again.
+// depart removes a member from the view, and stores its address for reconnecting.
 func (v *View) depart(now time.Duration, e *entry) {
 	v.remove(e)
 	v.departed.add(now, e.Address)
 }
 
-// reconnectRecent returns the address of a random member that departed lately, once in a RecentReconnectInterval. During a partition each
-// attempt costs a connection that fails; after it the partitions find each other within a second or two, even if they have few members.
+// reconnectRecent returns, once in each RecentReconnectInterval, the address of a random member that departed within RecentReconnectWindow.
+// During a partition each attempt costs one failed connection. After a partition the separated processes find each other within a second
+// or two, even if there are few of them.
 func (v *View) reconnectRecent(now time.Duration) []string {
 	if now < v.schedule.nextRecentReconnect {
 		return nil
@@ -61,8 +63,8 @@
 	return v.withoutSelf([]string{recent[v.rng.IntN(len(recent))].address})
 }
 
-// reconnectAny returns the address of a random seed or departed member, however long ago it departed, once in a ReconnectInterval, and
-// less often while the view is quiet.
+// reconnectAny returns, once in each ReconnectInterval, the address of a random seed or departed member, however long ago it departed. The
+// interval is longer while the view is quiet.
 func (v *View) reconnectAny(now time.Duration) []string {
 	if now < v.schedule.nextReconnect {
 		return nil
@@ -79,8 +81,8 @@
 	return v.withoutSelf([]string{addresses[v.rng.IntN(len(addresses))]})
 }
 
-// contactSeeds returns the addresses of all seeds at the first call after SetSeeds has changed them, and one of them at later calls while
-// few members are known.
+// contactSeeds returns the addresses of all seeds at the first call after SetSeeds has changed them. At later calls it returns one random
+// seed while the view has fewer than BootstrapThreshold members.
 func (v *View) contactSeeds(now time.Duration) []string {
 	switch {
 	case !v.seedsContacted:
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// withoutSelf returns a copy of a list of addresses without that of this process.
+// withoutSelf returns a copy of a list of addresses without the address of this process.
 func (v *View) withoutSelf(addresses []string) []string {
 	return slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == v.self.Address })
 }
--- a/internal/mesh/discovery/membership/shuffle.go
+++ b/internal/mesh/discovery/membership/shuffle.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// maxPriorityTransmits is how often the record of a member, or a tombstone, is sent as an update, which is before all others. It is twice
-// the number of gossip intervals in which shuffles and their replies spread an update to a few hundred members.
+// maxPriorityTransmits is the number of times that the record of a member, or a tombstone, is sent as an update. Updates take precedence
+// over other records. The number is twice that of the gossip intervals in which shuffles and their replies spread an update to a few
+// hundred members.
 const maxPriorityTransmits = 8
 
-// newShuffle returns a shuffle for a peer of a zone. newcomer means that the peer has just joined. A brief shuffle carries only updates,
-// for a peer that knows the other members.
+// newShuffle returns a shuffle for a peer in the given zone. newcomer means that the peer has just joined. A brief shuffle carries only
+// updates, for a peer that already knows the other members.
 func (v *View) newShuffle(now time.Duration, zone string, newcomer, brief bool) *Shuffle {
 	shuffle := &Shuffle{From: v.self, AgreementAges: v.agreementAges(now), Unreachable: v.unreachableMembers()}
 	shuffle.ZoneDigest, shuffle.SharedDigest = v.digests()
@@ -40,65 +41,66 @@
 	v.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 }
 
-// selectMembers selects as many members as a shuffle carries, which depend on the zone of the peer:
-//   - A peer of the own zone is sent members of that zone for at least half of the shuffle.
-//   - A peer of another zone is sent mostly those members of the own zone that views of other zones hold, and some members of its own zone:
-//     parts of a zone that have lost each other find each other again that way.
-//   - A peer of another zone that has just joined is sent mostly members of its own zone.
+// selectMembers selects up to MaxMembersPerShuffle members for a peer, depending on the peer's zone:
+//   - If the peer is in this process's zone, at least half of the selected members are of that zone, if there are enough.
+//   - If the peer is in another zone, most selected members are those of this process's zone that views of other zones hold, and some are
+//     of the peer's zone, so that separated parts of that zone find each other again.
+//   - If the peer is in another zone and has just joined, most selected members are of the peer's zone.
 func (v *View) selectMembers(all []*entry, zone string, newcomer bool) []*entry {
-	own, theirs, rest := v.splitByZone(all, zone)
+	ownZone, peerZone, rest := v.splitByZone(all, zone)
 	if zone != v.self.Zone {
-		own = v.thoseKeptElsewhere(own)
+		ownZone = v.membersHeldInOtherZones(ownZone)
 	}
 	limit := v.config.MaxMembersPerShuffle
 	firstShare := limit * 3 / 4
-	if zone == v.self.Zone && len(own) <= 2*limit {
-		firstShare = limit / 2 // a larger zone needs the larger share, as its heartbeats would become too old
+	if zone == v.self.Zone && len(ownZone) <= 2*limit {
+		firstShare = limit / 2 // in a larger zone, heartbeats would become too old with half of the shuffle
 	}
-	first, second := own, theirs
+	first, second := ownZone, peerZone
 	if newcomer {
-		first, second = theirs, own
+		first, second = peerZone, ownZone
 	}
-	// The part of the shuffle that one group can't fill goes to the others.
+	// Capacity that one group can't fill is given to the other groups.
 	count := min(max(firstShare, limit-len(second)-len(rest)), len(first))
 	out := prioritize(first, count)
-	left := limit - len(out)
-	count = min(max(left/2, left-len(rest)), len(second))
+	remaining := limit - len(out)
+	count = min(max(remaining/2, remaining-len(rest)), len(second))
 	out = append(out, prioritize(second, count)...)
-	left = limit - len(out)
-	return append(out, prioritize(rest, min(left, len(rest)))...)
+	remaining = limit - len(out)
+	return append(out, prioritize(rest, min(remaining, len(rest)))...)
 }
 
-// splitByZone splits entries, in their order, into those of the own zone, those of a peer's zone, if that is another one, and the rest.
-func (v *View) splitByZone(all []*entry, zone string) (own, theirs, rest []*entry) {
+// splitByZone splits entries, in their order, into those of this process's zone, those of a peer's zone if it is a different one, and the
+// rest.
+func (v *View) splitByZone(all []*entry, zone string) (ownZone, peerZone, rest []*entry) {
 	for _, e := range all {
 		switch e.Zone {
 		case v.self.Zone:
-			own = append(own, e)
+			ownZone = append(ownZone, e)
 		case zone:
-			theirs = append(theirs, e)
+			peerZone = append(peerZone, e)
 		default:
 			rest = append(rest, e)
 		}
 	}
-	return own, theirs, rest
+	return ownZone, peerZone, rest
 }
 
-// thoseKeptElsewhere returns the members of the own zone that views of other zones hold, and a few more in case some of these are unknown
-// there, in random order.
-func (v *View) thoseKeptElsewhere(own []*entry) []*entry {
-	kept := v.config.MaxMembersPerRemoteZone + v.config.MaxMembersPerRemoteZone/8
-	if len(own) <= kept {
+// membersHeldInOtherZones returns the members of this process's zone that views of other zones hold, in random order. It includes an eighth
+// more members, because views of other zones may lack some of the first ones.
+func (v *View) membersHeldInOtherZones(own []*entry) []*entry {
+	limit := v.config.MaxMembersPerRemoteZone + v.config.MaxMembersPerRemoteZone/8
+	if len(own) <= limit {
 		return own
 	}
 	slices.SortFunc(own, compareHash)
-	own = own[:kept]
+	own = own[:limit]
 	v.shuffleEntries(own)
 	return own
 }
 
-// prioritize selects count members of a list that is in random order: first updates, those that were sent least often before others. Half
-// of the remaining ones are the next in the list, and half those with the newest heartbeats.
+// prioritize selects count members of a list in random order. Updates come first, those that were sent least often before others. Of the
+// remaining selection, half are the next members in the list, and half are those with the newest heartbeats. It reorders the list.
 func prioritize(from []*entry, count int) []*entry {
 	slices.SortStableFunc(from, func(a, b *entry) int {
 		return cmp.Compare(min(a.transmits, maxPriorityTransmits), min(b.transmits, maxPriorityTransmits))
--- a/internal/mesh/discovery/membership/suspicion.go
+++ b/internal/mesh/discovery/membership/suspicion.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// heartbeatMarginFactor is the ratio of heartbeatMargin to the number of heartbeats that a member is expected to have raised.
+// heartbeatMarginFactor is the ratio of heartbeatMargin to the expected number of times that the member raised its heartbeat unnoticed.
 const heartbeatMarginFactor = 8
 
-// ConnectionLost makes the member at an address unreachable, as a connection to it broke or its pings weren't answered. It departs after
-// DisconnectGrace unless its heartbeat advances.
+// ConnectionLost makes the member at an address unreachable. It is called when a connection to the member breaks, or when the member
+// doesn't answer pings. The member departs after DisconnectGrace unless its heartbeat advances.
 func (v *View) ConnectionLost(now time.Duration, address string) {
 	e := v.table.byAddress[address]
 	if e == nil || e.state == unreachable {
 		return
 	}
 	e.transition(now, unreachable)
-	e.lastContacted = now - v.config.GossipInterval // it is contacted at the next Tick
+	e.lastContacted = now - v.config.GossipInterval // makes the next Tick contact the member
 	v.noteDifference(now)
 }
 
-// unreachableMembers returns the suspicions that a shuffle carries.
+// unreachableMembers returns the suspicions for a shuffle: one for each unreachable member, up to MaxTombstonesPerShuffle.
 func (v *View) unreachableMembers() []Suspicion {
 	var out []Suspicion
 	for _, e := range v.table.entries {
@@ -36,8 +36,8 @@
 	return slices.ContainsFunc(v.table.entries, func(e *entry) bool { return e.state == unreachable })
 }
 
-// mergeSuspicion merges a report that the sender can't reach a member. If this process doesn't know of a newer heartbeat of the member, it
-// asks the member for one. The newer heartbeat is then an update, which the sender is sent next.
+// mergeSuspicion merges a report that the sender can't reach a member. If this process doesn't know a newer heartbeat of the member than
+// the sender, it asks the member for one. The newer heartbeat is sent as an update, and the sender is the next peer to receive it.
 func (v *View) mergeSuspicion(sender *Member, suspicion *Suspicion) {
 	if suspicion.Incarnation == v.self.Incarnation {
 		v.self.Heartbeat = max(v.self.Heartbeat, suspicion.Heartbeat+1)
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case e.Heartbeat > suspicion.Heartbeat:
-		e.transmits = 0 // the sender lacks the heartbeat that is known here, so it is sent as an update
+		e.transmits = 0 // the sender lacks the heartbeat known here, so the record becomes an update
 	case e.dispute.heartbeat < suspicion.Heartbeat:
 		e.dispute = dispute{heartbeat: suspicion.Heartbeat, probeDue: true, answerAwaited: true}
 	}
@@ -58,10 +58,10 @@
 	}
 }
 
-// expireMembers removes members that have been unreachable for DisconnectGrace or whose heartbeats have reached the failure time-out, and
-// makes those suspected whose heartbeats have reached the suspicion time-out.
+// expireMembers removes members that have been unreachable for DisconnectGrace or whose heartbeats have reached the failure time-out.
+// Members whose heartbeats have reached the suspicion time-out become suspected; others that aren't unreachable become alive.
 func (v *View) expireMembers(now time.Duration) {
-	for i := len(v.table.entries) - 1; i >= 0; i-- { // from the end, as members are removed on the way
+	for i := len(v.table.entries) - 1; i >= 0; i-- { // in reverse order, because the loop removes members
 		member := v.table.entries[i]
 		if member.state == unreachable {
 			if now-member.stateSince >= v.config.DisconnectGrace {
@@ -77,12 +77,12 @@
 		case age >= timeout*v.config.SuspicionTimeout/v.config.FailureTimeout:
 			member.transition(now, suspected)
 		default:
-			member.transition(now, alive) // also a suspected one, if the members of its zone agree (lastKnownAlive)
+			member.transition(now, alive) // a suspected member also becomes alive if the members of its zone agree (lastKnownAlive)
 		}
 	}
 }
 
-// departUnreachable removes a member to which a connection broke, and spreads a tombstone of it.
+// departUnreachable removes an unreachable member after DisconnectGrace, and adds a tombstone that notifies the peers.
 func (v *View) departUnreachable(now time.Duration, e *entry) {
 	v.depart(now, e)
 	v.tombstones.add(now, e.Incarnation, tombstoneEntry{heartbeat: e.Heartbeat + v.heartbeatMargin(e), address: e.Address})
@@ -90,8 +90,8 @@
 	v.noteUpdate(now)
 }
 
-// departTimedOut removes a member whose heartbeat is too old. Peers are notified by a tombstone if the member is of the own zone and the
-// view is large; in a small one the heartbeat reaches the time-out at all peers.
+// departTimedOut removes a member whose heartbeat has reached the failure time-out. If the member is in this process's zone and the view
+// is large, a tombstone notifies the peers; in a small view the heartbeat reaches the time-out at all peers anyway.
 func (v *View) departTimedOut(now time.Duration, e *entry) {
 	v.depart(now, e)
 	if e.Zone == v.self.Zone && v.isLarge() {
@@ -100,14 +100,15 @@
 }
 
 // heartbeatMargin returns the number that is added to the heartbeat in the tombstone of an unreachable member. Between lastSeen and the
-// break of the connection the member may have raised its heartbeat without this process noticing, usually by one in a gossip interval,
-// and peers may know the higher heartbeat. The tombstone is to hold for them, too, so the margin is 8 times that. A member that still
-// runs is not harmed by a large margin: it refutes the tombstone by a heartbeat above it.
+// break of the connection the member may have raised its heartbeat unnoticed by this process, usually by one in each gossip interval, and
+// peers may know the higher heartbeat. The tombstone must cover that heartbeat too, so the margin is 8 times the expected number. A large
+// margin doesn't harm a member that still runs, because the member refutes the tombstone with a heartbeat above it.
 func (v *View) heartbeatMargin(e *entry) uint64 {
 	return uint64(heartbeatMarginFactor * max(e.stateSince-e.lastSeen, 0) / v.config.GossipInterval)
 }
 
-// lastKnownAlive returns the time at which a member was last known to be alive, by its heartbeat or by agreement in its zone.
+// lastKnownAlive returns the time at which a member was last known to be alive: the time of its heartbeat or, unless the member is
+// unreachable, of the last agreement in its zone, whichever is later.
 func (v *View) lastKnownAlive(e *entry) time.Duration {
 	if at, ok := v.agreement.zoneAgreedAt[e.Zone]; ok && e.state != unreachable {
 		return max(e.lastSeen, at)
@@ -115,7 +116,7 @@
 	return e.lastSeen
 }
 
-// failureTimeout returns the age of its heartbeat at which a member departs.
+// failureTimeout returns the age of a member's heartbeat at which the member departs.
 func (v *View) failureTimeout(m *Member) time.Duration {
 	if m.Zone != v.self.Zone && (v.isLarge() || v.agreement.lastAgreed != 0) {
 		return v.config.RemoteFailureTimeout
@@ -123,11 +124,10 @@
 	return v.config.FailureTimeout
 }
 
-// isLarge reports whether there are more members than two shuffles carry.
+// isLarge reports whether the view has more members than two shuffles can carry.
 func (v *View) isLarge() bool { return len(v.table.entries) > 2*v.config.MaxMembersPerShuffle }
 
-// restartTimeouts makes all time-outs start anew, as this process may have been frozen. The ages of heartbeats in shuffles are not
-// affected.
+// restartTimeouts restarts all time-outs, because this process may have been frozen. It doesn't affect the ages of heartbeats in shuffles.
 func (v *View) restartTimeouts(now time.Duration) {
 	v.schedule.resumedAt = now
 	for _, e := range v.table.entries {
--- a/internal/mesh/discovery/membership/table.go
+++ b/internal/mesh/discovery/membership/table.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// table holds the entries of a view, with an index for each key that they are looked up by.
+// table holds the entries of a view, with an index for each lookup key.
 type table struct {
 	entries       []*entry // ordered by incarnation
 	byIncarnation map[uint64]*entry
 	byAddress     map[string]*entry
-	hashOrder     []*entry // the entries, and the one of this process, ordered by compareHash
-	arrivals      uint64   // entries ever inserted
+	hashOrder     []*entry // entries and the entry of this process, ordered by compareHash
+	insertions    uint64   // number of insertions so far
 }
 
-// newTable returns an empty table. self is the entry of this process, which is in hashOrder only.
+// newTable returns an empty table. self is the entry of this process; only hashOrder contains it.
 func newTable(self *entry) table {
 	return table{
 		byIncarnation: map[uint64]*entry{},
@@ -20,10 +20,10 @@
 	}
 }
 
-// insert adds an entry whose incarnation isn't in the table.
+// insert adds an entry. Its incarnation must not be in the table yet.
 func (t *table) insert(e *entry) {
-	t.arrivals++
-	e.arrivalOrder = t.arrivals
+	t.insertions++
+	e.insertionOrder = t.insertions
 	t.byIncarnation[e.Incarnation] = e
 	t.byAddress[e.Address] = e
 	i, _ := slices.BinarySearchFunc(t.entries, e.Incarnation, compareIncarnation)
@@ -32,7 +32,7 @@
 	t.hashOrder = slices.Insert(t.hashOrder, i, e)
 }
 
-// remove removes an entry. Another entry that has its address by now stays.
+// remove removes an entry. If byAddress already has a newer entry at the same address, that one is retained.
 func (t *table) remove(e *entry) {
 	delete(t.byIncarnation, e.Incarnation)
 	if i, ok := slices.BinarySearchFunc(t.entries, e.Incarnation, compareIncarnation); ok {
--- a/internal/mesh/discovery/membership/tombstone.go
+++ b/internal/mesh/discovery/membership/tombstone.go
@@ -7,25 +7,26 @@
 )
 
 // replacedHeartbeatMargin is added to the heartbeat in the tombstone of an incarnation that was replaced by another one at its address, if
-// the new one has sent a message itself. The replaced one has certainly ended then, and the tombstone is to hold against all of its
-// records that are still spreading.
+// the new incarnation itself has sent a message. The replaced incarnation has then certainly ended, and its tombstone must cover all of
+// its records that are still spreading.
 const replacedHeartbeatMargin = 1 << 20
 
 // tombstoneEntry is a view's tombstone of one incarnation. A record of the incarnation with a higher heartbeat refutes it. If the
-// incarnation was replaced, that record must come from the incarnation itself, or its heartbeat must be new after FailureTimeout.
+// incarnation was replaced, the record must also either come from the incarnation itself, or its heartbeat must have been new no earlier
+// than FailureTimeout after recordedAt.
 type tombstoneEntry struct {
 	heartbeat  uint64
 	address    string
-	replaced   bool          // by another incarnation at the address
-	recordedAt time.Duration // when the heartbeat was last raised
-	transmits  int           // how often the tombstone was sent
+	replaced   bool          // another incarnation at the address has replaced this one
+	recordedAt time.Duration // time at which the tombstone was added or its heartbeat last raised
+	transmits  int           // number of times that the tombstone was sent
 }
 
-// tombstoneTable holds tombstones by incarnation. Above its capacity the oldest is forgotten.
+// tombstoneTable holds tombstones by incarnation. When it exceeds its capacity, the oldest tombstone is evicted.
 type tombstoneTable struct {
 	capacity int
 	entries  map[uint64]tombstoneEntry
-	order    []uint64 // incarnations, the oldest first
+	order    []uint64 // incarnations of the tombstones, the oldest tombstone first
 }
 
 // newTombstoneTable returns an empty table.
@@ -33,7 +34,7 @@
 	return tombstoneTable{capacity: capacity, entries: map[uint64]tombstoneEntry{}}
 }
 
-// add adds a tombstone, or merges it into the one that the incarnation has: the higher heartbeat counts.
+// add adds a tombstone. If the incarnation already has one, they are merged, and the higher heartbeat is used.
 func (t *tombstoneTable) add(now time.Duration, incarnation uint64, tombstone tombstoneEntry) {
 	old, known := t.entries[incarnation]
 	if !known {
@@ -56,7 +57,7 @@
 	t.entries[incarnation] = tombstone
 }
 
-// remove removes the tombstone of an incarnation, if it has one.
+// remove removes the tombstone of an incarnation, if there is one.
 func (t *tombstoneTable) remove(incarnation uint64) {
 	delete(t.entries, incarnation)
 	if i := slices.Index(t.order, incarnation); i >= 0 {
@@ -64,36 +65,37 @@
 	}
 }
 
-// contradicts reports whether a record is to be ignored because of the tombstone of its incarnation. direct means that the member itself
-// has sent the record; seen is when the heartbeat in it was new.
+// contradicts reports whether a record must be ignored because of the tombstone of its incarnation. direct means that the member itself
+// has sent the record; seen is the time at which the heartbeat in the record was new.
 func (t *tombstoneTable) contradicts(m *Member, seen time.Duration, direct bool, failureTimeout time.Duration) bool {
-	d, ok := t.entries[m.Incarnation]
+	tombstone, ok := t.entries[m.Incarnation]
 	if !ok {
 		return false
 	}
-	return m.Heartbeat <= d.heartbeat || d.replaced && !direct && seen < d.recordedAt+failureTimeout
+	return m.Heartbeat <= tombstone.heartbeat || tombstone.replaced && !direct && seen < tombstone.recordedAt+failureTimeout
 }
 
-// selectTombstones selects the tombstones for a shuffle, those that were sent least often. A brief shuffle carries only updates.
+// selectTombstones returns the tombstones for a shuffle, those that were sent least often first. A brief shuffle carries only tombstones
+// that are still updates, which means that they were sent fewer than maxPriorityTransmits times.
 func (v *View) selectTombstones(now time.Duration, brief bool) []Tombstone {
 	entries := v.tombstones.entries
 	candidates := slices.DeleteFunc(slices.Clone(v.tombstones.order), func(incarnation uint64) bool {
-		d := entries[incarnation]
-		outdated := now-d.recordedAt >= 2*v.config.FailureTimeout
-		return outdated || brief && d.transmits >= maxPriorityTransmits
+		tombstone := entries[incarnation]
+		outdated := now-tombstone.recordedAt >= 2*v.config.FailureTimeout
+		return outdated || brief && tombstone.transmits >= maxPriorityTransmits
 	})
 	slices.SortStableFunc(candidates, func(a, b uint64) int { return cmp.Compare(entries[a].transmits, entries[b].transmits) })
 	var out []Tombstone
 	for _, incarnation := range candidates[:min(len(candidates), v.config.MaxTombstonesPerShuffle)] {
-		d := entries[incarnation]
-		d.transmits++
-		entries[incarnation] = d
-		out = append(out, Tombstone{Incarnation: incarnation, Address: d.address, Heartbeat: d.heartbeat})
+		tombstone := entries[incarnation]
+		tombstone.transmits++
+		entries[incarnation] = tombstone
+		out = append(out, Tombstone{Incarnation: incarnation, Address: tombstone.address, Heartbeat: tombstone.heartbeat})
 	}
 	return out
 }
 
-// mergeTombstone merges a tombstone of a shuffle. It reports whether a member has departed because of it.
+// mergeTombstone merges a tombstone that was received. It reports whether a member has departed because of it.
 func (v *View) mergeTombstone(now time.Duration, t Tombstone) bool {
 	if t.Incarnation == v.self.Incarnation {
 		v.refuteTombstone(now, t)
@@ -101,7 +103,7 @@
 	}
 	e := v.table.byIncarnation[t.Incarnation]
 	if e != nil && e.Heartbeat > t.Heartbeat {
-		if e.dispute.heartbeat < t.Heartbeat && e.state == alive { // it may have ended all the same, so it is asked
+		if e.dispute.heartbeat < t.Heartbeat && e.state == alive { // the member may still have ended, so it is probed
 			e.dispute = dispute{heartbeat: t.Heartbeat, probeDue: true}
 		}
 		return false
@@ -116,7 +118,7 @@
 	return true
 }
 
-// refuteTombstone raises the heartbeat of this process above that of a tombstone of it.
+// refuteTombstone raises the heartbeat of this process above the one in a tombstone of this process.
 func (v *View) refuteTombstone(now time.Duration, t Tombstone) {
 	if v.self.Heartbeat <= t.Heartbeat {
 		v.self.Heartbeat = t.Heartbeat + 1
@@ -124,17 +126,17 @@
 	}
 }
 
-// reportReappeared notifies the sender of a shuffle of its own tombstone if that keeps it out of the view, so that it raises its heartbeat.
-// The reply carries the tombstone, or the next shuffle if reply is nil.
+// reportReappeared sends the sender of a shuffle its own tombstone if the tombstone prevents the view from adding it. The sender then
+// raises its heartbeat. The tombstone is added to the reply, or to the next shuffle if reply is nil.
 func (v *View) reportReappeared(sender *Member, reply *Shuffle) {
-	d, ok := v.tombstones.entries[sender.Incarnation]
+	known, ok := v.tombstones.entries[sender.Incarnation]
 	if !ok || v.table.byIncarnation[sender.Incarnation] != nil {
 		return
 	}
-	t := Tombstone{Incarnation: sender.Incarnation, Address: sender.Address, Heartbeat: d.heartbeat}
+	t := Tombstone{Incarnation: sender.Incarnation, Address: sender.Address, Heartbeat: known.heartbeat}
 	if reply != nil {
 		reply.Tombstones = append(reply.Tombstones, t)
-	} else if len(v.reappeared) < v.config.MaxTombstonesPerShuffle {
-		v.reappeared = append(v.reappeared, t)
+	} else if len(v.reappearedTombstones) < v.config.MaxTombstonesPerShuffle {
+		v.reappearedTombstones = append(v.reappearedTombstones, t)
 	}
 }
--- a/internal/mesh/discovery/membership/view.go
+++ b/internal/mesh/discovery/membership/view.go
@@ -7,28 +7,28 @@
 	"slices"
 )
 
-// maxRegions bounds the number of zones whose regions are remembered, as the names come from messages.
+// maxRegions bounds the number of zones whose regions are stored, because zone names come from messages.
 const maxRegions = 1024
 
-// View is one process's view of the members. New makes one.
+// View is one process's view of the members. Create it with New.
 type View struct {
-	config     Config
-	rng        *rand.Rand
-	self       Member
-	table      table
-	tombstones tombstoneTable
-	departed   departedList
-	schedule   schedule
-	agreement  agreement
-	eligible   []*entry          // cache of eligibleOwners; nil if it has to be computed anew
-	reappeared []Tombstone       // for the next shuffle, see reportReappeared
-	regions    map[string]string // by zone, also of zones without members
+	config               Config
+	rng                  *rand.Rand
+	self                 Member
+	table                table
+	tombstones           tombstoneTable
+	departed             departedList
+	schedule             schedule
+	agreement            agreement
+	eligibleCache        []*entry          // cached result of eligibleOwners; nil if it must be recomputed
+	reappearedTombstones []Tombstone       // tombstones that reportReappeared adds to the next shuffle
+	regions              map[string]string // region of each zone, including zones without members
 
-	seeds          []string // addresses
-	seedsContacted bool     // all of them have been sent a shuffle since they last changed
+	seeds          []string // addresses of the seeds
+	seedsContacted bool     // a shuffle was sent to all seeds since SetSeeds last changed them
 }
 
-// New returns the view of a process that knows no other. The view draws random numbers from rng, in the order of the calls on it.
+// New returns the view of a process that knows no other process. The view draws its random numbers from rng.
 func New(self Member, config Config, rng *rand.Rand) *View {
 	self.Heartbeat = max(self.Heartbeat, 1)
 	config = config.WithDefaults()
@@ -47,7 +47,7 @@
 	return v
 }
 
-// SetRegion sets the region of a zone.
+// SetRegion sets the region of a zone. It does nothing if the region is empty or maxRegions zones are stored.
 func (v *View) SetRegion(zone, region string) {
 	if len(v.regions) < maxRegions && region != "" {
 		v.regions[zone] = region
@@ -76,8 +76,8 @@
 	return all
 }
 
-// MemberAt returns the member at an IP address: a sidecar before a core process, and of several the one that arrived last. It reports
-// false if none is known there.
+// MemberAt returns the member at an IP address. If there are several, it prefers a sidecar to a core process, and then the member that was
+// added last. It returns false if no member is known at the address.
 func (v *View) MemberAt(ip string) (Member, bool) {
 	isSelf := host(v.self.Address) == ip
 	if isSelf && v.self.Role == RoleAccess {
@@ -97,7 +97,7 @@
 
 // preferAtAddress reports whether MemberAt prefers a member to another one at the same IP address.
 func preferAtAddress(e, other *entry) bool {
-	return cmp.Or(cmp.Compare(other.Role, e.Role), cmp.Compare(e.arrivalOrder, other.arrivalOrder)) > 0
+	return cmp.Or(cmp.Compare(other.Role, e.Role), cmp.Compare(e.insertionOrder, other.insertionOrder)) > 0
 }
 
 // host returns the part of an address before the port.
@@ -109,25 +109,25 @@
 	return h
 }
 
-// Zones returns the zones that have members, sorted.
+// Zones returns the sorted names of the zones that have members.
 func (v *View) Zones() []string {
 	v.refreshAgreement()
 	return slices.Clone(v.agreement.zones)
 }
 
-// ChangeCount returns the number of arrivals, departures and changes of records so far. What a caller has computed from the members is
-// valid as long as it stays the same.
+// ChangeCount returns the number of arrivals, departures and changes of records so far. Values that a caller has derived from the members
+// are valid until the count changes.
 func (v *View) ChangeCount() uint64 { return v.agreement.changeCount }
 
-// remove removes a member from the view. Unlike after depart, its address isn't tried again.
+// remove removes a member from the view. Unlike depart, it doesn't store the address for reconnecting.
 func (v *View) remove(e *entry) {
 	v.table.remove(e)
 	v.invalidate()
 }
 
-// invalidate discards everything that was computed from the set of members.
+// invalidate counts a change of the members, and discards the values that were computed from them.
 func (v *View) invalidate() {
-	v.eligible = nil
-	v.agreement.current = false
+	v.eligibleCache = nil
+	v.agreement.cacheValid = false
 	v.agreement.changeCount++
 }
--- a/internal/mesh/discovery/membership/view_test.go
+++ b/internal/mesh/discovery/membership/view_test.go
@@ -14,17 +14,17 @@
 
 const ms = time.Millisecond
 
-// newMember returns a member of region r.
+// newMember returns a record of a member in region r.
 func newMember(incarnation uint64, address, zone string, heartbeat uint64) Member {
 	return Member{Incarnation: incarnation, Address: address, Zone: zone, Region: "r", Heartbeat: heartbeat}
 }
 
-// newView returns the view of incarnation 1000 in zone z, which knows no other member.
+// newView returns the view of a process with incarnation 1000 in zone z. It holds no other member.
 func newView() *View {
 	return New(newMember(1000, "10.0.0.1:1", "z", 1), Config{}, rand.New(rand.NewPCG(1, 2)))
 }
 
-// knownIncarnations returns the incarnations of the members of a view, sorted, without its own.
+// knownIncarnations returns the sorted incarnations of the members of a view, except that of its own process.
 func knownIncarnations(v *View) []uint64 {
 	var known []uint64
 	for _, m := range v.Members() {
@@ -36,24 +36,25 @@
 	return known
 }
 
-// shuffleFrom returns a reply of a member, with tombstones.
+// shuffleFrom returns a reply that a member sends, with tombstones.
 func shuffleFrom(m Member, tombstones ...Tombstone) *Shuffle {
 	return &Shuffle{From: m, Tombstones: tombstones, Reply: true}
 }
 
-// shuffleOf returns a reply of incarnation 1, with other members.
+// shuffleOf returns a reply that incarnation 1 sends, with records of other members.
 func shuffleOf(members ...Member) *Shuffle {
 	return &Shuffle{From: newMember(1, "10.0.0.2:1", "z", 1), Members: members, Reply: true}
 }
 
-// aged returns a member with a heartbeat of an age.
+// aged returns a copy of a member's record with the given age of its heartbeat.
 func aged(m Member, age time.Duration) Member {
 	m.HeartbeatAge = age
 	return m
 }
 
 // A process restarts at its address. The messages about its two incarnations arrive in all orders, and in all orders with one of them
-// twice. In the end the view holds the new incarnation and not the old one, and the old one doesn't come back once it was replaced.
+// duplicated. In the end the view must hold the new incarnation and not the old one. Once the new incarnation has replaced the old one,
+// the view must not add the old one again.
 func TestRestartInAllOrders(t *testing.T) {
 	const address = "10.0.0.9:1"
 	messages := []*Shuffle{
@@ -73,20 +74,20 @@
 	})
 }
 
-// checkRestart passes messages to a view in one order, and checks that incarnation 8 replaces incarnation 7 for good.
+// checkRestart passes messages to a view in one order, and checks that incarnation 8 replaces incarnation 7 permanently.
 func checkRestart(t *testing.T, messages []*Shuffle, order []int) {
 	t.Helper()
-	v := newView()
+	view := newView()
 	replaced := false
 	for i, n := range order {
-		v.Receive(time.Duration(i)*ms, messages[n])
-		known := knownIncarnations(v)
+		view.Receive(time.Duration(i)*ms, messages[n])
+		known := knownIncarnations(view)
 		if replaced && slices.Contains(known, 7) {
-			t.Fatalf("order %v: the old incarnation came back", order)
+			t.Fatalf("order %v: the view holds incarnation 7 after incarnation 8 had replaced it", order)
 		}
 		replaced = replaced || slices.Contains(known, 8)
 	}
-	qt.Assert(t, knownIncarnations(v), qt.DeepEquals, []uint64{1, 8}, qt.Commentf("order %v", order))
+	qt.Assert(t, knownIncarnations(view), qt.DeepEquals, []uint64{1, 8}, qt.Commentf("order %v", order))
 }
 
 // forEachOrder calls f with each permutation of the numbers below n.
@@ -106,37 +107,39 @@
 	extend(nil)
 }
 
-// Ages lack the time that messages take, so that an incarnation that has just ended may seem a little newer than the next one. Should a
-// view have taken it for the newer one, later heartbeats of the other correct that.
+// Ages don't include the transit time of messages, so an incarnation that has just ended may seem slightly newer than its successor. If a
+// view has replaced the successor because of that, later heartbeats of the successor must correct the view.
 func TestEndedIncarnationSeemsNewer(t *testing.T) {
 	c := qt.New(t)
 	const address = "10.0.0.9:1"
-	v := newView()
-	v.Receive(0, shuffleOf(aged(newMember(8, address, "z", 1), 500*ms)))
-	v.Receive(0, shuffleOf(aged(newMember(7, address, "z", 40), 480*ms)))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 8})
-	v.Receive(0, shuffleOf(newMember(7, address, "z", 41)))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("clearly newer"))
-	v.Receive(9*time.Second, shuffleOf(newMember(8, address, "z", 19)))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7})
-	v.Receive(11*time.Second, shuffleOf(newMember(8, address, "z", 23)))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 8})
+	view := newView()
+	view.Receive(0, shuffleOf(aged(newMember(8, address, "z", 1), 500*ms)))
+	view.Receive(0, shuffleOf(aged(newMember(7, address, "z", 40), 480*ms)))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 8})
+	view.Receive(0, shuffleOf(newMember(7, address, "z", 41)))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 7},
+		qt.Commentf("the heartbeat of incarnation 7 is newer by more than a gossip interval"))
+	view.Receive(9*time.Second, shuffleOf(newMember(8, address, "z", 19)))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 7})
+	view.Receive(11*time.Second, shuffleOf(newMember(8, address, "z", 23)))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 8})
 }
 
-func TestTombstoneHoldsUpToItsHeartbeat(t *testing.T) {
+func TestHigherHeartbeatRefutesTombstone(t *testing.T) {
 	c := qt.New(t)
-	v := newView()
-	v.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 5)))
-	v.Receive(0, shuffleFrom(newMember(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 4}))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7})
-	v.Receive(0, shuffleFrom(newMember(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 5}))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1})
-	v.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 5)))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1})
-	v.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 6)))
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 7}, qt.Commentf("its heartbeat advanced after all"))
-	reply, _ := v.Receive(0, &Shuffle{From: newMember(1, "10.0.0.2:1", "z", 3), Tombstones: []Tombstone{{1000, "10.0.0.1:1", 30}}})
-	c.Assert(reply.From.Heartbeat, qt.Equals, uint64(31), qt.Commentf("this process hasn't ended"))
+	view := newView()
+	view.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 5)))
+	view.Receive(0, shuffleFrom(newMember(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 4}))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 7})
+	view.Receive(0, shuffleFrom(newMember(1, "10.0.0.2:1", "z", 2), Tombstone{7, "10.0.0.7:1", 5}))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1})
+	view.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 5)))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1})
+	view.Receive(0, shuffleOf(newMember(7, "10.0.0.7:1", "z", 6)))
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 7},
+		qt.Commentf("a heartbeat above the tombstone's refutes the tombstone"))
+	reply, _ := view.Receive(0, &Shuffle{From: newMember(1, "10.0.0.2:1", "z", 3), Tombstones: []Tombstone{{1000, "10.0.0.1:1", 30}}})
+	c.Assert(reply.From.Heartbeat, qt.Equals, uint64(31), qt.Commentf("this process refutes its tombstone by a heartbeat above it"))
 	var read Shuffle
 	c.Assert(codec.Unmarshal(codec.MarshalAppend(nil, reply), &read), qt.IsNil)
 	c.Assert(&read, qt.DeepEquals, reply)
@@ -152,7 +155,8 @@
 	view.ConnectionLost(0, "10.0.0.2:1")
 	view.ConnectionLost(0, "10.0.0.3:1")
 	to, s := view.Tick(100 * ms)
-	c.Assert(to, qt.DeepEquals, []string{"10.0.0.2:1", "10.0.0.3:1"}, qt.Commentf("asked before its turn"))
+	c.Assert(to, qt.DeepEquals, []string{"10.0.0.2:1", "10.0.0.3:1"},
+		qt.Commentf("Tick contacts unreachable members before the next regular shuffle"))
 	c.Assert(s.Members, qt.HasLen, 3)
 	view.Receive(time.Second, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
 	view.Tick(1900 * ms)
@@ -163,8 +167,8 @@
 	c.Assert(s.Tombstones, qt.DeepEquals, []Tombstone{{1, "10.0.0.2:1", 1}})
 	for now := 2600 * ms; now < 10900*ms; now += 100 * ms {
 		view.Tick(now)
-		if now == 4*time.Second {
-			view.Receive(now, shuffleOf(aged(newMember(3, "10.0.0.4:1", "z", 2), 3*time.Second))) // its heartbeat is as old as that
+		if now == 4*time.Second { // a heartbeat that is 3 s old counts from 1 s, not from its arrival
+			view.Receive(now, shuffleOf(aged(newMember(3, "10.0.0.4:1", "z", 2), 3*time.Second)))
 		}
 	}
 	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{2, 3})
@@ -172,25 +176,27 @@
 	c.Assert(knownIncarnations(view), qt.HasLen, 0)
 }
 
-// After a freeze of its process no member departs because of the freeze, and the heartbeats that the process sends have their real ages.
-func TestFrozenProcessWakes(t *testing.T) {
+// After a freeze of a view's process, no member departs because of the freeze. The heartbeats in the shuffles that the process sends have
+// their real ages.
+func TestFreezeRestartsTimeouts(t *testing.T) {
 	c := qt.New(t)
-	v := newView()
-	v.Receive(0, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
-	v.Tick(0)
-	v.ConnectionLost(time.Second, "10.0.0.3:1")
-	v.Tick(time.Second)
-	_, s := v.Tick(9 * time.Second)
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 2})
+	view := newView()
+	view.Receive(0, shuffleOf(newMember(2, "10.0.0.3:1", "z", 2)))
+	view.Tick(0)
+	view.ConnectionLost(time.Second, "10.0.0.3:1")
+	view.Tick(time.Second)
+	_, s := view.Tick(9 * time.Second)
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 2})
 	c.Assert(s.Members, qt.HasLen, 2)
 	c.Assert(s.Members[0].HeartbeatAge, qt.Equals, 9*time.Second)
-	v.Tick(10900 * ms)
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1, 2})
-	v.Tick(11 * time.Second)
-	c.Assert(knownIncarnations(v), qt.DeepEquals, []uint64{1}, qt.Commentf("the unreachable one had two seconds more"))
+	view.Tick(10900 * ms)
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1, 2})
+	view.Tick(11 * time.Second)
+	c.Assert(knownIncarnations(view), qt.DeepEquals, []uint64{1},
+		qt.Commentf("the unreachable member departs DisconnectGrace, 2 s, after the end of the freeze"))
 }
 
-func TestRegistryOwnersMoveLittle(t *testing.T) {
+func TestRegistryOwnersStayWhenOneDeparts(t *testing.T) {
 	c := qt.New(t)
 	view := newView()
 	rng := rand.New(rand.NewPCG(3, 4))
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Registry holds the records of the endpoints that one process knows. NewRegistry makes one.
+// Registry holds the records of the endpoints that one process knows. Create it with NewRegistry.
 type Registry struct {
 	config           Config
-	entries          map[string]*registryEntry   // by ID
-	byAppAddress     map[string][]*registryEntry // in the order of their arrival
-	byService        map[string][]*registryEntry // ordered by ID
-	version          uint64                      // counts changes and renewals
-	forgottenVersion map[string]uint64           // by service: the highest version of an entry that was forgotten
-	tombstones       []*registryEntry            // endpoints that ended, the oldest first; some may have come back
-	lastExpire       time.Duration               // last call of Expire
+	entries          map[string]*registryEntry   // entries by endpoint ID
+	byAppAddress     map[string][]*registryEntry // entries by AppAddress, in the order of their insertion
+	byService        map[string][]*registryEntry // entries by service, ordered by ID
+	version          uint64                      // number of changes and renewals so far
+	forgottenVersion map[string]uint64           // by service: highest version of a discarded entry
+	tombstones       []*registryEntry            // endpoints that ended, the oldest first; some may have been restored since
+	lastExpire       time.Duration               // time of the last call of Expire
 }
 
 // NewRegistry returns an empty registry.
@@ -30,8 +30,8 @@
 	}
 }
 
-// Apply applies a record that was received, and reports whether that changed anything that others are to be notified of: more than
-// leases, sequences and warm-up times. A record without an ID is ignored.
+// Apply applies a received record, and reports whether it changed anything of which other processes must be notified. Changes of leases,
+// sequences and warm-up times need no notification. A record without an ID is ignored.
 func (r *Registry) Apply(now time.Duration, e Endpoint) (changed bool) {
 	if e.ID == "" {
 		return false
@@ -43,9 +43,9 @@
 		r.supersede(now, entry.AppAddress)
 		return true
 	}
-	before := entry.visible()
+	before := entry.visibleFields()
 	accepted := entry.merge(now, e)
-	changed = before != entry.visible()
+	changed = before != entry.visibleFields()
 	switch {
 	case changed:
 		r.noteChange(now, entry)
@@ -55,7 +55,7 @@
 	return r.supersede(now, entry.AppAddress) || changed
 }
 
-// add adds an entry for an endpoint that isn't known, and indexes it.
+// add adds an entry for a new endpoint to the registry and its indexes.
 func (r *Registry) add(now time.Duration, e Endpoint) *registryEntry {
 	entry := newRegistryEntry(now, e)
 	r.entries[entry.ID] = entry
@@ -66,14 +66,14 @@
 	return entry
 }
 
-// advanceVersion gives an entry that was changed or renewed the next version of the registry.
+// advanceVersion advances the version of the registry, and assigns it to an entry that was changed or renewed.
 func (r *Registry) advanceVersion(entry *registryEntry) {
 	r.version++
 	entry.version = r.version
 }
 
-// noteChange advances the version of an entry that has changed. If the endpoint has ended, the entry becomes a tombstone, for which the
-// oldest one may be forgotten.
+// noteChange advances the version of an entry that has changed. If the endpoint has ended, the entry becomes a tombstone. The oldest
+// tombstones are discarded if there are more than MaxTombstones.
 func (r *Registry) noteChange(now time.Duration, entry *registryEntry) {
 	r.advanceVersion(entry)
 	if entry.hasEnded() {
@@ -88,7 +88,7 @@
 	}
 }
 
-// forgetOldestTombstone removes the oldest tombstone, and forgets its endpoint unless that has come back.
+// forgetOldestTombstone removes the oldest tombstone, and discards its entry unless the endpoint was restored.
 func (r *Registry) forgetOldestTombstone() {
 	entry := r.tombstones[0]
 	r.tombstones = r.tombstones[1:]
@@ -102,7 +102,7 @@
 	removeFromIndex(r.byService, entry.Service, entry)
 }
 
-// removeFromIndex removes an entry from the list of a key, and the key if the list is empty then.
+// removeFromIndex removes an entry from the list of a key, and removes the key if its list becomes empty.
 func removeFromIndex(index map[string][]*registryEntry, key string, entry *registryEntry) {
 	rest := slices.DeleteFunc(index[key], func(other *registryEntry) bool { return other == entry })
 	if len(rest) == 0 {
@@ -112,8 +112,8 @@
 	index[key] = rest
 }
 
-// supersede deregisters the endpoints at an address whose own publisher has announced a later endpoint there. It reports whether there
-// were any.
+// supersede deregisters the endpoints at an address that are superseded by a later endpoint of the same publisher there. It reports whether
+// there were any.
 func (r *Registry) supersede(now time.Duration, appAddress string) (changed bool) {
 	atAddress := r.byAppAddress[appAddress]
 	for _, entry := range atAddress {
@@ -128,9 +128,9 @@
 	return changed
 }
 
-// Expire takes endpoints for crashed whose leases have expired or whose addresses were taken over, and forgets those that ended long ago.
-// It returns the endpoints that have crashed, ordered by ID. It is to be called every second at least: after a gap of FreezeThreshold
-// this process is assumed to have been frozen, and leases are extended.
+// Expire marks endpoints as crashed if their leases have expired or their addresses were taken over, and discards endpoints that ended
+// TombstoneRetention ago. It returns the endpoints that it has marked as crashed, ordered by ID. It must be called at least every second:
+// if more than FreezeThreshold has passed since the last call, this process is assumed to have been frozen, and leases are extended.
 func (r *Registry) Expire(now time.Duration) (changed []Endpoint) {
 	if now-r.lastExpire > r.config.FreezeThreshold {
 		r.extendLeases(now)
@@ -149,7 +149,7 @@
 	return changed
 }
 
-// extendLeases extends the leases after this process was frozen, so that renewals that have arrived meanwhile can be processed.
+// extendLeases extends the leases after this process was frozen, so that renewals that arrived in the meantime can be processed.
 func (r *Registry) extendLeases(now time.Duration) {
 	for _, entry := range r.entries {
 		entry.leaseEnd = max(entry.leaseEnd, now+r.config.TakeoverTimeout)
@@ -157,7 +157,7 @@
 	}
 }
 
-// forgetOldTombstones forgets the endpoints that ended TombstoneRetention ago or earlier.
+// forgetOldTombstones discards the endpoints that ended TombstoneRetention ago or earlier.
 func (r *Registry) forgetOldTombstones(now time.Duration) {
 	for len(r.tombstones) > 0 {
 		oldest := r.tombstones[0]
@@ -168,8 +168,9 @@
 	}
 }
 
-// isTakenOver reports whether another endpoint has taken over the address of an entry: the other is renewed, and the entry no longer is.
-// It depends on the time alone, as the revisions that supersede compares mean nothing if the two have different publishers.
+// isTakenOver reports whether another endpoint has taken over the address of an entry: the other one hasn't ended and was renewed within
+// TakeoverTimeout, and the entry wasn't. The result depends only on times, because the revisions that supersede compares aren't comparable
+// between publishers.
 func (r *Registry) isTakenOver(now time.Duration, entry *registryEntry) bool {
 	if now-entry.renewedAt < r.config.TakeoverTimeout {
 		return false
@@ -187,8 +188,8 @@
 	return ids
 }
 
-// List returns the records of a service's endpoints, ordered by ID, also of those that have ended while they are remembered. Leases and
-// warm-up times are what is left of them now.
+// List returns the records of a service's endpoints, ordered by ID, including retained endpoints that have ended. Leases and warm-up times
+// are those that remain at the given time.
 func (r *Registry) List(now time.Duration, service string) []Endpoint {
 	return r.changedAfter(now, service, 0)
 }
@@ -216,9 +217,9 @@
 // Version returns the number of changes and renewals so far.
 func (r *Registry) Version() uint64 { return r.version }
 
-// ChangedSince returns the records of a service that were changed or renewed after a version of this registry, and the present version.
-// If ok is false, changed is the complete list instead: records that have changed since the version are forgotten, or the version is
-// higher than the present one, and thus of another registry.
+// ChangedSince returns the records of a service that were changed or renewed after a version of this registry, and the current version. If
+// ok is false, changed is the complete list instead, either because records that changed after the version were discarded, or because the
+// version is higher than the current one, and thus belongs to another registry.
 func (r *Registry) ChangedSince(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
 	if version < r.forgottenVersion[service] || version > r.version {
 		return r.List(now, service), r.version, false
@@ -226,8 +227,8 @@
 	return r.changedAfter(now, service, version), r.version, true
 }
 
-// EndpointAt returns the endpoint at an address: of several, one that hasn't ended, and of these the one that was renewed last. It
-// reports false if none is known there. No program calls it yet.
+// EndpointAt returns the endpoint at an address. If there are several, it prefers endpoints that haven't ended, and then the one that was
+// renewed last. It returns false if no endpoint is known at the address. Only tests call it so far.
 func (r *Registry) EndpointAt(now time.Duration, appAddress string) (Endpoint, bool) {
 	atAddress := r.byAppAddress[appAddress]
 	if len(atAddress) == 0 {
@@ -236,7 +237,7 @@
 	return slices.MinFunc(atAddress, compareAtAddress).snapshot(now), true
 }
 
-// compareAtAddress orders the entries at one address: the first is the one that EndpointAt returns.
+// compareAtAddress orders the entries at one address so that the one that EndpointAt returns comes first.
 func compareAtAddress(a, b *registryEntry) int {
 	if a.hasEnded() != b.hasEnded() {
 		if a.hasEnded() {
--- a/internal/mesh/discovery/registry_entry.go
+++ b/internal/mesh/discovery/registry_entry.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// registryEntry is what a registry knows of one endpoint. The embedded Endpoint is the newest record that was applied; its state is only a
-// part of the endpoint's state (effectiveState).
+// registryEntry is a registry's entry for one endpoint. The embedded Endpoint is the newest record that was applied. Its state is only one
+// part of the endpoint's state, which effectiveState returns.
 type registryEntry struct {
 	Endpoint
 	leaseEnd     time.Duration
 	warmupEnd    time.Duration
-	renewedAt    time.Duration // last
-	endedAt      time.Duration // last change to a state in which it has ended
+	renewedAt    time.Duration // time of the last renewal
+	endedAt      time.Duration // time of the last change after which the endpoint had ended
 	drainSeen    bool          // a record in state Draining was applied
 	deregistered bool          // a record in state Deregistered was applied, or the endpoint was superseded
-	expired      bool          // the lease expired at this registry, or another endpoint has taken the address over
+	expired      bool          // the lease expired at this registry, or another endpoint has taken over the address
 	inTombstones bool          // the entry is in Registry.tombstones
-	version      uint64        // of the registry at the entry's last change or renewal
+	version      uint64        // version of the registry at the entry's last change or renewal
 }
 
-// newRegistryEntry returns the entry of an endpoint that the registry doesn't know yet.
+// newRegistryEntry returns the entry for an endpoint that the registry doesn't hold yet.
 func newRegistryEntry(now time.Duration, e Endpoint) *registryEntry {
 	return &registryEntry{
 		Endpoint:     e,
@@ -32,7 +32,7 @@
 	}
 }
 
-// effectiveState returns the state of the endpoint, as others are sent it.
+// effectiveState returns the state of the endpoint that other processes are sent.
 func (r *registryEntry) effectiveState() State {
 	switch {
 	case r.deregistered:
@@ -57,7 +57,7 @@
 	return e
 }
 
-// merge merges a record that was received. Nothing else changes an entry because of a message. It reports whether the record was newer, or
+// merge merges a received record. Records of an endpoint change its entry only here. It reports whether the record was newer or
 // renewed the lease.
 func (r *registryEntry) merge(now time.Duration, e Endpoint) (accepted bool) {
 	e.AppAddress = r.AppAddress // invariant: address and service never change for an endpoint ID
@@ -83,9 +83,9 @@
 	return cmp.Or(cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.State, b.State))
 }
 
-// visible holds the parts of an entry whose changes are updates for other processes. Leases, sequences and warm-up times change all the
-// time, and are not among them.
-type visible struct {
+// visibleFields holds the fields of an entry whose changes are updates for other processes. Leases, sequences and warm-up times aren't
+// among them, because they change continually.
+type visibleFields struct {
 	state              State
 	revision           uint64
 	slots              int
@@ -93,9 +93,9 @@
 	sidecarIncarnation uint64
 }
 
-// visible returns the parts of the entry whose changes are updates.
-func (r *registryEntry) visible() visible {
-	return visible{r.effectiveState(), r.Revision, r.Slots, r.SidecarAddress, r.SidecarIncarnation}
+// visibleFields returns the fields of the entry whose changes are updates.
+func (r *registryEntry) visibleFields() visibleFields {
+	return visibleFields{r.effectiveState(), r.Revision, r.Slots, r.SidecarAddress, r.SidecarIncarnation}
 }
 
 // isSupersededBy reports whether other is a later endpoint beside the same incarnation of a sidecar.
--- a/internal/mesh/discovery/registry_test.go
+++ b/internal/mesh/discovery/registry_test.go
@@ -14,7 +14,7 @@
 
 const lease = 9 * time.Second
 
-// testEndpoint returns a record of an endpoint of service s at address a:1, beside incarnation 7 of a sidecar.
+// testEndpoint returns a record of an endpoint of service s at address a:1, beside a sidecar with incarnation 7.
 func testEndpoint(id string, s State, sequence, revision uint64) Endpoint {
 	return Endpoint{
 		ID:                 id,
@@ -48,16 +48,16 @@
 	extend(nil)
 }
 
-// essence returns the parts of a registry's records that registries must agree on.
-func essence(r *Registry) (out []string) {
+// agreedFields formats the fields of a registry's records that must be equal in all registries with the same records.
+func agreedFields(r *Registry) (out []string) {
 	for _, e := range r.All(0) {
 		out = append(out, fmt.Sprintf("%s %d %d.%d %d", e.ID, e.State, e.Sequence, e.Revision, e.Slots))
 	}
 	return out
 }
 
-// Records are applied to a registry in all orders, and in all orders with one of them twice. The registry has the same endpoints in the
-// end each time, and never has an endpoint serving after it was draining, or in another state after it deregistered.
+// Records are applied to a registry in all orders, and in all orders with one of them duplicated. In the end the registry must always
+// hold the same endpoints. No endpoint may return to Serving after Draining, or leave Deregistered.
 func TestRegistriesAgreeInAllOrders(t *testing.T) {
 	first := testEndpoint("x", Serving, 1, 1)
 	resized := testEndpoint("x", Serving, 1, 2)
@@ -88,29 +88,29 @@
 					}
 				}
 			})
-			t.Logf("%d orders, in the end %q", checker.orders, checker.want)
+			t.Logf("%d orders checked; records after each: %q", checker.checkedOrders, checker.want)
 		})
 	}
 }
 
-// orderCheck checks that a registry has the same endpoints in the end whatever the order of the records that are applied.
+// orderCheck checks that the endpoints that a registry holds don't depend on the order in which records are applied.
 type orderCheck struct {
-	messages []Endpoint
-	want     []string // essence of the registry after the first order
-	orders   int      // that were checked
+	messages      []Endpoint
+	want          []string // agreedFields of the registry after the first checked order
+	checkedOrders int      // number of orders checked so far
 }
 
-// check applies the messages in one order.
+// check applies the messages in one order, and checks the states on the way and the records in the end.
 func (o *orderCheck) check(t *testing.T, order []int) {
 	t.Helper()
 	registry := NewRegistry(Config{})
-	worst := map[string]State{} // by endpoint ID, without Crashed
+	worst := map[string]State{} // worst state seen so far by endpoint ID, apart from Crashed
 	for _, i := range order {
 		registry.Apply(0, o.messages[i])
 		for _, e := range registry.All(0) {
 			before := worst[e.ID]
 			if before == Draining && e.State == Serving || before == Deregistered && e.State != Deregistered {
-				t.Fatalf("order %v: %s went from %d to %d", order, e.ID, before, e.State)
+				t.Fatalf("order %v: endpoint %s changed from state %d to %d, which is not allowed", order, e.ID, before, e.State)
 			}
 			if e.State != Crashed {
 				worst[e.ID] = max(before, e.State)
@@ -118,13 +118,13 @@
 		}
 	}
 	if o.want == nil {
-		o.want = essence(registry)
+		o.want = agreedFields(registry)
 	}
-	qt.Assert(t, essence(registry), qt.DeepEquals, o.want, qt.Commentf("order %v", order))
-	o.orders++
+	qt.Assert(t, agreedFields(registry), qt.DeepEquals, o.want, qt.Commentf("order %v", order))
+	o.checkedOrders++
 }
 
-// expire calls Expire every second from a time up to now, and returns all endpoints that changed.
+// expire calls Expire every second from one time up to another, and returns all endpoints that were marked as crashed.
 func expire(r *Registry, from, now time.Duration) (changed []Endpoint) {
 	for at := from; at <= now; at += time.Second {
 		changed = append(changed, r.Expire(at)...)
@@ -137,18 +137,20 @@
 	registry := NewRegistry(Config{})
 	older := testEndpoint("x", Serving, 1, 1)
 	newer := testEndpoint("y", Serving, 1, 1)
-	newer.SidecarIncarnation = 8 // announced by another incarnation of the sidecar, which never knew of x
+	newer.SidecarIncarnation = 8 // another incarnation of the sidecar, which has never known x, announces y
 	c.Assert(registry.Apply(0, older), qt.IsTrue)
 	c.Assert(registry.Apply(0, older), qt.IsFalse)
 	c.Assert(expire(registry, 0, 4*time.Second), qt.HasLen, 0)
 	registry.Apply(4*time.Second, newer)
 	c.Assert(registry.Expire(4*time.Second), qt.HasLen, 0)
-	c.Assert(registry.Expire(5*time.Second), qt.HasLen, 1, qt.Commentf("the one that isn't renewed yields"))
+	c.Assert(registry.Expire(5*time.Second), qt.HasLen, 1,
+		qt.Commentf("x, which is no longer renewed, is presumed crashed because y has its address"))
 	at, _ := registry.EndpointAt(5*time.Second, "a:1")
 	c.Assert(at.ID, qt.Equals, "y")
 	older.Sequence++
-	c.Assert(registry.Apply(6*time.Second, older), qt.IsTrue, qt.Commentf("it was alive after all"))
-	c.Assert(expire(registry, 6*time.Second, 9*time.Second), qt.HasLen, 1, qt.Commentf("now the other one yields"))
+	c.Assert(registry.Apply(6*time.Second, older), qt.IsTrue, qt.Commentf("a renewal restores x"))
+	c.Assert(expire(registry, 6*time.Second, 9*time.Second), qt.HasLen, 1,
+		qt.Commentf("y, which is no longer renewed, is presumed crashed because x has its address"))
 	c.Assert(expire(registry, 10*time.Second, 14*time.Second), qt.HasLen, 0)
 	c.Assert(registry.Expire(15*time.Second), qt.HasLen, 1)
 	c.Assert(registry.List(15*time.Second, "s")[0].State, qt.Equals, Crashed)
@@ -158,14 +160,15 @@
 	expire(registry, 16*time.Second, 80*time.Second)
 	c.Assert(registry.All(80*time.Second), qt.HasLen, 0)
 	_, _, ok = registry.ChangedSince(80*time.Second, "s", version)
-	c.Assert(ok, qt.IsTrue, qt.Commentf("this one had been notified of the ends"))
+	c.Assert(ok, qt.IsTrue,
+		qt.Commentf("the version includes the ends of the discarded endpoints, so the changes since then are complete"))
 	_, _, ok = registry.ChangedSince(80*time.Second, "s", 1)
 	c.Assert(ok, qt.IsFalse)
 }
 
-// After a freeze of its process a registry gives renewals that have arrived meanwhile the time to be processed, and only takes endpoints
-// for crashed that aren't renewed by then.
-func TestFrozenRegistryEndsNobody(t *testing.T) {
+// After a freeze of its process, a registry must extend leases so that renewals that arrived in the meantime can be processed. It marks
+// only endpoints as crashed that aren't renewed by then.
+func TestFreezeExtendsLeases(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(Config{})
 	r.Apply(0, testEndpoint("x", Serving, 1, 1))
@@ -174,7 +177,7 @@
 	c.Assert(r.Expire(25*time.Second), qt.HasLen, 1)
 }
 
-// The number of endpoints that ended and are remembered is bounded, and so are the indexes.
+// The number of retained endpoints that ended is bounded, and so are the sizes of the indexes.
 func TestTombstonesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	registry := NewRegistry(Config{MaxTombstones: 10})
@@ -183,7 +186,7 @@
 		endpoint.AppAddress = strconv.Itoa(i)
 		endpoint.SidecarIncarnation = uint64(i)
 		registry.Apply(0, endpoint)
-		for range 3 { // it crashes and comes back
+		for range 3 { // the endpoint crashes and is restored
 			endpoint.Sequence++
 			endpoint.State = Crashed
 			registry.Apply(0, endpoint)
@@ -195,25 +198,25 @@
 		registry.Apply(0, endpoint)
 	}
 	c.Assert(len(registry.entries) <= 10 && len(registry.tombstones) <= 10, qt.IsTrue,
-		qt.Commentf("%d records, %d tombstones", len(registry.entries), len(registry.tombstones)))
+		qt.Commentf("got %d records and %d tombstones, want at most 10 of each", len(registry.entries), len(registry.tombstones)))
 	registry.Expire(time.Hour)
 	c.Assert(len(registry.entries)+len(registry.byAppAddress)+len(registry.byService)+len(registry.tombstones), qt.Equals, 0)
 }
 
-// A subscriber that applies the changes since its version has the same endpoints as the owner, whenever it polls.
-func TestChangedSinceIsEnough(t *testing.T) {
+// A subscriber that applies the changes since its version must hold the same endpoints as the owner, whenever it polls.
+func TestChangedSinceKeepsSubscriberInSync(t *testing.T) {
 	messages := []Endpoint{
 		testEndpoint("x", Serving, 1, 1), testEndpoint("x", Draining, 2, 2), testEndpoint("x", Deregistered, 2, 3),
 		testEndpoint("y", Serving, 1, 4),
 	}
 	forEachOrder(len(messages), func(order []int) {
-		for polls := range 1 << len(order) { // a bit for each message: whether the subscriber polls after it
+		for polls := range 1 << len(order) { // bit i is set if the subscriber polls after message i
 			checkChangedSince(t, messages, order, polls)
 		}
 	})
 }
 
-// checkChangedSince applies messages to an owner in one order, and lets a subscriber poll after those whose bit is set, and at the end.
+// checkChangedSince applies messages to an owner in one order. A subscriber polls after the messages whose bits are set, and at the end.
 func checkChangedSince(t *testing.T, messages []Endpoint, order []int, polls int) {
 	t.Helper()
 	owner := NewRegistry(Config{})
@@ -236,5 +239,5 @@
 		}
 	}
 	poll()
-	qt.Assert(t, essence(subscriber), qt.DeepEquals, essence(owner), qt.Commentf("order %v, polls %b", order, polls))
+	qt.Assert(t, agreedFields(subscriber), qt.DeepEquals, agreedFields(owner), qt.Commentf("order %v, polls %b", order, polls))
 }
--- a/internal/mesh/discovery/subscribers.go
+++ b/internal/mesh/discovery/subscribers.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Subscribers is a registry owner's list of the processes that are to be notified of changes, by service. NewSubscribers makes one.
+// Subscribers is a registry owner's list of the processes to notify of changes, by service. Create it with NewSubscribers.
 type Subscribers struct {
 	config    Config
-	leaseEnds map[string]map[string]time.Duration // by service and subscriber
+	leaseEnds map[string]map[string]time.Duration // end of each lease, by service and subscriber
 }
 
 // NewSubscribers returns an empty list of subscribers.
@@ -16,7 +16,7 @@
 	return &Subscribers{config: config.WithDefaults(), leaseEnds: map[string]map[string]time.Duration{}}
 }
 
-// Renew subscribes a process to a service, or renews its subscription, because of its request.
+// Renew subscribes a process to a service, or renews its subscription, after a request of the process.
 func (s *Subscribers) Renew(now time.Duration, service, subscriber string) {
 	if s.leaseEnds[service] == nil {
 		s.leaseEnds[service] = map[string]time.Duration{}
@@ -24,14 +24,14 @@
 	s.leaseEnds[service][subscriber] = now + s.config.SubscriptionLease
 }
 
-// ConnectionLost ends the subscriptions of a process to which the connection broke. No program calls it: the agent lets the leases expire.
+// ConnectionLost ends the subscriptions of a process to which the connection broke. Only tests call it: the agent lets the leases expire.
 func (s *Subscribers) ConnectionLost(subscriber string) {
 	for service := range s.leaseEnds {
 		s.remove(service, subscriber)
 	}
 }
 
-// remove ends a subscription, and removes the service if it was the last one.
+// remove ends a subscription, and removes the service if it has no other subscribers.
 func (s *Subscribers) remove(service, subscriber string) {
 	delete(s.leaseEnds[service], subscriber)
 	if len(s.leaseEnds[service]) == 0 {
--- a/internal/mesh/discovery/subscription_test.go
+++ b/internal/mesh/discovery/subscription_test.go
@@ -16,30 +16,32 @@
 	subscription.SetOwners("s", []RegistryOwner{a, b, d})
 	c.Assert(subscription.Tick(0), qt.DeepEquals, []SubscribeRequest{{"a", 1, "s", 0}, {"b", 1, "s", 0}})
 	subscription.Received(0, a, "s", 5)
-	c.Assert(subscription.Tick(300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 0}}, qt.Commentf("no answer yet"))
+	c.Assert(subscription.Tick(300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 0}},
+		qt.Commentf("the request to b is retried without an answer"))
 	subscription.Received(time.Second, b, "s", 3)
-	subscription.Received(time.Second, RegistryOwner{"b", 9}, "s", 8) // not the incarnation that is polled
+	subscription.Received(time.Second, RegistryOwner{"b", 9}, "s", 8) // incarnation 9 isn't polled, so its answer is ignored
 	subscription.ConnectionLost(time.Second, "a")
 	c.Assert(subscription.Tick(time.Second), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 3}, {"d", 1, "s", 0}})
 	c.Assert(subscription.Tick(1300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"a", 1, "s", 5}, {"d", 1, "s", 0}})
 	subscription.Received(1300*time.Millisecond, a, "s", 6)
 	subscription.SetOwners("s", []RegistryOwner{{"a", 2}, b})
 	c.Assert(subscription.Tick(2*time.Second), qt.DeepEquals, []SubscribeRequest{{"a", 2, "s", 0}},
-		qt.Commentf("another incarnation: from the start"))
+		qt.Commentf("another incarnation of a is polled from version 0"))
 	subscription.Received(2*time.Second, RegistryOwner{"a", 2}, "s", 1)
 	c.Assert(subscription.Tick(3*time.Second), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 3}})
 	subscription.SetOwners("s", nil)
 	c.Assert(subscription.Tick(9*time.Second), qt.HasLen, 0)
 }
 
-// An owner that freezes while its connection stays open is replaced by the next one, and polled again once it responds.
-func TestUnresponsiveOwnerIsPassedOver(t *testing.T) {
+// If an owner freezes while its connection stays open, the next owner must be polled instead. Once the frozen owner responds, it must be
+// polled again.
+func TestUnresponsiveOwnerIsSkipped(t *testing.T) {
 	c := qt.New(t)
 	subscription := NewSubscription(Config{OwnersQueried: 1})
 	a := RegistryOwner{"a", 1}
 	b := RegistryOwner{"b", 1}
 	subscription.SetOwners("s", []RegistryOwner{a, b})
-	first := time.Duration(-1) // when the first request to b was due
+	first := time.Duration(-1) // time at which the first request to b was due
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 		for _, request := range subscription.Tick(now) {
 			if request.To == "b" {
@@ -52,6 +54,6 @@
 			}
 		}
 	}
-	c.Assert(first <= 5*time.Second && first > 0, qt.IsTrue, qt.Commentf("after %v", first))
-	c.Assert(subscription.services["s"][0].state, qt.Equals, answered)
+	c.Assert(first <= 5*time.Second && first > 0, qt.IsTrue, qt.Commentf("the first request to b was due at %v, want at most 5s", first))
+	c.Assert(subscription.sourcesByService["s"][0].state, qt.Equals, answered)
 }
