--- a/internal/mesh/discovery/example_test.go
+++ b/internal/mesh/discovery/example_test.go
@@ -9,18 +9,18 @@
 
 // A publisher announces its endpoint to the registry owner until the owner acknowledges that, and renews the lease.
 func ExamplePublisher() {
-	p := discovery.NewPublisher(discovery.Config{})
-	p.SetOwners([]string{"10.0.0.9:7400"})
-	p.Set(0, discovery.Endpoint{ID: "i-1", Service: "checkout", AppAddress: "10.0.0.1:8080", Sequence: 1})
+	publisher := discovery.NewPublisher(discovery.Config{})
+	publisher.SetOwners([]string{"10.0.0.9:7400"})
+	publisher.Set(0, discovery.Endpoint{ID: "i-1", Service: "checkout", AppAddress: "10.0.0.1:8080", Sequence: 1})
 
-	r := discovery.NewRegistry(discovery.Config{})
-	for _, a := range p.Tick(0) {
+	registry := discovery.NewRegistry(discovery.Config{})
+	for _, a := range publisher.Tick(0) {
 		fmt.Println("announce to", a.To, "under a lease of", a.Endpoint.LeaseRemaining)
-		r.Apply(0, a.Endpoint)
-		p.Acknowledged(a.To, a.Endpoint.ID, a.Endpoint.Revision)
+		registry.Apply(0, a.Endpoint)
+		publisher.Acknowledged(a.To, a.Endpoint.ID, a.Endpoint.Revision)
 	}
-	fmt.Println("due at once:", len(p.Tick(time.Second)))
-	fmt.Println("due after a third of the lease:", len(p.Tick(3*time.Second)))
+	fmt.Println("due at once:", len(publisher.Tick(time.Second)))
+	fmt.Println("due after a third of the lease:", len(publisher.Tick(3*time.Second)))
 
 	// Output:
 	// announce to 10.0.0.9:7400 under a lease of 9s
@@ -48,13 +48,13 @@
 // A subscriber requests the records that have changed since the last version that it received.
 func ExampleSubscription() {
 	owner := discovery.RegistryOwner{Address: "10.0.0.9:7400", Incarnation: 1}
-	s := discovery.NewSubscription(discovery.Config{})
-	s.SetOwners("checkout", []discovery.RegistryOwner{owner})
-	for _, request := range s.Tick(0) {
+	subscription := discovery.NewSubscription(discovery.Config{})
+	subscription.SetOwners("checkout", []discovery.RegistryOwner{owner})
+	for _, request := range subscription.Tick(0) {
 		fmt.Println("ask", request.To, "for", request.Service, "since", request.SinceVersion)
 	}
-	s.Received(0, owner, "checkout", 17)
-	for _, request := range s.Tick(2 * time.Second) {
+	subscription.Received(0, owner, "checkout", 17)
+	for _, request := range subscription.Tick(2 * time.Second) {
 		fmt.Println("ask", request.To, "for", request.Service, "since", request.SinceVersion)
 	}
 
--- a/internal/mesh/discovery/golden_test.go
+++ b/internal/mesh/discovery/golden_test.go
@@ -77,7 +77,7 @@
 
 // newSimulation returns a simulation in which each sidecar has started an endpoint.
 func newSimulation(seed uint64) *simulation {
-	s := &simulation{
+	sim := &simulation{
 		rng:            rand.New(rand.NewPCG(seed, 7)),
 		digest:         sha256.New(),
 		owners:         []string{"home-a", "home-b", "home-c"},
@@ -87,19 +87,19 @@
 		subscription:   NewSubscription(Config{}),
 	}
 	var owners []RegistryOwner
-	for i, address := range s.owners {
-		s.registries[address], s.subscribers[address] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
+	for i, address := range sim.owners {
+		sim.registries[address], sim.subscribers[address] = NewRegistry(Config{MaxTombstones: 20}), NewSubscribers(Config{})
 		owners = append(owners, RegistryOwner{Address: address, Incarnation: uint64(i + 1)})
 	}
-	s.subscription.SetOwners(simulatedService, owners)
+	sim.subscription.SetOwners(simulatedService, owners)
 	for i := range 3 {
-		s.publishers = append(s.publishers, NewPublisher(Config{}))
-		s.endpoints = append(s.endpoints, Endpoint{})
-		s.pausedUntil = append(s.pausedUntil, 0)
-		s.publishers[i].SetOwners(s.owners[:2])
-		s.restart(i)
+		sim.publishers = append(sim.publishers, NewPublisher(Config{}))
+		sim.endpoints = append(sim.endpoints, Endpoint{})
+		sim.pausedUntil = append(sim.pausedUntil, 0)
+		sim.publishers[i].SetOwners(sim.owners[:2])
+		sim.restart(i)
 	}
-	return s
+	return sim
 }
 
 // addValues adds values to the digest.
--- a/internal/mesh/discovery/membership/agreement.go
+++ b/internal/mesh/discovery/membership/agreement.go
@@ -61,7 +61,7 @@
 	v.addMonitored(eligible)
 }
 
-// sumHashes returns the sum of the hashes of the entries for which among returns true.
+// sumHashes returns the sum of the hashes of the entries for which include returns true.
 func sumHashes(all []*entry, include func(*entry) bool) (sum uint64) {
 	for _, e := range all {
 		if include(e) {
--- a/internal/mesh/discovery/membership/example_test.go
+++ b/internal/mesh/discovery/membership/example_test.go
@@ -38,7 +38,7 @@
 // The registry owners of a service are the same in all views that hold the same members.
 func ExampleView_RegistryOwners() {
 	self := membership.Member{Incarnation: 1, Address: "10.0.0.1:7400", Zone: "zone-a"}
-	v := membership.New(self, membership.Config{}, rand.New(rand.NewPCG(1, 0)))
+	view := membership.New(self, membership.Config{}, rand.New(rand.NewPCG(1, 0)))
 	for i := uint64(2); i <= 5; i++ {
 		other := membership.Member{
 			Incarnation: i,
@@ -46,9 +46,9 @@
 			Zone:        "zone-a",
 			Heartbeat:   1,
 		}
-		v.Receive(0, &membership.Shuffle{From: other, Reply: true})
+		view.Receive(0, &membership.Shuffle{From: other, Reply: true})
 	}
-	for _, owner := range v.RegistryOwners("checkout", "zone-a", 2) {
+	for _, owner := range view.RegistryOwners("checkout", "zone-a", 2) {
 		fmt.Println(owner.Address)
 	}
 
@@ -60,16 +60,16 @@
 // A member departs if a connection to it breaks and its heartbeat doesn't advance within DisconnectGrace.
 func ExampleView_ConnectionLost() {
 	self := membership.Member{Incarnation: 1, Address: "10.0.0.1:7400", Zone: "zone-a"}
-	v := membership.New(self, membership.Config{DisconnectGrace: time.Second}, rand.New(rand.NewPCG(1, 0)))
+	view := membership.New(self, membership.Config{DisconnectGrace: time.Second}, rand.New(rand.NewPCG(1, 0)))
 	other := membership.Member{Incarnation: 2, Address: "10.0.0.2:7400", Zone: "zone-a", Heartbeat: 1}
-	v.Receive(0, &membership.Shuffle{From: other, Reply: true})
-	v.Tick(0)
+	view.Receive(0, &membership.Shuffle{From: other, Reply: true})
+	view.Tick(0)
 
-	v.ConnectionLost(500*time.Millisecond, "10.0.0.2:7400")
-	v.Tick(1400 * time.Millisecond)
-	fmt.Println("members:", len(v.Members()))
-	v.Tick(1500 * time.Millisecond)
-	fmt.Println("after the grace:", len(v.Members()))
+	view.ConnectionLost(500*time.Millisecond, "10.0.0.2:7400")
+	view.Tick(1400 * time.Millisecond)
+	fmt.Println("members:", len(view.Members()))
+	view.Tick(1500 * time.Millisecond)
+	fmt.Println("after the grace:", len(view.Members()))
 
 	// Output:
 	// members: 2
--- a/internal/mesh/discovery/membership/fleet_test.go
+++ b/internal/mesh/discovery/membership/fleet_test.go
@@ -44,10 +44,10 @@
 
 // traffic counts messages since it was last reset.
 type traffic struct {
-	messages    int
-	bytes       int
-	bytesAcross int // bytes sent between zones
-	changes     int // number of shuffles that changed a view
+	messages          int
+	bytes             int
+	bytesBetweenZones int // bytes sent between zones
+	changes           int // number of shuffles that changed a view
 }
 
 // node is one incarnation of a process.
@@ -83,18 +83,18 @@
 // startFleet returns a fleet whose members start at random times within the first half second.
 func startFleet(tb testing.TB, seed uint64, size fleetSize) *fleet {
 	tb.Helper()
-	f := newFleet(tb, seed)
+	simulated := newFleet(tb, seed)
 	for i := range size.seeds {
-		f.seeds = append(f.seeds, memberAddress(i))
+		simulated.seeds = append(simulated.seeds, memberAddress(i))
 	}
 	for i := range size.members {
 		role := RoleAccess
 		if i < size.cores {
 			role = RoleCore
 		}
-		f.start(memberAddress(i), size.zones[i%len(size.zones)], role)
+		simulated.start(memberAddress(i), size.zones[i%len(size.zones)], role)
 	}
-	return f
+	return simulated
 }
 
 // zoneNames returns the names zone-0, zone-1 and so on.
@@ -111,20 +111,20 @@
 
 // start starts a process. It ends a process that runs at the same address.
 func (f *fleet) start(address, zone string, role Role) {
-	m := newMember(f.rng.Uint64(), address, zone, 1)
-	m.Role = role
-	m.Service = "service-" + address[len(address)-4:len(address)-3]
-	m.AppAddress = address[:len(address)-1] + "8080"
-	n := &node{View: New(m, Config{}, rand.New(rand.NewPCG(f.rng.Uint64(), 0)))}
+	member := newMember(f.rng.Uint64(), address, zone, 1)
+	member.Role = role
+	member.Service = "service-" + address[len(address)-4:len(address)-3]
+	member.AppAddress = address[:len(address)-1] + "8080"
+	started := &node{View: New(member, Config{}, rand.New(rand.NewPCG(f.rng.Uint64(), 0)))}
 	if old := f.nodes[address]; old != nil {
 		f.killProcess(old)
-		f.order[slices.Index(f.order, old)] = n
+		f.order[slices.Index(f.order, old)] = started
 	} else {
-		f.order = append(f.order, n)
+		f.order = append(f.order, started)
 	}
-	f.nodes[address] = n
-	n.SetSeeds(f.seeds)
-	f.after(time.Duration(f.rng.IntN(500))*ms, func() { f.tick(n) })
+	f.nodes[address] = started
+	started.SetSeeds(f.seeds)
+	f.after(time.Duration(f.rng.IntN(500))*ms, func() { f.tick(started) })
 }
 
 // kill ends a process together with its machine: connections to the process break after linkPingTimeout.
@@ -262,7 +262,7 @@
 		f.after(connectTimeout, func() { from.ConnectionLost(f.now, address) })
 	}
 	if from.self.Zone != to.self.Zone {
-		f.traffic.bytesAcross += len(data)
+		f.traffic.bytesBetweenZones += len(data)
 	}
 	f.after(messageDelay, func() { f.deliver(from, to, shuffle) })
 }
@@ -382,7 +382,7 @@
 	f.t.Helper()
 	n := float64(len(f.runningNodes(""))) * max(span.Seconds(), 0.1)
 	f.t.Logf("%s: %v; per member and second: %.1f messages, %.1f kB (%.1f kB between zones), %.2f changes of views", what, span,
-		float64(f.traffic.messages)/n, float64(f.traffic.bytes)/n/1e3, float64(f.traffic.bytesAcross)/n/1e3, float64(f.traffic.changes)/n)
+		float64(f.traffic.messages)/n, float64(f.traffic.bytes)/n/1e3, float64(f.traffic.bytesBetweenZones)/n/1e3, float64(f.traffic.changes)/n)
 	f.traffic = traffic{}
 }
 
--- a/internal/mesh/discovery/membership/gossip.go
+++ b/internal/mesh/discovery/membership/gossip.go
@@ -82,7 +82,7 @@
 }
 
 // firstPeer returns the first peer of a regular shuffle, or nil if there is none. At every other call while the view is quiet, that is a
-// monitored member; otherwise it is the alive member that was contacted least recently.
+// monitored member; otherwise nextPeer selects an alive member.
 func (v *View) firstPeer(now time.Duration) *entry {
 	if v.isQuiet(now) {
 		v.refreshAgreement()
@@ -106,8 +106,8 @@
 	return 0
 }
 
-// nextPeer returns the least recently contacted member in a state, or nil if there is none. If there are more members than a
-// shuffle carries, it prefers members of this process's zone in three of four cases.
+// nextPeer returns the least recently contacted member in a state, or nil if there is none. If there are more members than a shuffle
+// carries, it prefers members of this process's zone in three of four random cases.
 func (v *View) nextPeer(in state) *entry {
 	if len(v.table.entries) > v.config.MaxMembersPerShuffle && v.rng.IntN(4) > 0 {
 		ofOwnZone := func(e *entry) bool { return e.state == in && e.Zone == v.self.Zone }
@@ -118,7 +118,7 @@
 	return v.leastRecentlyContacted(func(e *entry) bool { return e.state == in })
 }
 
-// leastRecentlyContacted returns the least recently contacted member among those for which among returns true, or nil if there is none.
+// leastRecentlyContacted returns the least recently contacted member of those for which include returns true, or nil if there is none.
 func (v *View) leastRecentlyContacted(include func(*entry) bool) (oldest *entry) {
 	for _, e := range v.table.entries {
 		if include(e) && (oldest == nil || e.lastContacted < oldest.lastContacted) {
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -14,7 +14,7 @@
 	byAppAddress     map[string][]*registryEntry // entries by AppAddress, in the order of their insertion
 	byService        map[string][]*registryEntry // entries by service, ordered by ID
 	version          uint64                      // number of changes and renewals so far
-	forgottenVersion map[string]uint64           // by service: highest version of a discarded entry
+	discardedVersion map[string]uint64           // by service: highest version of a discarded entry
 	tombstones       []*registryEntry            // endpoints that ended, the oldest first; some may have been restored since
 	lastExpire       time.Duration               // time of the last call of Expire
 }
@@ -26,7 +26,7 @@
 		entries:          map[string]*registryEntry{},
 		byAppAddress:     map[string][]*registryEntry{},
 		byService:        map[string][]*registryEntry{},
-		forgottenVersion: map[string]uint64{},
+		discardedVersion: map[string]uint64{},
 	}
 }
 
@@ -84,12 +84,12 @@
 		}
 	}
 	for len(r.tombstones) > r.config.MaxTombstones {
-		r.forgetOldestTombstone()
+		r.discardOldestTombstone()
 	}
 }
 
-// forgetOldestTombstone removes the oldest tombstone, and discards its entry unless the endpoint was restored.
-func (r *Registry) forgetOldestTombstone() {
+// discardOldestTombstone removes the oldest tombstone, and discards its entry unless the endpoint was restored.
+func (r *Registry) discardOldestTombstone() {
 	entry := r.tombstones[0]
 	r.tombstones = r.tombstones[1:]
 	entry.inTombstones = false
@@ -97,7 +97,7 @@
 		return
 	}
 	delete(r.entries, entry.ID)
-	r.forgottenVersion[entry.Service] = max(r.forgottenVersion[entry.Service], entry.version)
+	r.discardedVersion[entry.Service] = max(r.discardedVersion[entry.Service], entry.version)
 	removeFromIndex(r.byAppAddress, entry.AppAddress, entry)
 	removeFromIndex(r.byService, entry.Service, entry)
 }
@@ -145,7 +145,7 @@
 		r.noteChange(now, entry)
 		changed = append(changed, entry.snapshot(now))
 	}
-	r.forgetOldTombstones(now)
+	r.discardExpiredTombstones(now)
 	return changed
 }
 
@@ -157,14 +157,14 @@
 	}
 }
 
-// forgetOldTombstones discards the endpoints that ended TombstoneRetention ago or earlier.
-func (r *Registry) forgetOldTombstones(now time.Duration) {
+// discardExpiredTombstones discards the endpoints that ended TombstoneRetention ago or earlier.
+func (r *Registry) discardExpiredTombstones(now time.Duration) {
 	for len(r.tombstones) > 0 {
 		oldest := r.tombstones[0]
 		if oldest.hasEnded() && now-oldest.endedAt < r.config.TombstoneRetention {
 			return
 		}
-		r.forgetOldestTombstone()
+		r.discardOldestTombstone()
 	}
 }
 
@@ -221,7 +221,7 @@
 // ok is false, changed is the complete list instead, either because records that changed after the version were discarded, or because the
 // version is higher than the current one, and thus belongs to another registry.
 func (r *Registry) ChangedSince(now time.Duration, service string, version uint64) (changed []Endpoint, to uint64, ok bool) {
-	if version < r.forgottenVersion[service] || version > r.version {
+	if version < r.discardedVersion[service] || version > r.version {
 		return r.List(now, service), r.version, false
 	}
 	return r.changedAfter(now, service, version), r.version, true
--- a/internal/mesh/discovery/subscription_test.go
+++ b/internal/mesh/discovery/subscription_test.go
@@ -10,21 +10,21 @@
 func TestSubscription(t *testing.T) {
 	c := qt.New(t)
 	subscription := NewSubscription(Config{})
-	a := RegistryOwner{"a", 1}
-	b := RegistryOwner{"b", 1}
-	d := RegistryOwner{"d", 1}
-	subscription.SetOwners("s", []RegistryOwner{a, b, d})
+	ownerA := RegistryOwner{"a", 1}
+	ownerB := RegistryOwner{"b", 1}
+	ownerD := RegistryOwner{"d", 1}
+	subscription.SetOwners("s", []RegistryOwner{ownerA, ownerB, ownerD})
 	c.Assert(subscription.Tick(0), qt.DeepEquals, []SubscribeRequest{{"a", 1, "s", 0}, {"b", 1, "s", 0}})
-	subscription.Received(0, a, "s", 5)
+	subscription.Received(0, ownerA, "s", 5)
 	c.Assert(subscription.Tick(300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 0}},
 		qt.Commentf("the request to b is retried without an answer"))
-	subscription.Received(time.Second, b, "s", 3)
+	subscription.Received(time.Second, ownerB, "s", 3)
 	subscription.Received(time.Second, RegistryOwner{"b", 9}, "s", 8) // incarnation 9 isn't polled, so its answer is ignored
 	subscription.ConnectionLost(time.Second, "a")
 	c.Assert(subscription.Tick(time.Second), qt.DeepEquals, []SubscribeRequest{{"b", 1, "s", 3}, {"d", 1, "s", 0}})
 	c.Assert(subscription.Tick(1300*time.Millisecond), qt.DeepEquals, []SubscribeRequest{{"a", 1, "s", 5}, {"d", 1, "s", 0}})
-	subscription.Received(1300*time.Millisecond, a, "s", 6)
-	subscription.SetOwners("s", []RegistryOwner{{"a", 2}, b})
+	subscription.Received(1300*time.Millisecond, ownerA, "s", 6)
+	subscription.SetOwners("s", []RegistryOwner{{"a", 2}, ownerB})
 	c.Assert(subscription.Tick(2*time.Second), qt.DeepEquals, []SubscribeRequest{{"a", 2, "s", 0}},
 		qt.Commentf("another incarnation of a is polled from version 0"))
 	subscription.Received(2*time.Second, RegistryOwner{"a", 2}, "s", 1)
@@ -38,19 +38,19 @@
 func TestUnresponsiveOwnerIsSkipped(t *testing.T) {
 	c := qt.New(t)
 	subscription := NewSubscription(Config{OwnersQueried: 1})
-	a := RegistryOwner{"a", 1}
-	b := RegistryOwner{"b", 1}
-	subscription.SetOwners("s", []RegistryOwner{a, b})
+	ownerA := RegistryOwner{"a", 1}
+	ownerB := RegistryOwner{"b", 1}
+	subscription.SetOwners("s", []RegistryOwner{ownerA, ownerB})
 	first := time.Duration(-1) // time at which the first request to b was due
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 		for _, request := range subscription.Tick(now) {
 			if request.To == "b" {
-				subscription.Received(now, b, "s", 1)
+				subscription.Received(now, ownerB, "s", 1)
 				if first < 0 {
 					first = now
 				}
 			} else if now < time.Second || now > 7*time.Second {
-				subscription.Received(now, a, "s", 1)
+				subscription.Received(now, ownerA, "s", 1)
 			}
 		}
 	}
