--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -9,18 +9,18 @@
 	"quincegap/internal/config/settings"
 )
 
-// decode reads the fields of an event, and returns the function that delivers it to a Balancer. The result is valid only if fields.err
-// is nil.
-func (s *server) decode(fields *lineFields, in *instance) func(*balancer.Balancer) {
+// decode reads the fields of an event for an instance, and returns the function that passes the event to the instance's Balancer.
+// The function is valid only if fields.err is nil.
+func (s *server) decode(fields *lineFields, inst *instance) func(*balancer.Balancer) {
 	now := s.now
 	switch fields.name {
 	case lineEndpoints:
 		list := s.endpointList(fields)
 		return func(b *balancer.Balancer) { b.HandleEndpoints(now, list) }
 	case lineRequest:
-		request := decodeRequest(fields, in.classes)
+		request := decodeRequest(fields, inst.classes)
 		return func(b *balancer.Balancer) { b.HandleRequest(now, request) }
-	case lineResponse:
+	case lineResponseStart:
 		id := fields.requestID()
 		attempt := int(fields.number("n"))
 		endpoint := fields.endpoint()
@@ -43,14 +43,14 @@
 			Load:     fields.load(),
 		}
 		return func(b *balancer.Balancer) { b.HandleHealthCheck(now, result) }
-	default: // linePeerMessage
+	default: // linePeerMessage, as handleEvent passes no other event
 		from := int(fields.number("by"))
 		data := fields.bytes()
 		return func(b *balancer.Balancer) { b.HandlePeerMessage(now, from, data) }
 	}
 }
 
-// decodeRequest reads the fields of a request, in the order of the line. The class must be below the number of classes.
+// decodeRequest reads the fields of a request in their order on the line. It sets fields.err if the class is not from 0 to classes-1.
 func decodeRequest(fields *lineFields, classes int) balancer.Request {
 	request := balancer.Request{
 		ID:       fields.requestID(),
@@ -72,7 +72,7 @@
 	return request
 }
 
-// decodeOutcome reads the fields of an outcome, in the order of the line.
+// decodeOutcome reads the fields of an attempt's outcome in their order on the line.
 func decodeOutcome(fields *lineFields) balancer.Outcome {
 	return balancer.Outcome{
 		ID:       fields.requestID(),
@@ -85,8 +85,8 @@
 	}
 }
 
-// endpointList reads the fields of an update of the endpoints, and resolves the number of the list that it refers to. It reports
-// faults in fields.err.
+// endpointList reads the fields of an update of the endpoint list, and resolves the list number that it refers to. It sets fields.err
+// if a field is malformed or the list is not defined.
 func (s *server) endpointList(fields *lineFields) balancer.EndpointList {
 	var list balancer.EndpointList
 	kind := fields.number("kind")
@@ -110,7 +110,8 @@
 	return list
 }
 
-// readList handles the definition of a list: its own line, and the item lines that follow.
+// readList stores the endpoint list that a ledger line and the item lines after it define. It fails if a line is malformed or if there
+// are fewer items than the ledger line announces.
 func (s *server) readList(fields *lineFields) error {
 	number := fields.number("buffer")
 	rows := fields.number("rows")
@@ -123,11 +124,11 @@
 	if fields.err != nil {
 		return fields.err
 	}
-	var entries []balancer.ListEntry // always a new slice, as a Balancer may keep the old one
+	var entries []balancer.ListEntry // a new slice for each list, because a Balancer may retain the previous one
 	for i := range rows {
 		item, err := s.readLine()
 		if errors.Is(err, io.EOF) || err == nil && item.name != lineListItem {
-			return s.malformed(lineList, "rows", fmt.Sprintf("list cut short: %d of %d items", i, rows))
+			return s.malformed(lineList, "rows", fmt.Sprintf("list truncated: got %d of %d items", i, rows))
 		}
 		if err != nil {
 			return err
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// decodeItem reads the fields of a list item, in the order of the line.
+// decodeItem reads the fields of a list item in their order on the line.
 func decodeItem(fields *lineFields) balancer.ListEntry {
 	return balancer.ListEntry{
 		Endpoint:    fields.endpoint(),
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -12,13 +12,13 @@
 	"quincegap/internal/config/settings"
 )
 
-// lineFields reads the values of a line one after another. The first value that is missing or malformed sets err, and further reads
-// return zero values. The parameter field of its methods is the name of the field in error messages.
+// lineFields reads the values of a line one after another. The first value that is missing or malformed sets err, and err is not
+// replaced afterwards. Where a method has a parameter field, it is the field's name in error messages.
 type lineFields struct {
-	server  *server // for the line number in errors
-	name    string  // first word of the line
-	rest    []byte  // values that were not read yet
-	hasMore bool    // the line has not ended
+	server  *server // provides the line number for errors
+	name    string  // the first word of the line
+	rest    []byte  // the values that were not read yet
+	hasMore bool    // whether the line has another value
 	err     error
 }
 
@@ -33,17 +33,17 @@
 	return value
 }
 
-// fail sets err, unless it is set already.
-func (f *lineFields) fail(field, fault string) {
+// fail sets err to an error that names the field, unless err is set already.
+func (f *lineFields) fail(field, reason string) {
 	if f.err == nil {
-		f.err = f.server.malformed(f.name, field, fault)
+		f.err = f.server.malformed(f.name, field, reason)
 	}
 }
 
-// isAbsent reports whether a value is the dash that stands for an absent one.
+// isAbsent reports whether a value is a dash, which stands for an absent value.
 func isAbsent(value []byte) bool { return len(value) == 1 && value[0] == absent }
 
-// value reads a required value.
+// value reads a required value. An absent value sets err.
 func (f *lineFields) value(field string) []byte {
 	value := f.next()
 	if f.err == nil && (len(value) == 0 || isAbsent(value)) {
@@ -52,7 +52,7 @@
 	return value
 }
 
-// optionalValue reads an optional value, and returns nil for a dash. A line that ends before the field is a fault.
+// optionalValue reads an optional value, and returns nil for a dash. A line that ends before the field sets err.
 func (f *lineFields) optionalValue(field string) []byte {
 	value := f.next()
 	if len(value) == 0 {
@@ -68,7 +68,7 @@
 // number reads a required integer.
 func (f *lineFields) number(field string) int64 { return f.parseInteger(field, f.value(field)) }
 
-// parseInteger parses an integer that was read.
+// parseInteger parses the value of a field as a decimal integer.
 func (f *lineFields) parseInteger(field string, value []byte) int64 {
 	if f.err != nil {
 		return 0
@@ -101,7 +101,7 @@
 	}
 	v, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(field, fmt.Sprintf("%q is not a number", value))
+		f.fail(field, fmt.Sprintf("%q is not a finite number", value))
 		return 0
 	}
 	return v
@@ -122,27 +122,27 @@
 	return balancer.EndpointID(n)
 }
 
-// flag reads 0 or 1, and reports whether it is 1.
+// flag reads a required 0 or 1, and reports whether it is 1.
 func (f *lineFields) flag(field string) bool {
 	n := f.number(field)
 	if f.err == nil && n != 0 && n != 1 {
-		f.fail(field, "neither 0 nor 1")
+		f.fail(field, "must be 0 or 1")
 	}
 	return n == 1
 }
 
-// status reads the status of an attempt or of a health check.
+// status reads the status of an attempt or of a health check, and returns StatusError for an unknown code.
 func (f *lineFields) status() balancer.Status {
 	n := f.number("ending")
 	status, known := statuses[n]
 	if !known {
-		f.fail("ending", fmt.Sprintf("unknown outcome %d", n))
+		f.fail("ending", fmt.Sprintf("unknown status %d", n))
 		return balancer.StatusError
 	}
 	return status
 }
 
-// state reads the state of an endpoint.
+// state reads the state of an endpoint, and returns EndpointRemoved for an unknown code.
 func (f *lineFields) state() balancer.EndpointState {
 	n := f.number("mode")
 	state, known := states[n]
@@ -166,7 +166,7 @@
 	return report
 }
 
-// bytes reads optional data in base64, and returns nil for a dash.
+// bytes reads and decodes optional base64 data, and returns nil for a dash.
 func (f *lineFields) bytes() []byte {
 	value := f.optionalValue("data")
 	if value == nil || f.err != nil {
@@ -174,7 +174,7 @@
 	}
 	data, err := base64.StdEncoding.DecodeString(string(value))
 	if err != nil {
-		f.fail("data", "not base64")
+		f.fail("data", "not valid base64")
 	}
 	return data
 }
--- a/internal/simadapter/golden_format_test.go
+++ b/internal/simadapter/golden_format_test.go
@@ -11,39 +11,39 @@
 	"quincegap/internal/golden"
 )
 
-// writeActions writes a line of each action of a Host for instance 3, in an order that the golden files have. One message goes to
-// peer 1 with data, and one to emptyPeer without.
-func writeActions(in *instance, peerData string, emptyPeer int, logText string) {
-	in.Send("t/a", 77, 1500*time.Microsecond)
-	in.Reject("t/a", 2*time.Second)
-	in.Fail("t/a")
-	in.Cancel("t/a", 2)
-	in.SetTimer(9, 4*time.Millisecond)
-	in.HealthCheck(77)
-	in.SendToPeer(1, []byte(peerData))
-	in.SendToPeer(emptyPeer, nil)
-	in.WatchEndpoints(true)
-	in.WatchEndpoints(false)
-	in.FetchEndpoints()
-	in.CloseIdleConnections(77)
-	in.Log(logText)
+// writeActions calls each action of the Host of an instance, in the order of the golden files. It sends peerData to peer 1, and empty
+// data to emptyPeer.
+func writeActions(inst *instance, peerData string, emptyPeer int, logText string) {
+	inst.Send("t/a", 77, 1500*time.Microsecond)
+	inst.Reject("t/a", 2*time.Second)
+	inst.Fail("t/a")
+	inst.Cancel("t/a", 2)
+	inst.SetTimer(9, 4*time.Millisecond)
+	inst.HealthCheck(77)
+	inst.SendToPeer(1, []byte(peerData))
+	inst.SendToPeer(emptyPeer, nil)
+	inst.WatchEndpoints(true)
+	inst.WatchEndpoints(false)
+	inst.FetchEndpoints()
+	inst.CloseIdleConnections(77)
+	inst.Log(logText)
 }
 
-// Each action, and the crash of an instance, has the same line in every version.
+// The lines of all actions, and of the crash of an instance, are the same in every version.
 func TestActionLinesKeepTheirForm(t *testing.T) {
 	var out, notes bytes.Buffer
 	s := newServer(strings.NewReader(""), &out, &notes)
-	in := &instance{server: s, number: 3}
-	writeActions(in, "hi 7", 1, "a line of text")
-	in.balancer = &balancer.Balancer{}
-	in.guard(func(*balancer.Balancer) { panic("lost\ncount") })
+	inst := &instance{server: s, number: 3}
+	writeActions(inst, "hi 7", 1, "a line of text")
+	inst.balancer = &balancer.Balancer{}
+	inst.deliver(func(*balancer.Balancer) { panic("lost\ncount") })
 	if err := s.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	golden.Text(t, "actions.txt", out.Bytes())
 }
 
-// The numbers of statuses, states and kinds of lists have the same meaning in every version.
+// The numbers of statuses, endpoint states and list kinds have the same meaning in every version.
 func TestCodesKeepTheirMeaning(t *testing.T) {
 	var text strings.Builder
 	s := newServer(strings.NewReader(""), &text, &text)
--- a/internal/simadapter/golden_recorded_test.go
+++ b/internal/simadapter/golden_recorded_test.go
@@ -13,9 +13,9 @@
 	"quincegap/internal/golden"
 )
 
-// The files below testdata/golden/recorded were written by the version before the packages were renamed.
+// The files in testdata/golden/recorded were written by an earlier version, before the packages were renamed.
 
-// Each action has the line that the earlier version wrote.
+// The line of each action is the one that the earlier version wrote.
 func TestGoldenRecordedActions(t *testing.T) {
 	var out bytes.Buffer
 	s := newServer(strings.NewReader(""), &out, &out)
@@ -26,7 +26,7 @@
 	golden.Text(t, "recorded/actions.txt", out.Bytes())
 }
 
-// An input with every kind of event gets the replies of the earlier version, as the seed is the same.
+// For an input with every kind of event, the replies are those of the earlier version. The input sets the seed of the random choices.
 func TestGoldenRecordedPlay(t *testing.T) {
 	input, err := os.ReadFile(filepath.Join("testdata", "golden", "recorded/play.in"))
 	if err != nil {
@@ -37,24 +37,24 @@
 		"closed_attempt", "lapsed", "wake", "echo", "inbox", "halt",
 	} {
 		if !strings.Contains("\n"+string(input), "\n"+event) {
-			t.Errorf("no %s in the input", event)
+			t.Errorf("play.in has no %s event", event)
 		}
 	}
-	out, notes, fault := run(t, string(input))
-	if notes != "" || fault != "" {
-		t.Errorf("notes %q, fault %q", notes, fault)
+	out, notes, errText := run(t, string(input))
+	if notes != "" || errText != "" {
+		t.Errorf("replay of play.in: got notes %q and error %q, want none", notes, errText)
 	}
 	golden.Text(t, "recorded/play.out", []byte(out))
 }
 
-// eventFields returns the fields of an event with some values.
+// eventFields returns the fields of an event that has the given values.
 func eventFields(values string) *lineFields {
 	f := &lineFields{server: newServer(strings.NewReader(""), nil, nil), rest: []byte("event " + values), hasMore: true}
 	f.name = string(f.next())
 	return f
 }
 
-// The values of the fields have the meaning that they had in the earlier version.
+// The values of fields are decoded as by the earlier version.
 func TestGoldenRecordedFields(t *testing.T) {
 	for code, want := range map[string]balancer.Status{
 		"100": balancer.StatusOK,
@@ -67,7 +67,7 @@
 		"307": balancer.StatusNotSent,
 	} {
 		if f := eventFields(code); f.status() != want || f.err != nil {
-			t.Errorf("status %s: not %v, %v", code, want, f.err)
+			t.Errorf("status code %s: not decoded as status %v (error %v)", code, want, f.err)
 		}
 	}
 	for code, want := range map[string]balancer.EndpointState{
@@ -76,21 +76,21 @@
 		"2": balancer.EndpointReady,
 	} {
 		if f := eventFields(code); f.state() != want || f.err != nil {
-			t.Errorf("state %s: not %v, %v", code, want, f.err)
+			t.Errorf("state code %s: not decoded as state %v (error %v)", code, want, f.err)
 		}
 	}
 	wantKinds := []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}
 	if !reflect.DeepEqual(listKinds, wantKinds) {
-		t.Errorf("kinds of lists: %v", listKinds)
+		t.Errorf("list kinds: got %v, want %v", listKinds, wantKinds)
 	}
 	wantLoad := &balancer.Load{InFlight: 3, Queue: 1, Utilization: 0.5, ServiceTime: 12500 * time.Microsecond}
 	if f := eventFields("inflight:3,queue:1,util:0.5,latency_ms:12.5"); !reflect.DeepEqual(f.load(), wantLoad) || f.err != nil {
-		t.Errorf("a load report: %v", f.err)
+		t.Errorf("load report: not decoded as %+v (error %v)", *wantLoad, f.err)
 	}
 	checkRecordedList(t)
 }
 
-// checkRecordedList reads the definition of a list and an update that refers to it.
+// checkRecordedList checks how the definition of a list, and an update that refers to the list, are decoded.
 func checkRecordedList(t *testing.T) {
 	t.Helper()
 	s := newServer(strings.NewReader("item 77 1 2 3 2 1.5 900000\nitem 78 0 0 0 0 1 -\n"), nil, nil)
@@ -105,6 +105,6 @@
 		{Endpoint: 78, State: balancer.EndpointDraining, Weight: 1},
 	}}
 	if got := s.endpointList(eventFields("1 4 41")); !reflect.DeepEqual(got, want) {
-		t.Errorf("a list: %+v, want %+v", got, want)
+		t.Errorf("endpoint list: got %+v, want %+v", got, want)
 	}
 }
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,16 +10,16 @@
 	"quincegap/internal/balancer"
 )
 
-// instance is a Balancer with its Host.
+// instance is a simulated load balancer: a Balancer and the Host on which it runs.
 type instance struct {
 	server   *server
-	number   int64              // that the protocol calls sidecar
+	number   int64              // the instance's number, the field sidecar of the protocol
 	balancer *balancer.Balancer // nil after a panic
-	classes  int                // number of classes in its settings
+	classes  int                // number of request classes in the settings
 }
 
-// guard delivers an event. If the Balancer panics, guard writes a crash line, and the instance gets no further events.
-func (i *instance) guard(deliver func(*balancer.Balancer)) {
+// deliver calls handle with the Balancer. If the Balancer panics, deliver writes a crash line, and later calls do nothing.
+func (i *instance) deliver(handle func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := bytes.Map(func(r rune) rune {
@@ -33,11 +33,12 @@
 		}
 	}()
 	if i.balancer != nil {
-		deliver(i.balancer)
+		handle(i.balancer)
 	}
 }
 
-// writeAction writes the line of an action: its name, the number of the instance, the request ID unless it is empty, and the values.
+// writeAction writes the line of an action: the action's name, the instance's number, the request ID unless it is empty, and the
+// values.
 func (i *instance) writeAction(name, id string, values ...int64) {
 	line := append(i.server.actionBuffer[:0], name...) //nolint:gocritic // the buffer is reused, and stored again below in case it grew
 	line = append(line, separator)
@@ -52,7 +53,7 @@
 	}
 	line = append(line, '\n')
 	i.server.actionBuffer = line
-	_, _ = i.server.out.Write(line) // see server.out
+	_, _ = i.server.out.Write(line) // Flush returns the error: see server.out
 }
 
 // The methods below implement balancer.Host. Each writes one line of the reply.
@@ -62,12 +63,12 @@
 	i.writeAction(actionSend, string(id), int64(to), timeout.Microseconds())
 }
 
-// Reject answers a request that no endpoint has run.
+// Reject ends a request that no endpoint has executed, and tells the client when to retry.
 func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	i.writeAction(actionReject, string(id), retryAfter.Microseconds())
 }
 
-// Fail answers a request that may have run.
+// Fail ends a request that an endpoint may have executed.
 func (i *instance) Fail(id balancer.RequestID) { i.writeAction(actionFail, string(id)) }
 
 // Cancel cancels an attempt.
@@ -75,7 +76,7 @@
 	i.writeAction(actionCancel, string(id), int64(attempt))
 }
 
-// SetTimer has the Balancer's HandleTimer called with the token after some time.
+// SetTimer requests a call of the Balancer's HandleTimer with the token after the given time.
 func (i *instance) SetTimer(token uint64, after time.Duration) {
 	i.writeAction(actionSetTimer, "", int64(token), after.Microseconds())
 }
@@ -85,7 +86,7 @@
 	i.writeAction(actionHealthCheck, "", int64(to))
 }
 
-// SendToPeer sends data to another instance. Empty data is a dash on the line.
+// SendToPeer sends data to another instance. The line has the data in base64, or a dash if there are none.
 func (i *instance) SendToPeer(peer int, data []byte) {
 	text := string(absent)
 	if len(data) > 0 {
@@ -94,7 +95,7 @@
 	i.server.reply("%s %d %d %s", actionSendToPeer, i.number, peer, text)
 }
 
-// WatchEndpoints begins or ends the subscription to updates of the endpoint list.
+// WatchEndpoints starts or ends the subscription to updates of the endpoint list.
 func (i *instance) WatchEndpoints(on bool) {
 	flag := int64(0)
 	if on {
@@ -111,5 +112,5 @@
 	i.writeAction(actionCloseIdleConnections, "", int64(to))
 }
 
-// Log writes a log line of the Balancer.
+// Log writes a log message of the Balancer.
 func (i *instance) Log(text string) { i.server.reply("%s %d %s", actionLog, i.number, text) }
--- a/internal/simadapter/server.go
+++ b/internal/simadapter/server.go
@@ -22,20 +22,21 @@
 // server hosts the instances of one simulation.
 type server struct {
 	in           *bufio.Reader
-	out          *bufio.Writer // keeps its first write error, which Flush returns
+	out          *bufio.Writer // retains its first write error, which Flush returns
 	notes        io.Writer
-	line         int           // number of the line that was read last, from 1
-	now          time.Duration // time of the batch
+	lineNumber   int           // number of the line that was read last, from 1
+	now          time.Duration // time of the current batch
 	instances    map[int64]*instance
 	lists        [listCount][]balancer.ListEntry
 	listDefined  [listCount]bool
-	noted        map[string]bool // notes that were printed
+	noted        map[string]bool // the notes that were printed, to print each only once
 	lineBuffer   []byte          // the line being read
 	actionBuffer []byte          // the action being written
 }
 
-// Run serves the protocol until the end of the input. It writes replies to out, and notes for people to notes. It returns nil if the
-// input ends after a batch, and an error that names the line and the field if the input is malformed.
+// Run serves the protocol until the end of the input. It writes replies to out, and diagnostic messages to notes. It returns nil if
+// the input ends after a complete batch, and an error that names the line and the field if the input is malformed. It also fails if
+// it cannot read the input or write a reply.
 func Run(in io.Reader, out, notes io.Writer) error {
 	s := newServer(in, out, notes)
 	for {
@@ -47,7 +48,7 @@
 			return nil
 		}
 		if err := s.out.Flush(); err != nil {
-			return fmt.Errorf("writing the reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
@@ -63,7 +64,8 @@
 	}
 }
 
-// serveBatch reads one batch and writes the reply to the output buffer. It returns false at the end of the input.
+// serveBatch reads one batch and writes the reply to the output buffer. It returns false at the end of the input, and an error if the
+// batch is malformed.
 func (s *server) serveBatch() (bool, error) {
 	fields, err := s.readLine()
 	if errors.Is(err, io.EOF) {
@@ -97,7 +99,8 @@
 	}
 }
 
-// readLine reads a line and its first word. The values are valid until the next call. It returns io.EOF at the end of the input.
+// readLine reads a line and its first word. The fields that it returns are valid until the next call. It returns io.EOF at the end of
+// the input.
 func (s *server) readLine() (*lineFields, error) {
 	s.lineBuffer = s.lineBuffer[:0]
 	for {
@@ -111,64 +114,66 @@
 		}
 		break
 	}
-	s.line++
-	fields := &lineFields{server: s, rest: bytes.TrimRight(s.lineBuffer, lineEnds)}
+	s.lineNumber++
+	fields := &lineFields{server: s, rest: bytes.TrimRight(s.lineBuffer, newlineChars)}
 	fields.hasMore = len(fields.rest) > 0
 	fields.name = string(fields.next())
 	return fields, nil
 }
 
-// malformed returns the error for a fault in the line that was read last.
-func (s *server) malformed(name, field, fault string) error {
-	return fmt.Errorf("line %d: %s: field %s: %s", s.line, name, field, fault)
+// malformed returns the error for the line that was read last. name is the first word of the line, and reason says what is wrong with
+// the field.
+func (s *server) malformed(name, field, reason string) error {
+	return fmt.Errorf("line %d: %s: field %s: %s", s.lineNumber, name, field, reason)
 }
 
-// noteOnce prints a note, unless it has printed the same text before.
+// noteOnce writes a diagnostic message to notes, unless it has written the same text before.
 func (s *server) noteOnce(text string) {
 	if !s.noted[text] {
 		s.noted[text] = true
-		_, _ = fmt.Fprintln(s.notes, "balancer-sim: "+text) // a note that cannot be written does not end the run
+		_, _ = fmt.Fprintln(s.notes, "balancer-sim: "+text) // a failed write of a note does not end the run
 	}
 }
 
-// reply writes a line of the reply.
+// reply writes a formatted line of the reply.
 func (s *server) reply(format string, values ...any) {
 	_, _ = fmt.Fprintf(s.out, format+"\n", values...) // Flush returns the error: see server.out
 }
 
-// handleEvent handles one event of a batch.
+// handleEvent executes one event of a batch. It fails if the event is malformed or its instance does not exist.
 func (s *server) handleEvent(fields *lineFields) error {
 	switch fields.name {
 	case lineList:
 		return s.readList(fields)
 	case lineNewInstance:
 		return s.startInstance(fields)
-	case lineHalt, lineEndpoints, lineRequest, lineResponse, lineOutcome, lineClientGone, lineTimer, lineHealthCheck, linePeerMessage:
+	case lineHalt, lineEndpoints, lineRequest, lineResponseStart, lineOutcome, lineClientGone, lineTimer, lineHealthCheck, linePeerMessage:
 	default:
-		s.noteOnce("unknown event " + fields.name + " passed over")
+		s.noteOnce("unknown event " + fields.name + " ignored")
 		return nil
 	}
 	number := fields.number("sidecar")
 	if fields.err != nil {
 		return fields.err
 	}
-	in := s.instances[number]
-	if in == nil {
-		return s.malformed(fields.name, "sidecar", fmt.Sprintf("instance %d was never started", number))
+	inst := s.instances[number]
+	if inst == nil {
+		return s.malformed(fields.name, "sidecar", fmt.Sprintf("instance %d does not exist", number))
 	}
 	if fields.name == lineHalt {
 		delete(s.instances, number)
 		return nil
 	}
-	deliver := s.decode(fields, in)
+	handle := s.decode(fields, inst)
 	if fields.err != nil {
 		return fields.err
 	}
-	in.guard(deliver)
+	inst.deliver(handle)
 	return nil
 }
 
-// startInstance makes an instance, in the place of one with the same number.
+// startInstance creates an instance, and replaces an existing one with the same number. It fails if a field is malformed or the
+// settings are invalid.
 func (s *server) startInstance(fields *lineFields) error {
 	number := fields.number("sidecar")
 	seed := fields.number("seed")
@@ -183,13 +188,13 @@
 		return s.malformed(fields.name, "config", err.Error())
 	}
 	for _, key := range unknown {
-		s.noteOnce("unknown settings key " + key + " passed over")
+		s.noteOnce("unknown settings key " + key + " ignored")
 	}
-	in := &instance{server: s, number: number, classes: len(config.Classes)}
-	in.balancer, err = balancer.New(config.Settings, uint64(seed), in)
+	inst := &instance{server: s, number: number, classes: len(config.Classes)}
+	inst.balancer, err = balancer.New(config.Settings, uint64(seed), inst)
 	if err != nil {
 		return s.malformed(fields.name, "config", err.Error())
 	}
-	s.instances[number] = in
+	s.instances[number] = inst
 	return nil
 }
--- a/internal/structures/deadlinequeue/deadlinequeue.go
+++ b/internal/structures/deadlinequeue/deadlinequeue.go
@@ -1,6 +1,6 @@
-// Package deadlinequeue implements a priority queue of items by deadline. It is a binary heap that also knows the position of
-// each item, so that a deadline can be changed and an item removed. It reads no clock: deadlines are offsets from whatever start
-// the caller measures time from.
+// Package deadlinequeue implements a priority queue of items by deadline. It is a binary heap that also stores the position of
+// each item, so that the deadline of any item can be changed and any item can be removed. It reads no clock: deadlines are
+// durations since an origin that the caller chooses.
 package deadlinequeue
 
 import "time"
@@ -13,7 +13,7 @@
 	Less func(a, b T) bool
 
 	heap      []item[T]
-	positions map[T]int // index in heap, by item
+	positions map[T]int // the index of each item in heap
 }
 
 type item[T comparable] struct {
@@ -66,7 +66,7 @@
 	}
 	last := len(q.heap) - 1
 	q.swap(i, last)
-	q.heap[last] = item[T]{} // let the value be collected
+	q.heap[last] = item[T]{} // allows garbage collection of the value
 	q.heap = q.heap[:last]
 	delete(q.positions, value)
 	if i < last {
@@ -74,7 +74,7 @@
 	}
 }
 
-// less reports whether the item at position i comes before the one at position j.
+// less reports whether the item at position i of the heap is ordered before the item at position j.
 func (q *Queue[T]) less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
 	if a.deadline != b.deadline || q.Less == nil {
@@ -83,13 +83,13 @@
 	return q.Less(a.value, b.value)
 }
 
-// swap exchanges the items at two positions.
+// swap exchanges the items at two positions of the heap.
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
 	q.positions[q.heap[i].value], q.positions[q.heap[j].value] = i, j
 }
 
-// siftUp moves the item at position i towards the root until its parent does not come after it. It returns the new position.
+// siftUp moves the item at position i towards the root while it is ordered before its parent. It returns the new position.
 func (q *Queue[T]) siftUp(i int) int {
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -102,7 +102,7 @@
 	return i
 }
 
-// siftDown moves the item at position i towards the leaves until no child comes before it.
+// siftDown moves the item at position i towards the leaves until no child is ordered before it.
 func (q *Queue[T]) siftDown(i int) {
 	for {
 		first := i
--- a/internal/structures/deadlinequeue/deadlinequeue_test.go
+++ b/internal/structures/deadlinequeue/deadlinequeue_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// checkAgainst compares a queue with a map of the expected deadlines.
-func checkAgainst(t *rapid.T, queue *Queue[int], deadlines map[int]time.Duration) {
+// checkQueue compares a queue with a map of the expected deadlines.
+func checkQueue(t *rapid.T, queue *Queue[int], deadlines map[int]time.Duration) {
 	t.Helper()
 	first, ok := 0, false
 	for value, deadline := range deadlines {
@@ -18,19 +18,19 @@
 			first, ok = value, true
 		}
 		if got, found := queue.Deadline(value); !found || got != deadline {
-			t.Fatalf("%d has the deadline %v, %v, want %v", value, got, found, deadline)
+			t.Fatalf("Deadline(%d): got %v, %v, want %v, true", value, got, found, deadline)
 		}
 	}
 	got, deadline, found := queue.Peek()
 	if found != ok || queue.Len() != len(deadlines) {
-		t.Fatalf("there is a first item: %v, of %d; want %v of %v", found, queue.Len(), ok, deadlines)
+		t.Fatalf("got a first item: %v, length %d; want a first item: %v, items %v", found, queue.Len(), ok, deadlines)
 	}
 	if ok && (got != first || deadline != deadlines[first]) {
-		t.Fatalf("first is %d at %v, want %d of %v", got, deadline, first, deadlines)
+		t.Fatalf("first item: got %d with deadline %v, want %d of the items %v", got, deadline, first, deadlines)
 	}
 }
 
-// After random changes the queue agrees with a map that is searched in full each time.
+// After each random change the queue agrees with a map that is searched linearly.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		queue := Queue[int]{Less: func(a, b int) bool { return a < b }}
@@ -45,7 +45,7 @@
 				queue.Put(value, deadline)
 				deadlines[value] = deadline
 			}
-			checkAgainst(rt, &queue, deadlines)
+			checkQueue(rt, &queue, deadlines)
 		}
 	})
 }
--- a/internal/structures/deadlinequeue/golden_test.go
+++ b/internal/structures/deadlinequeue/golden_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/golden"
 )
 
-// The order of items with many equal deadlines, over random changes, is the same in every version.
+// After random changes, items with many equal deadlines are in the same order in every version.
 func TestGoldenOrder(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
--- a/internal/structures/hashring/example_test.go
+++ b/internal/structures/hashring/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/structures/hashring"
 )
 
-// Each item has two of five owners, and each owner about two fifths of the items.
+// Each item has two of the five owners, and each owner has about two fifths of the items.
 func ExampleShare() {
 	const owners, items = 5, 1000
 	perOwner := make([]int, owners)
@@ -22,7 +22,7 @@
 	// Output: [427 384 354 386 409]
 }
 
-// When a member leaves a group, the others keep their items and take over its own.
+// When a member leaves a group, the other members keep their items and take over the items of the member that left.
 func ExampleGroup() {
 	before := hashring.Share{Replicas: 1, Group: hashring.NewGroup(1, []uint64{1, 2, 3, 4})}
 	after := hashring.Share{Replicas: 1, Group: hashring.NewGroup(1, []uint64{1, 2, 3})}
--- a/internal/structures/hashring/golden_test.go
+++ b/internal/structures/hashring/golden_test.go
@@ -10,11 +10,12 @@
 	"quincegap/internal/golden"
 )
 
-// Instances that do not communicate have to agree on the owners of an item, so that these must be the same in every version.
+// The owners of an item are the same in every version, because instances of different versions must agree on them without
+// communication.
 func TestGoldenShares(t *testing.T) {
 	members := []uint64{0, 7, 1 << 20, 1 << 40, 99, 1<<64 - 1}
 	var text strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		share Share
 	}{
@@ -31,14 +32,14 @@
 		owned := 0
 		var first []uint32
 		for id := range uint32(5000) {
-			if c.share.Owns(id) {
+			if test.share.Owns(id) {
 				fmt.Fprintln(&output, id)
 				if owned++; owned <= 8 {
 					first = append(first, id)
 				}
 			}
 		}
-		fmt.Fprintf(&text, "%s: %d of 5000, first %v\n%x\n", c.name, owned, first, sha256.Sum256(output.Bytes()))
+		fmt.Fprintf(&text, "%s: %d of 5000, first %v\n%x\n", test.name, owned, first, sha256.Sum256(output.Bytes()))
 	}
 	golden.Text(t, "shares.txt", []byte(text.String()))
 }
--- a/internal/structures/rendezvous/example_test.go
+++ b/internal/structures/rendezvous/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// Three members agree on their order for an item without communicating.
+// Three members agree on their order for an item without communication.
 func ExampleRanking() {
 	members := []uint64{10, 20, 30}
 	item := rendezvous.Mix(7)
--- a/internal/structures/rendezvous/golden_test.go
+++ b/internal/structures/rendezvous/golden_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/golden"
 )
 
-// Processes of different versions have to agree on the order of the members for an item.
+// The order of the members for an item is the same in every version, because processes of different versions must agree on it.
 func TestGoldenOrder(t *testing.T) {
 	var text strings.Builder
 	for _, x := range []uint64{0, 1, 2, 1 << 32, 1<<64 - 1} {
--- a/internal/structures/throttle/example_test.go
+++ b/internal/structures/throttle/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/structures/throttle"
 )
 
-// A client whose attempts are all rejected may make half an attempt a second.
+// At a rate of 0.5, a client whose attempts are all rejected may make an attempt every two seconds.
 func ExampleThrottle() {
 	var t throttle.Throttle
 	attempts := 0
--- a/internal/structures/throttle/golden_test.go
+++ b/internal/structures/throttle/golden_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/golden"
 )
 
-// Over random events, attempts are allowed at the same times in every version.
+// For the same random events, attempts are allowed at the same times in every version.
 func TestGoldenCourse(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
--- a/internal/structures/weightedring/example_test.go
+++ b/internal/structures/weightedring/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/structures/weightedring"
 )
 
-// Three quarters of the total weight of a ring of three items are reached at the third one.
+// In a ring of three items, the running sum of the weights reaches three quarters of the total at the third item.
 func ExampleRing() {
 	var ring weightedring.Ring[string]
 	ring.Put(30, 2, "c")
--- a/internal/structures/weightedring/golden_test.go
+++ b/internal/structures/weightedring/golden_test.go
@@ -11,8 +11,8 @@
 	"quincegap/internal/golden"
 )
 
-// Over random changes, Seek finds the same items in every version. A changed order of the additions of floating-point numbers would
-// show as another digest.
+// After the same random changes, Seek finds the same items in every version. Floating-point additions in another order would give
+// another digest.
 func TestGoldenPlaces(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
--- a/internal/structures/weightedring/weightedring.go
+++ b/internal/structures/weightedring/weightedring.go
@@ -1,5 +1,5 @@
-// Package weightedring keeps weighted items in the order of their keys, and finds the item at which the running sum of the weights
-// reaches a given value. The items form a ring: the first one follows the last.
+// Package weightedring stores weighted items in the order of their keys, and finds the item at which the running sum of the weights
+// reaches a given value. The items form a ring: the first item follows the last.
 package weightedring
 
 import (
@@ -9,27 +9,27 @@
 	"sort"
 )
 
-// maxBlockItems is the number of items above which a block is split in two. A change sums the items of one block and then the sums
-// of all blocks. With 10,000 items both take about as long.
+// maxBlockItems is the number of items above which a block is split in two. After a change, the items of one block are summed and then
+// the sums of all blocks. With 10,000 items both steps take about the same time.
 const maxBlockItems = 128
 
-// Ring holds items by key. A change and a Seek take time in the order of the square root of the number of items, and each Next
+// Ring stores items by key. A change and a Seek take time in the order of the square root of the number of items, and each Next
 // takes constant time. The zero value is empty and ready for use. It is not safe for concurrent use.
 //
 // Sums are always recomputed from the weights, not adjusted by differences, so that rounding errors do not accumulate. They are
-// recomputed only when one is needed, so that many changes in a row cost one summation.
+// recomputed only when a sum is needed, so that many consecutive changes need only one summation.
 type Ring[T any] struct {
-	blocks []*block[T] // in the order of their keys; none is empty
-	count  int         // of items
-	total  float64     // of all weights
-	stale  bool        // total and perhaps the sums of some blocks have to be recomputed
+	blocks []*block[T] // blocks in the order of their keys; no block is empty
+	count  int         // the number of items
+	total  float64     // the sum of all weights
+	stale  bool        // whether total, and possibly the sums of some blocks, must be recomputed
 }
 
-// block holds neighbouring items.
+// block stores items with adjacent keys.
 type block[T any] struct {
-	items []item[T] // in the order of their keys
-	sum   float64   // of their weights
-	stale bool      // sum has to be recomputed
+	items []item[T] // items in the order of their keys
+	sum   float64   // the sum of the weights of items
+	stale bool      // whether sum must be recomputed
 }
 
 type item[T any] struct {
@@ -56,8 +56,8 @@
 	return r.total
 }
 
-// find returns the position of a key: the index of the block, and that of the item in the block. If found is false, it is the
-// position at which the key has to be inserted. There must be a block.
+// find returns the position of a key: the index of its block, and the index i of the item in the block. If found is false, it is
+// the position at which to insert the key. The ring must not be empty.
 func (r *Ring[T]) find(key uint32) (blockIndex, i int, found bool) {
 	blockIndex = sort.Search(len(r.blocks), func(i int) bool {
 		items := r.blocks[i].items
@@ -73,7 +73,7 @@
 	return blockIndex, i, found
 }
 
-// Put adds an item, or replaces the one with the same key. A weight that is negative or NaN counts as 0.
+// Put adds an item, or replaces the item with the same key. A weight that is negative or NaN counts as 0.
 func (r *Ring[T]) Put(key uint32, weight float64, value T) {
 	weight = validWeight(weight)
 	if len(r.blocks) == 0 {
@@ -108,16 +108,16 @@
 	return 0
 }
 
-// split moves the second half of a block's items to a new block, and returns that.
+// split moves the second half of a block's items to a new block, and returns the new block.
 func (b *block[T]) split() *block[T] {
 	half := len(b.items) / 2
 	right := &block[T]{items: slices.Clone(b.items[half:]), stale: true}
-	clear(b.items[half:]) // let the values be collected
+	clear(b.items[half:]) // allows garbage collection of the values
 	b.items = b.items[:half]
 	return right
 }
 
-// Remove removes the item with a key. It does nothing if there is none.
+// Remove removes the item with the given key. It does nothing if there is no such item.
 func (r *Ring[T]) Remove(key uint32) {
 	if len(r.blocks) == 0 {
 		return
@@ -135,7 +135,7 @@
 	b.stale, r.stale = true, true
 }
 
-// Reweigh sets the weight of each item to what a function returns for it.
+// Reweigh sets the weight of each item to the result of a function. A weight that is negative or NaN counts as 0.
 func (r *Ring[T]) Reweigh(weight func(T) float64) {
 	for _, b := range r.blocks {
 		for i := range b.items {
@@ -146,7 +146,7 @@
 	r.stale = true
 }
 
-// sumItems recomputes the sum of a block.
+// sumItems recomputes the sum of the weights of a block.
 func (b *block[T]) sumItems() {
 	b.stale, b.sum = false, 0
 	for i := range b.items {
@@ -167,7 +167,7 @@
 	}
 }
 
-// Append appends the items, in the order of their keys, to a slice, and returns the extended slice.
+// Append appends the items to a slice in the order of their keys, and returns the extended slice.
 func (r *Ring[T]) Append(to []T) []T {
 	for _, b := range r.blocks {
 		for i := range b.items {
@@ -177,20 +177,20 @@
 	return to
 }
 
-// Cursor iterates over the items of a ring without end. Put of a new item and Remove invalidate it.
+// Cursor iterates over the items of a ring indefinitely. Adding a new item with Put, or removing one, invalidates it.
 type Cursor[T any] struct {
-	ring     *Ring[T]
-	block, i int
+	ring                  *Ring[T]
+	blockIndex, itemIndex int
 }
 
-// Seek returns a cursor at the item at which the running sum of the weights, from the first key on, exceeds sum by at least the
-// tolerance. left is sum minus the weights of the items before it. If sum is not below the total, the cursor is at the first item,
-// and left is what remains after all weights.
+// Seek returns a cursor at the first item at which the running sum of the weights, in the order of the keys, exceeds sum by at least
+// the tolerance. left is sum minus the weights of the items before it. If there is no such item, as when sum is not below the total,
+// the cursor is at the first item of the ring, and left is sum minus all weights.
 func (r *Ring[T]) Seek(sum, tolerance float64) (c Cursor[T], left float64) {
-	r.Total() // recomputes the sums that are stale
+	r.Total() // recomputes stale sums
 	for blockIndex, b := range r.blocks {
-		// The sum of a block may differ, by rounding, from the result of the subtractions below. These may then reach the end of
-		// the block without a result, and go on with the next one.
+		// Due to rounding, the sum of a block may differ from the sum of the subtractions below. The inner loop may then reach the
+		// end of the block without finding the item, and the search continues with the next block.
 		if sum > b.sum-tolerance && blockIndex < len(r.blocks)-1 {
 			sum -= b.sum
 			continue
@@ -205,18 +205,18 @@
 	return Cursor[T]{ring: r}, sum
 }
 
-// Next returns the item at the cursor with its weight, and advances the cursor; the first item follows the last. ok is false if
-// the ring is empty.
+// Next returns the item at the cursor and its weight, and advances the cursor. The first item follows the last. ok is false if the
+// ring is empty.
 func (c *Cursor[T]) Next() (value T, weight float64, ok bool) {
 	if c.ring == nil || c.ring.count == 0 {
 		return value, 0, false
 	}
-	items := c.ring.blocks[c.block].items
-	current := &items[c.i]
-	c.i++
-	if c.i == len(items) {
-		c.i = 0
-		c.block = (c.block + 1) % len(c.ring.blocks)
+	items := c.ring.blocks[c.blockIndex].items
+	current := &items[c.itemIndex]
+	c.itemIndex++
+	if c.itemIndex == len(items) {
+		c.itemIndex = 0
+		c.blockIndex = (c.blockIndex + 1) % len(c.ring.blocks)
 	}
 	return current.value, current.weight, true
 }
--- a/internal/structures/weightedsample/golden_test.go
+++ b/internal/structures/weightedsample/golden_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/golden"
 )
 
-// Over random changes, the same random numbers draw the same slots in every version, and the sums are the same.
+// After the same random changes, the same random numbers draw the same slots in every version, and the sums are the same.
 func TestGoldenDraws(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
@@ -26,7 +26,7 @@
 				weight := rng.ExpFloat64()
 				slots = append(slots, sampler.Add(weight))
 				if slot := pool.Add(fmt.Sprint("item", i), weight); slot != slots[len(slots)-1] {
-					t.Fatalf("slot %d of the pool, %d of its sampler", slot, slots[len(slots)-1])
+					t.Fatalf("Pool.Add returned slot %d, want slot %d as returned by Sampler.Add", slot, slots[len(slots)-1])
 				}
 			case 2:
 				if len(slots) > 0 {
--- a/internal/structures/weightedsample/weightedsample.go
+++ b/internal/structures/weightedsample/weightedsample.go
@@ -1,18 +1,18 @@
 // Package weightedsample draws items at random, each with a probability proportional to its weight, in logarithmic time. It generates
-// no random numbers: the caller passes them, so that draws can be replayed.
+// no random numbers: the caller passes them, so that draws are reproducible.
 package weightedsample
 
-// Sampler holds weights in slots, which are small integers. Slots that were removed are used again. Set and Draw take logarithmic
+// Sampler stores weights in slots, which are small integers. Slots that were removed are reused. Set and Draw take logarithmic
 // time. The zero value is empty and ready for use. It is not safe for concurrent use.
 //
-// It is a binary tree of sums. Each node is the sum of its two children and is recomputed at each change, so that rounding errors
-// do not accumulate.
+// It is a binary tree of sums. Each inner node is the sum of its two children. A change recomputes the nodes above the changed leaf
+// from their children, so that rounding errors do not accumulate.
 type Sampler struct {
 	// sums[1] is the root; sums[2i] and sums[2i+1] are the children of sums[i]. The leaves are sums[leaves:].
-	sums   []float64
-	leaves int
-	free   []int // slots that were removed, the latest last
-	unused int   // the first slot that was never used
+	sums    []float64
+	leaves  int
+	free    []int // slots that were removed; Add reuses the last of them first
+	nextNew int   // the lowest slot that was never used
 }
 
 // minLeaves is the initial number of leaves.
@@ -20,27 +20,27 @@
 
 // Add adds a weight and returns its slot. A weight that is negative or NaN counts as 0.
 func (s *Sampler) Add(weight float64) (slot int) {
-	slot = s.takeSlot()
+	slot = s.allocateSlot()
 	s.Set(slot, weight)
 	return slot
 }
 
-// takeSlot returns a slot that is not in use.
-func (s *Sampler) takeSlot() int {
+// allocateSlot returns a slot that is not in use: the slot that was removed last or, if there is none, a new one.
+func (s *Sampler) allocateSlot() int {
 	if last := len(s.free) - 1; last >= 0 {
 		slot := s.free[last]
 		s.free = s.free[:last]
 		return slot
 	}
-	slot := s.unused
+	slot := s.nextNew
 	if slot >= s.leaves {
 		s.grow()
 	}
-	s.unused++
+	s.nextNew++
 	return slot
 }
 
-// grow doubles the number of leaves.
+// grow doubles the number of leaves, or creates the first minLeaves leaves, and recomputes the sums.
 func (s *Sampler) grow() {
 	leaves := max(2*s.leaves, minLeaves)
 	sums := make([]float64, 2*leaves)
@@ -51,7 +51,7 @@
 	s.sums, s.leaves = sums, leaves
 }
 
-// Remove frees a slot, which Add may then return again. The slot must be in use.
+// Remove frees a slot, and Add may then return the slot again. The slot must be in use.
 func (s *Sampler) Remove(slot int) {
 	s.Set(slot, 0)
 	s.free = append(s.free, slot)
@@ -83,8 +83,8 @@
 	return s.sums[1]
 }
 
-// Draw returns a slot. x is a random number in [0, 1), and selects each slot with a probability proportional to its weight. A slot
-// with weight 0 is never drawn. ok is false if all weights are 0.
+// Draw returns a slot that is selected by x. If x is a uniform random number in [0, 1), each slot has a probability proportional to
+// its weight. A slot with weight 0 is never drawn. ok is false if all weights are 0.
 func (s *Sampler) Draw(x float64) (slot int, ok bool) {
 	if !(s.Total() > 0) {
 		return 0, false
@@ -93,7 +93,7 @@
 	i := 1
 	for i < s.leaves {
 		i *= 2
-		// By rounding, x may reach the sum of the left child although the right one is 0; the draw then stays on the left.
+		// Due to rounding, x may reach the sum of the left child although the right child is 0. The left child is then selected.
 		if left, right := s.sums[i], s.sums[i+1]; x >= left && right > 0 {
 			x -= left
 			i++
@@ -104,8 +104,8 @@
 	return i - s.leaves, true
 }
 
-// DrawTwo returns two different slots, drawn by two random numbers as Draw does; the second is drawn from the others. second is -1
-// if only one slot has a weight above 0. ok is false if none has.
+// DrawTwo returns two different slots that are selected as by Draw: the first by x from all slots, and the second by y from the other
+// slots. second is -1 if only one slot has a weight above 0. ok is false if no slot has.
 func (s *Sampler) DrawTwo(x, y float64) (first, second int, ok bool) {
 	if first, ok = s.Draw(x); !ok {
 		return 0, -1, false
@@ -124,7 +124,7 @@
 // use.
 type Pool[T any] struct {
 	sampler Sampler
-	items   []T // by slot
+	items   []T // items by slot
 	count   int
 }
 
@@ -134,7 +134,7 @@
 // Total returns the sum of all weights.
 func (p *Pool[T]) Total() float64 { return p.sampler.Total() }
 
-// Add adds an item and returns its slot.
+// Add adds an item and returns its slot. A weight that is negative or NaN counts as 0.
 func (p *Pool[T]) Add(item T, weight float64) (slot int) {
 	slot = p.sampler.Add(weight)
 	if slot == len(p.items) {
@@ -145,18 +145,18 @@
 	return slot
 }
 
-// Set changes the weight of the item in a slot.
+// Set changes the weight of the item in a slot, which must be in use. A weight that is negative or NaN counts as 0.
 func (p *Pool[T]) Set(slot int, weight float64) { p.sampler.Set(slot, weight) }
 
 // Remove removes the item in a slot, which must be in use.
 func (p *Pool[T]) Remove(slot int) {
-	var none T
+	var zero T
 	p.sampler.Remove(slot)
-	p.items[slot] = none // let the item be collected
+	p.items[slot] = zero // allows garbage collection of the item
 	p.count--
 }
 
-// Draw returns an item, selected by a random number as Sampler.Draw does. ok is false if all weights are 0.
+// Draw returns an item that is selected by x as in Sampler.Draw. ok is false if all weights are 0.
 func (p *Pool[T]) Draw(x float64) (item T, ok bool) {
 	slot, ok := p.sampler.Draw(x)
 	if !ok {
--- a/internal/structures/weightedsample/weightedsample_test.go
+++ b/internal/structures/weightedsample/weightedsample_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// naive is the reference implementation: weights by slot, summed one by one.
+// naive is a reference implementation of Sampler: a map of weights by slot, which are summed for each total.
 type naive map[int]float64
 
 func (n naive) total() (sum float64) {
@@ -21,7 +21,7 @@
 	return sum
 }
 
-// set sets a weight, or 0 for one that is negative or NaN.
+// set sets the weight of a slot. A weight that is negative or NaN counts as 0.
 func (n naive) set(slot int, weight float64) {
 	n[slot] = 0
 	if weight > 0 {
@@ -29,8 +29,8 @@
 	}
 }
 
-// change applies a random change to a sampler and to the reference.
-func change(t *rapid.T, sampler *Sampler, all naive) {
+// applyRandomChange applies the same random change to a sampler and to the reference implementation.
+func applyRandomChange(t *rapid.T, sampler *Sampler, all naive) {
 	weights := rapid.SampledFrom([]float64{0, 0, 1, 0.3, 1e-12, 1e12, -1, math.NaN(), 7})
 	slots := slices.Sorted(maps.Keys(all))
 	switch event := rapid.IntRange(0, 3).Draw(t, "event"); {
@@ -38,7 +38,7 @@
 		weight := weights.Draw(t, "weight")
 		slot := sampler.Add(weight)
 		if _, inUse := all[slot]; inUse {
-			t.Fatalf("slot %d is in use already", slot)
+			t.Fatalf("Add returned slot %d, which is already in use", slot)
 		}
 		all.set(slot, weight)
 	case event == 1:
@@ -52,36 +52,36 @@
 	}
 }
 
-// checkDraws draws by some numbers, and checks that no slot without a weight is drawn.
+// checkDraws draws with several values of x, and checks that no slot of weight 0 is drawn.
 func checkDraws(t *rapid.T, sampler *Sampler, all naive) {
 	t.Helper()
 	for _, x := range []float64{0, 0.5, math.Nextafter(1, 0), rapid.Float64Range(0, 0.999).Draw(t, "x")} {
 		slot, ok := sampler.Draw(x)
 		if ok != (all.total() > 0) || ok && !(all[slot] > 0) {
-			t.Fatalf("drew %d, %v, with weights %v", slot, ok, all)
+			t.Fatalf("Draw(%v): got %d, %v, want a slot with a weight above 0 and true, or false if there is none; weights %v", x, slot, ok, all)
 		}
 	}
 	first, second, ok := sampler.DrawTwo(rapid.Float64Range(0, 0.999).Draw(t, "y"), 0.7)
 	if ok && (first == second || second >= 0 && !(all[second] > 0) || sampler.Weight(first) != all[first]) {
-		t.Fatalf("drew %d and %d of %v", first, second, all)
+		t.Fatalf("DrawTwo: got %d and %d, want different slots with weights above 0 (or -1 second), and unchanged weights %v", first, second, all)
 	}
 }
 
-// After any changes, the total and the weights agree with the reference, no slot is used twice, and no slot without a weight is
-// drawn.
+// After any changes, the total and the weights agree with the reference implementation, no slot is used twice, and no slot of
+// weight 0 is drawn.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var sampler Sampler
 		all := naive{}
 		for range rapid.IntRange(1, 200).Draw(rt, "events") {
-			change(rt, &sampler, all)
+			applyRandomChange(rt, &sampler, all)
 			want := all.total()
 			if got := sampler.Total(); math.Abs(got-want) > 1e-9*want {
-				rt.Fatalf("a total of %g, want %g", got, want)
+				rt.Fatalf("total weight: got %g, want %g", got, want)
 			}
 			for slot, weight := range all {
 				if sampler.Weight(slot) != weight {
-					rt.Fatalf("slot %d has %g, want %g", slot, sampler.Weight(slot), weight)
+					rt.Fatalf("weight of slot %d: got %g, want %g", slot, sampler.Weight(slot), weight)
 				}
 			}
 			checkDraws(rt, &sampler, all)
@@ -89,29 +89,29 @@
 	})
 }
 
-// The first and the second draw follow the weights, by a chi-square test with a fixed seed.
+// The distributions of the first and of the second draw match the weights, by a chi-square test with a fixed seed.
 func TestDistribution(t *testing.T) {
 	weights := []float64{1, 2, 0, 5, 0.5, 100, 3, 3, 0, 7, 1, 12}
 	var sampler Sampler
 	total := 0.0
-	for _, x := range weights {
-		sampler.Add(x)
-		total += x
+	for _, weight := range weights {
+		sampler.Add(weight)
+		total += weight
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	const n = 400_000
+	const draws = 400_000
 	first, second := make([]float64, len(weights)), make([]float64, len(weights))
-	for range n {
+	for range draws {
 		a, b, _ := sampler.DrawTwo(rng.Float64(), rng.Float64())
 		first[a]++
 		second[b]++
 	}
 	chiSquare := func(drawn []float64, probability func(i int) float64) (sum float64, degrees int) {
 		for i, got := range drawn {
-			want := n * probability(i)
+			want := draws * probability(i)
 			if want == 0 {
 				if got > 0 {
-					t.Errorf("%d was drawn %v times", i, got)
+					t.Errorf("slot %d of weight 0 was drawn %v times, want 0", i, got)
 				}
 				continue
 			}
@@ -122,7 +122,7 @@
 	}
 	const limit = 29.6 // exceeded with a probability of 0.1% at 10 degrees of freedom
 	if sum, degrees := chiSquare(first, func(i int) float64 { return weights[i] / total }); sum > limit || degrees != 9 {
-		t.Errorf("the first: %.1f at %d degrees", sum, degrees)
+		t.Errorf("first draw: chi-square statistic %.1f with %d degrees of freedom, want at most %.1f with 9", sum, degrees, limit)
 	}
 	if sum, _ := chiSquare(second, func(i int) (p float64) {
 		for j, x := range weights {
@@ -132,11 +132,11 @@
 		}
 		return p
 	}); sum > limit {
-		t.Errorf("the second: %.1f", sum)
+		t.Errorf("second draw: chi-square statistic %.1f, want at most %.1f", sum, limit)
 	}
-	// The test fails for draws that do not follow the weights.
+	// The chi-square test rejects draws that do not match the weights.
 	if sum, _ := chiSquare(first, func(i int) float64 { return 1 / float64(len(weights)-2) * min(weights[i], 1) }); sum < limit {
-		t.Errorf("even weights pass: %.1f", sum)
+		t.Errorf("chi-square statistic for probabilities that do not match the weights: got %.1f, want at least %.1f", sum, limit)
 	}
 }
 
