--- a/internal/modules/endpointsource/bench_test.go
+++ b/internal/modules/endpointsource/bench_test.go
@@ -8,7 +8,8 @@
 	"quincegap/internal/balancer"
 )
 
-// BenchmarkPlatform measures the handling of a full list of 10,000 endpoints: the same as before, and all others.
+// BenchmarkPlatform measures the handling of a full list of 10,000 endpoints that is the same as the previous list, and of one in which
+// all endpoints differ.
 func BenchmarkPlatform(b *testing.B) {
 	const n = 10000
 	list := func(from int) (l List) {
@@ -25,11 +26,11 @@
 	for _, mode := range []Mode{ModePlatform, ModeOverlay} {
 		for name, others := range map[string]int{"same": 0, "others": 1} {
 			b.Run(fmt.Sprintf("%s/%s", mode, name), func(b *testing.B) {
-				m := New(Settings{Mode: mode}, nil, nil)
-				m.HandlePlatformList(0, lists[0])
+				merger := New(Settings{Mode: mode}, nil, nil)
+				merger.HandlePlatformList(0, lists[0])
 				b.ReportAllocs()
 				for i := 1; b.Loop(); i++ {
-					m.HandlePlatformList(time.Duration(i), lists[i*others%2])
+					merger.HandlePlatformList(time.Duration(i), lists[i*others%2])
 				}
 			})
 		}
--- a/internal/modules/endpointsource/chunks.go
+++ b/internal/modules/endpointsource/chunks.go
@@ -6,46 +6,48 @@
 	"quincegap/internal/balancer"
 )
 
-// PreparedList is a list of the platform that was sorted by another goroutine than the one that owns the Merger, because sorting takes
-// longer than handling a chunk.
+// PreparedList is a platform list with its endpoints grouped for Merger.Chunks. Grouping takes longer than handling a chunk, so it is
+// done by a goroutine other than the one that owns the Merger.
 type PreparedList struct {
 	list            List
-	last            map[string]int // by uid, the index of its last well-formed entry; nil for a list that is not divided
-	notReady, ready []Endpoint     // endpoints that get no new requests, and the others, each of them once
+	lastIndex       map[string]int // index of the last well-formed entry of each uid; nil if the list is not to be divided
+	notReady, ready []Endpoint     // endpoints without and with new requests; each uid once
 }
 
-// PrepareList sorts a list for Chunks. Lists of at most maxEntries entries are not divided.
+// PrepareList groups the endpoints of a list for Merger.Chunks. A list of at most maxEntries entries and a cached list are not grouped,
+// because Chunks does not divide them.
 func PrepareList(list List, maxEntries int) PreparedList {
 	prepared := PreparedList{list: list}
 	if len(list.Endpoints) <= maxEntries || list.Kind == balancer.ListCached {
 		return prepared
 	}
-	prepared.last = make(map[string]int, len(list.Endpoints))
+	prepared.lastIndex = make(map[string]int, len(list.Endpoints))
 	for i := range list.Endpoints {
 		if e := &list.Endpoints[i]; e.wellFormed() {
-			prepared.last[e.UID] = i // of several entries the last one counts
+			prepared.lastIndex[e.UID] = i // the last of several entries with the same uid is used
 		}
 	}
 	for i := range list.Endpoints {
 		e := &list.Endpoints[i]
-		last, wellFormed := prepared.last[e.UID]
+		lastIndex, wellFormed := prepared.lastIndex[e.UID]
 		switch {
-		case wellFormed && last != i:
+		case wellFormed && lastIndex != i:
 		case e.State == balancer.EndpointReady:
 			prepared.ready = append(prepared.ready, *e)
 		default:
-			prepared.notReady = append(prepared.notReady, *e) // unusable entries as well: they are logged when they are handled
+			prepared.notReady = append(prepared.notReady, *e) // includes unusable entries, which are logged when their chunk is handled
 		}
 	}
 	return prepared
 }
 
-// Chunks divides a long list into deltas of at most maxEntries entries, so that other events can be handled between them. Endpoints
-// that get no new requests come first, because they are urgent. A short list, the first list and a cached one are not divided.
+// Chunks divides a long list into deltas of at most maxEntries entries, so that other events can be handled between them. It returns one
+// function for each delta. Endpoints that must get no more new requests come first, because their removal is urgent. A short list, the
+// first list and a cached list are not divided: the only function returns the list itself.
 //
-// The chunks together have the same effect as the list. They have to be made and handled in their order, and before any later list.
+// All deltas together have the same effect as the list. The caller must create and handle them in order, before any later list.
 func (m *Merger) Chunks(prepared PreparedList, maxEntries int) (chunks []func() List) {
-	if prepared.last == nil || !m.published {
+	if prepared.lastIndex == nil || !m.published {
 		return []func() List{func() List { return prepared.list }}
 	}
 	delta := func(endpoints []Endpoint) List {
@@ -55,9 +57,9 @@
 		chunks = append(chunks, func() List { return delta(chunk) })
 	}
 	if prepared.list.Kind == balancer.ListFull {
-		// The missing endpoints are found now, but the lists of them, which take longer, are made chunk by chunk.
-		for chunk := range slices.Chunk(m.notIn(prepared), maxEntries) {
-			chunks = append(chunks, func() List { return delta(removed(chunk)) })
+		// The missing endpoints are found now. Copying them takes longer, so this is done chunk by chunk.
+		for chunk := range slices.Chunk(m.missingFrom(prepared), maxEntries) {
+			chunks = append(chunks, func() List { return delta(asRemoved(chunk)) })
 		}
 	}
 	for chunk := range slices.Chunk(prepared.ready, maxEntries) {
@@ -66,13 +68,13 @@
 	return chunks
 }
 
-// notIn returns the endpoints that the platform has listed before and that a list lacks.
-func (m *Merger) notIn(prepared PreparedList) (missing []*Endpoint) {
+// missingFrom returns the endpoints of earlier platform lists that the prepared list lacks.
+func (m *Merger) missingFrom(prepared PreparedList) (missing []*Endpoint) {
 	for uid, entry := range m.entries {
 		if entry.platform == nil {
 			continue
 		}
-		if _, listed := prepared.last[uid]; listed {
+		if _, listed := prepared.lastIndex[uid]; listed {
 			continue
 		}
 		if missing == nil {
@@ -83,8 +85,8 @@
 	return missing
 }
 
-// removed returns copies of endpoints with the state of removed ones.
-func removed(endpoints []*Endpoint) []Endpoint {
+// asRemoved returns copies of endpoints with the state EndpointRemoved.
+func asRemoved(endpoints []*Endpoint) []Endpoint {
 	all := make([]Endpoint, len(endpoints))
 	for i, e := range endpoints {
 		all[i] = *e
--- a/internal/modules/endpointsource/chunks_test.go
+++ b/internal/modules/endpointsource/chunks_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/balancer"
 )
 
-// drawEntry draws an entry of a list.
+// drawEntry draws a random entry of a list.
 func drawEntry(t *rapid.T) Endpoint {
 	n := rapid.IntRange(0, 30).Draw(t, "uid")
 	return Endpoint{
@@ -24,7 +24,7 @@
 	}
 }
 
-// drawList draws a list.
+// drawList draws a random list.
 func drawList(t *rapid.T) List {
 	return List{
 		Kind:    rapid.SampledFrom([]balancer.ListKind{balancer.ListFull, balancer.ListDelta}).Draw(t, "kind"),
@@ -32,15 +32,15 @@
 	}
 }
 
-// receiver is a Merger with the endpoints that it has published.
+// receiver is a Merger together with the endpoints that it has published.
 type receiver struct {
-	m         *Merger
-	published map[string]Endpoint // by uid
+	merger    *Merger
+	published map[string]Endpoint // published endpoints, by uid
 }
 
 // apply handles a list and applies what the Merger publishes.
 func (r *receiver) apply(list List) {
-	out, changed := r.m.HandlePlatformList(time.Second, list)
+	out, changed := r.merger.HandlePlatformList(time.Second, list)
 	if !changed {
 		return
 	}
@@ -54,18 +54,18 @@
 	}
 }
 
-// applyChunks applies a list in chunks. It checks that the chunks are short, and that those with a ready endpoint are the last.
+// applyChunks applies a list in chunks. It checks that no chunk is too long, and that the chunks with a ready endpoint come last.
 func (r *receiver) applyChunks(t *rapid.T, list List, maxEntries int) {
-	chunks := r.m.Chunks(PrepareList(list, maxEntries), maxEntries)
+	chunks := r.merger.Chunks(PrepareList(list, maxEntries), maxEntries)
 	anyReady := false
 	for _, chunk := range chunks {
 		part := chunk()
 		if len(part.Endpoints) > maxEntries && len(chunks) > 1 {
-			t.Fatalf("a chunk holds %d", len(part.Endpoints))
+			t.Fatalf("a chunk has %d endpoints, want at most %d", len(part.Endpoints), maxEntries)
 		}
 		ready := slices.ContainsFunc(part.Endpoints, func(e Endpoint) bool { return e.State == balancer.EndpointReady })
 		if len(chunks) > 1 && anyReady && !ready {
-			t.Fatal("a chunk without ready endpoints follows one with them")
+			t.Fatal("a chunk without ready endpoints follows one with ready endpoints")
 		}
 		anyReady = anyReady || ready
 		r.apply(part)
@@ -73,7 +73,7 @@
 }
 
 // The chunks of a list have the same effect as the list, in each mode, and those without ready endpoints come first.
-func TestChunksEqualTheList(t *testing.T) {
+func TestChunksHaveTheEffectOfTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := rapid.SampledFrom([]Mode{ModePlatform, ModeOverlay, ModeRehearsal}).Draw(t, "mode")
 		atOnce := receiver{New(Settings{Mode: mode}, nil, nil), map[string]Endpoint{}}
@@ -82,12 +82,12 @@
 			atOnce.apply(list)
 			inChunks.applyChunks(t, list, 5)
 			for uid, e := range atOnce.published {
-				if other, ok := inChunks.published[uid]; !ok || !sameVerdict(&e, &other) {
-					t.Fatalf("%s: %+v at once, %+v in chunks", uid, e, other)
+				if other, ok := inChunks.published[uid]; !ok || !samePublished(&e, &other) {
+					t.Fatalf("endpoint %s: published as %+v from the chunks, want %+v as from the whole list", uid, other, e)
 				}
 			}
 			if len(atOnce.published) != len(inChunks.published) {
-				t.Fatalf("%d at once, %d in chunks", len(atOnce.published), len(inChunks.published))
+				t.Fatalf("%d endpoints published from the chunks, want %d as from the whole list", len(inChunks.published), len(atOnce.published))
 			}
 		}
 	})
@@ -101,18 +101,18 @@
 		long.Endpoints = append(long.Endpoints, Endpoint{UID: fmt.Sprint(i), Address: "127.0.0.1:1"})
 	}
 	if parts := merger.Chunks(PrepareList(long, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
-		t.Error("the first list is divided")
+		t.Error("the first list was divided or is not a full list")
 	}
 	merger.HandlePlatformList(0, long)
 	cached := long
 	cached.Kind = balancer.ListCached
 	if parts := merger.Chunks(PrepareList(cached, 4), 4); len(parts) != 1 || parts[0]().Kind != balancer.ListCached {
-		t.Error("a cached list is divided")
+		t.Error("a cached list was divided or has another kind")
 	}
 	if parts := merger.Chunks(PrepareList(long, 9), 9); len(parts) != 1 || parts[0]().Kind != balancer.ListFull {
-		t.Error("a short list is divided")
+		t.Error("a short list was divided or is not a full list")
 	}
 	if parts := merger.Chunks(PrepareList(long, 4), 4); len(parts) != 3 || parts[2]().Kind != balancer.ListDelta {
-		t.Errorf("%d parts", len(parts))
+		t.Errorf("a list of 9 endpoints was divided into %d chunks of at most 4, want 3, the last of them a delta", len(parts))
 	}
 }
--- a/internal/modules/endpointsource/endpoint_test.go
+++ b/internal/modules/endpointsource/endpoint_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// A change of any field makes another verdict, except of the fields that the balancer does not get.
-func TestSameVerdict(t *testing.T) {
+// A change of any field counts as a change for the balancer, except of the fields that it does not get.
+func TestSamePublished(t *testing.T) {
 	unpublished := []string{"Maintenance", "WeightShare", "RegistrationIndex", "StartUnknown", "Reason"}
 	fields := reflect.TypeFor[Endpoint]()
 	for i := range fields.NumField() {
 		name := fields.Field(i).Name
 		t.Run(name, func(t *testing.T) {
-			verdict := Endpoint{UID: "s-1"}
-			other := verdict
+			published := Endpoint{UID: "s-1"}
+			other := published
 			switch field := reflect.ValueOf(&other).Elem().Field(i); field.Kind() {
 			case reflect.String:
 				field.SetString("other")
@@ -27,10 +27,10 @@
 			case reflect.Int, reflect.Int64:
 				field.SetInt(2)
 			default:
-				t.Fatalf("a field of kind %v", field.Kind())
+				t.Fatalf("the test has no value for a field of kind %v", field.Kind())
 			}
-			if got, want := sameVerdict(&verdict, &other), slices.Contains(unpublished, name); got != want {
-				t.Errorf("another %s: the same %v, want %v", name, got, want)
+			if got, want := samePublished(&published, &other), slices.Contains(unpublished, name); got != want {
+				t.Errorf("samePublished with another %s: got %v, want %v", name, got, want)
 			}
 		})
 	}
--- a/internal/modules/endpointsource/evaluate.go
+++ b/internal/modules/endpointsource/evaluate.go
@@ -8,24 +8,24 @@
 
 // This file decides how each endpoint is listed for the balancer.
 
-// evaluate returns how an endpoint is to be listed for the balancer, nil for not at all, and the reason.
-func (m *Merger) evaluate(entry *sourceEntry) (*Endpoint, string) {
-	base, reason := m.base(entry)
-	if base == nil {
+// evaluate returns an endpoint as it is to be listed for the balancer, or nil if it is not to be listed, and the reason.
+func (m *Merger) evaluate(entry *endpointEntry) (*Endpoint, string) {
+	baseEntry, reason := m.baseEntry(entry)
+	if baseEntry == nil {
 		return nil, reason
 	}
-	verdict := *base
+	result := *baseEntry
 	if entry.consul == nil || m.settings.Mode == ModeOverlay && m.consulExpired {
-		return &verdict, reason
+		return &result, reason
 	}
 	switch {
 	case entry.consul.State != balancer.EndpointReady:
-		verdict.State, reason = balancer.EndpointDraining, entry.consul.Reason
+		result.State, reason = balancer.EndpointDraining, entry.consul.Reason
 	case entry.holdDownUntil > 0:
-		verdict.State, reason = balancer.EndpointDraining, fmt.Sprintf("its check flaps; held back for %s", entry.holdDown)
+		result.State, reason = balancer.EndpointDraining, fmt.Sprintf("its check flaps; held back for %s", entry.holdDown)
 	case m.settings.Mode == ModeOverlay:
-		if verdict.State == balancer.EndpointReady && entry.consul.warns() {
-			verdict.Weight *= entry.consul.WeightShare
+		if result.State == balancer.EndpointReady && entry.consul.hasWarning() {
+			result.Weight *= entry.consul.WeightShare
 			reason = entry.consul.Reason
 		}
 	case entry.missing:
@@ -33,15 +33,15 @@
 	}
 	if m.settings.Mode == ModeConsul {
 		if later := m.supersededBy(entry); later != nil {
-			verdict.State = balancer.EndpointDraining
+			result.State = balancer.EndpointDraining
 			reason = fmt.Sprintf("%s has the same address and was registered later", later.consul.UID)
 		}
 	}
-	return &verdict, reason
+	return &result, reason
 }
 
-// base returns the entry of an endpoint in the source that determines the list, nil for none, and the reason.
-func (m *Merger) base(entry *sourceEntry) (*Endpoint, string) {
+// baseEntry returns the entry of an endpoint in the source that determines the list, or nil if there is none, and the reason.
+func (m *Merger) baseEntry(entry *endpointEntry) (*Endpoint, string) {
 	if m.settings.Mode != ModeConsul {
 		if entry.platform == nil {
 			return nil, "the platform lists it no more"
@@ -59,11 +59,11 @@
 	return nil, "only the platform lists it, and the source is consul"
 }
 
-// warns reports whether a check with a warning has lowered the weight of an endpoint.
-func (e *Endpoint) warns() bool { return e.WeightShare > 0 && e.WeightShare < 1 }
+// hasWarning reports whether a check with a warning has lowered the weight of an endpoint.
+func (e *Endpoint) hasWarning() bool { return e.WeightShare > 0 && e.WeightShare < 1 }
 
-// supersededBy returns another entry with the same address that is of a later process there; nil for none.
-func (m *Merger) supersededBy(entry *sourceEntry) (later *sourceEntry) {
+// supersededBy returns another entry with the same address that belongs to a later process, or nil if there is none.
+func (m *Merger) supersededBy(entry *endpointEntry) (later *endpointEntry) {
 	for _, other := range m.byAddress[entry.consul.Address] {
 		if other != entry && supersedes(other.consul, entry.consul) {
 			later = other
@@ -72,8 +72,8 @@
 	return later
 }
 
-// onlyCritical reports whether an endpoint would be ready if its checks were ignored.
-func (m *Merger) onlyCritical(entry *sourceEntry) bool {
+// readyWithoutChecks reports whether an endpoint that is draining because of its checks would be ready if they were ignored.
+func (m *Merger) readyWithoutChecks(entry *endpointEntry) bool {
 	consul := entry.consul
 	if consul == nil || consul.Maintenance || consul.State != balancer.EndpointDraining && entry.holdDownUntil == 0 {
 		return false
@@ -84,7 +84,7 @@
 	return m.supersededBy(entry) == nil
 }
 
-// supersedes reports whether the first of two entries with the same address is of the later process.
+// supersedes reports whether, of two entries with the same address, a belongs to the later process.
 func supersedes(a, b *Endpoint) bool {
 	if a.RegistrationIndex != b.RegistrationIndex {
 		return a.RegistrationIndex > b.RegistrationIndex
--- a/internal/modules/endpointsource/example_test.go
+++ b/internal/modules/endpointsource/example_test.go
@@ -8,7 +8,8 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// In mode overlay Consul has the health of endpoints in the platform's list. Endpoints that only Consul lists are ignored.
+// In mode overlay the endpoints come from the platform's list and their health from Consul. Endpoints that only Consul lists are
+// ignored.
 func ExampleMerger() {
 	settings := *endpointsource.SettingsTable.Default()
 	settings.Mode = endpointsource.ModeOverlay
--- a/internal/modules/endpointsource/golden_test.go
+++ b/internal/modules/endpointsource/golden_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/golden"
 )
 
-// Endpoints are on disk as JSON, as the last known list: other versions have to read them.
+// The last known list stores endpoints on disk as JSON, which other versions have to be able to read.
 func TestGoldenEndpoint(t *testing.T) {
 	endpoint := Endpoint{
 		UID: "box-1", Address: "10.0.0.7:443", Zone: "north", Model: "large", Cell: 3, State: balancer.EndpointDraining, Weight: 2.5,
@@ -35,7 +35,7 @@
 	}
 }
 
-// The admin pages have rows as JSON.
+// The admin pages return rows as JSON.
 func TestGoldenRow(t *testing.T) {
 	row := Row{
 		UID: "box-1", Address: "10.0.0.7:443", State: "ready", Weight: 2.5, Platform: "ready", Consul: "draining", Why: "it says so",
@@ -54,16 +54,16 @@
 // seededRun sends random events of all sources to a Merger, and records what it returns.
 type seededRun struct {
 	rng    *rand.Rand
-	m      *Merger
+	merger *Merger
 	now    time.Duration
-	known  map[string]bool // the uids that Consul has
+	known  map[string]bool // uids that Consul lists
 	output bytes.Buffer
 	lists  int
 }
 
-// record records the log lines, and a list that the Merger has returned.
+// record writes the Merger's log lines, and the list that it has returned, to the output.
 func (r *seededRun) record(l List, changed bool) {
-	for _, line := range r.m.TakeLogs() {
+	for _, line := range r.merger.TakeLogs() {
 		fmt.Fprintln(&r.output, "log", line)
 	}
 	if !changed {
@@ -76,7 +76,7 @@
 	}
 }
 
-// endpoint draws an entry of a source.
+// endpoint draws a random entry of a source.
 func (r *seededRun) endpoint() Endpoint {
 	uid := fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))
 	endpoint := Endpoint{
@@ -111,7 +111,7 @@
 	return endpoint
 }
 
-// platform sends a list of the platform.
+// platform passes a random list of the platform to the Merger.
 func (r *seededRun) platform() {
 	kinds := []balancer.ListKind{balancer.ListDelta, balancer.ListFull, balancer.ListCached}
 	list := List{Kind: kinds[r.rng.IntN(3)], Version: uint64(r.rng.IntN(50))}
@@ -122,17 +122,17 @@
 		}
 		list.Endpoints = append(list.Endpoints, e)
 	}
-	// The chunks of what a full list lacks are in the order of a map, so only deltas are divided.
+	// The chunks with the endpoints that a full list lacks are in the order of a map, so only deltas are divided.
 	if list.Kind == balancer.ListDelta && r.rng.IntN(2) == 0 {
-		for _, part := range r.m.Chunks(PrepareList(list, 2), 2) {
-			r.record(r.m.HandlePlatformList(r.now, part()))
+		for _, part := range r.merger.Chunks(PrepareList(list, 2), 2) {
+			r.record(r.merger.HandlePlatformList(r.now, part()))
 		}
 		return
 	}
-	r.record(r.m.HandlePlatformList(r.now, list))
+	r.record(r.merger.HandlePlatformList(r.now, list))
 }
 
-// consul sends an answer of Consul.
+// consul passes a random answer of Consul to the Merger.
 func (r *seededRun) consul() {
 	answer := ConsulAnswer{KnownBefore: len(r.known), Untrusted: r.rng.IntN(6) == 0, UnixMS: 1000 + r.now.Milliseconds()}
 	changed := map[string]bool{}
@@ -153,14 +153,14 @@
 	for uid := range changed {
 		r.known[uid] = true
 	}
-	r.record(r.m.HandleConsulAnswer(r.now, answer))
+	r.record(r.merger.HandleConsulAnswer(r.now, answer))
 }
 
-// step sends one event.
+// step passes one random event to the Merger.
 func (r *seededRun) step() {
 	r.now += time.Duration(r.rng.IntN(800)) * time.Millisecond
 	if r.rng.IntN(100) == 0 {
-		r.now += 70 * time.Second // without any event
+		r.now += 70 * time.Second // a period without any event
 	}
 	switch r.rng.IntN(14) {
 	case 0, 1:
@@ -168,42 +168,42 @@
 	case 2, 3, 4, 5, 6, 12, 13:
 		r.consul()
 	case 7:
-		r.record(r.m.HandleConsulUnchanged(r.now))
+		r.record(r.merger.HandleConsulUnchanged(r.now))
 	case 8:
-		r.record(r.m.HandleConnectFailure(r.now, fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))))
+		r.record(r.merger.HandleConnectFailure(r.now, fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))))
 	case 9:
 		gone := []string{fmt.Sprint("box-", r.rng.IntN(goldenEndpoints)), fmt.Sprint("box-", r.rng.IntN(goldenEndpoints))}
-		r.record(r.m.HandleConsulAnswer(r.now, ConsulAnswer{ConfirmedMissing: gone}))
+		r.record(r.merger.HandleConsulAnswer(r.now, ConsulAnswer{ConfirmedMissing: gone}))
 	case 10:
 		if r.rng.IntN(40) == 0 {
 			settings := *SettingsTable.Default()
 			settings.Mode = []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal}[r.rng.IntN(4)]
-			r.record(r.m.UpdateSettings(r.now, settings))
+			r.record(r.merger.UpdateSettings(r.now, settings))
 		}
 	case 11:
 		if r.rng.IntN(20) == 0 {
-			r.m.RestartConsul()
+			r.merger.RestartConsul()
 		}
 	}
-	if at, due := r.m.NextTick(); due && at <= r.now {
-		r.record(r.m.Tick(r.now))
+	if at, due := r.merger.NextTick(); due && at <= r.now {
+		r.record(r.merger.Tick(r.now))
 	}
-	at, due := r.m.NextTick()
-	fmt.Fprintln(&r.output, int64(at), due, r.m.HasUnconfirmed(), r.m.PassesThrough())
+	at, due := r.merger.NextTick()
+	fmt.Fprintln(&r.output, int64(at), due, r.merger.HasUnconfirmed(), r.merger.PassesThrough())
 }
 
-// The same events must give the same lists, log lines and rows, in the same order.
+// Each seed gives the same lists, log lines and rows, in the same order, as in earlier versions.
 func TestGoldenRuns(t *testing.T) {
 	var text strings.Builder
 	for _, mode := range []Mode{ModePlatform, ModeConsul, ModeOverlay, ModeRehearsal} {
 		for seed := range uint64(3) {
 			settings := *SettingsTable.Default()
 			settings.Mode = mode
-			run := &seededRun{rng: rand.New(rand.NewPCG(seed, 3)), m: New(settings, []string{"zone0"}, nil), known: map[string]bool{}}
+			run := &seededRun{rng: rand.New(rand.NewPCG(seed, 3)), merger: New(settings, []string{"zone0"}, nil), known: map[string]bool{}}
 			for range 2000 {
 				run.step()
 			}
-			rows, err := json.Marshal(run.m.Rows(run.now))
+			rows, err := json.Marshal(run.merger.Rows(run.now))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -215,8 +215,8 @@
 	golden.Text(t, "runs.txt", []byte(text.String()))
 }
 
-// The values in settings files, in records on disk and on the admin pages.
-func TestValuesAreData(t *testing.T) {
+// These values appear in settings files, in records on disk and on the admin pages, so they must not change.
+func TestEncodedValues(t *testing.T) {
 	for got, want := range map[any]any{
 		ModePlatform: Mode("platform"), ModeConsul: Mode("consul"), ModeOverlay: Mode("overlay"), ModeRehearsal: Mode("rehearsal"),
 		StateUnknown:                         balancer.EndpointState(-1),
@@ -226,7 +226,7 @@
 		StateName(StateUnknown):              "unknown",
 	} {
 		if got != want {
-			t.Errorf("%v, want %v", got, want)
+			t.Errorf("encoded value: got %v, want %v", got, want)
 		}
 	}
 }
--- a/internal/modules/endpointsource/merger.go
+++ b/internal/modules/endpointsource/merger.go
@@ -9,102 +9,102 @@
 	"quincegap/internal/balancer"
 )
 
-// sourceEntry is the state of one endpoint.
-type sourceEntry struct {
+// endpointEntry is the state of one endpoint: its entries in the sources and how it is published.
+type endpointEntry struct {
 	uid      string
-	platform *Endpoint // its entry in the platform's list, nil for none
-	consul   *Endpoint // its entry in Consul, nil for none
+	platform *Endpoint // entry in the platform's list; nil if it is not listed
+	consul   *Endpoint // entry in Consul; nil if it is not listed
 
-	missing      bool // Consul's last answer lacks it, which is not believed yet
+	missing      bool // Consul's latest answer lacks the endpoint, and its removal is not confirmed yet
 	missingSince time.Duration
 
-	unhealthy      bool // by Consul
+	unhealthy      bool // Consul's entry is not ready
 	unhealthySince time.Duration
-	recoveries     []time.Duration // when it became healthy within Settings.FlapWindow, the latest last
-	holdDown       time.Duration   // the length of the latest hold-down
-	holdDownUntil  time.Duration   // 0 if it is not held down
-	startedMS      int64           // its assumed start, Unix time in milliseconds, if Consul has none
-
-	ready     bool          // by its own verdict, which does not depend on other endpoints
-	published *Endpoint     // how the balancer has it, nil for not at all
-	since     time.Duration // when published was last changed
-	reason    string        // of the present verdict
+	recoveries     []time.Duration // times of recoveries within Settings.FlapWindow, the latest last
+	holdDown       time.Duration   // length of the latest hold-down
+	holdDownUntil  time.Duration   // end of the hold-down; 0 if the endpoint is not held down
+	startedMS      int64           // assumed start in Unix milliseconds, used if Consul has no start time
+
+	ready     bool          // the endpoint is ready regardless of the other endpoints; counted in readyCount
+	published *Endpoint     // endpoint as last published to the balancer; nil if it is not listed there
+	changedAt time.Duration // time of the last change of published
+	reason    string        // reason for the state of published
 }
 
-// Merger merges the sources. Use New. It is not safe for concurrent use.
+// Merger merges the endpoint lists of the sources. It is created by New and is not safe for concurrent use.
 type Merger struct {
 	settings  Settings
 	zones     nameSet
 	models    nameSet
-	entries   map[string]*sourceEntry   // by uid
-	byAddress map[string][]*sourceEntry // the entries that Consul has, by address
-	heldDown  map[string]*sourceEntry   // by uid
-	missing   map[string]*sourceEntry   // by uid
-	dirty     map[string]*sourceEntry   // the entries that have to be evaluated again, by uid
-	allDirty  bool                      // all of them have to be
+	entries   map[string]*endpointEntry   // all endpoints, by uid
+	byAddress map[string][]*endpointEntry // entries that Consul lists, by address
+	heldDown  map[string]*endpointEntry   // entries that are held down, by uid
+	missing   map[string]*endpointEntry   // entries that are missing, by uid
+	dirty     map[string]*endpointEntry   // entries that have to be evaluated again, by uid
+	allDirty  bool                        // all entries have to be evaluated again
 
 	consulAnswered   bool
-	consulAnsweredAt time.Duration // the time of the last answer
+	consulAnsweredAt time.Duration // time of the latest answer
 	consulExpired    bool          // Consul has not answered for Settings.ConsulTTL (ModeOverlay)
-	fromCache        bool          // the balancer has the last known list
+	fromCache        bool          // the balancer uses the last known list
 	published        bool          // the balancer has a list
-	readyCount       int           // entries that are ready by their own verdict
-	noneReady        bool          // readyCount is 0, so checks are ignored; see checksIgnored
+	readyCount       int           // number of entries with ready set
+	noneReady        bool          // readyCount was 0 at the last publication, so checks are ignored; see checksIgnored
 	version          uint64
-	differences      map[string]string // by uid, those that were logged (ModeRehearsal)
+	differences      map[string]string // differences that were logged in ModeRehearsal, by uid
 	logs             []string
 }
 
-// New returns a Merger without endpoints; zones and models are the names that the settings have.
+// New returns a Merger without endpoints; zones and models are the names in the settings.
 func New(settings Settings, zones, models []string) *Merger {
 	return &Merger{
 		settings: settings, zones: newNameSet(zones), models: newNameSet(models),
-		entries: map[string]*sourceEntry{}, byAddress: map[string][]*sourceEntry{}, differences: map[string]string{},
-		heldDown: map[string]*sourceEntry{}, missing: map[string]*sourceEntry{}, dirty: map[string]*sourceEntry{},
+		entries: map[string]*endpointEntry{}, byAddress: map[string][]*endpointEntry{}, differences: map[string]string{},
+		heldDown: map[string]*endpointEntry{}, missing: map[string]*endpointEntry{}, dirty: map[string]*endpointEntry{},
 	}
 }
 
-// PassesThrough reports whether the platform's lists are passed to the balancer as they are.
+// PassesThrough reports whether the platform's lists are passed to the balancer unchanged.
 func (m *Merger) PassesThrough() bool {
 	return m.settings.Mode == ModePlatform || m.settings.Mode == ModeRehearsal
 }
 
-// Mode returns the mode in force.
+// Mode returns the active mode.
 func (m *Merger) Mode() Mode { return m.settings.Mode }
 
 // maxLogLines bounds the log lines between two calls of TakeLogs, however many endpoints change.
 const maxLogLines = 100
 
-// TakeLogs returns the log lines since the last call.
+// TakeLogs returns the log lines since the last call, and clears them.
 func (m *Merger) TakeLogs() []string {
 	lines := m.logs
 	m.logs = nil
 	return lines
 }
 
-// logf adds a log line.
+// logf adds a log line for TakeLogs.
 func (m *Merger) logf(format string, args ...any) {
 	switch {
 	case len(m.logs) < maxLogLines:
 		m.logs = append(m.logs, fmt.Sprintf(format, args...))
 	case len(m.logs) == maxLogLines:
-		m.logs = append(m.logs, "and more")
+		m.logs = append(m.logs, "further log lines were dropped")
 	}
 }
 
-// touch returns the entry of an endpoint, a new one if there is none, and has it evaluated again.
-func (m *Merger) touch(uid string) *sourceEntry {
+// markDirty returns the entry of an endpoint, which it creates if there is none, and marks it for evaluation.
+func (m *Merger) markDirty(uid string) *endpointEntry {
 	entry := m.entries[uid]
 	if entry == nil {
-		entry = &sourceEntry{uid: uid}
+		entry = &endpointEntry{uid: uid}
 		m.entries[uid] = entry
 	}
 	m.dirty[uid] = entry
 	return entry
 }
 
-// forget deletes the entry of an endpoint that no source has and that is not published.
-func (m *Merger) forget(uid string, entry *sourceEntry) {
+// deleteIfUnused deletes the entry of an endpoint that no source lists and that is not published.
+func (m *Merger) deleteIfUnused(uid string, entry *endpointEntry) {
 	if entry.platform != nil || entry.consul != nil || entry.published != nil {
 		return
 	}
@@ -117,7 +117,7 @@
 	delete(m.differences, uid)
 }
 
-// NextTick returns when Tick is to be called next, false for not at all.
+// NextTick returns when Tick is to be called next, and false if no call is needed.
 func (m *Merger) NextTick() (at time.Duration, ok bool) {
 	if m.PassesThrough() {
 		return 0, false
@@ -139,13 +139,13 @@
 	return at, ok
 }
 
-// consulExpires reports whether Consul's entries are used now and expire without further answers.
+// consulExpires reports whether Consul's entries are in use and expire unless Consul answers again.
 func (m *Merger) consulExpires() bool {
 	return m.settings.Mode == ModeOverlay && m.consulAnswered && !m.consulExpired
 }
 
-// Tick ends hold-downs, confirms missing endpoints and lets Consul's entries expire. It returns the list for the balancer, false for
-// none.
+// Tick ends hold-downs, confirms the removal of missing endpoints and lets Consul's entries expire. It returns the list for the
+// balancer, and false if nothing has to be published.
 func (m *Merger) Tick(now time.Duration) (List, bool) {
 	for uid, entry := range m.heldDown {
 		if now >= entry.holdDownUntil {
@@ -170,7 +170,8 @@
 	return m.publish(now, balancer.ListDelta)
 }
 
-// UpdateSettings changes the settings while the sidecar runs. It returns the list for the balancer in a new mode, false for none.
+// UpdateSettings changes the settings while the sidecar runs. If the mode changes it returns the new list for the balancer. The result
+// is false if nothing has to be published.
 func (m *Merger) UpdateSettings(now time.Duration, settings Settings) (List, bool) {
 	previous := m.settings.Mode
 	m.settings = settings
@@ -178,22 +179,22 @@
 		return List{}, false
 	}
 	m.logf("membership: the source is %s now, %s before", settings.Mode, previous)
-	m.forgetConsul()
+	m.resetConsul()
 	switch settings.Mode {
 	case ModeConsul:
-		m.fromCache = true // the present list stays until Consul's first answer
+		m.fromCache = true // the current list stays in use until Consul's first answer
 		return List{}, false
 	case ModePlatform, ModeRehearsal:
-		return m.publishKnownPlatform(now)
+		return m.publishPlatformEntries(now)
 	}
 	return m.publish(now, balancer.ListFull)
 }
 
-// forgetConsul deletes the state of all endpoints in Consul, but not what is published.
-func (m *Merger) forgetConsul() {
+// resetConsul deletes what is known from Consul about all endpoints. It does not change what is published.
+func (m *Merger) resetConsul() {
 	m.consulAnswered = false
 	m.consulExpired = false
-	m.byAddress = map[string][]*sourceEntry{}
+	m.byAddress = map[string][]*endpointEntry{}
 	clear(m.heldDown)
 	clear(m.missing)
 	clear(m.differences)
@@ -209,8 +210,8 @@
 	m.allDirty = true
 }
 
-// RestartConsul makes the next answer of Consul its first one, because it may be for another service.
+// RestartConsul treats the next answer of Consul as its first one. The caller uses it when the next answer may be for another service.
 func (m *Merger) RestartConsul() { m.consulAnswered = false }
 
-// sortedUIDs returns the uids of entries, in order.
-func sortedUIDs(entries map[string]*sourceEntry) []string { return slices.Sorted(maps.Keys(entries)) }
+// sortedUIDs returns the uids of entries in ascending order.
+func sortedUIDs(entries map[string]*endpointEntry) []string { return slices.Sorted(maps.Keys(entries)) }
--- a/internal/modules/endpointsource/model_test.go
+++ b/internal/modules/endpointsource/model_test.go
@@ -12,30 +12,30 @@
 	"quincegap/internal/balancer"
 )
 
-// modelUIDs are the uids of the endpoints of the model.
+// modelUIDs are the uids of all endpoints in the model.
 var modelUIDs = []string{"a", "b", "c", "d", "e", "f"}
 
-// world is the model: the entries of the sources, against which the published endpoints are checked.
-type world struct {
-	mode       Mode
-	platform   map[string]Endpoint // the platform's present list
-	consul     map[string]Endpoint // Consul's present entries
-	lacked     map[string]bool     // uids that an answer lacked since the last one that had them
-	registered uint64              // the latest registration index
-	// Both get each event. fast evaluates only dirty entries; slow evaluates all entries each time.
+// referenceModel holds the current entries of the sources, against which the published endpoints are checked.
+type referenceModel struct {
+	mode             Mode
+	platform         map[string]Endpoint // platform's current list, by uid
+	consul           map[string]Endpoint // Consul's current entries, by uid
+	missing          map[string]bool     // uids that Consul's answers lack and earlier ones had
+	lastRegistration uint64              // latest registration index
+	// fast and slow get the same events. fast evaluates only dirty entries; slow evaluates all entries each time.
 	fast, slow *driver
 }
 
-func newWorld(t *testing.T, mode Mode) *world {
+func newReferenceModel(t *testing.T, mode Mode) *referenceModel {
 	t.Helper()
-	return &world{
-		mode: mode, platform: map[string]Endpoint{}, consul: map[string]Endpoint{}, lacked: map[string]bool{}, registered: 5,
+	return &referenceModel{
+		mode: mode, platform: map[string]Endpoint{}, consul: map[string]Endpoint{}, missing: map[string]bool{}, lastRegistration: 5,
 		fast: newDriver(t, mode), slow: newDriver(t, mode),
 	}
 }
 
-// draw draws an entry of a source.
-func (w *world) draw(t *rapid.T) Endpoint {
+// draw draws a random entry of a source.
+func (w *referenceModel) draw(t *rapid.T) Endpoint {
 	uids := rapid.SampledFrom(modelUIDs)
 	endpoint := endpointOf(uids.Draw(t, "uid"))
 	switch rapid.IntRange(0, 5).Draw(t, "state") {
@@ -48,33 +48,33 @@
 		endpoint.Address = uids.Draw(t, "address") + ":1"
 	}
 	if rapid.IntRange(0, 4).Draw(t, "anew") == 0 {
-		w.registered++
-		endpoint.RegistrationIndex = w.registered
+		w.lastRegistration++
+		endpoint.RegistrationIndex = w.lastRegistration
 	}
 	return endpoint
 }
 
-// both sends an event to both drivers.
-func (w *world) both(event func(d *driver)) {
+// sendToBoth sends an event to both drivers.
+func (w *referenceModel) sendToBoth(event func(d *driver)) {
 	event(w.fast)
-	w.slow.m.allDirty = true
+	w.slow.merger.allDirty = true
 	event(w.slow)
 }
 
-// advance draws a duration and advances both drivers by it. The slow one evaluates all entries at each tick.
-func (w *world) advance(t *rapid.T) {
+// advance draws a duration and advances both drivers by it. The slow driver evaluates all entries at each tick.
+func (w *referenceModel) advance(t *rapid.T) {
 	now := w.fast.now + time.Duration(rapid.SampledFrom([]int{0, 1, 100, 1000, 3000, 12000, 70000}).Draw(t, "ms"))*time.Millisecond
 	w.fast.advanceTo(now)
-	for due, ok := w.slow.m.NextTick(); ok && due <= now; due, ok = w.slow.m.NextTick() {
+	for due, ok := w.slow.merger.NextTick(); ok && due <= now; due, ok = w.slow.merger.NextTick() {
 		w.slow.now = max(w.slow.now, due)
-		w.slow.m.allDirty = true
-		w.slow.apply(w.slow.m.Tick(w.slow.now))
+		w.slow.merger.allDirty = true
+		w.slow.apply(w.slow.merger.Tick(w.slow.now))
 	}
 	w.slow.now = now
 }
 
-// event draws an event and sends it to both drivers.
-func (w *world) event(t *rapid.T) {
+// event draws a random event and sends it to both drivers.
+func (w *referenceModel) event(t *rapid.T) {
 	switch rapid.IntRange(0, 7).Draw(t, "event") {
 	case 0:
 		w.platformDelta(t)
@@ -83,21 +83,21 @@
 	case 2, 3:
 		w.consulAnswer(t)
 	case 4:
-		if w.fast.m.consulAnswered {
-			w.both(func(d *driver) { d.apply(d.m.HandleConsulUnchanged(d.now)) })
+		if w.fast.merger.consulAnswered {
+			w.sendToBoth(func(d *driver) { d.apply(d.merger.HandleConsulUnchanged(d.now)) })
 		}
 	case 5:
 		uid := rapid.SampledFrom(modelUIDs).Draw(t, "failed")
-		w.both(func(d *driver) { d.apply(d.m.HandleConnectFailure(d.now, uid)) })
+		w.sendToBoth(func(d *driver) { d.apply(d.merger.HandleConnectFailure(d.now, uid)) })
 	case 7:
-		if gone := slices.Sorted(maps.Keys(w.lacked)); len(gone) > 0 {
+		if gone := slices.Sorted(maps.Keys(w.missing)); len(gone) > 0 {
 			gone = gone[:rapid.IntRange(1, len(gone)).Draw(t, "confirmed")]
-			w.both(func(d *driver) { d.consul(ConsulAnswer{ConfirmedMissing: gone}) })
+			w.sendToBoth(func(d *driver) { d.consul(ConsulAnswer{ConfirmedMissing: gone}) })
 		}
 	}
 }
 
-func (w *world) platformDelta(t *rapid.T) {
+func (w *referenceModel) platformDelta(t *rapid.T) {
 	e := w.draw(t)
 	e.Maintenance = false
 	if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
@@ -109,10 +109,10 @@
 	} else {
 		w.platform[e.UID] = e
 	}
-	w.both(func(d *driver) { d.platform(balancer.ListDelta, e) })
+	w.sendToBoth(func(d *driver) { d.platform(balancer.ListDelta, e) })
 }
 
-func (w *world) platformList(t *rapid.T) {
+func (w *referenceModel) platformList(t *rapid.T) {
 	clear(w.platform)
 	var all []Endpoint
 	for range rapid.IntRange(0, 5).Draw(t, "full") {
@@ -122,10 +122,10 @@
 			all = append(all, e)
 		}
 	}
-	w.both(func(d *driver) { d.platform(balancer.ListFull, all...) })
+	w.sendToBoth(func(d *driver) { d.platform(balancer.ListFull, all...) })
 }
 
-func (w *world) consulAnswer(t *rapid.T) {
+func (w *referenceModel) consulAnswer(t *rapid.T) {
 	answer := ConsulAnswer{KnownBefore: len(w.consul), Untrusted: rapid.IntRange(0, 5).Draw(t, "untrusted") == 0}
 	changed := map[string]bool{}
 	for range rapid.IntRange(0, 4).Draw(t, "changed") {
@@ -138,26 +138,26 @@
 		if _, known := w.consul[uid]; known && !changed[uid] && rapid.IntRange(0, 2).Draw(t, "missing") == 0 {
 			answer.Missing = append(answer.Missing, uid)
 			delete(w.consul, uid)
-			w.lacked[uid] = true
+			w.missing[uid] = true
 		}
 	}
 	for _, e := range answer.Changed {
 		w.consul[e.UID] = e
-		delete(w.lacked, e.UID)
+		delete(w.missing, e.UID)
 	}
-	w.both(func(d *driver) { d.consul(answer) })
+	w.sendToBoth(func(d *driver) { d.consul(answer) })
 }
 
-// Random events of all sources: evaluating only the dirty entries publishes the same as evaluating all of them, and the rules hold
-// after each event.
+// After each of many random events, evaluating only the dirty entries has published the same as evaluating all entries, and the published
+// endpoints conform to the rules of the mode.
 func TestAgainstSlowReference(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(t, rapid.SampledFrom([]Mode{ModeConsul, ModeOverlay, ModePlatform, ModeRehearsal}).Draw(rt, "mode"))
+		w := newReferenceModel(t, rapid.SampledFrom([]Mode{ModeConsul, ModeOverlay, ModePlatform, ModeRehearsal}).Draw(rt, "mode"))
 		for range rapid.IntRange(1, 40).Draw(rt, "events") {
 			w.advance(rt)
 			w.event(rt)
 			if got, want := fmt.Sprint(w.fast.published), fmt.Sprint(w.slow.published); got != want {
-				rt.Fatalf("with dirty entries the balancer has\n%s\nwith all entries\n%s", got, want)
+				rt.Fatalf("evaluating only the dirty entries published\n%s\nwant, as after evaluating all entries,\n%s", got, want)
 			}
 			w.check(rt)
 		}
@@ -165,7 +165,7 @@
 }
 
 // check checks the balancer's list against the entries of the sources.
-func (w *world) check(t *rapid.T) {
+func (w *referenceModel) check(t *rapid.T) {
 	anyReady := false
 	for uid, e := range w.fast.published {
 		if e.State == balancer.EndpointReady {
@@ -178,52 +178,51 @@
 	}
 	for uid := range w.consul {
 		if w.couldBeReady(uid) {
-			t.Fatalf("no endpoint is ready, but %s could be", uid)
+			t.Fatalf("no endpoint is listed as ready, but %s has to be", uid)
 		}
 	}
 }
 
-// checkReady checks that an endpoint may be ready.
-func (w *world) checkReady(t *rapid.T, uid string) {
+// checkReady checks that the sources allow an endpoint to be ready.
+func (w *referenceModel) checkReady(t *rapid.T, uid string) {
 	if w.mode == ModeConsul {
 		w.checkReadyByConsul(t, uid)
 		return
 	}
 	if platform, ok := w.platform[uid]; !ok || platform.State != balancer.EndpointReady {
-		t.Fatalf("%s is ready, but not by the platform", uid)
+		t.Fatalf("endpoint %s is ready, but not ready in the platform's list", uid)
 	}
-	if w.mode == ModeOverlay && w.consul[uid].Maintenance && !w.fast.m.consulExpired {
-		t.Fatalf("%s is ready in maintenance", uid)
+	if w.mode == ModeOverlay && w.consul[uid].Maintenance && !w.fast.merger.consulExpired {
+		t.Fatalf("endpoint %s is ready although it is in maintenance", uid)
 	}
 }
 
-// checkReadyByConsul checks that an endpoint may be ready in mode consul.
-
-func (w *world) checkReadyByConsul(t *rapid.T, uid string) {
+// checkReadyByConsul checks that the sources allow an endpoint to be ready in mode consul.
+func (w *referenceModel) checkReadyByConsul(t *rapid.T, uid string) {
 	consul, inConsul := w.consul[uid]
 	if !inConsul {
-		if _, inPlatform := w.platform[uid]; !w.lacked[uid] && !inPlatform {
-			t.Fatalf("%s is ready, and no source has listed it", uid)
+		if _, inPlatform := w.platform[uid]; !w.missing[uid] && !inPlatform {
+			t.Fatalf("endpoint %s is ready, but no source has listed it", uid)
 		}
 		return
 	}
 	if consul.Maintenance {
-		t.Fatalf("%s is ready in maintenance", uid)
+		t.Fatalf("endpoint %s is ready although it is in maintenance", uid)
 	}
 	if consul.State == balancer.EndpointReady {
 		return
 	}
-	// A critical endpoint is ready only if all ready ones are critical.
+	// A critical endpoint is listed as ready only if all endpoints that are listed as ready are critical.
 	for other, known := range w.fast.published {
-		said, ok := w.consul[other]
-		if known.State == balancer.EndpointReady && ok && said.State == balancer.EndpointReady {
-			t.Fatalf("%s is critical and ready beside %s", uid, other)
+		consulEntry, ok := w.consul[other]
+		if known.State == balancer.EndpointReady && ok && consulEntry.State == balancer.EndpointReady {
+			t.Fatalf("endpoint %s is listed as ready and critical, while %s is ready in Consul", uid, other)
 		}
 	}
 }
 
-// couldBeReady reports whether an endpoint that Consul has could be ready while none is.
-func (w *world) couldBeReady(uid string) bool {
+// couldBeReady reports whether an endpoint in Consul has to be listed as ready if no other endpoint is.
+func (w *referenceModel) couldBeReady(uid string) bool {
 	consul := w.consul[uid]
 	if consul.Maintenance {
 		return false
@@ -233,20 +232,20 @@
 		platform, ok := w.platform[uid]
 		return ok && platform.State == balancer.EndpointReady
 	case ModeConsul:
-		return w.fast.m.consulAnswered && !w.sharesAddress(uid, consul.Address)
+		return w.fast.merger.consulAnswered && !w.sharesAddress(uid, consul.Address)
 	case ModePlatform, ModeRehearsal:
 	}
 	return false
 }
 
-// sharesAddress reports whether another endpoint may have the same address: it may be the later one, and in maintenance.
-func (w *world) sharesAddress(uid, address string) bool {
-	for other, said := range w.consul {
-		if other != uid && said.Address == address {
+// sharesAddress reports whether another endpoint may have the same address. It may be of the later process, and in maintenance.
+func (w *referenceModel) sharesAddress(uid, address string) bool {
+	for other, consulEntry := range w.consul {
+		if other != uid && consulEntry.Address == address {
 			return true
 		}
 	}
-	for other, entry := range w.fast.m.entries {
+	for other, entry := range w.fast.merger.entries {
 		if other != uid && entry.consul != nil && entry.consul.Address == address {
 			return true
 		}
--- a/internal/modules/endpointsource/names.go
+++ b/internal/modules/endpointsource/names.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// maxNames bounds the zones, and the models, that sources may use: the balancer has state for each, until the process ends.
+// maxNames bounds the number of zones, and of models, that sources may use: the balancer keeps state for each of them until the process
+// ends.
 const maxNames = 256
 
-// nameSet is the set of all zones, or of all models, that were ever used.
+// nameSet is the set of all zones, or of all models, that have been used since the process started or are in the settings.
 type nameSet map[string]bool
 
-// newNameSet returns the set of the names that the settings have.
+// newNameSet returns a set of the names in the settings.
 func newNameSet(known []string) nameSet {
 	set := nameSet{}
 	for _, name := range known {
@@ -20,8 +21,8 @@
 	return set
 }
 
-// admit adds a name, and reports whether the set has it; false if there are too many names.
-func (n nameSet) admit(name string) bool {
+// add adds a name unless the set is full, and reports whether the set contains the name.
+func (n nameSet) add(name string) bool {
 	if n[name] {
 		return true
 	}
@@ -32,12 +33,12 @@
 	return true
 }
 
-// usable reports whether an endpoint can be passed to the balancer.
+// usable reports whether an entry is valid and its zone and model are within the bounds on names.
 func (m *Merger) usable(e *Endpoint) bool {
-	return e.wellFormed() && m.zones.admit(e.Zone) && m.models.admit(e.Model)
+	return e.wellFormed() && m.zones.add(e.Zone) && m.models.add(e.Model)
 }
 
-// filterUsable returns the entries that can be used, and logs the others. It does not change the list, which the caller may keep.
+// filterUsable returns the usable entries, and logs the others. It does not modify the list, which the caller may retain.
 func (m *Merger) filterUsable(source string, all []Endpoint) []Endpoint {
 	first := 0
 	for first < len(all) && m.usable(&all[first]) {
--- a/internal/modules/endpointsource/platform.go
+++ b/internal/modules/endpointsource/platform.go
@@ -9,8 +9,8 @@
 
 // This file handles lists of the platform.
 
-// HandlePlatformList handles a list of the platform that VersionFilter has accepted. It returns the list for the balancer, false for
-// none. In the modes that pass lists through, it is the same list.
+// HandlePlatformList handles a list of the platform that VersionFilter has accepted. It returns the list for the balancer, and false if
+// nothing has to be published. In the modes that pass lists through, the result is the list without its unusable entries.
 func (m *Merger) HandlePlatformList(now time.Duration, list List) (List, bool) {
 	if list.Kind == balancer.ListCached && m.consulAnswered {
 		return List{}, false // Consul's list is more recent
@@ -18,7 +18,7 @@
 	list.Endpoints = m.filterUsable("discovery", list.Endpoints)
 	m.applyPlatformList(list)
 	if m.PassesThrough() {
-		m.publishPlatform(now)
+		m.recordPassedThrough(now)
 		m.version = max(m.version, list.Version)
 		return list, true
 	}
@@ -28,12 +28,12 @@
 	return m.publish(now, list.Kind)
 }
 
-// applyPlatformList applies the entries of a list.
+// applyPlatformList applies the entries of a platform list.
 func (m *Merger) applyPlatformList(list List) {
 	listed := map[string]bool{}
 	for _, e := range list.Endpoints {
 		listed[e.UID] = true
-		entry := m.touch(e.UID)
+		entry := m.markDirty(e.UID)
 		if e.State == balancer.EndpointRemoved {
 			entry.platform = nil
 		} else {
@@ -51,29 +51,30 @@
 	}
 }
 
-// publishPlatform updates what is published after a list of the platform is passed through.
-func (m *Merger) publishPlatform(now time.Duration) {
+// recordPassedThrough updates the published entries in a mode that passes the platform's lists through.
+func (m *Merger) recordPassedThrough(now time.Duration) {
 	m.logDifferences()
 	for uid, entry := range m.dirty {
 		switch {
 		case entry.platform == nil && entry.published != nil:
 			entry.published = nil
-			entry.since = now
+			entry.changedAt = now
 			entry.reason = "the platform lists it no more"
-		case entry.platform != nil && (entry.published == nil || !sameVerdict(entry.published, entry.platform)):
+		case entry.platform != nil && (entry.published == nil || !samePublished(entry.published, entry.platform)):
 			published := *entry.platform
 			entry.published = &published
-			entry.since = now
+			entry.changedAt = now
 			entry.reason = "the platform says so"
 		}
-		m.forget(uid, entry)
+		m.deleteIfUnused(uid, entry)
 	}
 	clear(m.dirty)
 	m.published = true
 }
 
-// publishKnownPlatform returns the platform's entries as one list, for a change to a mode that passes lists through.
-func (m *Merger) publishKnownPlatform(now time.Duration) (List, bool) {
+// publishPlatformEntries returns all entries of the platform as one full list, for a change to a mode that passes lists through. The
+// result is false if there are none.
+func (m *Merger) publishPlatformEntries(now time.Duration) (List, bool) {
 	list := List{Kind: balancer.ListFull, Version: m.version + 1}
 	for _, uid := range sortedUIDs(m.entries) {
 		entry := m.entries[uid]
@@ -83,9 +84,9 @@
 		m.dirty[uid] = entry
 	}
 	if len(list.Endpoints) == 0 {
-		return List{}, false // no list of the platform is known: the present list stays until the next one
+		return List{}, false // the platform has no known entries: the current list stays in use until the next one
 	}
-	m.publishPlatform(now)
+	m.recordPassedThrough(now)
 	m.version = list.Version
 	return list, true
 }
@@ -114,19 +115,19 @@
 	}
 }
 
-// difference describes the difference between the entries of Consul and of the platform; empty for none.
-func (s *sourceEntry) difference() string {
+// difference describes the difference between the entries of Consul and of the platform; it is empty if there is none.
+func (e *endpointEntry) difference() string {
 	switch {
-	case s.platform != nil && s.consul == nil:
+	case e.platform != nil && e.consul == nil:
 		return "only the platform lists it"
-	case s.platform == nil && s.consul != nil:
+	case e.platform == nil && e.consul != nil:
 		return "only consul lists it"
-	case s.platform == nil:
+	case e.platform == nil:
 		return ""
-	case s.platform.State != s.consul.State:
-		return fmt.Sprintf("the platform has it %s, consul %s %s", StateName(s.platform.State), StateName(s.consul.State), s.consul.Reason)
-	case s.platform.Address != s.consul.Address:
-		return fmt.Sprintf("the platform has it at %s, consul at %s", s.platform.Address, s.consul.Address)
+	case e.platform.State != e.consul.State:
+		return fmt.Sprintf("the platform has it %s, consul %s %s", StateName(e.platform.State), StateName(e.consul.State), e.consul.Reason)
+	case e.platform.Address != e.consul.Address:
+		return fmt.Sprintf("the platform has it at %s, consul at %s", e.platform.Address, e.consul.Address)
 	}
 	return ""
 }
--- a/internal/modules/endpointsource/publish.go
+++ b/internal/modules/endpointsource/publish.go
@@ -9,7 +9,8 @@
 
 // This file computes the lists for the balancer.
 
-// publish evaluates the dirty entries, or all if necessary, and returns the list for the balancer, false for none.
+// publish evaluates the dirty entries, or all if necessary, and returns the list for the balancer. The result is false if nothing has to
+// be published.
 func (m *Merger) publish(now time.Duration, kind balancer.ListKind) (List, bool) {
 	m.fromCache = kind == balancer.ListCached || m.fromCache && !m.consulAnswered && m.settings.Mode == ModeConsul
 	if !m.published && kind == balancer.ListDelta {
@@ -21,7 +22,7 @@
 		entries = m.entries
 	}
 	for _, entry := range entries {
-		m.countReady(entry)
+		m.updateReadyCount(entry)
 	}
 	if m.noneReady || m.readyCount == 0 {
 		entries = m.entries
@@ -35,7 +36,7 @@
 			continue
 		}
 		before := entry.published
-		changed := m.updateVerdict(now, entry, ignoresChecks)
+		changed := m.updatePublished(now, entry, ignoresChecks)
 		switch {
 		case entry.published != nil && (full || changed):
 			list.Endpoints = append(list.Endpoints, *entry.published)
@@ -44,7 +45,7 @@
 			removed.State = balancer.EndpointRemoved
 			list.Endpoints = append(list.Endpoints, removed)
 		}
-		m.forget(uid, entry)
+		m.deleteIfUnused(uid, entry)
 	}
 	clear(m.dirty)
 	m.allDirty = false
@@ -56,42 +57,42 @@
 	return list, true
 }
 
-// checksIgnored returns whether an entry is to be listed as ready in spite of its checks. That is so for entries against which there
-// is only a check, while no endpoint is ready: otherwise checks alone could end all service. Endpoints that are merely held down are
-// preferred to those whose check is critical.
-func (m *Merger) checksIgnored() func(*sourceEntry) bool {
+// checksIgnored returns a function that reports whether an entry is to be listed as ready in spite of its checks. While no endpoint is
+// ready, this applies to entries that only a check keeps from being ready: otherwise checks alone could end all service. If any of them
+// are merely held down, it applies only to these, and not to endpoints with a critical check.
+func (m *Merger) checksIgnored() func(*endpointEntry) bool {
 	if !m.noneReady {
-		return func(*sourceEntry) bool { return false }
+		return func(*endpointEntry) bool { return false }
 	}
 	for _, entry := range m.heldDown {
-		if m.onlyCritical(entry) {
-			return func(entry *sourceEntry) bool { return entry.holdDownUntil > 0 && m.onlyCritical(entry) }
+		if m.readyWithoutChecks(entry) {
+			return func(entry *endpointEntry) bool { return entry.holdDownUntil > 0 && m.readyWithoutChecks(entry) }
 		}
 	}
-	return m.onlyCritical
+	return m.readyWithoutChecks
 }
 
-// updateVerdict evaluates an entry, and reports whether the verdict is another one for the balancer. ignoresChecks reports whether an
-// entry is listed as ready in spite of its checks.
-func (m *Merger) updateVerdict(now time.Duration, entry *sourceEntry, ignoresChecks func(*sourceEntry) bool) (changed bool) {
-	verdict, reason := m.evaluate(entry)
-	if verdict != nil && ignoresChecks(entry) {
-		verdict.State, verdict.Weight = balancer.EndpointReady, cmp.Or(max(0, verdict.Weight), 1)
+// updatePublished evaluates an entry, stores the result in its field published, and reports whether it has changed for the balancer.
+// ignoresChecks reports whether an entry is listed as ready in spite of its checks.
+func (m *Merger) updatePublished(now time.Duration, entry *endpointEntry, ignoresChecks func(*endpointEntry) bool) (changed bool) {
+	result, reason := m.evaluate(entry)
+	if result != nil && ignoresChecks(entry) {
+		result.State, result.Weight = balancer.EndpointReady, cmp.Or(max(0, result.Weight), 1)
 		reason = "no endpoint is ready, so checks alone are not believed (" + reason + ")"
 	}
-	changed = (verdict == nil) != (entry.published == nil) ||
-		verdict != nil && entry.published != nil && !sameVerdict(verdict, entry.published)
+	changed = (result == nil) != (entry.published == nil) ||
+		result != nil && entry.published != nil && !samePublished(result, entry.published)
 	if changed {
-		entry.since = now
+		entry.changedAt = now
 	}
-	entry.published, entry.reason = verdict, reason
+	entry.published, entry.reason = result, reason
 	return changed
 }
 
-// countReady evaluates an entry by itself and updates readyCount.
-func (m *Merger) countReady(entry *sourceEntry) {
-	verdict, _ := m.evaluate(entry)
-	ready := verdict != nil && verdict.State == balancer.EndpointReady
+// updateReadyCount evaluates an entry regardless of the other endpoints, and updates its field ready and readyCount.
+func (m *Merger) updateReadyCount(entry *endpointEntry) {
+	result, _ := m.evaluate(entry)
+	ready := result != nil && result.State == balancer.EndpointReady
 	if ready == entry.ready {
 		return
 	}
--- a/internal/modules/endpointsource/rows.go
+++ b/internal/modules/endpointsource/rows.go
@@ -8,19 +8,19 @@
 	"quincegap/internal/balancer"
 )
 
-// Row is an endpoint on the admin pages.
+// Row is the state of one endpoint for the admin pages.
 type Row struct {
 	UID      string  `json:"uid"`
 	Address  string  `json:"address"`
-	State    string  `json:"state"` // as the balancer has it; see StateName
+	State    string  `json:"state"` // state in the balancer's list; see StateName
 	Weight   float64 `json:"weight"`
-	Platform string  `json:"platform,omitempty"` // its state in the platform's list, empty if it is not listed
-	Consul   string  `json:"consul,omitempty"`   // its state in Consul, empty if it is not listed
-	Why      string  `json:"why"`                // the reason for State
-	AgoMS    int64   `json:"ago_ms"`             // how long ago the balancer's entry last changed, in milliseconds
+	Platform string  `json:"platform,omitempty"` // state in the platform's list; empty if the endpoint is not listed there
+	Consul   string  `json:"consul,omitempty"`   // state in Consul; empty if the endpoint is not listed there
+	Why      string  `json:"why"`                // reason for State
+	AgoMS    int64   `json:"ago_ms"`             // milliseconds since the last change of the balancer's entry
 }
 
-// Rows returns all endpoints, by uid.
+// Rows returns the rows of all endpoints, sorted by uid.
 func (m *Merger) Rows(now time.Duration) []Row {
 	var rows []Row
 	for _, entry := range m.entries {
@@ -31,18 +31,18 @@
 }
 
 // row returns the endpoint as a Row.
-func (s *sourceEntry) row(now time.Duration) Row {
-	row := Row{UID: s.uid, State: StateName(balancer.EndpointRemoved), Why: s.reason, AgoMS: (now - s.since).Milliseconds()}
-	if s.published != nil {
-		row.Address, row.State, row.Weight = s.published.Address, StateName(s.published.State), s.published.Weight
+func (e *endpointEntry) row(now time.Duration) Row {
+	row := Row{UID: e.uid, State: StateName(balancer.EndpointRemoved), Why: e.reason, AgoMS: (now - e.changedAt).Milliseconds()}
+	if e.published != nil {
+		row.Address, row.State, row.Weight = e.published.Address, StateName(e.published.State), e.published.Weight
 	}
-	if s.platform != nil {
-		row.Platform = StateName(s.platform.State)
-		row.Address = cmp.Or(row.Address, s.platform.Address)
+	if e.platform != nil {
+		row.Platform = StateName(e.platform.State)
+		row.Address = cmp.Or(row.Address, e.platform.Address)
 	}
-	if s.consul != nil {
-		row.Consul = StateName(s.consul.State)
-		row.Address = cmp.Or(row.Address, s.consul.Address)
+	if e.consul != nil {
+		row.Consul = StateName(e.consul.State)
+		row.Address = cmp.Or(row.Address, e.consul.Address)
 	}
 	return row
 }
--- a/internal/modules/endpointsource/versionfilter.go
+++ b/internal/modules/endpointsource/versionfilter.go
@@ -1,29 +1,29 @@
 package endpointsource
 
-// ListOrigin is where a list of the platform came from.
+// ListOrigin is the origin of a list of the platform.
 type ListOrigin int
 
-// The origins of a list.
+// The origins of a platform list.
 const (
-	FromCache ListOrigin = iota // from before the start of the process
-	FromWatch                   // from a watch
-	FromFetch                   // from a fetch of the complete list
+	FromCache ListOrigin = iota // the list was known before the start of the process
+	FromWatch                   // the list was received by a watch
+	FromFetch                   // the list was received by a fetch of the complete list
 )
 
-// VersionFilter rejects lists of the platform that are older than the present one. Versions are comparable within one discovery only.
+// VersionFilter rejects lists of the platform that are older than the current one. Only versions of the same discovery are comparable.
 type VersionFilter struct {
-	Version       uint64 // of the present list
-	MustSubscribe bool   // the balancer decides when to watch, so a watch is not restarted here
-	switched      bool   // the present list is of another discovery than the one that is followed
+	Version       uint64 // version of the current list
+	MustSubscribe bool   // the balancer decides when to watch, so Accept does not ask for a restart of the watch
+	switched      bool   // the current list is from another discovery than the one that is followed
 }
 
-// SwitchDiscovery follows another discovery: the present list is kept until the full list of the new one is accepted.
+// SwitchDiscovery starts to follow another discovery. The current list stays in use until a full list of the new discovery is accepted.
 func (f *VersionFilter) SwitchDiscovery() { f.switched = true }
 
-// Switched reports whether the full list of another discovery is still awaited.
+// Switched reports whether the discovery was switched and no full list of the new one has been accepted yet.
 func (f *VersionFilter) Switched() bool { return f.switched }
 
-// WatchFrom returns the version after which a watch is to continue, nil to begin with the full list.
+// WatchFrom returns the version after which a watch is to continue, or nil if it is to begin with the full list.
 func (f *VersionFilter) WatchFrom() *uint64 {
 	if f.switched {
 		return nil
@@ -36,7 +36,7 @@
 func (f *VersionFilter) Accept(from ListOrigin, version uint64, full bool) (accepted, rewatch bool) {
 	switch {
 	case f.switched && !full:
-		return false, false // a delta to a list that is not known here
+		return false, false // the delta applies to a list of the new discovery that is not known yet
 	case f.switched:
 		f.switched = false
 		// The watch may have received deltas before this list, which were rejected.
@@ -48,8 +48,8 @@
 	return true, rewatch
 }
 
-// outdated reports whether a list is older than the present one, so that an endpoint might reappear that was removed since. A full list
-// of the watch never is.
+// outdated reports whether a list is older than the current one, so that it might bring back an endpoint that has been removed since. A
+// full list from a watch is never outdated.
 func (f *VersionFilter) outdated(from ListOrigin, version uint64, full bool) bool {
 	switch from {
 	case FromFetch:
--- a/internal/modules/endpointsource/versionfilter_test.go
+++ b/internal/modules/endpointsource/versionfilter_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Lists are accepted in the order of their versions, and from another discovery only after its full list.
+// Lists are accepted in the order of their versions. After a switch to another discovery, deltas are accepted only after its full list.
 func TestVersionFilter(t *testing.T) {
 	filter := VersionFilter{}
 	for number, test := range []struct {
@@ -19,17 +19,17 @@
 		{FromWatch, 1, true, true, false}, // a full list of the watch is always accepted
 	} {
 		if accepted, rewatch := filter.Accept(test.from, test.version, test.full); accepted != test.accepted || rewatch != test.rewatch {
-			t.Errorf("%d: %v %v", number, accepted, rewatch)
+			t.Errorf("list %d: accepted %v and rewatch %v, want %v and %v", number, accepted, rewatch, test.accepted, test.rewatch)
 		}
 	}
 	filter.SwitchDiscovery()
 	if filter.WatchFrom() != nil {
-		t.Error("the watch continues at the version of another discovery")
+		t.Error("the watch continues at the version of the previous discovery")
 	}
 	if accepted, _ := filter.Accept(FromWatch, 9, false); accepted || !filter.Switched() {
-		t.Error("a delta to an unknown list is accepted")
+		t.Error("a delta was accepted before the full list of the new discovery")
 	}
 	if accepted, rewatch := filter.Accept(FromFetch, 0, true); !accepted || !rewatch || filter.Switched() || *filter.WatchFrom() != 0 {
-		t.Error("the full list is not accepted")
+		t.Error("the full list of the new discovery was not accepted, or the watch does not restart at its version")
 	}
 }
--- a/internal/modules/idempotency/entry.go
+++ b/internal/modules/idempotency/entry.go
@@ -9,30 +9,30 @@
 	"quincegap/internal/balancer"
 )
 
-// Origin is where repeats of a request are recognised. The names in JSON are those that `store dump` prints.
+// Origin is the place where repeats of a request are recognised. `store dump` prints its JSON form.
 type Origin struct {
 	Zone     string `json:"Zone"`
 	Cell     int    `json:"Cell"`
-	Endpoint string `json:"Endpoint"` // its uid in discovery, for people
+	Endpoint string `json:"Endpoint"` // uid of the endpoint in discovery, as information for operators
 }
 
-// Entry is the state of one request. The names in JSON are those that `store dump` prints.
+// Entry is the state of one request. `store dump` prints its JSON form.
 type Entry struct {
 	Class      string        `json:"Class"`
-	Origin                   // of the first attempt
-	SentAt     time.Duration `json:"At"`     // when the first attempt was sent, on the caller's clock
-	Retention  time.Duration `json:"Keep"`   // how long the entry is kept after that
+	Origin                   // where the first attempt was sent
+	SentAt     time.Duration `json:"At"`     // time at which the first attempt was sent, on the caller's clock
+	Retention  time.Duration `json:"Keep"`   // how long the entry is retained after SentAt
 	Served     bool          `json:"Served"` // the caller got a response
 	mayHaveRun bool          // an attempt has ended and may have run
 	durable    bool          // the entry is on disk
-	inFlight   int           // attempts that have not ended
+	inFlight   int           // number of attempts that have not ended
 }
 
-// MayHaveRun reports whether the request may have run: an attempt is in flight, or one has ended that may have run.
+// MayHaveRun reports whether the request may have run: an attempt is in flight, or one that may have run has ended.
 func (e *Entry) MayHaveRun() bool { return e.mayHaveRun || e.Served || e.inFlight > 0 }
 
-// RetentionOf returns how long the entry of a request of a class is kept: twice the deadline, in which callers may repeat it, or, with
-// an idempotency key, the window in which endpoints recognise repeats and the deadline.
+// RetentionOf returns how long the entry of a request of a class is retained. With an idempotency key this is the window in which
+// endpoints recognise repeats plus the deadline; otherwise it is twice the deadline, the time in which callers may repeat the request.
 func RetentionOf(c *balancer.Class) time.Duration {
 	if c.Idempotency == balancer.IdempotentWithKey {
 		return c.KeyWindow + c.Deadline
@@ -42,8 +42,8 @@
 
 // The errors of Decode.
 var (
-	ErrUnknownFormat = errors.New("an entry of a layout that is not known")
-	ErrTruncated     = errors.New("an entry that was cut")
+	ErrUnknownFormat = errors.New("request entry has an unknown format")
+	ErrTruncated     = errors.New("request entry is truncated")
 )
 
 const (
@@ -57,8 +57,9 @@
 	maxRetentionMillis = 1 << 40
 )
 
-// Encode returns the entry as it is on a disk: version, flags, retention in milliseconds, cell, class, zone and endpoint; numbers are
-// varints, texts follow their length. SentAt is left out: Decode computes it from the remaining time to live of the record.
+// Encode returns the entry as it is stored on disk: version, flags, retention in milliseconds, cell, class, zone and endpoint. Numbers
+// are varints, and each text is preceded by its length. SentAt is not stored: Decode computes it from the remaining time to live of the
+// record.
 func (e *Entry) Encode() []byte {
 	b := []byte{formatVersion, 0}
 	if e.Served {
@@ -73,34 +74,35 @@
 	return b
 }
 
-// Decode decodes an entry; left is the remaining time to live of its record, from which SentAt is computed. The error is
-// ErrUnknownFormat or ErrTruncated.
-func Decode(b []byte, now, left time.Duration) (Entry, error) {
+// Decode decodes an entry. It computes SentAt from timeLeft, the remaining time to live of the record. The error is ErrUnknownFormat or
+// ErrTruncated.
+func Decode(b []byte, now, timeLeft time.Duration) (Entry, error) {
 	if len(b) < headerBytes || b[0] != formatVersion {
 		return Entry{}, fmt.Errorf("%w: % x", ErrUnknownFormat, b[:min(len(b), headerBytes)])
 	}
 	d := decoder{rest: b[headerBytes:]}
-	e := Entry{Served: b[1]&servedFlag != 0}
-	e.Retention = d.retention()
-	e.Cell = d.cell()
-	e.Class = d.text()
-	e.Zone = d.text()
-	e.Endpoint = d.text()
+	entry := Entry{Served: b[1]&servedFlag != 0}
+	entry.Retention = d.retention()
+	entry.Cell = d.cell()
+	entry.Class = d.text()
+	entry.Zone = d.text()
+	entry.Endpoint = d.text()
 	if d.truncated {
 		return Entry{}, ErrTruncated
 	}
-	e.SentAt = now - max(e.Retention-left, 0)
-	return e, nil
+	entry.SentAt = now - max(entry.Retention-timeLeft, 0)
+	return entry, nil
 }
 
-// decoder reads the fields of an entry one by one. After one that cannot be read all others are zero.
+// decoder reads the fields of an entry one by one. After a field that cannot be read, all further fields are zero.
 type decoder struct {
 	rest      []byte
 	truncated bool
 }
 
-// skip moves on by a field of n bytes, and reports whether the field was read; n is not above 0 if it could not be.
-func (d *decoder) skip(n int) bool {
+// advance skips a field of n bytes and reports whether the field could be read. If it could not, n is 0 or negative, as
+// binary.Uvarint returns it.
+func (d *decoder) advance(n int) bool {
 	if d.truncated || n <= 0 {
 		d.truncated = true
 		return false
@@ -111,7 +113,7 @@
 
 func (d *decoder) retention() time.Duration {
 	millis, n := binary.Uvarint(d.rest)
-	if !d.skip(n) || millis > maxRetentionMillis {
+	if !d.advance(n) || millis > maxRetentionMillis {
 		d.truncated = true
 		return 0
 	}
@@ -120,19 +122,19 @@
 
 func (d *decoder) cell() int {
 	cell, n := binary.Varint(d.rest)
-	if !d.skip(n) {
+	if !d.advance(n) {
 		return 0
 	}
 	return int(cell)
 }
 
 func (d *decoder) text() string {
-	size, n := binary.Uvarint(d.rest)
-	if !d.skip(n) || size > uint64(len(d.rest)) {
+	length, n := binary.Uvarint(d.rest)
+	if !d.advance(n) || length > uint64(len(d.rest)) {
 		d.truncated = true
 		return ""
 	}
-	text := string(d.rest[:size])
-	d.rest = d.rest[size:]
+	text := string(d.rest[:length])
+	d.rest = d.rest[length:]
 	return text
 }
--- a/internal/modules/idempotency/example_test.go
+++ b/internal/modules/idempotency/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/modules/idempotency"
 )
 
-// A sidecar dies while an attempt is in flight; the process that follows it knows that the request may have run.
+// A sidecar crashes while an attempt is in flight. The next process knows that the request may have run.
 func ExampleTable() {
 	payment := balancer.Class{Name: "pay", Idempotency: balancer.NonIdempotent, Deadline: 2 * time.Second}
 	id := idempotency.RequestID(payment.Name, "r-17")
--- a/internal/modules/idempotency/golden_test.go
+++ b/internal/modules/idempotency/golden_test.go
@@ -9,15 +9,15 @@
 	"quincegap/internal/golden"
 )
 
-// Entries and their ids are on disk: each version has to find and read what others have written.
+// Entries and their ids are stored on disk: each version has to find and read the entries that other versions have written.
 func TestGoldenEntry(t *testing.T) {
-	e := Entry{Class: "book", Origin: Origin{Zone: "north", Cell: -3, Endpoint: "box-1"}, Served: true, Retention: 95 * time.Second}
-	golden.Hex(t, "entry.hex", e.Encode())
+	entry := Entry{Class: "book", Origin: Origin{Zone: "north", Cell: -3, Endpoint: "box-1"}, Served: true, Retention: 95 * time.Second}
+	golden.Hex(t, "entry.hex", entry.Encode())
 	got, err := Decode(golden.Read(t, "entry.hex"), time.Hour, 20*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := e
+	want := entry
 	want.SentAt = time.Hour - 75*time.Second
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -34,7 +34,7 @@
 	}
 }
 
-// The tool prints entries as JSON: the names in it are data.
+// `store dump` prints entries as JSON, so the names in it must not change.
 func TestGoldenJSON(t *testing.T) {
 	entry := Entry{
 		Class: "book", Origin: Origin{Zone: "north", Cell: 3, Endpoint: "box-1"}, SentAt: time.Hour, Retention: 95 * time.Second,
@@ -55,7 +55,7 @@
 }
 
 func TestGoldenIDs(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		file string
 		id   ID
 	}{
@@ -63,9 +63,9 @@
 		{"id-request.hex", RequestID("pay", "r-17")},
 		{"id-empty.hex", KeyedID("", "")},
 	} {
-		golden.Hex(t, c.file, c.id[:])
-		if got := ID(golden.Read(t, c.file)); got != c.id {
-			t.Errorf("%s: %x, want %x", c.file, got, c.id)
+		golden.Hex(t, test.file, test.id[:])
+		if got := ID(golden.Read(t, test.file)); got != test.id {
+			t.Errorf("golden file %s holds the id %x, want %x", test.file, got, test.id)
 		}
 	}
 }
--- a/internal/modules/idempotency/table_test.go
+++ b/internal/modules/idempotency/table_test.go
@@ -9,23 +9,23 @@
 	"quincegap/internal/balancer"
 )
 
-// here is where the attempts of the tests are sent.
-var here = Origin{Zone: "north", Cell: 3, Endpoint: "s-1"}
+// testOrigin is where the attempts of the tests are sent.
+var testOrigin = Origin{Zone: "north", Cell: 3, Endpoint: "s-1"}
 
-// keep is the retention of their entries.
-const keep = 10 * time.Second
+// testRetention is the retention of the entries in the tests.
+const testRetention = 10 * time.Second
 
-// begin begins an attempt, for which the table must have room, and reports whether the entry has to be written.
+// begin calls BeginAttempt, which must succeed, and reports whether the entry has to be written.
 func begin(t *testing.T, table *Table, now time.Duration, id ID, class string, to Origin) (changed bool) {
 	t.Helper()
-	e, changed, err := table.BeginAttempt(now, id, class, keep, to)
-	if err != nil || e.Class != class {
-		t.Fatalf("%+v %v", e, err)
+	entry, changed, err := table.BeginAttempt(now, id, class, testRetention, to)
+	if err != nil || entry.Class != class {
+		t.Fatalf("BeginAttempt returned %+v and the error %v, want an entry of class %s", entry, err, class)
 	}
 	return changed
 }
 
-// The entry of a request after some outcomes of its attempts, one after the other.
+// The attempts of a request end one after the other. Their outcomes determine whether the request counts as one that may have run.
 func TestEntryAfterOutcomes(t *testing.T) {
 	const (
 		ok       = balancer.StatusOK
@@ -53,227 +53,229 @@
 		id := KeyedID("book", "k")
 		var last Change
 		for _, status := range test.outcomes {
-			e, changed, err := table.BeginAttempt(time.Second, id, "book", keep, here)
-			if err != nil || !changed || e.Origin != here {
-				t.Fatalf("%s: before: %+v %v %v", test.name, e, changed, err)
+			entry, changed, err := table.BeginAttempt(time.Second, id, "book", testRetention, testOrigin)
+			if err != nil || !changed || entry.Origin != testOrigin {
+				t.Fatalf("%s: BeginAttempt returned %+v, changed %v, error %v, want an unsaved entry with the origin %+v",
+					test.name, entry, changed, err, testOrigin)
 			}
 			if _, ok := table.Lookup(time.Second, id); !ok {
-				t.Errorf("%s: unknown while it is in flight", test.name)
+				t.Errorf("%s: Lookup does not find the request while an attempt is in flight", test.name)
 			}
 			_, last = table.EndAttempt(id, status, !test.unanswered)
 		}
-		e, ok := table.Lookup(time.Second, id)
-		if ok != test.known || e.Served != test.served || last != test.last {
-			t.Errorf("%s: %v %+v, last %v", test.name, ok, e, last)
+		entry, ok := table.Lookup(time.Second, id)
+		if ok != test.known || entry.Served != test.served || last != test.last {
+			t.Errorf("%s: known %v, entry %+v, last change %v, want known %v, served %v, last change %v",
+				test.name, ok, entry, last, test.known, test.served, test.last)
 		}
 	}
 }
 
-// Two requests with the same key have attempts in flight at once: the outcome of one proves nothing about the other.
+// Two requests with the same key have attempts in flight at the same time. The outcome of one says nothing about the other.
 func TestTwoAttemptsInFlight(t *testing.T) {
 	table := NewTable(10)
 	id := KeyedID("book", "k")
-	begin(t, table, 0, id, "book", here)
+	begin(t, table, 0, id, "book", testOrigin)
 	if !begin(t, table, 0, id, "book", Origin{Cell: 9}) {
-		t.Error("the entry is not yet durable, and the second attempt need not wait")
+		t.Error("the entry is not durable yet, but the second attempt does not have to wait for it")
 	}
 	table.MarkDurable(id)
 	table.EndAttempt(id, balancer.StatusRejected, false)
-	e, ok := table.Lookup(0, id)
-	if !ok || e.Cell != here.Cell {
-		t.Errorf("%+v %v", e, ok)
+	entry, ok := table.Lookup(0, id)
+	if !ok || entry.Cell != testOrigin.Cell {
+		t.Errorf("Lookup returned %+v, %v, want an entry with the cell %d of the first attempt", entry, ok, testOrigin.Cell)
 	}
-	if begin(t, table, 0, id, "book", here) {
-		t.Error("the entry is durable, and has to be written again")
+	if begin(t, table, 0, id, "book", testOrigin) {
+		t.Error("the entry is durable, but has to be written again")
 	}
-	if _, c := table.EndAttempt(id, balancer.StatusRejected, false); c != NoChange {
-		t.Error("an attempt is still in flight")
+	if _, change := table.EndAttempt(id, balancer.StatusRejected, false); change != NoChange {
+		t.Errorf("EndAttempt returned the change %v while another attempt is in flight, want none", change)
 	}
-	if _, c := table.EndAttempt(id, balancer.StatusRejected, false); c != DeleteEntry || table.Len() != 0 {
-		t.Errorf("no attempt has run: %v, %d", c, table.Len())
+	if _, change := table.EndAttempt(id, balancer.StatusRejected, false); change != DeleteEntry || table.Len() != 0 {
+		t.Errorf("after all attempts were rejected: change %v and %d entries, want %v and 0", change, table.Len(), DeleteEntry)
 	}
 }
 
-// An entry expires after its retention, not before, and not while an attempt is in flight.
+// An entry expires at the end of its retention, not before, and not while an attempt is in flight.
 func TestExpiry(t *testing.T) {
 	table := NewTable(2)
 	first, second, third := KeyedID("book", "a"), RequestID("pay", "b"), KeyedID("book", "c")
-	begin(t, table, 0, first, "book", here)
+	begin(t, table, 0, first, "book", testOrigin)
 	table.EndAttempt(first, balancer.StatusOK, true)
-	begin(t, table, time.Second, second, "pay", here)
-	if _, _, err := table.BeginAttempt(2*time.Second, third, "book", keep, here); !errors.Is(err, ErrFull) {
-		t.Errorf("beyond the bound: %v", err)
+	begin(t, table, time.Second, second, "pay", testOrigin)
+	if _, _, err := table.BeginAttempt(2*time.Second, third, "book", testRetention, testOrigin); !errors.Is(err, ErrFull) {
+		t.Errorf("BeginAttempt with a full table: got error %v, want ErrFull", err)
 	}
-	if _, ok := table.Lookup(keep-1, first); !ok {
-		t.Error("expired early")
+	if _, ok := table.Lookup(testRetention-1, first); !ok {
+		t.Error("the entry expired before the end of its retention")
 	}
-	if _, ok := table.Lookup(keep, first); ok {
-		t.Error("not expired")
+	if _, ok := table.Lookup(testRetention, first); ok {
+		t.Error("the entry did not expire at the end of its retention")
 	}
 	if _, ok := table.Lookup(time.Hour, second); !ok {
-		t.Error("expired while an attempt is in flight")
+		t.Error("the entry expired while an attempt is in flight")
 	}
-	if _, _, err := table.BeginAttempt(time.Hour, third, "book", keep, here); err != nil {
-		t.Error(err)
+	if _, _, err := table.BeginAttempt(time.Hour, third, "book", testRetention, testOrigin); err != nil {
+		t.Errorf("BeginAttempt after an entry has expired: %v", err)
 	}
 }
 
-// An encoded entry is decoded as it was, with its age. Anything else is an error.
+// Decode returns the entry that was encoded, with its age. Truncated entries and entries of another version are errors.
 func TestEncoding(t *testing.T) {
-	e := Entry{Class: "book", Origin: here, Served: true, Retention: keep}
-	text := e.Encode()
-	got, err := Decode(text, time.Hour, 4*time.Second)
-	if err != nil || got.Class != e.Class || got.Origin != here || !got.Served {
-		t.Errorf("%+v %v", got, err)
+	entry := Entry{Class: "book", Origin: testOrigin, Served: true, Retention: testRetention}
+	encoded := entry.Encode()
+	got, err := Decode(encoded, time.Hour, 4*time.Second)
+	if err != nil || got.Class != entry.Class || got.Origin != testOrigin || !got.Served {
+		t.Errorf("Decode returned %+v and the error %v, want %+v", got, err, entry)
 	}
-	if got.Retention != keep || got.SentAt != time.Hour-6*time.Second {
-		t.Errorf("kept for %v, sent at %v", got.Retention, got.SentAt)
+	if got.Retention != testRetention || got.SentAt != time.Hour-6*time.Second {
+		t.Errorf("decoded retention %v and SentAt %v, want %v and %v", got.Retention, got.SentAt, testRetention, time.Hour-6*time.Second)
 	}
-	for n := range text {
-		if _, err := Decode(text[:n], 0, 0); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrUnknownFormat) {
-			t.Errorf("%d of %d bytes: %v", n, len(text), err)
+	for n := range encoded {
+		if _, err := Decode(encoded[:n], 0, 0); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrUnknownFormat) {
+			t.Errorf("Decode of %d of %d bytes: got error %v, want ErrTruncated or ErrUnknownFormat", n, len(encoded), err)
 		}
 	}
-	text[0]++
-	if _, err := Decode(text, 0, 0); !errors.Is(err, ErrUnknownFormat) {
-		t.Errorf("another version: %v", err)
+	encoded[0]++
+	if _, err := Decode(encoded, 0, 0); !errors.Is(err, ErrUnknownFormat) {
+		t.Errorf("Decode of another version: got error %v, want ErrUnknownFormat", err)
 	}
 	table := NewTable(1)
 	id := KeyedID("book", "k")
 	if err := table.Restore(id, got); err != nil {
 		t.Fatal(err)
 	}
-	if x, ok := table.Lookup(time.Hour, id); !ok || !x.Served {
-		t.Errorf("%+v %v", x, ok)
+	if restored, ok := table.Lookup(time.Hour, id); !ok || !restored.Served {
+		t.Errorf("Lookup after Restore returned %+v, %v, want a served entry", restored, ok)
 	}
 	if err := table.Restore(KeyedID("book", "l"), got); !errors.Is(err, ErrFull) {
-		t.Error("no bound")
+		t.Error("Restore to a full table did not return ErrFull")
 	}
 	if _, ok := table.Lookup(time.Hour+4*time.Second, id); ok {
-		t.Error("it does not expire after a restart")
+		t.Error("a restored entry did not expire at the end of its retention")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	e := Entry{Class: "book", Origin: here, Retention: keep}
-	f.Add(e.Encode())
+	entry := Entry{Class: "book", Origin: testOrigin, Retention: testRetention}
+	f.Add(entry.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e, err := Decode(b, time.Hour, 0)
+		entry, err := Decode(b, time.Hour, 0)
 		if err != nil {
 			return
 		}
-		if again, err := Decode(e.Encode(), time.Hour, 0); err != nil || again != e {
-			t.Errorf("%+v %+v %v", e, again, err)
+		if again, err := Decode(entry.Encode(), time.Hour, 0); err != nil || again != entry {
+			t.Errorf("decoded again after Encode: got %+v and the error %v, want %+v", again, err, entry)
 		}
 	})
 }
 
-// IDs differ by class, by key and by kind.
+// IDs of different classes, keys or kinds of digest differ.
 func TestIDs(t *testing.T) {
 	seen := map[ID]bool{KeyedID("ab", "c"): true, KeyedID("a", "bc"): true, RequestID("ab", "c"): true, KeyedID("ab", "d"): true}
 	if len(seen) != 4 {
-		t.Error("two IDs are equal")
+		t.Errorf("%d different IDs, want 4", len(seen))
 	}
 }
 
-// fate is what has truly happened to a request.
-type fate struct{ ran, inFlight, served bool }
+// actualOutcome is what has actually happened to a request.
+type actualOutcome struct{ ran, inFlight, served bool }
 
-// model is a sidecar's table with its disk, over several processes, and the true fates of the requests.
+// model is a sidecar's table with its disk, over several processes, and the actual outcomes of the requests.
 type model struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   time.Duration
-	table *Table
-	disk  map[ID][]byte
-	fates map[ID]*fate
+	t        *testing.T
+	rng      *rand.Rand
+	now      time.Duration
+	table    *Table
+	disk     map[ID][]byte
+	outcomes map[ID]*actualOutcome
 }
 
-// restart replaces the table by one that is restored from the disk.
+// restart simulates a crash: it replaces the table with one that is restored from the disk.
 func (m *model) restart() {
 	m.t.Helper()
 	m.table = NewTable(1000)
-	for id, text := range m.disk {
-		e, err := Decode(text, m.now, keep)
+	for id, encoded := range m.disk {
+		entry, err := Decode(encoded, m.now, testRetention)
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		if err := m.table.Restore(id, e); err != nil {
+		if err := m.table.Restore(id, entry); err != nil {
 			m.t.Fatal(err)
 		}
 	}
-	for _, f := range m.fates {
-		f.ran, f.inFlight = f.ran || f.inFlight, false
+	for _, outcome := range m.outcomes {
+		outcome.ran, outcome.inFlight = outcome.ran || outcome.inFlight, false
 	}
 }
 
-// begin begins an attempt.
-func (m *model) begin(id ID, f *fate) {
+// begin begins an attempt and writes its entry to the disk if necessary.
+func (m *model) begin(id ID, outcome *actualOutcome) {
 	m.t.Helper()
-	e, changed, err := m.table.BeginAttempt(m.now, id, "book", time.Hour, here)
+	entry, changed, err := m.table.BeginAttempt(m.now, id, "book", time.Hour, testOrigin)
 	if err != nil {
 		m.t.Fatal(err)
 	}
 	if changed {
-		m.disk[id] = e.Encode()
+		m.disk[id] = entry.Encode()
 		m.table.MarkDurable(id)
 	}
-	f.inFlight = true
+	outcome.inFlight = true
 }
 
-// end ends an attempt. The change may reach the disk or not.
-func (m *model) end(id ID, f *fate) {
+// end ends an attempt with a random outcome. The change reaches the disk or not, at random.
+func (m *model) end(id ID, outcome *actualOutcome) {
 	status := []balancer.Status{
 		balancer.StatusOK, balancer.StatusRejected, balancer.StatusReset, balancer.StatusNotSent,
 	}[m.rng.IntN(4)]
-	e, change := m.table.EndAttempt(id, status, true)
-	f.inFlight = false
-	f.ran = f.ran || !status.NeverRan()
-	f.served = f.served || status == balancer.StatusOK
+	entry, change := m.table.EndAttempt(id, status, true)
+	outcome.inFlight = false
+	outcome.ran = outcome.ran || !status.NeverRan()
+	outcome.served = outcome.served || status == balancer.StatusOK
 	if m.rng.IntN(2) == 1 {
 		return
 	}
 	switch change {
 	case NoChange:
 	case PutEntry:
-		m.disk[id] = e.Encode()
+		m.disk[id] = entry.Encode()
 	case DeleteEntry:
 		delete(m.disk, id)
 	}
 }
 
-// check checks that each request that has run is known, and that none counts as served that was not.
+// check checks that each request that has run is known, and that no request counts as served that was not.
 func (m *model) check(seed uint64) {
 	m.t.Helper()
-	for id, f := range m.fates {
-		e, known := m.table.Lookup(m.now, id)
-		if f.ran && !known || e.Served && !f.served {
-			m.t.Fatalf("seed %d: %+v is known as %+v, %v", seed, f, e, known)
+	for id, outcome := range m.outcomes {
+		entry, known := m.table.Lookup(m.now, id)
+		if outcome.ran && !known || entry.Served && !outcome.served {
+			m.t.Fatalf("seed %d: a request with the actual outcome %+v is in the table as %+v, known %v", seed, outcome, entry, known)
 		}
 	}
 }
 
-// Random outcomes of many requests, with crashes in between: each request that may have run is known, whichever of the writes that
-// need not be waited for reached the disk before a crash.
+// Requests have random outcomes, with crashes in between. Each request that may have run is known, whichever of the writes that the
+// caller does not wait for reached the disk before a crash.
 func TestRandomOutcomes(t *testing.T) {
 	for seed := range uint64(200) {
 		model := &model{
-			t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(1000), disk: map[ID][]byte{}, fates: map[ID]*fate{},
+			t: t, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(1000), disk: map[ID][]byte{}, outcomes: map[ID]*actualOutcome{},
 		}
 		for range 200 {
 			id := KeyedID("book", string(rune('a'+model.rng.IntN(8))))
-			f := model.fates[id]
-			if f == nil {
-				f = &fate{}
-				model.fates[id] = f
+			outcome := model.outcomes[id]
+			if outcome == nil {
+				outcome = &actualOutcome{}
+				model.outcomes[id] = outcome
 			}
 			switch {
 			case model.rng.IntN(20) == 0:
 				model.restart()
-			case !f.inFlight:
-				model.begin(id, f)
+			case !outcome.inFlight:
+				model.begin(id, outcome)
 			default:
-				model.end(id, f)
+				model.end(id, outcome)
 			}
 			model.check(seed)
 			model.now += time.Millisecond
--- a/internal/modules/protocolfallback/golden_test.go
+++ b/internal/modules/protocolfallback/golden_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/golden"
 )
 
-// The decisions and backoffs over random events.
+// Each seed of random events gives the same decisions and backoffs as in earlier versions.
 func TestGoldenCourse(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(3) {
--- a/internal/modules/timeslot/example_test.go
+++ b/internal/modules/timeslot/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/modules/timeslot"
 )
 
-// Of four members just one has a turn at a task at any time.
+// At any time exactly one of four members has a turn at a task.
 func ExampleSchedule() {
 	const task = 42
 	for at := time.Duration(0); at < 4*time.Second; at += time.Second {
--- a/internal/modules/timeslot/timeslot_test.go
+++ b/internal/modules/timeslot/timeslot_test.go
@@ -9,63 +9,63 @@
 	"pgregory.net/rapid"
 )
 
-// numbers returns the numbers of n members.
-func numbers(n int) (all []uint64) {
+// memberIDs returns the numbers that identify n members.
+func memberIDs(n int) (all []uint64) {
 	for i := range n {
 		all = append(all, uint64(i)<<20)
 	}
 	return all
 }
 
-// Members that agree have exactly as many turns in a slot as there are actors, and with clocks apart no more than documented.
-func TestTurnsAddUp(t *testing.T) {
+// Members that agree have exactly turnsPerSlot turns in a slot. With clocks that differ they have no more turns than documented.
+func TestTurnsPerSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members, actors := rapid.IntRange(1, 80).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "actors")
-		what, at := rapid.Uint64().Draw(t, "what"), time.Duration(rapid.Int64Range(-1e15, 1e15).Draw(t, "at"))
+		members, turnsPerSlot := rapid.IntRange(1, 80).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "actors")
+		task, at := rapid.Uint64().Draw(t, "what"), time.Duration(rapid.Int64Range(-1e15, 1e15).Draw(t, "at"))
 		skew := time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "skew"))
-		all := numbers(members)
-		mine, apart := 0, 0
-		for i, m := range all {
-			o := New(m, all, time.Second, actors)
-			if o.IsMyTurn(what, at) {
-				mine++
+		all := memberIDs(members)
+		turns, withSkew := 0, 0
+		for i, member := range all {
+			schedule := New(member, all, time.Second, turnsPerSlot)
+			if schedule.IsMyTurn(task, at) {
+				turns++
 			}
-			if own := skew * time.Duration(i) / time.Duration(members); o.IsMyTurn(what, at+own) {
-				apart++
+			if ownSkew := skew * time.Duration(i) / time.Duration(members); schedule.IsMyTurn(task, at+ownSkew) {
+				withSkew++
 			}
 		}
-		if want := min(members, actors); mine != want {
-			t.Fatalf("%d turns of %d members, should be %d", mine, members, want)
+		if want := min(members, turnsPerSlot); turns != want {
+			t.Fatalf("%d turns of %d members at one time, want %d", turns, members, want)
 		}
-		if most := actors * (1 + int(math.Ceil(float64(skew)/float64(time.Second)))); apart > most {
-			t.Fatalf("%d turns with clocks %v apart, %d at most", apart, skew, most)
+		if maxTurns := turnsPerSlot * (1 + int(math.Ceil(float64(skew)/float64(time.Second)))); withSkew > maxTurns {
+			t.Fatalf("%d turns with clocks %v apart, want at most %d", withSkew, skew, maxTurns)
 		}
 	})
 }
 
-// NextTurn returns the begin of a turn that IsMyTurn confirms, with none before it.
-func TestNextIsTheFirst(t *testing.T) {
+// NextTurn returns the beginning of a turn according to IsMyTurn, and there is no turn before it.
+func TestNextTurnIsTheEarliest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "members")
-		o := NewNumbered(rapid.IntRange(0, n-1).Draw(t, "ordinal"), n, time.Second, 1)
-		what, at := rapid.Uint64().Draw(t, "what"), time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "at"))
-		next, ok := o.NextTurn(what, at)
-		if next < at || ok && !o.IsMyTurn(what, next) {
-			t.Fatalf("%v after %v is no turn", next, at)
+		schedule := NewNumbered(rapid.IntRange(0, n-1).Draw(t, "ordinal"), n, time.Second, 1)
+		task, at := rapid.Uint64().Draw(t, "what"), time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "at"))
+		next, ok := schedule.NextTurn(task, at)
+		if next < at || ok && !schedule.IsMyTurn(task, next) {
+			t.Fatalf("NextTurn from %v returned %v, which is earlier or not within a turn", at, next)
 		}
-		for x := at; x < next; x += time.Second / 4 {
-			if o.IsMyTurn(what, x) {
-				t.Fatalf("a turn at %v, before %v", x, next)
+		for earlier := at; earlier < next; earlier += time.Second / 4 {
+			if schedule.IsMyTurn(task, earlier) {
+				t.Fatalf("there is a turn at %v, before the one at %v that NextTurn returned", earlier, next)
 			}
 		}
 	})
 }
 
-// countTurns returns how many turns the members that are alive have in a slot, on average, and the longest series of slots without a
-// turn of theirs. known returns the members that the i-th member knows.
-func countTurns(all []uint64, known func(i int) []uint64, alive int) (mean float64, longest int) {
+// countTurns returns the average number of turns per slot of the living members, which are the first ones of all, and the length of the
+// longest series of slots without a turn of any of them. known returns the members that the i-th member knows.
+func countTurns(all []uint64, known func(i int) []uint64, living int) (mean float64, longest int) {
 	const slots = 4000
-	schedules := make([]*Schedule, alive)
+	schedules := make([]*Schedule, living)
 	for i := range schedules {
 		schedules[i] = New(all[i], known(i), time.Second, 1)
 	}
@@ -87,43 +87,44 @@
 	return float64(total) / slots, longest
 }
 
-// Members that each know half of the members, or twice as many as there are, have about twice or half as many turns, however many they
-// are; and if half of them have died, another member's turn comes soon.
-func TestWrongNumbersAndDeadMembers(t *testing.T) {
+// Members that each know half of the members have about twice as many turns, and members that know twice as many as there are have about
+// half as many turns, whatever their number. If half of the members have died, a turn of a living member comes soon.
+func TestWrongMemberCountsAndDeadMembers(t *testing.T) {
 	for _, n := range []int{4, 20, 100} {
-		all := numbers(2 * n)
+		all := memberIDs(2 * n)
 		halfOf := func(i int) []uint64 {
 			first := i / (n / 2) * (n / 2)
 			return all[first : first+n/2]
 		}
 		if mean, _ := countTurns(all, halfOf, n); mean < 1.8 || mean > 2.2 {
-			t.Errorf("%d members that know half of them: %.2f turns a slot", n, mean)
+			t.Errorf("%d members that each know half of them have %.2f turns per slot, want 1.8 to 2.2", n, mean)
 		}
 		twice := func(int) []uint64 { return all }
 		if mean, longest := countTurns(all, twice, n); mean < 0.45 || mean > 0.55 || longest > 20 {
-			t.Errorf("%d of %d are alive: %.2f turns a slot, none in %d", n, 2*n, mean, longest)
+			t.Errorf("%d of %d members are alive: %.2f turns per slot and %d slots without a turn, want 0.45 to 0.55 and at most 20",
+				n, 2*n, mean, longest)
 		}
 	}
 }
 
-// The offsets of all members for one cause are spread evenly, in another order for another cause.
+// The offsets of all members for one cause are spread evenly, and their order differs between causes.
 func TestOffsetsAreEven(t *testing.T) {
 	const n = 50
-	all := numbers(n)
-	offsets := func(what uint64) (of []time.Duration) {
-		for _, m := range all {
-			of = append(of, New(m, all, time.Second, 1).Offset(what, n*time.Second))
+	all := memberIDs(n)
+	offsets := func(task uint64) (of []time.Duration) {
+		for _, member := range all {
+			of = append(of, New(member, all, time.Second, 1).Offset(task, n*time.Second))
 		}
 		return of
 	}
 	a, b := offsets(1), offsets(2)
 	if slices.Equal(a, b) {
-		t.Error("the order is the same for two causes")
+		t.Error("the offsets have the same order for two causes")
 	}
 	slices.Sort(a)
-	for i, x := range a {
-		if x.Round(time.Millisecond) != time.Duration(i)*time.Second {
-			t.Errorf("offset %d is %v", i, x)
+	for i, offset := range a {
+		if offset.Round(time.Millisecond) != time.Duration(i)*time.Second {
+			t.Errorf("offset %d is %v, want %v", i, offset, time.Duration(i)*time.Second)
 		}
 	}
 }
