--- a/internal/modules/endpointsource/chunks.go
+++ b/internal/modules/endpointsource/chunks.go
@@ -11,7 +11,7 @@
 type PreparedList struct {
 	list            List
 	lastIndex       map[string]int // index of the last well-formed entry of each uid; nil if the list is not to be divided
-	notReady, ready []Endpoint     // endpoints without and with new requests; each uid once
+	notReady, ready []Endpoint     // endpoints that get no new requests, and those that do; no usable uid twice
 }
 
 // PrepareList groups the endpoints of a list for Merger.Chunks. A list of at most maxEntries entries and a cached list are not grouped,
