--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -6,44 +6,45 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// maxPendingCalls bounds the calls without a reply on a link.
+// maxPendingCalls is the largest number of calls without a reply on a link.
 const maxPendingCalls = 4096
 
-// ConnectionError reports that a call got no reply: its link has ended, or it was cancelled before it was sent completely.
+// ConnectionError reports that a call got no reply, because its link has ended, the link had too many pending calls, or the call was
+// cancelled before it was sent completely.
 type ConnectionError struct {
 	Peer   string // the peer's address
-	Reason string // why the link ended, for people
-	// Sent reports whether the last chunk of the call was handed to the connection. Peers execute complete calls only: a call that was not
-	// sent has certainly not been executed, one that was sent may have been.
+	Reason string // why the call got no reply; for logs, not for decisions
+	// Sent reports whether the call was sent completely: its last chunk was handed to the connection. Peers execute complete calls only, so
+	// a call that was not sent has certainly not been executed. One that was sent may have been executed.
 	Sent bool
 }
 
 // Error implements error.
 func (c *ConnectionError) Error() string { return "link to " + c.Peer + " lost: " + c.Reason }
 
-// sendProgress is a message that is being sent, and how much of it was sent. Its link's lock guards it.
+// sendProgress is a message that is being sent, and how much of it was sent. The lock of its link guards it.
 type sendProgress struct {
 	stream    uint64
 	body      []byte
-	sentBytes int       // bytes of the body that were added to a write
-	transfer  *transfer // of a message of several chunks; nil for others
+	sentBytes int       // number of the body's bytes that were added to a write
+	transfer  *transfer // shaper's state for a message of several chunks; nil for a smaller message
 }
 
-// PendingCall is a call of this process without a reply yet.
+// PendingCall is a call of this process that has no reply yet.
 type PendingCall struct {
 	sendProgress
 	link          *Link
 	method        uint64
-	expiresAt     time.Duration // on this process's clock; 0 for never
+	expiresAt     time.Duration // expiry on this process's clock; 0 if the call never expires
 	done          func(body []byte, err error)
-	reply         []byte // the chunks of the reply that were received
-	reservedBytes int    // bytes of the reply that are counted in Hub.reservedBytes
-	fullySent     bool   // the last chunk was added to a write
+	reply         []byte // concatenated chunks of the reply that were received
+	reservedBytes int    // number of the reply's bytes that are counted in Hub.reservedBytes
+	fullySent     bool   // whether the last chunk was added to a write
 	cancelled     bool
 }
 
-// Cancel cancels a call. A call that was not sent completely ends at once with a ConnectionError, and the rest of it is not sent. For one
-// that was sent, the peer's handler is notified, and done still gets its reply.
+// Cancel cancels the call. If the call was not sent completely, it ends at once with a ConnectionError, and the rest of it is not sent.
+// Otherwise the peer's handler is notified, and done still gets the reply.
 func (p *PendingCall) Cancel() {
 	l := p.link
 	if l == nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// cancelCall cancels a pending call. It reports whether the call has ended by that, so that no reply will come.
+// cancelCall cancels a pending call. It reports whether the call has thereby ended, without a reply.
 func (l *Link) cancelCall(call *PendingCall) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +73,7 @@
 	return !call.fullySent
 }
 
-// startCall queues a call. It returns false if the link is retired, so that another link is needed.
+// startCall queues a call. It returns false if the link is retired, and the call needs another link.
 func (l *Link) startCall(call *PendingCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +82,7 @@
 	}
 	now := l.hub.Now()
 	l.lastCallAt = now
-	if reason := l.cannotCall(); reason != "" {
+	if reason := l.callRefusal(); reason != "" {
 		go call.done(nil, &ConnectionError{Peer: l.peer, Reason: reason})
 		return true
 	}
@@ -91,14 +92,14 @@
 	l.pending[call.stream] = call
 	l.enqueue(call)
 	if len(l.pending) == 1 {
-		l.liveness.lastReceivedAt = now // the peer is expected to send from now on, not since its last frame
+		l.liveness.lastReceivedAt = now // the time-out for the peer's next frame starts now, not at its last frame
 	}
 	l.wakeWriter()
 	return true
 }
 
-// cannotCall returns the reason why no call can be made; empty if one can. The lock is held.
-func (l *Link) cannotCall() string {
+// callRefusal returns the reason why no call can be made; empty if a call can be made. The caller holds the lock.
+func (l *Link) callRefusal() string {
 	switch {
 	case l.closed:
 		return l.closeReason
@@ -109,23 +110,23 @@
 	}
 }
 
-// IncomingCall is a call of a peer. It needs one reply, by Reply or ReplyBytes.
+// IncomingCall is a call of a peer. Its handler must reply to it once, by Reply or ReplyBytes.
 type IncomingCall struct {
-	From      *Hello        // of the peer
-	Body      []byte        // may be kept and changed by the handler
-	ExpiresAt time.Duration // on this process's clock; 0 for never
+	From      *Hello        // the peer's Hello
+	Body      []byte        // the marshalled request, which the handler may keep and modify
+	ExpiresAt time.Duration // expiry on this process's clock; 0 if the call never expires
 
 	link          *Link
 	stream        uint64
 	method        uint64
 	onCancel      func() // set by OnCancel; called at most once
-	cancelled     bool   // the caller has cancelled the call, or its link has ended
-	reservedBytes int    // bytes of Body that are counted in Hub.reservedBytes
-	overLimit     bool   // beyond maxCallBytes with other calls: it gets the empty reply, and no handler is called
+	cancelled     bool   // whether the caller has cancelled the call, or its link has ended
+	reservedBytes int    // number of Body's bytes that are counted in Hub.reservedBytes
+	overLimit     bool   // whether all calls together exceeded maxCallBytes: this one gets an empty reply, and no handler is called
 }
 
-// OnCancel sets a function that is called once, without locks, when the caller cancels the call or its link ends; at once if that has
-// happened already.
+// OnCancel sets a function that is called once, without locks, when the caller cancels the call or its link ends. If that has already
+// happened, OnCancel calls the function before it returns.
 func (i *IncomingCall) OnCancel(f func()) {
 	i.link.mu.Lock()
 	i.onCancel = f
@@ -136,10 +137,10 @@
 	}
 }
 
-// Reply sends the reply to the call. It has no effect if there was a reply before, or if the link has ended.
+// Reply sends the reply to the call. It has no effect if the call has already got a reply, or if the link has ended.
 func (i *IncomingCall) Reply(m codec.Message) { i.ReplyBytes(codec.MarshalAppend(nil, m)) }
 
-// ReplyBytes is Reply for a message that is marshalled already. Nil is the empty reply, all of whose fields are zero.
+// ReplyBytes is Reply for a message that is already marshalled. Nil is the empty reply, all of whose fields are zero.
 func (i *IncomingCall) ReplyBytes(body []byte) {
 	l := i.link
 	l.mu.Lock()
@@ -153,19 +154,19 @@
 	l.wakeWriter()
 }
 
-// cancel marks the call as cancelled, and calls the function of OnCancel. The link's lock is not held.
+// cancel marks the call as cancelled, and calls the function that OnCancel has set. The caller must not hold the link's lock.
 func (i *IncomingCall) cancel() {
 	i.link.mu.Lock()
 	notify := i.onCancel
-	again := i.cancelled
+	alreadyCancelled := i.cancelled
 	i.cancelled = true
 	i.link.mu.Unlock()
-	if notify != nil && !again {
+	if notify != nil && !alreadyCancelled {
 		notify()
 	}
 }
 
-// release releases the memory that is reserved for the call's body. The link's lock is held.
+// release releases the memory that is reserved for the call's body. The caller holds the link's lock.
 func (i *IncomingCall) release() {
 	i.link.hub.reservedBytes.Add(-int64(i.reservedBytes))
 	i.reservedBytes = 0
--- a/internal/mesh/transport/codec/codec.go
+++ b/internal/mesh/transport/codec/codec.go
@@ -6,50 +6,50 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Message is a message that can be marshalled and unmarshalled. Its method Fields calls one method of the visitor for each field.
+// Message can be marshalled and unmarshalled. Its method Fields calls one method of the visitor for each field of the message.
 type Message interface{ Fields(v *Visitor) }
 
-// expectedFields is the number of fields up to which a message is unmarshalled without an allocation for them.
+// expectedFields is the number of fields up to which Unmarshal needs no heap allocation for a message's list of fields.
 const expectedFields = 24
 
-// MarshalAppend appends the encoding of a message to buf.
+// MarshalAppend appends the encoding of a message to buf, and returns the extended buffer.
 func MarshalAppend(buf []byte, message Message) []byte {
-	visitor := Visitor{out: buf}
+	visitor := Visitor{encoded: buf}
 	message.Fields(&visitor)
-	return visitor.out
+	return visitor.encoded
 }
 
-// Unmarshal decodes a message from data, which must not change afterwards: fields of bytes point into it. The error names the field, or the
-// byte at which data is invalid. After an error the message may have been decoded in part.
+// Unmarshal decodes a message from data, which must not be modified afterwards, because byte slices of the message point into it. The error
+// names the field, or the offset of the byte, at which data is invalid. After an error the message may be partly decoded.
 func Unmarshal(data []byte, message Message) error {
-	var room [expectedFields]rawField
-	visitor := Visitor{reading: true, fields: room[:0]}
-	for at := 0; at < len(data); {
-		num, typ, n := protowire.ConsumeTag(data[at:])
+	var initialFields [expectedFields]rawField
+	visitor := Visitor{reading: true, fields: initialFields[:0]}
+	for offset := 0; offset < len(data); {
+		num, typ, n := protowire.ConsumeTag(data[offset:])
 		if n < 0 {
-			return fmt.Errorf("byte %d: %w", at, protowire.ParseError(n))
+			return fmt.Errorf("byte %d: %w", offset, protowire.ParseError(n))
 		}
-		at += n
+		offset += n
 		f := rawField{num: num, typ: typ}
-		if n = f.parseValue(data[at:]); n < 0 {
-			return fmt.Errorf("field %d at byte %d: %w", num, at, protowire.ParseError(n))
+		if n = f.parseValue(data[offset:]); n < 0 {
+			return fmt.Errorf("field %d at byte %d: %w", num, offset, protowire.ParseError(n))
 		}
-		at += n
+		offset += n
 		visitor.fields = append(visitor.fields, f)
 	}
 	message.Fields(&visitor)
 	return visitor.err
 }
 
-// rawField is a field as encoded on the wire.
+// rawField is a field of a message that is read, with its value as encoded on the wire.
 type rawField struct {
 	num   protowire.Number
 	typ   protowire.Type
-	value uint64 // of a varint or a fixed64
-	bytes []byte // of a field with a length; they point into the data
+	value uint64 // value of a varint or a fixed64 field
+	bytes []byte // content of a length-delimited field; a part of the data that is read
 }
 
-// parseValue parses the field's value at the start of data. It returns the number of bytes, or a negative error code of protowire.
+// parseValue parses the field's value at the start of data. It returns the value's length in bytes, or a negative error code of protowire.
 func (r *rawField) parseValue(data []byte) (n int) {
 	switch r.typ {
 	case protowire.VarintType:
@@ -58,7 +58,7 @@
 		r.bytes, n = protowire.ConsumeBytes(data)
 	case protowire.Fixed64Type:
 		r.value, n = protowire.ConsumeFixed64(data)
-	default: // of a type that no message of the mesh has: it is skipped
+	default: // no message of the mesh uses this wire type: the value is skipped
 		n = protowire.ConsumeFieldValue(r.num, r.typ, data)
 	}
 	return n
--- a/internal/mesh/transport/codec/codec_test.go
+++ b/internal/mesh/transport/codec/codec_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// nestedMessage has fields of most types, and nested messages of its own type.
+// nestedMessage has fields of most types, and a list of nested messages of the same type.
 type nestedMessage struct {
 	N    uint64
 	I    int64
@@ -58,21 +58,21 @@
 	}
 }
 
-// MarshalAppend keeps what the buffer has.
+// MarshalAppend does not change the bytes that the buffer already has.
 func TestMarshalAppends(t *testing.T) {
 	got := MarshalAppend([]byte("before"), &nestedMessage{N: 1})
 	qt.Assert(t, got, qt.DeepEquals, append([]byte("before"), 0x08, 0x01))
 }
 
-// Every truncated message and every one with a changed byte is decoded or rejected, without a panic.
+// Every truncated message, and every message with a changed byte, is either decoded or rejected, without a panic.
 func TestCorruptMessagesAreRejected(t *testing.T) {
 	complete := MarshalAppend(nil, &nestedMessage{N: 300, D: time.Second, T: "text", Ts: []string{"a"}, Next: []nestedMessage{{F: 1}}})
 	for i := range complete {
 		var got nestedMessage
-		_ = Unmarshal(complete[:i], &got) // some are messages
-		for _, flipped := range []byte{0, 1, 0x7f, 0xff} {
+		_ = Unmarshal(complete[:i], &got) // some truncated messages are valid
+		for _, mask := range []byte{0, 1, 0x7f, 0xff} {
 			corrupt := append([]byte{}, complete...)
-			corrupt[i] ^= flipped
+			corrupt[i] ^= mask
 			_ = Unmarshal(corrupt, &got)
 		}
 	}
--- a/internal/mesh/transport/codec/doc.go
+++ b/internal/mesh/transport/codec/doc.go
@@ -7,10 +7,11 @@
 //		v.Uint64(2, &g.Count)
 //	}
 //
-// A field number never changes its meaning, and is not used again after its field was removed. A field with its zero value is not written;
-// a field that is missing in the data keeps the value that it had. Unknown fields are ignored, so that two versions can communicate.
+// A field number never changes its meaning, and is not reused after its field was removed. A field that has its zero value is not written.
+// When a message is read, a field that is missing in the data keeps its previous value, and unknown fields are ignored, so that two
+// versions of a program can communicate.
 //
 // Fields are encoded as the protocol buffers types uint64 (Uint64, Bool), sint64 (Int64, Int, Duration), fixed64 (Fixed64), double
-// (Float64), bytes and string (Bytes, String, Strings, Message, Messages, List). Packed lists, groups, maps and fixed32 are not written,
-// and are ignored when read.
+// (Float64), bytes and string (Bytes, String, Strings, Message, Messages, List). Packed lists, groups, maps and fixed32 are never written;
+// unknown fields of these types are ignored.
 package codec
--- a/internal/mesh/transport/codec/example_test.go
+++ b/internal/mesh/transport/codec/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// Lease is a message with two fields, and LaterLease is the same message in a later version of the program.
+// Lease is a message with two fields.
 type Lease struct {
 	Holder string
 	Length time.Duration
@@ -19,18 +19,19 @@
 	v.Duration(2, &l.Length)
 }
 
+// LaterLease is Lease in a later version of the program, which has added a field.
 type LaterLease struct {
 	Lease
 	Epoch uint64
 }
 
-// Fields implements codec.Message. The message has a new field.
+// Fields implements codec.Message.
 func (l *LaterLease) Fields(v *codec.Visitor) {
 	l.Lease.Fields(v)
 	v.Uint64(3, &l.Epoch)
 }
 
-// Two versions of a program exchange a message: the earlier one ignores the new field.
+// Two versions of a program exchange a message. The earlier version ignores the new field.
 func Example() {
 	data := codec.MarshalAppend(nil, &LaterLease{Lease: Lease{Holder: "10.0.0.4:7640", Length: time.Second}, Epoch: 7})
 	var earlier Lease
--- a/internal/mesh/transport/codec/golden_test.go
+++ b/internal/mesh/transport/codec/golden_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/golden"
 )
 
-// everyField has a field of each type that a Visitor has a method for.
+// everyField has a field for each method of Visitor that visits one, and for the functions Messages and List.
 type everyField struct {
 	Uint     uint64
 	Int      int64
@@ -50,13 +50,13 @@
 	List(v, 13, &e.Each, eachUint)
 }
 
-// eachUint is an element of a list that List visits: its bytes are a varint.
+// eachUint visits an element of a list for List. The element's bytes are a varint.
 func eachUint(v *Visitor, x *uint64) {
 	if v.Reading() {
 		*x, _ = protowire.ConsumeVarint(v.elementBytes())
 		return
 	}
-	v.out = protowire.AppendVarint(v.out, *x)
+	v.encoded = protowire.AppendVarint(v.encoded, *x)
 }
 
 type oneField struct{ Text string }
@@ -81,17 +81,17 @@
 }
 
 func TestGoldenMessages(t *testing.T) {
-	for _, x := range goldenMessages {
-		t.Run(x.name, func(t *testing.T) {
-			golden.Hex(t, x.name, MarshalAppend(nil, &x.value))
+	for _, test := range goldenMessages {
+		t.Run(test.name, func(t *testing.T) {
+			golden.Hex(t, test.name, MarshalAppend(nil, &test.value))
 			var got everyField
-			qt.Assert(t, Unmarshal(golden.Read(t, x.name), &got), qt.IsNil)
-			qt.Assert(t, got, qt.DeepEquals, x.value)
+			qt.Assert(t, Unmarshal(golden.Read(t, test.name), &got), qt.IsNil)
+			qt.Assert(t, got, qt.DeepEquals, test.value)
 		})
 	}
 }
 
-// fieldsFile has each type of field alone: its name, and its encoding in hexadecimal.
+// fieldsFile has a line for each message of TestGoldenFields: the name of the case, and the encoded message in hexadecimal.
 const fieldsFile = "fields.txt"
 
 func TestGoldenFields(t *testing.T) {
@@ -123,31 +123,31 @@
 		{"each-two", everyField{Each: []uint64{0, 300}}},
 	}
 	var text strings.Builder
-	for _, x := range cases {
-		fmt.Fprintf(&text, "%s %s\n", x.name, hex.EncodeToString(MarshalAppend(nil, &x.value)))
+	for _, test := range cases {
+		fmt.Fprintf(&text, "%s %s\n", test.name, hex.EncodeToString(MarshalAppend(nil, &test.value)))
 	}
 	golden.Text(t, fieldsFile, []byte(text.String()))
 	file, err := os.ReadFile(filepath.Join("testdata", "golden", fieldsFile))
 	qt.Assert(t, err, qt.IsNil)
 	lines := strings.Split(strings.TrimSuffix(string(file), "\n"), "\n")
 	qt.Assert(t, lines, qt.HasLen, len(cases))
-	for i, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
+	for i, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			name, digits, _ := strings.Cut(lines[i], " ")
-			qt.Assert(t, name, qt.Equals, x.name)
+			qt.Assert(t, name, qt.Equals, test.name)
 			data, err := hex.DecodeString(digits)
 			qt.Assert(t, err, qt.IsNil)
 			var got everyField
 			qt.Assert(t, Unmarshal(data, &got), qt.IsNil)
-			qt.Assert(t, got, qt.DeepEquals, x.value)
-			qt.Assert(t, math.Signbit(got.Float), qt.Equals, math.Signbit(x.value.Float))
+			qt.Assert(t, got, qt.DeepEquals, test.value)
+			qt.Assert(t, math.Signbit(got.Float), qt.Equals, math.Signbit(test.value.Float))
 		})
 	}
 }
 
-// newerFields is everyField in a later version: it has additional fields, of each type on the wire, before, between and after those of
-// everyField.
-func newerFields() []byte {
+// newerMessage returns the encoding of everyField by a later version, which has additional fields of each wire type before, between and
+// after those of everyField.
+func newerMessage() []byte {
 	var b []byte
 	b = protowire.AppendVarint(protowire.AppendTag(b, 100, protowire.VarintType), 7)
 	b = protowire.AppendFixed64(protowire.AppendTag(b, 101, protowire.Fixed64Type), 7)
@@ -162,13 +162,13 @@
 }
 
 func TestGoldenUnknownFieldsAreIgnored(t *testing.T) {
-	golden.Hex(t, "newer.hex", newerFields())
+	golden.Hex(t, "newer.hex", newerMessage())
 	var got everyField
 	qt.Assert(t, Unmarshal(golden.Read(t, "newer.hex"), &got), qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, everyField{Uint: 5, Text: "known"})
 }
 
-// If a field occurs twice the last one counts; a list has both.
+// If a field occurs twice in a message, its last value is read; a list is read from both occurrences.
 func TestGoldenRepeatedFields(t *testing.T) {
 	first := everyField{Uint: 1, Text: "first", Texts: []string{"a"}, Messages: []oneField{{"a"}}}
 	second := everyField{Uint: 2, Text: "second", Texts: []string{"b"}, Messages: []oneField{{"b"}}}
@@ -178,7 +178,7 @@
 	qt.Assert(t, got, qt.DeepEquals, everyField{Uint: 2, Text: "second", Texts: []string{"a", "b"}, Messages: []oneField{{"a"}, {"b"}}})
 }
 
-// The errors of Unmarshal for every field with each type on the wire that is not its own, and for truncated messages.
+// The golden file has the errors of Unmarshal for every field with each wire type, and for truncated and invalid messages.
 func TestGoldenErrors(t *testing.T) {
 	value := func(typ protowire.Type) []byte {
 		switch typ {
@@ -193,42 +193,43 @@
 		}
 	}
 	var text bytes.Buffer
-	note := func(data []byte) {
-		answer := "read"
+	record := func(data []byte) {
+		result := "read"
 		if err := Unmarshal(data, &everyField{}); err != nil {
-			answer = strings.ReplaceAll(err.Error(), "\u00a0", " ") // protobuf picks its kind of space by the program that it is built into
+			result = strings.ReplaceAll(err.Error(), "\u00a0", " ") // the kind of space in protobuf's errors differs from program to program
 		}
-		fmt.Fprintf(&text, "%s: %s\n", hex.EncodeToString(data), answer)
+		fmt.Fprintf(&text, "%s: %s\n", hex.EncodeToString(data), result)
 	}
 	for num := protowire.Number(1); num <= 13; num++ {
 		for _, typ := range []protowire.Type{protowire.VarintType, protowire.Fixed64Type, protowire.BytesType, protowire.Fixed32Type} {
-			note(append(protowire.AppendTag(nil, num, typ), value(typ)...))
+			record(append(protowire.AppendTag(nil, num, typ), value(typ)...))
 		}
 	}
 	for _, digits := range []string{
-		"08", "0880", // a varint that is missing, and one that does not end
-		"31", "3101020304050607", // eight bytes that are missing, and seven of them
-		"4a05616263",             // a text of three of its five bytes
-		"5a020a05",               // a message whose text is missing
-		"62020801", "6203080101", // a message in a list, whose field has another type, and garbage after it
-		"0001", "ff", "0affffffff0f", // a field of number 0, a tag that does not end, a length of 4 GB
-		"0c", "0f01", // the end of a group that has not begun, a type that there is not
+		"08", "0880", // a missing varint, and an incomplete one
+		"31", "3101020304050607", // a fixed64 without its eight bytes, and one with only seven of them
+		"4a05616263",             // a string with only three of its five bytes
+		"5a020a05",               // a nested message whose string is missing
+		"62020801", "6203080101", // a message in a list with a field of another wire type, and the same with an invalid byte after it
+		"0001", "ff", "0affffffff0f", // a field with number 0, an incomplete tag, and a length of 4 GB
+		"0c", "0f01", // the end of a group that has not begun, and a wire type that does not exist
 	} {
 		data, err := hex.DecodeString(digits)
 		qt.Assert(t, err, qt.IsNil)
-		note(data)
+		record(data)
 	}
 	golden.Text(t, "errors.txt", text.Bytes())
 }
 
-// A message reports that fields are invalid: Unmarshal returns the first such error.
-type refusing struct{}
+// invalidFields is a message that reports two of its fields as invalid.
+type invalidFields struct{}
 
-func (refusing) Fields(v *Visitor) {
+func (invalidFields) Fields(v *Visitor) {
 	v.Fail(3, "is no version")
 	v.Fail(4, "is no name")
 }
 
+// Unmarshal returns the first error that the message reports.
 func TestGoldenFail(t *testing.T) {
-	qt.Assert(t, Unmarshal(nil, refusing{}), qt.ErrorMatches, "field 3 is no version")
+	qt.Assert(t, Unmarshal(nil, invalidFields{}), qt.ErrorMatches, "field 3 is no version")
 }
--- a/internal/mesh/transport/codec/list.go
+++ b/internal/mesh/transport/codec/list.go
@@ -12,7 +12,7 @@
 		if v.reading {
 			*s = string(v.elementBytes())
 		} else {
-			v.out = append(v.out, *s...)
+			v.encoded = append(v.encoded, *s...)
 		}
 	})
 }
@@ -33,9 +33,9 @@
 	})
 }
 
-// List visits a list, each element of which is a field of its own with bytes, in the order of the list. It calls element for each, with a
-// visitor for the element's bytes. Elements that are read are appended to the list. An element that can't be read is an error, and is
-// appended all the same, decoded in part.
+// List visits a list. Each element is encoded as a separate length-delimited field with the list's number, in the order of the list. List
+// calls element for each of them, with a visitor for the element's bytes. Elements that are read are appended to the list. An element that
+// can't be decoded is reported as an error, and is appended nevertheless, partly decoded.
 func List[T any](visitor *Visitor, num protowire.Number, list *[]T, element func(visitor *Visitor, t *T)) {
 	if !visitor.reading {
 		for i := range *list {
@@ -61,5 +61,5 @@
 	}
 }
 
-// elementBytes returns the bytes of the element that is read.
+// elementBytes returns the bytes of the list element that this visitor reads.
 func (v *Visitor) elementBytes() []byte { return v.fields[0].bytes }
--- a/internal/mesh/transport/codec/visitor.go
+++ b/internal/mesh/transport/codec/visitor.go
@@ -9,30 +9,33 @@
 )
 
 // Visitor writes the fields of a message, or reads them. Each of its methods takes the number of a field and a pointer to its value. If a
-// field occurs more than once the last one counts; a list has all of them. A field whose type on the wire is not the method's is an error.
+// field occurs more than once in the data, its last occurrence is read; a list is read from all occurrences. It is an error if the wire
+// type of a field is not the one that the method expects.
 type Visitor struct {
-	out     []byte // that was written
+	encoded []byte // fields written so far
 	reading bool
-	fields  []rawField // of the message that is read
-	err     error      // the first one
+	fields  []rawField // all fields of the message that is read
+	err     error      // first error that was reported
 }
 
-// Reading reports whether fields are read, as opposed to written.
+// Reading reports whether the visitor reads fields, as opposed to writing them.
 func (v *Visitor) Reading() bool { return v.reading }
 
-// Fail reports that the value that was read for a field is invalid. Unmarshal returns the first error that is reported.
+// Fail reports that the value that was read for a field is invalid. Unmarshal returns the first error that was reported. reason follows the
+// field's number in the text of the error, as in "field 3 has another type".
 func (v *Visitor) Fail(num protowire.Number, reason string) {
 	v.setError(fmt.Errorf("field %d %s", num, reason))
 }
 
-// setError records an error if it is the first one.
+// setError records an error, unless one was recorded before.
 func (v *Visitor) setError(err error) {
 	if v.err == nil {
 		v.err = err
 	}
 }
 
-// lastField returns the last field with a number; nil if there is none, or if it has another type, which is reported as an error.
+// lastField returns the last field with a number. It returns nil if there is none, or if the field's wire type is not typ, which is also
+// reported as an error.
 func (v *Visitor) lastField(num protowire.Number, typ protowire.Type) *rawField {
 	for i := len(v.fields) - 1; i >= 0; i-- {
 		f := &v.fields[i]
@@ -50,7 +53,7 @@
 
 func (v *Visitor) failType(num protowire.Number) { v.Fail(num, "has another type") }
 
-// Uint64 visits a number that is not negative (uint64).
+// Uint64 visits an unsigned integer (uint64).
 func (v *Visitor) Uint64(num protowire.Number, x *uint64) {
 	if v.reading {
 		if f := v.lastField(num, protowire.VarintType); f != nil {
@@ -59,12 +62,12 @@
 		return
 	}
 	if *x != 0 {
-		tagged := protowire.AppendTag(v.out, num, protowire.VarintType)
-		v.out = protowire.AppendVarint(tagged, *x)
+		tagged := protowire.AppendTag(v.encoded, num, protowire.VarintType)
+		v.encoded = protowire.AppendVarint(tagged, *x)
 	}
 }
 
-// Int64 visits a number that may be negative (sint64).
+// Int64 visits a signed integer (sint64).
 func (v *Visitor) Int64(num protowire.Number, x *int64) {
 	u := protowire.EncodeZigZag(*x)
 	v.Uint64(num, &u)
@@ -73,17 +76,17 @@
 	}
 }
 
-// Int visits an int that may be negative (sint64).
+// Int visits an int (sint64).
 func (v *Visitor) Int(num protowire.Number, x *int) {
 	i := int64(*x)
 	v.Int64(num, &i)
 	*x = int(i)
 }
 
-// Duration visits a duration, in nanoseconds on the wire (sint64).
+// Duration visits a duration (sint64), which is encoded in nanoseconds.
 func (v *Visitor) Duration(num protowire.Number, x *time.Duration) { v.Int64(num, (*int64)(x)) }
 
-// Bool visits a truth value (bool). Any number but 0 is read as true.
+// Bool visits a boolean (bool). Any number but 0 is read as true.
 func (v *Visitor) Bool(num protowire.Number, x *bool) {
 	var u uint64
 	if *x {
@@ -93,7 +96,7 @@
 	*x = u != 0
 }
 
-// Fixed64 visits a number that is rarely small, such as a random one (fixed64).
+// Fixed64 visits an unsigned integer that is rarely small, such as a random number (fixed64).
 func (v *Visitor) Fixed64(num protowire.Number, x *uint64) {
 	if v.reading {
 		if f := v.lastField(num, protowire.Fixed64Type); f != nil {
@@ -102,8 +105,8 @@
 		return
 	}
 	if *x != 0 {
-		tagged := protowire.AppendTag(v.out, num, protowire.Fixed64Type)
-		v.out = protowire.AppendFixed64(tagged, *x)
+		tagged := protowire.AppendTag(v.encoded, num, protowire.Fixed64Type)
+		v.encoded = protowire.AppendFixed64(tagged, *x)
 	}
 }
 
@@ -114,7 +117,7 @@
 	*x = math.Float64frombits(u)
 }
 
-// Bytes visits bytes. Those that are read point into the data that is unmarshalled.
+// Bytes visits a byte slice. When read, the slice is a part of the data that is unmarshalled, and not a copy.
 func (v *Visitor) Bytes(num protowire.Number, x *[]byte) {
 	if v.reading {
 		if f := v.lastField(num, protowire.BytesType); f != nil {
@@ -123,12 +126,12 @@
 		return
 	}
 	if len(*x) > 0 {
-		tagged := protowire.AppendTag(v.out, num, protowire.BytesType)
-		v.out = protowire.AppendBytes(tagged, *x)
+		tagged := protowire.AppendTag(v.encoded, num, protowire.BytesType)
+		v.encoded = protowire.AppendBytes(tagged, *x)
 	}
 }
 
-// String visits a string, which is not checked to be UTF-8.
+// String visits a string. It does not check that the string is valid UTF-8.
 func (v *Visitor) String(num protowire.Number, x *string) {
 	if v.reading {
 		if f := v.lastField(num, protowire.BytesType); f != nil {
@@ -137,12 +140,12 @@
 		return
 	}
 	if *x != "" {
-		tagged := protowire.AppendTag(v.out, num, protowire.BytesType)
-		v.out = protowire.AppendString(tagged, *x)
+		tagged := protowire.AppendTag(v.encoded, num, protowire.BytesType)
+		v.encoded = protowire.AppendString(tagged, *x)
 	}
 }
 
-// Message visits a nested message. Unlike other fields it is written even if all its fields are zero.
+// Message visits a nested message. Unlike other fields, it is written even if all fields of the nested message are zero.
 func (v *Visitor) Message(num protowire.Number, m Message) {
 	if !v.reading {
 		v.appendNested(num, m.Fields)
@@ -157,10 +160,10 @@
 	}
 }
 
-// appendNested writes a field whose bytes are those that write adds to a visitor of its own.
+// appendNested writes a length-delimited field. write writes the content of the field to nested, a separate visitor.
 func (v *Visitor) appendNested(num protowire.Number, write func(nested *Visitor)) {
 	var nested Visitor
 	write(&nested)
-	tagged := protowire.AppendTag(v.out, num, protowire.BytesType)
-	v.out = protowire.AppendBytes(tagged, nested.out)
+	tagged := protowire.AppendTag(v.encoded, num, protowire.BytesType)
+	v.encoded = protowire.AppendBytes(tagged, nested.encoded)
 }
--- a/internal/mesh/transport/connect.go
+++ b/internal/mesh/transport/connect.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	drainPollInterval = 10 * time.Millisecond  // between two checks of the links of a draining process
-	minAcceptBackoff  = 5 * time.Millisecond   // after the first connection that could not be accepted; it doubles with each failure
-	maxAcceptBackoff  = 500 * time.Millisecond // its bound
+	drainPollInterval = 10 * time.Millisecond  // time between two checks of the links of a draining process
+	minAcceptBackoff  = 5 * time.Millisecond   // delay after the first failure to accept a connection; it doubles with each further one
+	maxAcceptBackoff  = 500 * time.Millisecond // upper bound of the delay after a failure to accept a connection
 )
 
-// dialTCP dials a peer. Close interrupts it.
+// dialTCP opens a TCP connection to a peer. Hub.Close interrupts it.
 func (h *Hub) dialTCP(address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // pings detect that a peer is lost
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // TCP keepalives are disabled: pings detect that a peer is lost
 	return d.DialContext(h.ctx, "tcp4", address)
 }
 
-// dial connects a link and runs it until it ends.
+// dial opens the connection of a link, and runs the link until it ends.
 func (h *Hub) dial(l *Link) {
 	conn, err := h.dialConn(l.peer)
 	if err != nil {
@@ -30,9 +30,9 @@
 	l.run(conn)
 }
 
-// Listen accepts links until the hub drains or is closed, and then returns nil. If the listener is closed otherwise, it returns the
-// listener's error, net.ErrClosed. Other errors, such as that the process has no file descriptors left, are logged and retried; links that
-// are up are not affected.
+// Listen accepts links until the hub drains or is closed, and then returns nil. If the listener is closed for another reason, Listen
+// returns an error that wraps net.ErrClosed. After any other error, such as a lack of file descriptors, it logs the error and tries again;
+// existing links are not affected.
 func (h *Hub) Listen(listener net.Listener) error {
 	h.mu.Lock()
 	h.listeners = append(h.listeners, listener)
@@ -46,7 +46,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return trace.Wrap(err)
 		case err != nil:
-			h.log.WithError(err).Warn("transport: a link can't be accepted")
+			h.log.WithError(err).Warn("transport: failed to accept a connection, trying again")
 			time.Sleep(backoff)
 			backoff = min(2*backoff, maxAcceptBackoff)
 		default:
@@ -56,7 +56,7 @@
 	}
 }
 
-// accept starts a link that a peer has dialled.
+// accept starts a link on a connection that a peer has dialled. In a closed hub it closes the connection.
 func (h *Hub) accept(conn net.Conn) {
 	l := newLink(h, conn.RemoteAddr().String(), false)
 	h.mu.Lock()
@@ -65,7 +65,7 @@
 		h.closeConn(conn, l.peer)
 		return
 	}
-	h.accepted[l] = true
+	h.otherLinks[l] = true
 	h.goroutines.Go(func() { l.run(conn) })
 }
 
@@ -75,9 +75,9 @@
 	return h.closing
 }
 
-// Drain shuts the hub down gracefully and closes it, at the latest at a time on the process's clock. It stops accepting links, notifies
-// each peer that this process is draining, and waits until the peers have received their replies and closed their links, so that no call
-// is lost in transit.
+// Drain shuts the hub down gracefully, and then closes it. It stops accepting links, notifies each peer that this process is draining, and
+// waits until the peers have received their replies and closed their links, so that no call is lost in transit. It waits no longer than
+// until, a time on the process's clock.
 func (h *Hub) Drain(until time.Duration) {
 	h.stopListening()
 	for h.Now() < until && !h.drainLinks() {
@@ -92,12 +92,12 @@
 	h.closing = true
 	for _, listener := range h.listeners {
 		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			h.log.WithError(err).Debug("transport: a listener did not close")
+			h.log.WithError(err).Debug("transport: failed to close a listener")
 		}
 	}
 }
 
-// drainLinks advances the draining of each accepted link, and reports whether all have ended.
+// drainLinks takes the next step in draining each accepted link, and reports whether all of them have ended.
 func (h *Hub) drainLinks() bool {
 	links, _ := h.allLinks()
 	ended := true
--- a/internal/mesh/transport/doc.go
+++ b/internal/mesh/transport/doc.go
@@ -1,14 +1,14 @@
 // Package transport carries calls between the processes of the mesh.
 //
-// A Hub manages all links of a process. A Link is one TCP connection to one peer, and multiplexes calls: the side that dialled sends
+// A Hub manages all links of a process. A Link is one TCP connection to one peer. It multiplexes calls: the side that dialled sends
 // calls, the side that accepted sends replies, and each call gets one reply. A call is identified by its stream number, which is never
-// used twice on a link. Two processes that call each other have two links.
+// reused on a link. Two processes that call each other have two links.
 //
 // # Frames
 //
-// A frame is a big-endian length of four bytes and an envelope in the wire format of protocol buffers (package codec). Each side's
-// first frame is a Hello. A message of more than 16 KiB goes out in chunks that alternate with all other messages, so that a large
-// reply does not hold up a small one.
+// A frame is a four-byte big-endian length, followed by an envelope in the protocol buffers wire format (package codec). The first frame
+// that each side sends contains a Hello. A message of more than 16 KiB is sent in chunks, which alternate with other messages, so that a
+// large reply does not delay a small one.
 //
 // # States of a link
 //
@@ -24,22 +24,23 @@
 //	                              +------------------------------------------------------+
 //	                                no hello within a second
 //
-// A dialled link sends no call before the peer's hello: the kernel accepts connections for a process that is suspended, and a call that
-// was not sent has certainly not been executed. A retired link completes its pending calls; the next call dials a new link.
+// A dialled link sends no call before it has received the peer's hello, because the kernel accepts connections even while the peer's
+// process is suspended. A call that was not sent has certainly not been executed. A retired link completes its pending calls; the next
+// call dials a new link.
 //
 // # Clocks
 //
 // All times are durations on the process's own monotonic clock, which starts with the process. Each frame carries the time on its sender's
-// clock. A call's expiry is translated by the smallest difference between the two clocks that the link has seen; the error is at most the
-// shortest time that a frame was in transit.
+// clock. The receiver converts a call's expiry to its own clock by the smallest difference between the two clocks that it has observed on
+// the link. The error of the conversion is at most the shortest time that a frame was in transit.
 //
 // # Pacing
 //
-// Chunks of large messages share one token bucket for all links of the process (shaper). It limits them to nine tenths of the machine's
-// uplink, so that small messages are not delayed.
+// The chunks of large messages on all links of the process share one token bucket (shaper). It limits them to nine tenths of the machine's
+// uplink rate, so that small messages are not delayed.
 //
 // # What it does not do
 //
-// It does not authenticate peers, does not retry calls, and does not define methods: packages agent and inbound do. It bounds the memory
-// of calls (Hub's maxCallBytes, maxMessageBytes), not the number of links.
+// The package does not authenticate peers and does not retry calls. It does not define methods either: packages agent and inbound do. It
+// bounds the memory of calls (Hub's maxCallBytes, maxMessageBytes), but not the number of links.
 package transport
--- a/internal/mesh/transport/example_test.go
+++ b/internal/mesh/transport/example_test.go
@@ -18,10 +18,10 @@
 // Fields implements codec.Message.
 func (g *greeting) Fields(v *codec.Visitor) { v.String(1, &g.Text) }
 
-// methodGreet is the number of a method, which never changes its meaning.
+// methodGreet is the number of a method. The meaning of such a number never changes.
 const methodGreet = 100
 
-// Two processes: one handles a method, the other calls it.
+// A server handles a method, and a client calls it.
 func Example() {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	}
 	fmt.Println(reply.Text)
 
-	server.Drain(server.Now() + time.Second) // replies to what has come, and then ends its links
+	server.Drain(server.Now() + time.Second) // completes its replies, and then closes its links
 	client.Close()
 	fmt.Println(<-served)
 	// Output:
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	maxChunkBytes   = 16 << 10            // of a message's bytes in one frame
-	maxFrameBytes   = maxChunkBytes + 256 // a chunk and its envelope
-	maxMessageBytes = 72 << 20            // of a complete message: the largest body of a request, and its header
-	protocolVersion = 1                   // in Hello; a link to a peer with another version is closed
-	lengthBytes     = 4                   // of the length that precedes a frame
+	maxChunkBytes   = 16 << 10            // largest part of a message in one frame
+	maxFrameBytes   = maxChunkBytes + 256 // largest chunk and its envelope
+	maxMessageBytes = 72 << 20            // largest complete message; fits the largest body of a request and its header
+	protocolVersion = 1                   // Hello.Version of this process; a link to a peer with another version is closed
+	lengthBytes     = 4                   // size of the length that precedes a frame
 )
 
-// frameKind is the purpose of a frame. The numbers are part of the protocol.
+// frameKind is the type of a frame. The numbers are part of the protocol.
 type frameKind uint64
 
 const (
-	helloFrame   frameKind = 1 // body: a Hello; the first frame of each side, and only the first
+	helloFrame   frameKind = 1 // the body is a Hello; each side sends it exactly once, as its first frame
 	callFrame    frameKind = 2 // a chunk of a call
-	replyFrame   frameKind = 3 // a chunk of the reply to the call with the same stream
+	replyFrame   frameKind = 3 // a chunk of the reply to the call with the same stream number
 	cancelFrame  frameKind = 4 // the caller has cancelled the call, which still gets a reply
 	pingFrame    frameKind = 5 // requests a pong
-	pongFrame    frameKind = 6
-	leavingFrame frameKind = 7 // the sender is draining: it replies to the calls that it has, and accepts no new ones on this link
+	pongFrame    frameKind = 6 // the response to a ping
+	leavingFrame frameKind = 7 // the sender is draining: it replies to the calls that it has received, and accepts no new ones on this link
 )
 
 // envelope is a frame without its length.
 type envelope struct {
 	kind      uint64        // a frameKind; receivers ignore unknown kinds
-	stream    uint64        // of the call
-	method    uint64        // of the call; 0 in frames of other kinds
-	last      bool          // the chunk completes its message
-	sentAt    time.Duration // on the sender's clock
-	expiresAt time.Duration // of a call, on the sender's clock; 0 for never
-	body      []byte        // a chunk, or a Hello
+	stream    uint64        // stream number of the call; 0 in frames that belong to no call
+	method    uint64        // method of the call; 0 in frames other than callFrame
+	last      bool          // whether the chunk completes its message
+	sentAt    time.Duration // time of sending on the sender's clock
+	expiresAt time.Duration // expiry of a call on the sender's clock; 0 if it never expires
+	body      []byte        // a chunk or a Hello; empty in other frames
 }
 
 // Fields implements codec.Message.
@@ -56,12 +56,12 @@
 
 // Hello identifies a process to its peer. It is the body of the first frame that a process sends on a link.
 type Hello struct {
-	Version     uint64 // protocolVersion
-	Incarnation uint64 // random, new at each start of the process
-	Address     string // host:port at which its peers reach it
-	Name        string // of its machine, for logs
-	Zone        string
-	Service     string // of the endpoint beside it; empty for none
+	Version     uint64 // protocol version; protocolVersion in every Hello that is sent
+	Incarnation uint64 // random number that is chosen at each start of the process
+	Address     string // host:port at which peers reach the process
+	Name        string // name of the process's machine, for logs
+	Zone        string // zone of the process's machine
+	Service     string // service of the endpoint beside the process; empty if there is none
 }
 
 // Fields implements codec.Message.
@@ -74,7 +74,7 @@
 	v.String(6, &h.Service)
 }
 
-// appendFrame appends a frame with its length to buf.
+// appendFrame appends a frame and the length that precedes it to buf, and returns the extended buffer.
 func appendFrame(buf []byte, frame *envelope) []byte {
 	start := len(buf)
 	buf = append(buf, 0, 0, 0, 0)
@@ -83,7 +83,8 @@
 	return buf
 }
 
-// readFrame reads a frame. Its body is not overwritten by later frames. The error is io.EOF if the connection ends between two frames.
+// readFrame reads the next frame into frame. Its body is newly allocated, so that later frames do not overwrite it. The error is io.EOF if
+// the connection ends between two frames. A frame that is truncated, too long or can't be unmarshalled is an error, too.
 func readFrame(r *bufio.Reader, frame *envelope) error {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -95,7 +96,7 @@
 	}
 	data := make([]byte, n)
 	if _, err := io.ReadFull(r, data); err != nil {
-		return trace.Wrap(err, "half a frame")
+		return trace.Wrap(err, "the connection ended within a frame")
 	}
 	*frame = envelope{}
 	return trace.Wrap(codec.Unmarshal(data, frame), "frame")
--- a/internal/mesh/transport/golden_test.go
+++ b/internal/mesh/transport/golden_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// goldenClock is the sender's clock in golden frames.
+// goldenClock is the time on the sender's clock in golden frames.
 const goldenClock = 1500 * time.Millisecond
 
 var goldenHello = Hello{
@@ -69,7 +69,7 @@
 			qt.Assert(t, err, qt.Equals, io.EOF)
 			qt.Assert(t, got.body, qt.DeepEquals, test.frame.body)
 			got.body = test.frame.body
-			qt.Assert(t, sameFrame(got, test.frame), qt.IsTrue, qt.Commentf("%+v, wanted %+v", got, test.frame))
+			qt.Assert(t, sameFrame(got, test.frame), qt.IsTrue, qt.Commentf("read frame %+v, want %+v", got, test.frame))
 		})
 	}
 }
@@ -80,29 +80,29 @@
 }
 
 func TestGoldenHello(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		hello Hello
 	}{
 		{"message-hello.hex", goldenHello},
 		{"message-hello-least.hex", Hello{Version: protocolVersion, Incarnation: 1, Address: "127.0.0.1:7640"}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			golden.Hex(t, x.name, codec.MarshalAppend(nil, &x.hello))
+		t.Run(test.name, func(t *testing.T) {
+			golden.Hex(t, test.name, codec.MarshalAppend(nil, &test.hello))
 			var got Hello
-			qt.Assert(t, codec.Unmarshal(golden.Read(t, x.name), &got), qt.IsNil)
-			qt.Assert(t, got, qt.Equals, x.hello)
+			qt.Assert(t, codec.Unmarshal(golden.Read(t, test.name), &got), qt.IsNil)
+			qt.Assert(t, got, qt.Equals, test.hello)
 		})
 	}
 }
 
-// rawPeer is the other end of a link, on which a test sends bytes. It records the frames that it reads, as they were received over TCP
-// but for their sentAt, which is set to goldenClock.
+// rawPeer is the other end of a link, on which a test sends bytes. It records the frames that it reads, exactly as they were received
+// except for sentAt, which it sets to goldenClock.
 type rawPeer struct {
 	*qt.C
 	conn net.Conn
 	r    *bufio.Reader
-	read []byte
+	read []byte // encoded frames that next has returned
 }
 
 func newRawPeer(t *testing.T, conn net.Conn) *rawPeer {
@@ -118,7 +118,7 @@
 	r.Assert(err, qt.IsNil)
 }
 
-// next reads and records the next frame other than a ping, which a hub sends on a slow machine.
+// next reads, records and returns the next frame. It skips pings, which a hub sends if the machine is slow.
 func (r *rawPeer) next() envelope {
 	r.Helper()
 	for {
@@ -150,7 +150,7 @@
 	return h
 }
 
-// The frames of a hub that was dialled: its hello, replies, a pong, and that it is draining.
+// The golden file has the frames of a hub that was dialled: its hello, replies, a pong, and the frame that it is draining.
 func TestGoldenAcceptedLink(t *testing.T) {
 	server := goldenHub(t)
 	listener := listen(t)
@@ -180,7 +180,7 @@
 	peer.next()
 	peer.send(golden.Read(t, "ping.hex"))
 	peer.next()
-	peer.send(appendFrame(nil, &envelope{kind: 99, stream: 4})) // of a later version: ignored
+	peer.send(appendFrame(nil, &envelope{kind: 99, stream: 4})) // a frame kind of a later version, which the hub ignores
 	again := codec.MarshalAppend(nil, &textMessage{"again"})
 	peer.send(appendFrame(nil, &envelope{kind: uint64(callFrame), stream: 5, method: 1, last: true, body: again}))
 	peer.next()
@@ -195,7 +195,7 @@
 	golden.Hex(t, "accepted-link.hex", peer.read)
 }
 
-// The frames of a hub that dials: its hello, calls in one frame and in several, and the cancellation of one.
+// The golden file has the frames of a hub that dials: its hello, calls of one frame and of several, and the cancellation of a call.
 func TestGoldenDialledLink(t *testing.T) {
 	client := goldenHub(t)
 	listener := listen(t)
@@ -204,8 +204,8 @@
 		body []byte
 		err  error
 	}
-	ends := make(chan result, 2)
-	done := func(body []byte, err error) { ends <- result{body, err} }
+	results := make(chan result, 2)
+	done := func(body []byte, err error) { results <- result{body, err} }
 	client.Send(listener.Addr().String(), 10, []byte("question"), 2*time.Second, done)
 	conn, err := listener.Accept()
 	qt.Assert(t, err, qt.IsNil)
@@ -214,7 +214,7 @@
 	peer.send(golden.Read(t, "hello.hex"))
 	peer.next()
 	peer.send(golden.Read(t, "reply.hex"))
-	first := <-ends
+	first := <-results
 	peer.Assert(first.err, qt.IsNil)
 	peer.Assert(string(first.body), qt.Equals, "answer")
 	call := client.Send(listener.Addr().String(), 1, bytes.Repeat([]byte{0xab}, maxChunkBytes+100), 0, done)
@@ -224,7 +224,7 @@
 	peer.next()
 	peer.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, body: []byte("half")}))
 	peer.send(appendFrame(nil, &envelope{kind: uint64(replyFrame), stream: 2, last: true, body: []byte(" and half")}))
-	second := <-ends
+	second := <-results
 	peer.Assert(second.err, qt.IsNil)
 	peer.Assert(string(second.body), qt.Equals, "half and half")
 	golden.Hex(t, "dialled-link.hex", peer.read)
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -11,50 +11,50 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Hub manages a process's links: those that it has dialled, by address, and those that it has accepted. It is safe for concurrent use.
+// Hub manages the links that a process has dialled, by address, and those that it has accepted. It is safe for concurrent use.
 //
-// Close ends the goroutines of the hub and its links, and waits for them. It does not wait for handlers that were registered with Handle,
-// nor for functions that were passed to Send; replies after Close are dropped.
+// Close ends the goroutines of the hub and of its links, and waits for them. It does not wait for handlers that were registered with
+// Handle, nor for functions that were passed to Send; replies after Close are discarded.
 type Hub struct {
 	log          *logrus.Logger
 	self         Hello
-	startedAt    time.Time // zero of the process's clock
-	maxCallBytes int       // of the memory of peers' calls, for one call and for all together
+	startedAt    time.Time // time zero of the process's clock
+	maxCallBytes int       // limit of the memory for peers' calls, for each call and for all together
 	shaper       shaper
 
 	ctx        context.Context // done once the hub is closed
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // monitorLinks, and each link's reader and writer
+	goroutines sync.WaitGroup // covers monitorLinks, and the reader and the writer of each link
 
-	// reservedBytes are the bytes of peers' calls without a reply, and of incomplete replies to this process's calls.
+	// reservedBytes counts the bytes of peers' calls without a reply, and of incomplete replies to this process's calls.
 	reservedBytes atomic.Int64
 	traffic       trafficCounters
 
-	handlersMu sync.RWMutex // methods may be registered while links are up
-	handlers   map[uint64]func(*IncomingCall)
+	handlersMu sync.RWMutex                   // guards handlers: methods may be registered while links are up
+	handlers   map[uint64]func(*IncomingCall) // handlers by method
 
-	// These two are set before the first link.
+	// onLinkLost and dialConn are set before the first link exists, and need no lock.
 	onLinkLost func(address, reason string)
 	dialConn   func(address string) (net.Conn, error)
 
-	mu        sync.Mutex       // guards what follows; locked before a link's mutex
-	links     map[string]*Link // dialled links that take new calls, by address
-	accepted  map[*Link]bool   // all other links: those that peers have dialled, and dialled ones that are retired
-	listeners []net.Listener
-	closing   bool // draining or closed: links that end are not reported as lost
-	closed    bool // no goroutine may be started
+	mu          sync.Mutex       // guards the fields below; locked before a link's mutex
+	activeLinks map[string]*Link // dialled links that take new calls, by address
+	otherLinks  map[*Link]bool   // accepted links, and dialled links that are retired
+	listeners   []net.Listener
+	closing     bool // whether the hub is draining or closed; links that end are then not reported as lost
+	closed      bool // whether the hub is closed; no goroutine may then be started
 }
 
-// NewHub returns a hub that sends self as its Hello. The hub's clock starts at start. maxCallBytes bounds the memory of peers' calls, for
-// one call (beyond it the link is closed) and for all together (beyond it a call gets the empty reply). Close must be called to end the
-// hub's goroutines.
+// NewHub returns a hub that sends self as its Hello. The hub's clock starts at start. maxCallBytes bounds the memory of peers' calls: a
+// single call that exceeds it closes its link, and a call with which all calls together exceed it gets an empty reply. The caller must
+// call Close to end the hub's goroutines.
 func NewHub(self Hello, start time.Time, maxCallBytes int, log *logrus.Logger) *Hub {
 	self.Version = protocolVersion
 	h := &Hub{
 		log: log, self: self, startedAt: start, maxCallBytes: maxCallBytes,
-		handlers: map[uint64]func(*IncomingCall){},
-		links:    map[string]*Link{},
-		accepted: map[*Link]bool{},
+		handlers:    map[uint64]func(*IncomingCall){},
+		activeLinks: map[string]*Link{},
+		otherLinks:  map[*Link]bool{},
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.dialConn = h.dialTCP
@@ -68,33 +68,34 @@
 // Self returns the Hello of this process.
 func (h *Hub) Self() Hello { return h.self }
 
-// OnLinkLost sets a function that is called, without locks, when a link that this process dialled ends or its peer drains, unless this
-// process closed the link because it was idle. It must be set before the first call.
+// OnLinkLost sets a function that is called, without locks, when a link that this process dialled ends or when its peer drains. The
+// function is not called for links that this process closes because they are idle, or because the hub drains or closes. It must be set
+// before the first call.
 func (h *Hub) OnLinkLost(f func(address, reason string)) { h.onLinkLost = f }
 
 // SetDialer replaces the function that dials peers, TCP by default. It must be set before the first call.
 func (h *Hub) SetDialer(f func(address string) (net.Conn, error)) { h.dialConn = f }
 
-// LimitRate sets the rate of the machine's uplink, in bits per second, of which large messages take nine tenths at most; 0 for no bound.
+// LimitRate sets the rate of the machine's uplink in bits per second; 0 if it is unlimited. Large messages use at most nine tenths of it.
 func (h *Hub) LimitRate(bitsPerSecond float64) { h.shaper.limitRate(bitsPerSecond) }
 
-// Backlog returns the time until all queued large messages, and moreBytes more, have been sent; 0 if the rate is not bounded.
+// Backlog returns the time that it takes to send all queued large messages and moreBytes more; 0 if the rate is unlimited.
 func (h *Hub) Backlog(moreBytes float64) time.Duration { return h.shaper.backlog(moreBytes) }
 
-// LinkCounts returns the number of dialled links that take new calls, and that of all other links: accepted ones, and dialled ones that are
-// retired.
-func (h *Hub) LinkCounts() (dialled, accepted int) {
+// LinkCounts returns the number of active links, which are dialled links that take new calls, and the number of other links, which are
+// accepted links and dialled links that are retired.
+func (h *Hub) LinkCounts() (active, other int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.links), len(h.accepted)
+	return len(h.activeLinks), len(h.otherLinks)
 }
 
-// Traffic counts the frames that a hub's links have sent and received, and their bytes, without the headers of TCP and IP.
+// Traffic counts the frames that a hub's links have sent and received, and the bytes of these frames, without the headers of TCP and IP.
 type Traffic struct{ SentBytes, SentFrames, ReceivedBytes, ReceivedFrames uint64 }
 
 type trafficCounters struct{ sentBytes, sentFrames, receivedBytes, receivedFrames atomic.Uint64 }
 
-// Traffic returns the traffic of all links since the hub was made.
+// Traffic returns the traffic of all links since the hub was created.
 func (h *Hub) Traffic() Traffic {
 	return Traffic{
 		SentBytes:      h.traffic.sentBytes.Load(),
@@ -104,11 +105,11 @@
 	}
 }
 
-// linkTo returns the link to an address, and dials it if there is none. In a closed hub it returns a closed link.
+// linkTo returns the active link to an address, and dials a new one if there is none. In a closed hub it returns a closed link.
 func (h *Hub) linkTo(address string) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if l := h.links[address]; l != nil {
+	if l := h.activeLinks[address]; l != nil {
 		return l
 	}
 	l := newLink(h, address, true)
@@ -117,27 +118,27 @@
 		l.closeReason = reasonClosed
 		return l
 	}
-	h.links[address] = l
+	h.activeLinks[address] = l
 	h.goroutines.Go(func() { h.dial(l) })
 	return l
 }
 
-// removeLink removes a link that has ended, and reports it as lost if it was in use.
+// removeLink removes a link that has ended, and reports it as lost if it was active and the hub is not closing.
 func (h *Hub) removeLink(l *Link, reason string) {
 	h.mu.Lock()
-	current := h.links[l.peer] == l
-	if current {
-		delete(h.links, l.peer)
+	active := h.activeLinks[l.peer] == l
+	if active {
+		delete(h.activeLinks, l.peer)
 	}
-	delete(h.accepted, l)
-	notify := current && !h.closing && h.onLinkLost != nil
+	delete(h.otherLinks, l)
+	notify := active && !h.closing && h.onLinkLost != nil
 	h.mu.Unlock()
 	if notify {
 		h.onLinkLost(l.peer, reason)
 	}
 }
 
-// retire takes a dialled link out of use for new calls, as its peer is draining. Its pending calls are completed.
+// retire makes new calls use another link, because the peer of this dialled link is draining. Pending calls are completed.
 func (h *Hub) retire(l *Link) {
 	if h.markRetired(l) && h.onLinkLost != nil {
 		h.onLinkLost(l.peer, reasonLeaving)
@@ -145,23 +146,24 @@
 	l.endIfRetired()
 }
 
-// markRetired moves a link from links to accepted. It reports whether the link is to be reported as lost: it was in use, and the hub is not
-// closing.
+// markRetired moves a link from activeLinks to otherLinks. It returns true if the link must be reported as lost: it was active, and the hub
+// is not closing.
 func (h *Hub) markRetired(l *Link) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h.links[l.peer] != l || l.closed {
+	if h.activeLinks[l.peer] != l || l.closed {
 		return false
 	}
-	delete(h.links, l.peer)
-	h.accepted[l] = true
+	delete(h.activeLinks, l.peer)
+	h.otherLinks[l] = true
 	l.retired = true
 	return !h.closing
 }
 
-// closeIfIdle closes a dialled link that has had no call for idleTimeout, and reports whether it did. The next call dials a new link.
+// closeIfIdle closes a dialled link that has had no call for idleTimeout, and reports whether it closed the link. The next call dials a new
+// link.
 func (h *Hub) closeIfIdle(l *Link, now time.Duration) bool {
 	if !h.markIdle(l, now) {
 		return false
@@ -171,17 +173,17 @@
 	return true
 }
 
-// markIdle marks a dialled link as closed if it is idle, and reports whether it did.
+// markIdle marks a dialled link as closed if it is idle, and reports whether it was idle.
 func (h *Hub) markIdle(link *Link, now time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	idle := h.links[link.peer] == link && link.peerGreeted && !link.closed && len(link.pending) == 0 && now-link.lastCallAt > idleTimeout
+	idle := h.activeLinks[link.peer] == link && link.peerGreeted && !link.closed && len(link.pending) == 0 && now-link.lastCallAt > idleTimeout
 	if !idle {
 		return false
 	}
-	delete(h.links, link.peer)
+	delete(h.activeLinks, link.peer)
 	link.closed = true
 	link.retired = true
 	link.closeReason = reasonIdle
@@ -215,11 +217,11 @@
 func (h *Hub) allLinks() (links []*Link, closing bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	links = make([]*Link, 0, len(h.links)+len(h.accepted))
-	for _, l := range h.links {
+	links = make([]*Link, 0, len(h.activeLinks)+len(h.otherLinks))
+	for _, l := range h.activeLinks {
 		links = append(links, l)
 	}
-	for l := range h.accepted {
+	for l := range h.otherLinks {
 		links = append(links, l)
 	}
 	return links, h.closing
@@ -235,13 +237,14 @@
 	for _, l := range links {
 		l.fail(reasonClosed)
 	}
-	h.cancel() // after the links, so that the calls of a link being dialled end with reasonClosed, not with the dialler's error
+	// Only after the links have ended, so that the calls of a link being dialled end with reasonClosed, not with the dialler's error.
+	h.cancel()
 	h.goroutines.Wait()
 }
 
-// closeConn closes the connection of a link that has ended. An error has no consequence, and is logged only.
+// closeConn closes the connection of a link that has ended. It only logs an error, because the connection is no longer used.
 func (h *Hub) closeConn(conn net.Conn, peer string) {
 	if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		h.log.WithField("peer", peer).WithError(err).Debug("transport: a connection did not close")
+		h.log.WithField("peer", peer).WithError(err).Debug("transport: failed to close a connection")
 	}
 }
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	dialTimeout       = 600 * time.Millisecond // to establish a connection
-	idleTimeout       = 30 * time.Second       // since the last call, after which the side that dialled closes the link
-	leaveTimeout      = 300 * time.Millisecond // for the peer of a draining process to close the link, before its sending half is closed
-	readBufferBytes   = 4 << 10
-	socketBufferBytes = 128 << 10 // of the kernel's write buffer; small, as no frame can overtake the bytes in it
+	dialTimeout       = 600 * time.Millisecond // limit for establishing a connection
+	idleTimeout       = 30 * time.Second       // time since the last call after which the side that dialled closes the link
+	leaveTimeout      = 300 * time.Millisecond // time after a leavingFrame until this side closes its sending half, if the peer has not closed the link
+	readBufferBytes   = 4 << 10                // size of a link's read buffer
+	socketBufferBytes = 128 << 10              // size of the kernel's write buffer; small, because no frame can overtake the bytes in it
 )
 
-// Reasons why a link ended, or a call got no reply. They appear in errors and logs. If a connection fails its error is the reason.
+// Reasons why a link ended, or why a call got no reply. They appear in errors and logs. If a connection fails, the text of its error is the
+// reason.
 const (
 	reasonCancelled    = "withdrawn"
 	reasonClosed       = "closed"
@@ -27,50 +28,50 @@
 	reasonTooManyCalls = "too many calls at once"
 )
 
-// Link is a connection to one peer. The side that dialled sends calls, the side that accepted replies.
+// Link is a connection to one peer. The side that dialled it sends calls, and the side that accepted it replies.
 type Link struct {
 	hub        *Hub
-	peer       string        // the peer's address; of a dialled link also its key in the hub
-	dialled    bool          // by this process
-	writerWake chan struct{} // of capacity 1; wakes the writer
+	peer       string        // the peer's address; for a dialled link also its key in Hub.activeLinks
+	dialled    bool          // whether this process dialled the link
+	writerWake chan struct{} // wakes the writer; its capacity is 1
 
-	mu          sync.Mutex // guards what follows; locked after the hub's mutex and before the shaper's
+	mu          sync.Mutex // guards the fields below; locked after the hub's mutex and before the shaper's
 	conn        net.Conn   // nil until the connection is established; set once
 	connectedAt time.Duration
 	closed      bool
 	closeReason string
-	retired     bool // no new calls are sent on it: it was closed as idle, or its peer is draining
-	peerGreeted bool // the peer's hello was received
+	retired     bool // whether new calls need another link: this one was closed as idle, or its peer is draining
+	peerGreeted bool // whether the peer's hello was received
 	peerHello   Hello
 	lastCallAt  time.Duration // when this process last made a call
 
-	lastStream uint64                   // of this process's last call
-	pending    map[uint64]*PendingCall  // by stream: this process's calls without a reply
-	incoming   map[uint64]*IncomingCall // by stream: the peer's complete calls without a reply
-	partial    map[uint64]*IncomingCall // by stream: the peer's incomplete calls
+	lastStream uint64                   // stream number of this process's last call
+	pending    map[uint64]*PendingCall  // this process's calls without a reply, by stream number
+	incoming   map[uint64]*IncomingCall // the peer's complete calls without a reply, by stream number
+	incomplete map[uint64]*IncomingCall // the peer's calls of which chunks are still missing, by stream number
 
 	queue   sendQueue
-	writing bool // the writer has taken bytes from the queue that it has not written to the connection yet
+	writing bool // whether the writer has taken bytes from the queue that it has not written to the connection yet
 
 	liveness  liveness
 	peerClock peerClock
 
-	leavingSince time.Duration // when the leavingFrame was queued; 0 for not yet
-	writeClosed  bool          // the sending half of the connection is closed
+	leavingSince time.Duration // when the leavingFrame was queued; 0 if it was not queued yet
+	writeClosed  bool          // whether the sending half of the connection is closed
 }
 
 func newLink(h *Hub, peer string, dialled bool) *Link {
 	now := h.Now()
 	return &Link{
 		hub: h, peer: peer, dialled: dialled, writerWake: make(chan struct{}, 1),
-		pending:  map[uint64]*PendingCall{},
-		incoming: map[uint64]*IncomingCall{},
-		partial:  map[uint64]*IncomingCall{},
-		liveness: liveness{lastReceivedAt: now, lastCheckAt: now},
+		pending:    map[uint64]*PendingCall{},
+		incoming:   map[uint64]*IncomingCall{},
+		incomplete: map[uint64]*IncomingCall{},
+		liveness:   liveness{lastReceivedAt: now, lastCheckAt: now},
 	}
 }
 
-// run serves the link on a connection until the link ends. It returns when the reader has ended.
+// run serves the link on a connection. It blocks until the link ends and the reader has returned.
 func (l *Link) run(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(socketBufferBytes) // the link works with any size
@@ -84,7 +85,7 @@
 	l.readLoop(conn)
 }
 
-// attach sets the link's connection, and queues the hello as the first frame. It returns false if the link was closed meanwhile.
+// attach sets the link's connection, and queues the hello as the first frame. It returns false if the link is already closed.
 func (l *Link) attach(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,50 +100,50 @@
 	return true
 }
 
-// mayCall reports whether calls may be sent. The kernel accepts connections for a suspended process: no call is sent before the process's
-// hello, so that none is executed late when the process resumes. The lock is held.
-func (l *Link) mayCall() bool { return l.peerGreeted || !l.dialled }
+// canSendCalls reports whether calls may be sent. The kernel accepts connections even for a suspended process. No call is therefore sent
+// before the peer's hello has arrived, so that none is executed late, when the peer resumes. The caller holds the lock.
+func (l *Link) canSendCalls() bool { return l.peerGreeted || !l.dialled }
 
-// unanswered has the calls without a reply of a link that has ended, and its connection.
-type unanswered struct {
-	conn     net.Conn // nil if there was none yet
+// unansweredCalls are the calls without a reply of a link that has ended, and the link's connection.
+type unansweredCalls struct {
+	conn     net.Conn // nil if the connection was not established yet
 	pending  map[uint64]*PendingCall
 	incoming map[uint64]*IncomingCall
 }
 
-// fail ends the link; later calls have no effect. This process's pending calls end with a ConnectionError, and the peer's calls are
-// cancelled. The lock is not held.
+// fail ends the link; only the first call has an effect. This process's pending calls end with a ConnectionError, and the peer's calls are
+// cancelled. The caller must not hold the lock.
 func (l *Link) fail(reason string) {
-	left, ok := l.close(reason)
+	unanswered, ok := l.markClosed(reason)
 	if !ok {
 		return
 	}
-	if left.conn != nil {
-		if tcp, ok := left.conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // the kernel drops unsent bytes: no call may arrive after it has ended with a ConnectionError
+	if unanswered.conn != nil {
+		if tcp, ok := unanswered.conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // the kernel discards unsent bytes, so that no call arrives after it has ended with a ConnectionError
 		}
-		l.hub.closeConn(left.conn, l.peer)
+		l.hub.closeConn(unanswered.conn, l.peer)
 	}
 	l.wakeWriter()
 	l.hub.removeLink(l, reason)
-	for _, call := range left.incoming {
+	for _, call := range unanswered.incoming {
 		call.cancel()
 	}
-	for _, call := range left.pending {
+	for _, call := range unanswered.pending {
 		call.done(nil, &ConnectionError{Peer: l.peer, Reason: reason, Sent: call.fullySent})
 	}
 }
 
-// close marks the link as closed, drops its queue and releases the memory of its calls. It returns false if the link was closed before.
-func (l *Link) close(reason string) (left unanswered, ok bool) {
+// markClosed marks the link as closed, discards its queue and releases the memory of its calls. ok is false if it was already closed.
+func (l *Link) markClosed(reason string) (unanswered unansweredCalls, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		return unanswered{}, false
+		return unansweredCalls{}, false
 	}
 	l.closed = true
 	l.closeReason = reason
-	for _, call := range l.partial {
+	for _, call := range l.incomplete {
 		call.release()
 	}
 	for _, call := range l.incoming {
@@ -151,27 +152,27 @@
 	for _, call := range l.pending {
 		l.hub.reservedBytes.Add(-int64(call.reservedBytes))
 	}
-	left = unanswered{conn: l.conn, pending: l.pending, incoming: l.incoming}
+	unanswered = unansweredCalls{conn: l.conn, pending: l.pending, incoming: l.incoming}
 	l.pending = map[uint64]*PendingCall{}
 	l.incoming = map[uint64]*IncomingCall{}
-	l.partial = map[uint64]*IncomingCall{}
+	l.incomplete = map[uint64]*IncomingCall{}
 	l.queue.clear(&l.hub.shaper)
-	return left, true
+	return unanswered, true
 }
 
-// endIfRetired ends a retired link without pending calls.
+// endIfRetired ends the link if it is retired and has no pending calls.
 func (l *Link) endIfRetired() {
 	l.mu.Lock()
-	unused := l.retired && !l.closed && len(l.pending) == 0
+	finished := l.retired && !l.closed && len(l.pending) == 0
 	l.mu.Unlock()
-	if unused {
+	if finished {
 		l.fail(reasonLeaving)
 	}
 }
 
-// drain advances the draining of an accepted link, and reports whether the link has ended. First it notifies the peer, which closes the
-// link once it has received all replies. If the peer has not done so within leaveTimeout, this side closes its sending half after the
-// last reply. It is called every drainPollInterval.
+// drain takes the next step in draining an accepted link, and reports whether the link has ended. The first call notifies the peer, which
+// closes the link once it has received all replies. If the peer has not closed it within leaveTimeout, this side closes its sending half
+// after the last reply. The hub calls drain every drainPollInterval.
 func (l *Link) drain(now time.Duration) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,10 +191,10 @@
 	return false
 }
 
-// allReplied reports whether the replies to all calls of the peer were written completely. The lock is held.
+// allReplied reports whether the replies to all calls of the peer were written completely. The caller holds the lock.
 func (l *Link) allReplied() bool { return !l.writing && len(l.incoming) == 0 && l.queue.len() == 0 }
 
-// closeWrite closes the sending half of the connection: the peer reads EOF after the last reply. The lock is held.
+// closeWrite closes the sending half of the connection, so that the peer reads EOF after the last reply. The caller holds the lock.
 func (l *Link) closeWrite() {
 	l.writeClosed = true
 	half, ok := l.conn.(interface{ CloseWrite() error })
@@ -202,6 +203,6 @@
 		return
 	}
 	if err := half.CloseWrite(); err != nil {
-		l.hub.log.WithField("peer", l.peer).WithError(err).Debug("transport: the sending half of a link did not close")
+		l.hub.log.WithField("peer", l.peer).WithError(err).Debug("transport: failed to close the sending half of a connection")
 	}
 }
--- a/internal/mesh/transport/liveness.go
+++ b/internal/mesh/transport/liveness.go
@@ -3,34 +3,34 @@
 import "time"
 
 const (
-	checkInterval    = 100 * time.Millisecond  // between two checks of all links
-	pendingPingDelay = 300 * time.Millisecond  // since the last frame, after which a ping is sent while calls are pending
-	idlePingDelay    = 2 * time.Second         // the same while none are
-	helloTimeout     = 1000 * time.Millisecond // from the connection to the peer's hello
-	pongTimeout      = 1000 * time.Millisecond // from a ping to any frame of the peer
-	suspendThreshold = 500 * time.Millisecond  // between two checks, above which this process counts as having been suspended
+	checkInterval    = 100 * time.Millisecond  // time between two checks of all links
+	pendingPingDelay = 300 * time.Millisecond  // time since the last frame after which a ping is sent, while calls are pending
+	idlePingDelay    = 2 * time.Second         // time since the last frame after which a ping is sent, while no calls are pending
+	helloTimeout     = 1000 * time.Millisecond // time that a peer has for its hello, from when the connection is established
+	pongTimeout      = 1000 * time.Millisecond // time that a peer has to send any frame after a ping
+	suspendThreshold = 500 * time.Millisecond  // time between two checks above which this process is presumed to have been suspended
 )
 
-// liveness determines whether a peer that sends nothing is idle or lost. Its link's lock guards it; times are on this process's clock.
+// liveness determines whether a peer that sends nothing is idle or lost. The lock of its link guards it. Times are on this process's clock.
 type liveness struct {
 	lastReceivedAt time.Duration // when the last frame was received
-	pingSentAt     time.Duration // when a ping was sent, if no frame was received since; 0 for none
-	lastCheckAt    time.Duration
+	pingSentAt     time.Duration // when the outstanding ping was sent; 0 if a frame was received since
+	lastCheckAt    time.Duration // when resumed was last called
 }
 
-// received records a frame of the peer.
-func (v *liveness) received(now time.Duration) {
+// frameReceived records that a frame of the peer was received.
+func (v *liveness) frameReceived(now time.Duration) {
 	v.lastReceivedAt = now
 	v.pingSentAt = 0
 }
 
-// resumed reports whether this process was suspended since the last check. If so, it resets the time-outs, as the frames that the peer has
-// sent meanwhile are not read yet.
+// resumed reports whether this process was suspended since the last check. If so, it restarts the time-outs, because frames that the peer
+// has sent in the meantime may not have been read yet.
 func (v *liveness) resumed(now time.Duration) bool {
 	suspended := now-v.lastCheckAt > suspendThreshold
 	v.lastCheckAt = now
 	if suspended {
-		v.received(now)
+		v.frameReceived(now)
 	}
 	return suspended
 }
@@ -39,15 +39,15 @@
 	return v.pingSentAt != 0 && now-v.pingSentAt > pongTimeout
 }
 
-// pingDue reports whether a ping is to be sent: no pong is outstanding, and the peer has sent nothing for longer than delay.
+// pingDue reports whether a ping must be sent: none is outstanding, and the peer has sent nothing for longer than delay.
 func (v *liveness) pingDue(now, delay time.Duration) bool {
 	return v.pingSentAt == 0 && now-v.lastReceivedAt > delay
 }
 
-// peerClock translates times on a peer's clock to this process's. Its link's lock guards it.
+// peerClock converts times on a peer's clock to times on this process's clock. The lock of its link guards it.
 type peerClock struct {
-	offset time.Duration // smallest difference seen between this clock, when a frame was received, and the frame's sentAt
-	known  bool
+	offset time.Duration // smallest observed difference between the time when a frame was received and the frame's sentAt
+	known  bool          // whether a frame was observed
 }
 
 func (c *peerClock) observe(now, sentAt time.Duration) {
@@ -59,7 +59,7 @@
 
 func (c *peerClock) toLocal(peerTime time.Duration) time.Duration { return peerTime + c.offset }
 
-// checkLiveness pings a peer that has sent nothing for a while, and ends the link if the peer does not respond. It is called every
+// checkLiveness pings a peer that has sent nothing for a while, and ends the link if the peer does not respond. The hub calls it every
 // checkInterval.
 func (l *Link) checkLiveness(now time.Duration) {
 	l.endIfRetired()
@@ -72,7 +72,7 @@
 	}
 }
 
-// pingIfDue queues a ping if one is due. failure is the reason why the peer counts as lost; empty if it does not.
+// pingIfDue queues a ping if one is due. failure is the reason why the peer is presumed lost; empty if it is not.
 func (l *Link) pingIfDue(now time.Duration) (pinged bool, failure string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 	switch {
 	case l.closed || l.conn == nil:
 		return false, ""
-	case !l.mayCall() && !suspended && now-l.connectedAt > helloTimeout:
+	case !l.canSendCalls() && !suspended && now-l.connectedAt > helloTimeout:
 		return false, reasonNoHello
 	case l.liveness.pongOverdue(now):
 		return false, reasonNoPong
--- a/internal/mesh/transport/methods.go
+++ b/internal/mesh/transport/methods.go
@@ -9,14 +9,14 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// HandleRaw registers the handler of a method. It is called on the goroutine that reads the link, and must not block.
+// HandleRaw registers the handler of a method. The handler is called on the goroutine that reads the link, and must not block.
 func (h *Hub) HandleRaw(method uint64, handler func(*IncomingCall)) {
 	h.handlersMu.Lock()
 	defer h.handlersMu.Unlock()
 	h.handlers[method] = handler
 }
 
-// dispatch calls the handler of a complete call. A call of an unknown method, of a later version, gets the empty reply.
+// dispatch calls the handler of a complete call. A call of an unknown method, which a later version may have, gets an empty reply.
 func (h *Hub) dispatch(call *IncomingCall) {
 	h.handlersMu.RLock()
 	handler := h.handlers[call.method]
@@ -28,9 +28,9 @@
 	handler(call)
 }
 
-// Handle registers the handler of a method, with the types of its request and reply. The handler is called on a goroutine of its own, and
-// may block. ctx ends when the handler returns or the hub is closed. If the handler returns nil, the call gets the empty reply, all fields
-// of which are zero. A request that can't be unmarshalled closes the link, and is logged.
+// Handle registers the handler of a method, with the types of its request and reply. Each call of the handler runs on a dedicated
+// goroutine, and may block. ctx ends when the handler returns or the hub is closed. If the handler returns nil, the call gets an empty
+// reply, all fields of which are zero. A request that can't be unmarshalled is logged, and closes the link.
 func Handle[Q, A any, PQ interface {
 	*Q
 	codec.Message
@@ -42,7 +42,7 @@
 		var request Q
 		if err := codec.Unmarshal(call.Body, PQ(&request)); err != nil {
 			h.log.WithField("peer", call.link.peer).WithField("method", method).WithError(err).
-				Warn("transport: invalid request, the link is closed")
+				Warn("transport: invalid request, closing the link")
 			call.link.fail(err.Error())
 			return
 		}
@@ -58,9 +58,9 @@
 	})
 }
 
-// Send calls a method of the process at an address, and dials a link if there is none. done is called once, on another goroutine, with the
-// reply or a ConnectionError; it must not block. The peer does not start to execute the call after expiresAt, a time on this process's
-// clock; 0 for no expiry.
+// Send calls a method of the process at an address. It dials a link if there is none. done is called once, on another goroutine, with the
+// reply or a *ConnectionError; it must not block. expiresAt is the time, on this process's clock, after which the peer does not start to
+// execute the call; 0 if the call never expires.
 func (h *Hub) Send(address string, method uint64, body []byte, expiresAt time.Duration,
 	done func(body []byte, err error),
 ) *PendingCall {
@@ -69,12 +69,12 @@
 		if h.linkTo(address).startCall(call) {
 			return call
 		}
-		// The link was retired after linkTo returned it; the next call of linkTo returns another one.
+		// The link was retired after linkTo had returned it; the next call of linkTo returns another link.
 	}
 }
 
-// Request calls a method of the process at an address and waits for the reply. The error is a *ConnectionError, ctx.Err(), or that of
-// codec.Unmarshal for the reply, wrapped. If ctx ends the call is cancelled.
+// Request calls a method of the process at an address and waits for the reply. The error is a *ConnectionError, ctx.Err(), or the wrapped
+// error of codec.Unmarshal if the reply is invalid. When ctx ends, Request cancels the call and returns.
 func Request[A any, PA interface {
 	*A
 	codec.Message
@@ -92,7 +92,7 @@
 		}
 		var reply A
 		if err := codec.Unmarshal(r.body, PA(&reply)); err != nil {
-			return nil, trace.Wrap(err, "answer of %s to method %d", address, method)
+			return nil, trace.Wrap(err, "unmarshal the reply of %s to method %d", address, method)
 		}
 		return &reply, nil
 	case <-ctx.Done():
--- a/internal/mesh/transport/reader.go
+++ b/internal/mesh/transport/reader.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/mesh/transport/codec"
 )
 
-// countingConn counts the bytes that are read from a connection.
+// countingConn is a connection that counts the bytes read from it in the traffic of the hub.
 type countingConn struct {
 	net.Conn
 	hub *Hub
@@ -45,7 +45,7 @@
 	}
 }
 
-// isConnectionEnd reports whether err is an error of the connection, as opposed to an invalid frame.
+// isConnectionEnd reports whether err means that the connection has ended or failed, as opposed to an invalid frame.
 func isConnectionEnd(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.As(err, &network)
@@ -53,10 +53,10 @@
 
 // warnInvalid logs that the peer has violated the protocol.
 func (l *Link) warnInvalid(err error) {
-	l.hub.log.WithField("peer", l.peer).WithField("name", l.peerName()).WithError(err).Warn("transport: invalid frame, the link is closed")
+	l.hub.log.WithField("peer", l.peer).WithField("name", l.peerName()).WithError(err).Warn("transport: invalid frame, closing the link")
 }
 
-// peerName returns the name of the peer's machine; empty before its hello.
+// peerName returns the name of the peer's machine; empty until the peer's hello was received.
 func (l *Link) peerName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +65,7 @@
 
 // handleFrame handles a frame of the peer. An error means that the peer has violated the protocol.
 func (l *Link) handleFrame(e *envelope) error {
-	l.observe(e)
+	l.recordReceived(e)
 	switch frameKind(e.kind) {
 	case helloFrame:
 		return l.handleHello(e)
@@ -79,17 +79,17 @@
 		l.handlePing()
 	case leavingFrame:
 		l.hub.retire(l)
-	default: // a pong, which observe has recorded, or a kind of a later version
+	default: // a pong, which recordReceived has handled, or a kind that only a later version knows
 	}
 	return nil
 }
 
-// observe records that a frame was received, and its sender's clock.
-func (l *Link) observe(e *envelope) {
+// recordReceived records that a frame was received, and the time on its sender's clock.
+func (l *Link) recordReceived(e *envelope) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.hub.Now()
-	l.liveness.received(now)
+	l.liveness.frameReceived(now)
 	l.peerClock.observe(now, e.sentAt)
 }
 
@@ -97,7 +97,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.peerGreeted {
-		return trace.BadParameter("a second hello")
+		return trace.BadParameter("the peer sent a second hello")
 	}
 	if err := codec.Unmarshal(e.body, &l.peerHello); err != nil {
 		return trace.Wrap(err, "hello")
@@ -106,7 +106,7 @@
 		return trace.BadParameter("speaks version %d, this is %d", l.peerHello.Version, protocolVersion)
 	}
 	l.peerGreeted = true
-	l.wakeWriter() // calls may be sent now
+	l.wakeWriter() // the writer may send calls from now on
 	return nil
 }
 
@@ -117,20 +117,21 @@
 	l.wakeWriter()
 }
 
-// handleCancel cancels a call of the peer. An incomplete call is dropped; the handler of a complete one is notified.
+// handleCancel cancels a call of the peer. It discards an incomplete call, and notifies the handler of a complete one.
 func (l *Link) handleCancel(e *envelope) {
-	if call := l.dropPartial(e.stream); call != nil {
+	if call := l.dropIncomplete(e.stream); call != nil {
 		call.cancel()
 	}
 }
 
-// dropPartial drops the incomplete call with a stream, if there is one. It returns the complete call with the stream; nil if there is none.
-func (l *Link) dropPartial(stream uint64) *IncomingCall {
+// dropIncomplete discards the incomplete call with a stream number, if there is one. It returns the complete call with that number; nil if
+// there is none.
+func (l *Link) dropIncomplete(stream uint64) *IncomingCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if partial := l.partial[stream]; partial != nil {
-		partial.release()
-		delete(l.partial, stream)
+	if call := l.incomplete[stream]; call != nil {
+		call.release()
+		delete(l.incomplete, stream)
 	}
 	return l.incoming[stream]
 }
@@ -146,8 +147,8 @@
 	return nil
 }
 
-// assembleReply appends a chunk to the reply of a pending call. It returns the call if its reply is complete; nil if not. A reply to a call
-// that has ended is dropped.
+// assembleReply appends a chunk to the reply of a pending call. It returns the call if its reply is complete, otherwise nil. A chunk for a
+// call that has ended is discarded. It fails if the reply exceeds maxMessageBytes.
 func (l *Link) assembleReply(chunk *envelope) (*PendingCall, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,14 +157,14 @@
 		return nil, nil
 	}
 	if len(call.reply)+len(chunk.body) > maxMessageBytes {
-		return nil, trace.LimitExceeded("a reply of over %d bytes", maxMessageBytes)
+		return nil, trace.LimitExceeded("the reply exceeds %d bytes", maxMessageBytes)
 	}
 	if call.reply == nil {
 		call.reply = chunk.body
 	} else {
 		call.reply = append(call.reply, chunk.body...)
 	}
-	if !chunk.last { // only incomplete replies count: a complete one is handed over to the caller
+	if !chunk.last { // only incomplete replies reserve memory: a complete one is passed to the caller at once
 		l.hub.reservedBytes.Add(int64(len(chunk.body)))
 		call.reservedBytes += len(chunk.body)
 		return nil, nil
@@ -187,14 +188,15 @@
 	return nil
 }
 
-// assembleCall appends a chunk to a call of the peer. It returns the call if it is complete; nil if not. A call beyond maxMessageBytes or
-// maxCallBytes is an error. If all calls together are beyond maxCallBytes, the call is marked overLimit.
+// assembleCall appends a chunk to a call of the peer. It returns the call if it is complete, otherwise nil. It fails if the call exceeds
+// maxMessageBytes or maxCallBytes, or if the link has too many calls. If all calls together exceed maxCallBytes, it marks the call as
+// overLimit.
 func (l *Link) assembleCall(chunk *envelope) (*IncomingCall, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	call := l.partial[chunk.stream]
+	call := l.incomplete[chunk.stream]
 	if call == nil {
-		if len(l.incoming)+len(l.partial) >= maxPendingCalls {
+		if len(l.incoming)+len(l.incomplete) >= maxPendingCalls {
 			return nil, trace.LimitExceeded("over %d calls at once", maxPendingCalls)
 		}
 		call = l.newIncomingCall(chunk)
@@ -211,15 +213,15 @@
 		call.release()
 	}
 	if !chunk.last {
-		l.partial[chunk.stream] = call
+		l.incomplete[chunk.stream] = call
 		return nil, nil
 	}
-	delete(l.partial, chunk.stream)
+	delete(l.incomplete, chunk.stream)
 	l.incoming[chunk.stream] = call
 	return call, nil
 }
 
-// newIncomingCall returns a call with its first chunk. The lock is held.
+// newIncomingCall returns a call that contains its first chunk. The caller holds the lock.
 func (l *Link) newIncomingCall(e *envelope) *IncomingCall {
 	call := &IncomingCall{link: l, stream: e.stream, From: &l.peerHello, method: e.method, Body: e.body}
 	if e.expiresAt != 0 {
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -25,11 +25,11 @@
 
 func (t *textMessage) Fields(v *codec.Visitor) { v.String(1, &t.Text) }
 
-// logCapture is the output of a log, the lines of which a test can await.
+// logCapture is the output of a log. A test can wait for its lines.
 type logCapture struct {
 	mu    sync.Mutex
 	text  strings.Builder
-	lines chan string // the first ones that were not awaited
+	lines chan string // lines that no test has waited for; when it is full, further lines are discarded
 }
 
 // Write implements io.Writer.
@@ -55,7 +55,7 @@
 	return listener
 }
 
-// dialRaw opens a connection to an address, on which a test sends bytes.
+// dialRaw opens a connection on which a test sends raw bytes.
 func dialRaw(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -67,7 +67,7 @@
 	return conn
 }
 
-// awaitLine waits for a line of the log, and checks that it has a text and names the peer.
+// awaitLine waits for a line of the log, and checks that it contains a text and the peer's address.
 func (l *logCapture) awaitLine(t *testing.T, text string) {
 	t.Helper()
 	select {
@@ -75,11 +75,11 @@
 		qt.Assert(t, line, qt.Contains, text)
 		qt.Assert(t, line, qt.Contains, "peer=")
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing was logged")
+		t.Fatal("no line was logged within 20 s")
 	}
 }
 
-// newTestHub starts a hub that listens on loopback, and returns it with its address and its log.
+// newTestHub starts a hub that listens on the loopback interface, and returns it with its address and its log.
 func newTestHub(t *testing.T, name string, maxCallBytes int) (*Hub, string, *logCapture) {
 	t.Helper()
 	listener := listen(t)
@@ -92,7 +92,7 @@
 	return h, address, out
 }
 
-// serveUntilEnd accepts links until the test has ended, and then closes the hub.
+// serveUntilEnd accepts links until the test ends, and then closes the hub.
 func serveUntilEnd(t *testing.T, h *Hub, listener net.Listener) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -101,7 +101,7 @@
 		h.Close()
 		_ = listener.Close() // a drained hub has closed it
 		if err := <-ended; err != nil {
-			t.Errorf("listen: %v", err)
+			t.Errorf("Hub.Listen returned %v, want nil", err)
 		}
 	})
 }
@@ -117,27 +117,27 @@
 	server.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	// A large call is in flight, and one without a reply yet: others overtake them.
+	// Small calls overtake a large call that is being sent, and a call that has no reply yet.
 	large := strings.Repeat("x", 3<<20)
-	got := make(chan int, 1)
-	client.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, _ error) { got <- len(body) })
-	waits := make(chan error, 1)
-	a := client.Send(address, 2, nil, 0, func(_ []byte, err error) { waits <- err })
+	replyBytes := make(chan int, 1)
+	client.Send(address, 1, codec.MarshalAppend(nil, &textMessage{large}), 0, func(body []byte, _ error) { replyBytes <- len(body) })
+	pendingError := make(chan error, 1)
+	pending := client.Send(address, 2, nil, 0, func(_ []byte, err error) { pendingError <- err })
 	for range 50 {
 		r, err := Request[textMessage](ctx, client, address, 1, &textMessage{"small"})
 		c.Assert(err, qt.IsNil)
 		c.Assert(r.Text, qt.Equals, "client small")
 	}
-	c.Assert(<-got > len(large), qt.IsTrue)
-	// The caller cancels: the other side is notified, and its reply still comes.
+	c.Assert(<-replyBytes > len(large), qt.IsTrue)
+	// The caller cancels the call that has no reply: the other side is notified, and its reply still arrives.
 	call := <-incoming
-	quit := make(chan struct{})
-	call.OnCancel(func() { close(quit) })
-	a.Cancel()
-	<-quit
+	cancelled := make(chan struct{})
+	call.OnCancel(func() { close(cancelled) })
+	pending.Cancel()
+	<-cancelled
 	call.ReplyBytes([]byte("withdrawn"))
-	c.Assert(<-waits, qt.IsNil)
-	// A method that the other side does not know gets the empty reply.
+	c.Assert(<-pendingError, qt.IsNil)
+	// A call of a method that the other side does not know gets an empty reply.
 	r, err := Request[textMessage](ctx, client, address, 99, &textMessage{"?"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(r.Text, qt.Equals, "")
@@ -156,36 +156,36 @@
 	var lost *ConnectionError
 	c.Assert(errors.As(<-errs, &lost), qt.IsTrue)
 	c.Assert(lost.Sent, qt.IsTrue)
-	// Nobody listens there: nothing was sent.
+	// No process listens on this address, so that the call was not sent.
 	client.Send("127.0.0.1:1", 2, nil, 0, func(_ []byte, err error) { errs <- err })
 	c.Assert(errors.As(<-errs, &lost), qt.IsTrue)
 	c.Assert(lost.Sent, qt.IsFalse)
 }
 
-// helloBytes returns the first frame of a peer.
+// helloBytes returns the encoded first frame of a peer.
 func helloBytes(hello Hello) []byte {
 	return appendFrame(nil, &envelope{kind: uint64(helloFrame), body: codec.MarshalAppend(nil, &hello)})
 }
 
-// callBytes returns a hello and a frame of a call to method 1.
+// callBytes returns an encoded hello, and a frame of a call to method 1.
 func callBytes(last bool, body []byte) []byte {
 	hello := helloBytes(Hello{Version: protocolVersion, Name: "bad"})
 	return appendFrame(hello, &envelope{kind: uint64(callFrame), stream: 1, method: 1, last: last, body: body})
 }
 
-// A violation of the protocol ends the link, is logged with the peer, and does not affect other links.
+// If a peer violates the protocol, its link is closed, the violation is logged with the peer's address, and other links are not affected.
 func TestInvalidPeersAreDisconnected(t *testing.T) {
 	hello := helloBytes(Hello{Version: protocolVersion, Name: "bad"})
 	for _, test := range []struct {
 		name   string
 		bytes  []byte
-		logged string // empty: nothing, as the connection just ended
+		logged string // text of the log line; empty if the connection only ends, which is not logged
 	}{
 		{"a frame of 2 GB", binary.BigEndian.AppendUint32(nil, 2<<30-1), "a frame of 2147483647 bytes, 16640 at most"},
 		{"a field of another type", callBytes(true, []byte{0x08, 1}), "field 1 has another type"},
-		{"a second hello", slices.Concat(hello, hello), "a second hello"},
+		{"a second hello", slices.Concat(hello, hello), "the peer sent a second hello"},
 		{"another version", helloBytes(Hello{Version: 9}), "speaks version 9, this is 1"},
-		{"a call beyond bounds", callBytes(false, make([]byte, 2048)), "a call of over 2048 bytes"},
+		{"a call beyond the limit", callBytes(false, make([]byte, 2048)), "a call of over 2048 bytes"},
 		{"half a frame", hello[:7], ""},
 		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, "unexpected EOF"},
 	} {
@@ -222,47 +222,47 @@
 	qt.Assert(t, errors.As(err, &timeout) && timeout.Timeout(), qt.IsFalse)
 }
 
-// A slow uplink is kept free for small messages: large ones take no more than their fraction of it, and go in order.
+// Large messages use no more than their fraction of a slow uplink, which leaves room for small messages, and they are sent nearly in order.
 func TestLargeMessagesAreShaped(t *testing.T) {
 	c := qt.New(t)
-	shaper := shaper{rate: linkRateFraction * 8e6 / 8}
+	shaper := shaper{rate: uplinkFraction * 8e6 / 8}
 	var transfers []*transfer
 	for range 8 {
 		transfers = append(transfers, shaper.start(&Link{writerWake: make(chan struct{}, 1)}, 2_000_000))
 	}
-	now, small, ends := time.Duration(0), 0, []int{}
-	for len(ends) < len(transfers) {
-		if n := int(now/(10*time.Millisecond)) - small; n > 0 { // 100 small ones a second
+	now, smallCount, finished := time.Duration(0), 0, []int{}
+	for len(finished) < len(transfers) {
+		if n := int(now/(10*time.Millisecond)) - smallCount; n > 0 { // 100 small messages of 1000 bytes each second
 			shaper.spend(now, n*1000)
-			small += n
+			smallCount += n
 		}
-		least := time.Hour
+		nextWait := time.Hour
 		for i, l := range transfers {
-			if l.remaining == 0 {
+			if l.unreservedBytes == 0 {
 				continue
 			}
 			_, wait := shaper.reserve(now, l)
-			for wait == 0 && l.remaining > 0 {
+			for wait == 0 && l.unreservedBytes > 0 {
 				_, wait = shaper.reserve(now, l)
 			}
-			if l.remaining == 0 {
+			if l.unreservedBytes == 0 {
 				shaper.finish(l)
-				ends = append(ends, i)
+				finished = append(finished, i)
 			}
-			least = min(least, max(wait, time.Millisecond))
+			nextWait = min(nextWait, max(wait, time.Millisecond))
 		}
-		now += least
+		now += nextWait
 	}
-	bytes := 16_000_000 + small*1000
-	c.Assert(ends, qt.HasLen, 8)
-	for i, n := range ends { // messages are sent in the order of their start, nearly
-		c.Assert(n-i < maxActiveTransfers && i-n < maxActiveTransfers, qt.IsTrue, qt.Commentf("%v", ends))
+	bytes := 16_000_000 + smallCount*1000
+	c.Assert(finished, qt.HasLen, 8)
+	for i, n := range finished { // nearly in the order in which the transfers were started
+		c.Assert(n-i < maxActiveTransfers && i-n < maxActiveTransfers, qt.IsTrue, qt.Commentf("order of finished transfers: %v", finished))
 	}
 	rate := float64(bytes) / now.Seconds()
-	c.Assert(rate < 1.01*shaper.rate && rate > 0.9*shaper.rate, qt.IsTrue, qt.Commentf("%v of %v", rate, shaper.rate))
+	c.Assert(rate < 1.01*shaper.rate && rate > 0.9*shaper.rate, qt.IsTrue, qt.Commentf("got %v B/s, want 0.9-1.01 of %v", rate, shaper.rate))
 }
 
-// A draining process sends its large reply completely over its slow uplink before the link closes; the caller gets it, not a
+// A draining process sends a large reply completely over its slow uplink before the link closes. The caller gets the reply, and not a
 // ConnectionError.
 func TestDrainLosesNoAnswer(t *testing.T) {
 	c := qt.New(t)
@@ -271,23 +271,23 @@
 	server.LimitRate(18e6)
 	incoming := make(chan *IncomingCall, 1)
 	server.HandleRaw(2, func(c *IncomingCall) { incoming <- c })
-	type end struct {
+	type result struct {
 		body []byte
 		err  error
 	}
-	got := make(chan end, 1)
-	client.Send(address, 2, nil, 0, func(body []byte, err error) { got <- end{body, err} })
+	results := make(chan result, 1)
+	client.Send(address, 2, nil, 0, func(body []byte, err error) { results <- result{body, err} })
 	(<-incoming).ReplyBytes(make([]byte, 300_000))
 	server.Drain(server.Now() + 20*time.Second)
-	dialled, accepted := server.LinkCounts()
-	c.Assert(dialled+accepted, qt.Equals, 0)
-	x := <-got
-	c.Assert(x.err, qt.IsNil)
-	c.Assert(x.body, qt.HasLen, 300_000)
+	active, other := server.LinkCounts()
+	c.Assert(active+other, qt.Equals, 0)
+	got := <-results
+	c.Assert(got.err, qt.IsNil)
+	c.Assert(got.body, qt.HasLen, 300_000)
 }
 
-// While a process drains, calls that are on their way to it get their replies, and later ones have certainly not been sent. The link of a
-// peer that does not know leavingFrame ends all the same.
+// While a process drains, calls that are in transit to it get their replies, and later calls end as not sent. The link of a peer that does
+// not know leavingFrame ends as well.
 func TestDrainLosesNoCall(t *testing.T) {
 	c := qt.New(t)
 	server, address, _ := newTestHub(t, "server", 8<<20)
@@ -295,7 +295,7 @@
 	old := dialRaw(t, address)
 	_, err := old.Write(helloBytes(Hello{Version: protocolVersion, Name: "old"}))
 	c.Assert(err, qt.IsNil)
-	go func() { // it closes when the other side has
+	go func() { // the old peer closes the connection after the draining process has closed its sending half
 		_, _ = io.Copy(io.Discard, old)
 		_ = old.Close()
 	}()
@@ -309,24 +309,24 @@
 		server.Drain(server.Now() + 20*time.Second)
 		close(drained)
 	}()
-	answered := 0
+	replies := 0
 	for {
 		_, err := Request[textMessage](ctx, client, address, 1, &textMessage{"still"})
 		if err != nil {
 			var lost *ConnectionError
 			c.Assert(errors.As(err, &lost), qt.IsTrue)
-			c.Assert(lost.Sent, qt.IsFalse, qt.Commentf("after %d answers: %v", answered, err))
+			c.Assert(lost.Sent, qt.IsFalse, qt.Commentf("the call after %d replies ended as sent: %v", replies, err))
 			break
 		}
-		answered++
+		replies++
 	}
 	<-drained
 }
 
-// brokenListener fails to accept for a number of times, as if the process had no file descriptors left.
+// brokenListener fails to accept connections a number of times, as if the process had no file descriptors left.
 type brokenListener struct {
 	net.Listener
-	failures atomic.Int64
+	failures atomic.Int64 // number of failures that remain
 }
 
 func (b *brokenListener) Accept() (net.Conn, error) {
@@ -338,27 +338,27 @@
 
 func TestListenOutlivesErrorsOfTheListener(t *testing.T) {
 	c := qt.New(t)
-	from, _, _ := newTestHub(t, "from", 1<<20)
+	client, _, _ := newTestHub(t, "from", 1<<20)
 	listener := listen(t)
 	address := listener.Addr().String()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	to := NewHub(Hello{Incarnation: 8, Address: address, Name: "to"}, time.Now(), 1<<20, log)
-	Handle(to, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
+	server := NewHub(Hello{Incarnation: 8, Address: address, Name: "to"}, time.Now(), 1<<20, log)
+	Handle(server, 1, func(_ context.Context, _ *Hello, l *textMessage) *textMessage { return l })
 	broken := &brokenListener{Listener: listener}
 	broken.failures.Store(3)
 	ended := make(chan error, 1)
-	go func() { ended <- to.Listen(broken) }()
+	go func() { ended <- server.Listen(broken) }()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	answer, err := Request[textMessage](ctx, from, address, 1, &textMessage{"x"})
+	reply, err := Request[textMessage](ctx, client, address, 1, &textMessage{"x"})
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.Text, qt.Equals, "x")
-	to.Drain(to.Now() + time.Second)
+	c.Assert(reply.Text, qt.Equals, "x")
+	server.Drain(server.Now() + time.Second)
 	c.Assert(<-ended, qt.IsNil)
 }
 
-// Close ends what the hub has started: links in both directions and the check of links. A call after that ends as one that was not sent.
+// Close ends all links, in both directions, and waits for the hub's goroutines. A call after Close ends as not sent.
 func TestCloseWaitsForGoroutines(t *testing.T) {
 	server, address, _ := newTestHub(t, "server", 1<<20)
 	Handle(server, 1, func(_ context.Context, _ *Hello, m *textMessage) *textMessage { return m })
@@ -368,15 +368,15 @@
 	_, err := Request[textMessage](ctx, client, address, 1, &textMessage{"up"})
 	qt.Assert(t, err, qt.IsNil)
 	client.Close()
-	dialled, accepted := client.LinkCounts()
-	qt.Assert(t, dialled+accepted, qt.Equals, 0)
+	active, other := client.LinkCounts()
+	qt.Assert(t, active+other, qt.Equals, 0)
 	_, err = Request[textMessage](ctx, client, address, 1, &textMessage{"late"})
 	var lost *ConnectionError
 	qt.Assert(t, errors.As(err, &lost), qt.IsTrue)
 	qt.Assert(t, *lost, qt.Equals, ConnectionError{Peer: address, Reason: reasonClosed})
 }
 
-// Close ends an attempt to dial, and its call.
+// Close interrupts an attempt to dial, and ends the call for which the link was dialled.
 func TestCloseEndsADial(t *testing.T) {
 	h, _, _ := newTestHub(t, "client", 1<<20)
 	dialling := make(chan struct{})
@@ -394,46 +394,46 @@
 	qt.Assert(t, *lost, qt.Equals, ConnectionError{Peer: "127.0.0.1:1", Reason: reasonClosed})
 }
 
-// A process that was suspended does not consider a peer lost before it has read the frames that the peer has sent meanwhile.
+// A process that was suspended does not presume a peer lost before it has read the frames that the peer has sent in the meantime.
 func TestLiveness(t *testing.T) {
 	const start = time.Minute
 	for _, test := range []struct {
 		name             string
-		pingSentAt       time.Duration // less start; 0 for none
-		checkedBefore    time.Duration // the check before this one
-		at               time.Duration // less start
+		pingSentAt       time.Duration // when the ping was sent, relative to start; 0 if none was sent
+		previousCheckAt  time.Duration // when the previous check was made
+		checkAt          time.Duration // when this check is made, relative to start
 		resumed, overdue bool
-		due              bool // of an idle link
+		due              bool // whether a ping is due on a link without pending calls
 	}{
-		{name: "quiet", checkedBefore: start + time.Second, at: time.Second + checkInterval},
-		{name: "quiet for long", checkedBefore: start + idlePingDelay, at: idlePingDelay + checkInterval, due: true},
-		{name: "pinged", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay, at: idlePingDelay + checkInterval},
+		{name: "quiet", previousCheckAt: start + time.Second, checkAt: time.Second + checkInterval},
+		{name: "quiet for long", previousCheckAt: start + idlePingDelay, checkAt: idlePingDelay + checkInterval, due: true},
+		{name: "pinged", pingSentAt: idlePingDelay, previousCheckAt: start + idlePingDelay, checkAt: idlePingDelay + checkInterval},
 		{
-			name: "no pong", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay + pongTimeout,
-			at: idlePingDelay + pongTimeout + checkInterval, overdue: true,
+			name: "no pong", pingSentAt: idlePingDelay, previousCheckAt: start + idlePingDelay + pongTimeout,
+			checkAt: idlePingDelay + pongTimeout + checkInterval, overdue: true,
 		},
-		{name: "suspended", pingSentAt: idlePingDelay, checkedBefore: start + idlePingDelay, at: time.Minute, resumed: true},
+		{name: "suspended", pingSentAt: idlePingDelay, previousCheckAt: start + idlePingDelay, checkAt: time.Minute, resumed: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			v := liveness{lastReceivedAt: start, lastCheckAt: test.checkedBefore}
+			l := liveness{lastReceivedAt: start, lastCheckAt: test.previousCheckAt}
 			if test.pingSentAt != 0 {
-				v.pingSentAt = start + test.pingSentAt
+				l.pingSentAt = start + test.pingSentAt
 			}
-			now := start + test.at
-			qt.Assert(t, v.resumed(now), qt.Equals, test.resumed)
-			qt.Assert(t, v.pongOverdue(now), qt.Equals, test.overdue)
-			qt.Assert(t, v.pingDue(now, idlePingDelay), qt.Equals, test.due)
+			now := start + test.checkAt
+			qt.Assert(t, l.resumed(now), qt.Equals, test.resumed)
+			qt.Assert(t, l.pongOverdue(now), qt.Equals, test.overdue)
+			qt.Assert(t, l.pingDue(now, idlePingDelay), qt.Equals, test.due)
 		})
 	}
 }
 
-// The offset of a peer's clock is the smallest that was seen: that of the frame that was in transit for the shortest time.
+// The offset of a peer's clock is the smallest one that was observed: that of the frame that was in transit for the shortest time.
 func TestPeerClock(t *testing.T) {
-	var c peerClock
-	c.observe(10*time.Second, 3*time.Second)
-	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 11*time.Second)
-	c.observe(11*time.Second, 3*time.Second) // a second longer in transit
-	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 11*time.Second)
-	c.observe(12*time.Second, 6*time.Second)
-	qt.Assert(t, c.toLocal(4*time.Second), qt.Equals, 10*time.Second)
+	var clock peerClock
+	clock.observe(10*time.Second, 3*time.Second)
+	qt.Assert(t, clock.toLocal(4*time.Second), qt.Equals, 11*time.Second)
+	clock.observe(11*time.Second, 3*time.Second) // a second longer in transit
+	qt.Assert(t, clock.toLocal(4*time.Second), qt.Equals, 11*time.Second)
+	clock.observe(12*time.Second, 6*time.Second)
+	qt.Assert(t, clock.toLocal(4*time.Second), qt.Equals, 10*time.Second)
 }
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	maxWriteBytes      = 4 * maxChunkBytes // at which no further frame is added to a write; the last frame may exceed it
-	maxKeptBufferBytes = 8 * maxChunkBytes // above which a writer's buffer is not kept for the next write
+	maxWriteBytes          = 4 * maxChunkBytes // size at which no further frame is added to a write; the last frame may exceed it
+	maxRetainedBufferBytes = 8 * maxChunkBytes // largest buffer that a writer retains for the next write
 )
 
 // outgoingMessage is a call or a reply that a link's writer sends in one or more chunks.
 type outgoingMessage interface {
-	// progress returns the part that it has in common with other messages: its body, and how much of it was sent.
+	// progress returns the body of the message, and how much of it was sent.
 	progress() *sendProgress
-	// frame returns the envelope of its next chunk, without the body.
+	// frame returns the envelope of the message's next chunk, without the body.
 	frame() envelope
-	// abandoned reports whether the rest of it is not to be sent.
+	// abandoned reports whether the rest of the message must not be sent.
 	abandoned() bool
-	// completed is called when its last chunk is added to a write.
+	// completed is called when the message's last chunk is added to a write.
 	completed()
 }
 
@@ -39,16 +39,16 @@
 
 func (o *outgoingReply) completed() {}
 
-// sendQueue holds what a link has to send: control frames first, then small messages, then large ones. The link's lock guards it.
+// sendQueue holds what a link has to send: control frames first, then small messages, then large ones. The lock of the link guards it.
 type sendQueue struct {
 	control deque.Deque[envelope]
-	small   deque.Deque[outgoingMessage] // of one chunk
-	large   deque.Deque[outgoingMessage] // of several; each has a transfer in the shaper
+	small   deque.Deque[outgoingMessage] // messages of one chunk
+	large   deque.Deque[outgoingMessage] // messages of several chunks; each has a transfer in the shaper
 }
 
 func (q *sendQueue) len() int { return q.control.Len() + q.small.Len() + q.large.Len() }
 
-// clear drops all frames and messages, and ends the transfers of large ones.
+// clear discards all frames and messages, and ends the transfers of the large messages.
 func (q *sendQueue) clear(s *shaper) {
 	q.small.Clear()
 	for q.large.Len() > 0 {
@@ -57,7 +57,7 @@
 	q.control.Clear()
 }
 
-// enqueue adds a message to the queue, and starts a transfer if it is large. The lock is held.
+// enqueue adds a message to the queue, and starts a transfer for a large message. The caller holds the lock.
 func (l *Link) enqueue(m outgoingMessage) {
 	p := m.progress()
 	if len(p.body) <= maxChunkBytes {
@@ -72,35 +72,35 @@
 func (l *Link) wakeWriter() {
 	select {
 	case l.writerWake <- struct{}{}:
-	default: // a wake-up is pending
+	default: // a wake-up is already pending
 	}
 }
 
 // writeLoop writes what is queued until the link ends.
 func (l *Link) writeLoop() {
 	var buf []byte
-	var paced <-chan time.Time // fires when the shaper allows the next chunk
+	var pacing <-chan time.Time // receives when the shaper allows the next chunk; nil if nothing waits for it
 	for {
 		select {
 		case <-l.writerWake:
-		case <-paced:
+		case <-pacing:
 		}
-		paced = nil
+		pacing = nil
 		wait, ok := l.flush(&buf)
 		if !ok {
 			return
 		}
 		if wait > 0 {
-			paced = time.After(wait)
+			pacing = time.After(wait)
 		}
-		if cap(buf) > maxKeptBufferBytes {
+		if cap(buf) > maxRetainedBufferBytes {
 			buf = nil
 		}
 	}
 }
 
-// flush writes all that may be sent now. wait is the time until the shaper allows more; 0 if only a wake-up brings more. ok is false if the
-// link has ended.
+// flush writes everything that may be sent now. wait is the time until the shaper allows another chunk; 0 if the writer must wait for a
+// wake-up. ok is false if the link has ended.
 func (l *Link) flush(buf *[]byte) (wait time.Duration, ok bool) {
 	for {
 		*buf, wait, ok = l.nextWrite((*buf)[:0])
@@ -115,8 +115,8 @@
 	}
 }
 
-// nextWrite appends the frames of the next write to buf: control frames, then small messages, then chunks of large ones that the shaper
-// allows. wait is the time until the shaper allows more; 0 if nothing waits for it. ok is false if the link is closed.
+// nextWrite appends the frames of the next write to buf: control frames, then small messages, then the chunks of large messages that the
+// shaper allows. wait is the time until the shaper allows another chunk; 0 if no message waits for it. ok is false if the link is closed.
 func (l *Link) nextWrite(buf []byte) (_ []byte, wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 	now := l.hub.Now()
 	buf = l.appendControlFrames(buf, now)
-	if l.mayCall() {
+	if l.canSendCalls() {
 		buf = l.appendSmallMessages(buf, now)
 		l.hub.shaper.spend(now, len(buf))
 		buf, wait = l.appendLargeMessages(buf, now)
@@ -151,8 +151,8 @@
 	return buf
 }
 
-// appendLargeMessages appends a chunk of each large message for which the shaper allows one. wait is the shortest time until it allows
-// another; 0 if none waits.
+// appendLargeMessages appends a chunk of each large message for which the shaper allows one. wait is the shortest time until the shaper
+// allows another chunk; 0 if no message waits for it.
 func (l *Link) appendLargeMessages(buf []byte, now time.Duration) (_ []byte, wait time.Duration) {
 	for n := l.queue.large.Len(); n > 0 && len(buf) < maxWriteBytes; n-- {
 		transfer := l.queue.large.Front().progress().transfer
@@ -164,23 +164,23 @@
 			l.queue.large.Rotate(1)
 			continue
 		}
-		complete := transfer.remaining == 0
+		complete := transfer.unreservedBytes == 0
 		buf = l.appendChunk(buf, now, &l.queue.large, size)
 		if complete {
-			defer l.hub.shaper.finish(transfer) // after the loop, so that the next transfer becomes active with the next write
+			defer l.hub.shaper.finish(transfer) // only when this function returns, so that the next transfer becomes active with the next write
 		}
 	}
 	return buf, wait
 }
 
-// appendChunk appends a frame with the next chunk, of limit bytes at most, of the message at the front of a queue. If more of the message
-// is to be sent it moves to the back of the queue; if it is abandoned it is dropped.
+// appendChunk appends a frame with the next chunk, of at most limit bytes, of the message at the front of a queue. If more of the message
+// remains to be sent, the message moves to the back of the queue. An abandoned message is discarded.
 func (l *Link) appendChunk(buf []byte, now time.Duration, queue *deque.Deque[outgoingMessage], limit int) []byte {
 	message := queue.PopFront()
 	progress := message.progress()
 	if message.abandoned() {
 		if progress.transfer != nil {
-			progress.transfer.remaining = 0
+			progress.transfer.unreservedBytes = 0
 		}
 		return buf
 	}
