--- a/internal/mesh/assembly/controlplane.go
+++ b/internal/mesh/assembly/controlplane.go
@@ -14,10 +14,10 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// Paths of the control address of a control-plane process; all others are an endpoint's keepalives.
+// Paths at the control address of a control-plane process. The keepalive handler serves all other paths.
 const (
-	configurationPaths = "/configuration/"
-	statePaths         = "/mesh/"
+	configurationPaths = "/configuration/" // prefix of the paths for operators
+	statePaths         = "/mesh/"          // prefix of the paths for the state of the mesh
 	eventsPath         = "/events"
 )
 
@@ -27,14 +27,14 @@
 	agent  *agent.Agent
 	server *controlplane.Server
 	roles  *agent.SingletonRoles
-	opened chan struct{} // closed once server and roles are set
+	opened chan struct{} // closed after server and roles were set
 
-	streams    context.Context // of the requests for streams of events; endStreams ends them
+	streams    context.Context // parent context of the requests for event streams; endStreams cancels it
 	endStreams context.CancelFunc
 }
 
-// RunControlPlane runs a process of the control plane until SIGTERM, and shuts it down. The error says why it could not start, or which
-// of its servers failed.
+// RunControlPlane runs a process of the control plane until SIGTERM, and then shuts it down. It returns an error if the process can't
+// start, or if one of its servers fails.
 func RunControlPlane(settingsPath string, signals lifecycle.Signals) error {
 	p, err := newProcess(settingsPath, signals)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return err
 }
 
-// newControlPlane returns a control-plane process. It answers other processes' requests once it is open.
+// newControlPlane returns a control-plane process. It does not answer consensus requests before open has been called.
 func newControlPlane(p *process) *controlPlane {
 	c := &controlPlane{process: p, opened: make(chan struct{})}
 	c.streams, c.endStreams = context.WithCancel(p.ctx)
@@ -73,7 +73,8 @@
 	return c
 }
 
-// open reads the disk of the process, and joins it to the consensus on the configuration and to the singleton roles.
+// open reads the data directory of the process, and creates its parts for the consensus on the configuration and for the singleton roles.
+// It fails if the data directory can't be used.
 func (c *controlPlane) open() error {
 	server, err := controlplane.Open(controlplane.Options{
 		Self:         c.settings.ControlAddress,
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// serve serves the control address, and starts the background tasks.
+// serve starts to serve the control address, and starts the background tasks. It does not block.
 func (c *controlPlane) serve(control net.Listener) {
 	c.run(func(ctx context.Context) { c.handleReloads(ctx, c.applySettings) })
 	c.serveHTTP(c.handler(), control)
@@ -104,13 +105,13 @@
 	c.run(c.roles.Run)
 }
 
-// applySettings applies the settings that may change while a control-plane process runs: the seeds.
+// applySettings applies the only settings that may change while a control-plane process runs: the seeds.
 func (c *controlPlane) applySettings(changed *settings.Settings) {
 	c.agent.SetSeeds(changed.SeedAddresses())
 	c.server.SetSeeds(changed.Seeds)
 }
 
-// serveConsensus answers consensus requests of other processes. It waits until the process is open.
+// serveConsensus answers a consensus request of another process. It waits until open has completed, at most until ctx ends.
 func (c *controlPlane) serveConsensus(ctx context.Context, request []byte) ([]byte, error) {
 	select {
 	case <-c.opened:
--- a/internal/mesh/assembly/controlplane_shutdown.go
+++ b/internal/mesh/assembly/controlplane_shutdown.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Limits of the steps of a control-plane process's shutdown, which follow each other. Each step takes at most its time-out, and at most
-// the grace time divided by its divisor.
+// Limits of the consecutive steps of a control-plane process's shutdown. Each step takes at most its time-out, and at most the grace time
+// divided by its divisor.
 const (
-	releaseTimeout  = 300 * time.Millisecond  // to hand over its singleton roles
-	handOverTimeout = 2500 * time.Millisecond // to hand over its vote
-	httpTimeout     = time.Second             // to answer the HTTP calls that it has read
-	closeTimeout    = 500 * time.Millisecond  // to close its files on a disk that may hang; what was acknowledged is synced already
-	drainTimeout    = 400 * time.Millisecond  // to send its replies to other processes
+	releaseTimeout  = 300 * time.Millisecond  // time to release the singleton roles
+	handOverTimeout = 2500 * time.Millisecond // time to hand over the vote
+	httpTimeout     = time.Second             // time to answer the HTTP requests that were read
+	closeTimeout    = 500 * time.Millisecond  // time to close the files, as the disk may hang; acknowledged data is already synced
+	drainTimeout    = 400 * time.Millisecond  // time to send the replies to other processes
 
 	releaseDivisor  = 12
 	handOverDivisor = 2
@@ -21,14 +21,15 @@
 	drainDivisor    = 12
 )
 
-// handOver hands over this process's singleton roles and then its vote to other processes. In this order the next holder acquires a role at
-// once; after a change of the voters nobody requests one for the duration of a lease. The process answers requests as before meanwhile.
+// handOver releases this process's singleton roles, and then hands over its vote to another process. In this order the next holder acquires
+// a role at once. In the reverse order it would be delayed, because no process requests a role for the duration of a lease after a change
+// of the voters. Meanwhile the process answers requests as before.
 func (c *controlPlane) handOver() {
 	c.releaseRoles()
 	ctx, cancel := context.WithTimeout(c.ctx, min(handOverTimeout, c.settings.Bounds.Grace/handOverDivisor))
 	defer cancel()
 	if err := c.server.HandOver(ctx); err != nil {
-		c.log.WithError(err).Warn("assembly: this process ends as a voter")
+		c.log.WithError(err).Warn("assembly: failed to hand over the vote, this process exits as a voter")
 	}
 }
 
@@ -39,8 +40,8 @@
 	c.roles.Release(ctx)
 }
 
-// shutDown answers the calls that were read: first the HTTP calls, while the consensus still works for them, then the requests of other
-// processes.
+// shutDown ends the event streams, and completes the requests that were read. It completes the HTTP requests first, while they can still
+// use the consensus, and then the requests of other processes.
 func (c *controlPlane) shutDown() {
 	grace := c.settings.Bounds.Grace
 	c.endStreams()
@@ -51,8 +52,8 @@
 	c.hub.Drain(c.hub.Now() + min(drainTimeout, grace/drainDivisor))
 }
 
-// closeConsensusWithin closes the replicated configuration. If that takes longer than limit, as the disk hangs, it returns nevertheless:
-// the files are closed when the process exits.
+// closeConsensusWithin closes the replicated configuration. It returns after limit even if that has not completed, as the disk may hang;
+// the files are then closed when the process exits.
 func (c *controlPlane) closeConsensusWithin(limit time.Duration) {
 	closed := make(chan struct{})
 	go func() {
@@ -62,6 +63,6 @@
 	select {
 	case <-closed:
 	case <-time.After(limit):
-		c.log.Warn("assembly: this process ends while its disk hangs")
+		c.log.Warn("assembly: timed out closing the replicated configuration, the disk may hang")
 	}
 }
--- a/internal/mesh/assembly/golden_test.go
+++ b/internal/mesh/assembly/golden_test.go
@@ -24,15 +24,15 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// httpCall is a call of a platform, an operator, an endpoint or a tool.
+// httpCall is an HTTP request of the platform, an operator, an endpoint or a tool.
 type httpCall struct {
 	method, path string
 	headers      []string // "Name: value"
 	body         string
 }
 
-// answersTo returns the text of calls and their answers: the status, the headers that callers read, and the body.
-func answersTo(t *testing.T, handler http.Handler, calls ...httpCall) []byte {
+// transcribe makes calls, and returns a text of the calls and their answers: the status, the headers that callers read, and the body.
+func transcribe(t *testing.T, handler http.Handler, calls ...httpCall) []byte {
 	t.Helper()
 	var text bytes.Buffer
 	for _, call := range calls {
@@ -77,25 +77,25 @@
 )
 
 func TestGoldenReadiness(t *testing.T) {
-	a := startSidecar(t)
+	sidecar := newTestSidecar(t)
 	call := httpCall{method: "GET", path: "/readiness"}
-	h := http.HandlerFunc(a.serveReadiness)
-	text := append([]byte("without a configuration\n"), answersTo(t, h, call)...)
-	conf, err := configuration.Parse([]byte(goldenConfig))
+	handler := http.HandlerFunc(sidecar.serveReadiness)
+	text := append([]byte("without a configuration\n"), transcribe(t, handler, call)...)
+	config, err := configuration.Parse([]byte(goldenConfig))
 	qt.Assert(t, err, qt.IsNil)
-	a.outbound.Configure(conf)
+	sidecar.outbound.Configure(config)
 	calls := []httpCall{call, {method: "HEAD", path: "/"}, {method: "POST", path: "/other"}}
-	text = append(append(text, "with a configuration\n"...), answersTo(t, h, calls...)...)
-	a.local.shutDown()
-	text = append(append(text, "about to end\n"...), answersTo(t, h, call)...)
+	text = append(append(text, "with a configuration\n"...), transcribe(t, handler, calls...)...)
+	sidecar.local.shutDown()
+	text = append(append(text, "about to end\n"...), transcribe(t, handler, call)...)
 	golden.Text(t, "readiness.txt", text)
 }
 
-// The control address of a sidecar gives these answers to the endpoint beside it, and to bad input.
+// The golden file has the answers of a sidecar's control address to the endpoint beside it, and to invalid input.
 func TestGoldenAccessControl(t *testing.T) {
-	a := startSidecar(t)
+	sidecar := newTestSidecar(t)
 	post := func(path, body string) httpCall { return httpCall{method: "POST", path: path, body: body} }
-	golden.Text(t, "access-control.txt", answersTo(t, a.agent.KeepaliveHandler(a.local),
+	golden.Text(t, "access-control.txt", transcribe(t, sidecar.agent.KeepaliveHandler(sidecar.local),
 		post("/endpoints/i-1/keepalive", goldenKeepalive),
 		post("/endpoints/i-1/keepalive", strings.Replace(goldenKeepalive, "8103", "9999", 1)),
 		post("/endpoints/i-1/keepalive",
@@ -108,8 +108,8 @@
 	))
 }
 
-// startControlPlane returns a control-plane process that is the only voter, and listens on no address. Unlike open it gives the server no
-// function for the addresses of core processes: with that, the server would wait for the number of voters that a first start wants.
+// startControlPlane starts a control-plane process that is the only voter, and that listens on no address. Unlike controlPlane.open, it
+// does not set controlplane.Options.Cores: the server would then wait for the number of voters that a first start requires.
 func startControlPlane(t *testing.T) *controlPlane {
 	t.Helper()
 	core := newControlPlane(newTestProcess(t, &settings.Settings{
@@ -144,20 +144,20 @@
 // awaitPage waits until a handler answers GET requests for a path with a body for which ok returns true.
 func awaitPage(t *testing.T, handler http.Handler, path string, ok func(body []byte) bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, path, nil))
 		if ok(w.Body.Bytes()) {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%s: not within twenty seconds: %s", path, w.Body)
+		if time.Now().After(deadline) {
+			t.Fatalf("GET %s has no expected answer within 20 s; the last one was: %s", path, w.Body)
 		}
 	}
 }
 
-// awaitState waits until a core process has confirmed its state, holds the lease of the singleton role and knows a version of the
-// configuration.
+// awaitState waits until a core process has confirmed its state, holds the lease of the singleton role, and knows the given version of
+// the configuration.
 func awaitState(t *testing.T, handler http.Handler, version string) {
 	t.Helper()
 	awaitPage(t, handler, agent.StatePath, func(body []byte) bool {
@@ -167,7 +167,7 @@
 	})
 }
 
-// awaitEvent waits until a core process has an event of a kind in its feed.
+// awaitEvent waits until the event feed of a core process has an event of a kind.
 func awaitEvent(t *testing.T, handler http.Handler, kind string) {
 	t.Helper()
 	awaitPage(t, handler, eventsPath, func(body []byte) bool {
@@ -175,32 +175,34 @@
 	})
 }
 
-// varying matches the parts of answers that are different in each run: ages, remaining leases, epochs and times of day.
-var varying = regexp.MustCompile(`("(?:ageMs|leftMs|epoch)":)\d+|("time":)"[^"]*"`)
+// varyingValues matches the values in answers that are different in each run: ages, remaining leases, epochs and times of day.
+var varyingValues = regexp.MustCompile(`("(?:ageMs|leftMs|epoch)":)\d+|("time":)"[^"]*"`)
 
-// withoutVarying replaces the parts of answers that varying matches.
-func withoutVarying(text []byte) []byte { return varying.ReplaceAll(text, []byte(`${1}${2}"varies"`)) }
+// replaceVaryingValues replaces the values that varyingValues matches by a constant.
+func replaceVaryingValues(text []byte) []byte {
+	return varyingValues.ReplaceAll(text, []byte(`${1}${2}"varies"`))
+}
 
-// eventCursor matches the cursor of an event of startControlPlane's process.
+// eventCursor matches the cursor of an event in the feed of the process that startControlPlane starts.
 var eventCursor = regexp.MustCompile(`"cursor":"2-\d+"`)
 
-// withoutMemberEvent removes the event that the process itself has become reachable, which is in the feed by then if the machine is slow,
-// and gives the other events the cursors that they have without it.
-func withoutMemberEvent(text []byte) []byte {
-	var kept [][]byte
+// removeMemberEvent removes the event that the process itself has become reachable, which is in the feed only if the machine is slow. It
+// renumbers the cursors of the other events as if that event had not occurred.
+func removeMemberEvent(text []byte) []byte {
+	var lines [][]byte
 	for _, line := range bytes.SplitAfter(text, []byte("\n")) {
 		if !bytes.Contains(line, []byte(`"kind":"machine_in_touch"`)) {
-			kept = append(kept, line)
+			lines = append(lines, line)
 		}
 	}
 	number := 0
-	return eventCursor.ReplaceAllFunc(bytes.Join(kept, nil), func([]byte) []byte {
+	return eventCursor.ReplaceAllFunc(bytes.Join(lines, nil), func([]byte) []byte {
 		number++
 		return fmt.Appendf(nil, `"cursor":"2-%d"`, number)
 	})
 }
 
-// The control address of a core process gives these answers to operators, endpoints and tools, and to bad input.
+// The golden file has the answers of a core process's control address to operators, endpoints and tools, and to invalid input.
 func TestGoldenCoreControl(t *testing.T) {
 	core := startControlPlane(t)
 	handler := core.handler()
@@ -214,7 +216,7 @@
 		}
 	}
 	get := func(path string) httpCall { return httpCall{method: "GET", path: path} }
-	text := answersTo(t, handler,
+	text := transcribe(t, handler,
 		get("/configuration/retrieve"),
 		replace("", goldenConfig),
 		replace("1", goldenConfig),
@@ -227,7 +229,7 @@
 	)
 	awaitState(t, handler, "r1")
 	awaitEvent(t, handler, "configuration_in_force")
-	text = append(text, answersTo(t, handler,
+	text = append(text, transcribe(t, handler,
 		get("/configuration/retrieve"),
 		get("/configuration/replace"),
 		httpCall{method: "POST", path: "/configuration/retrieve"},
@@ -242,10 +244,10 @@
 		httpCall{method: "POST", path: "/endpoints/i-9/deregister"},
 		get("/other"),
 	)...)
-	golden.Text(t, "core-control.txt", withoutMemberEvent(withoutVarying(text)))
+	golden.Text(t, "core-control.txt", removeMemberEvent(replaceVaryingValues(text)))
 }
 
-// The state of a core process has these keys, which tools read.
+// The golden file has the keys of a core process's state, which tools read.
 func TestGoldenState(t *testing.T) {
 	const file = "mesh-state.json"
 	state := agent.State{
@@ -288,7 +290,7 @@
 	qt.Assert(t, got, qt.DeepEquals, state)
 }
 
-// A process has these limits of size and time, whose effects other processes and the platform see.
+// Other processes and the platform depend on these limits of size and time, so that a change of one must be intended.
 func TestBoundsOfAProcess(t *testing.T) {
 	qt.Assert(t, []int{maxCallBytes, minBodyMemoryBytes, gcPercent, maxEndedIDs}, qt.DeepEquals, []int{71303168, 71303168, 150, 16})
 	qt.Assert(t, []float64{bodyMemoryFraction, heapFraction}, qt.DeepEquals, []float64{0.3, 0.6})
--- a/internal/mesh/assembly/inflight_test.go
+++ b/internal/mesh/assembly/inflight_test.go
@@ -11,11 +11,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// workAfterClient is how long an endpoint may go on working on an idempotent request after its client has disconnected.
-const workAfterClient = 500 * time.Millisecond
+// maxWorkAfterDisconnect is how long an endpoint may continue to work on an idempotent request after its client has disconnected.
+const maxWorkAfterDisconnect = 500 * time.Millisecond
 
-// Clients close their connections while endpoints beside other sidecars work on their requests: the endpoints are notified, and the
-// requests are not sent to others.
+// Clients close their connections while endpoints beside other sidecars work on their requests. The endpoints are notified, and the
+// requests are not retried at other endpoints.
 func TestClientDisconnectsCancelTheirRequests(t *testing.T) {
 	const clients = 4
 	mesh := newMesh(t, 10)
@@ -29,8 +29,8 @@
 		}
 		return runs, abandoned
 	}
-	// A single endpoint doesn't run all of the requests at once, so the client's sidecar has to know both. Requests that are sent one after
-	// the other may all go to the endpoint that answers faster; of those that are sent at once some go to the other.
+	// A single endpoint can't run all of the requests at once, so that the clients' sidecar must know both endpoints. Sequential requests may
+	// all go to the endpoint that answers faster; of concurrent ones some go to the other endpoint.
 	mesh.waitFor("both endpoints have run a request", func() bool {
 		mesh.sendAtOnce(2*clients, "access-0", "/read/x")
 		return len(mesh.applications["access-2"].Executions()) > 0 && len(mesh.applications["access-3"].Executions()) > 0
@@ -48,21 +48,22 @@
 		mesh.Assert(err, qt.IsNil)
 		connections = append(connections, conn)
 	}
-	mesh.waitFor("all are in flight", func() bool { runs, _ := count(); return runs >= before+clients })
+	mesh.waitFor("all requests are in flight", func() bool { runs, _ := count(); return runs >= before+clients })
 	disconnected := time.Now()
 	for _, conn := range connections {
 		mesh.Assert(conn.Close(), qt.IsNil)
 	}
-	mesh.waitFor("their work has ended", func() bool { runs, abandoned := count(); return abandoned == runs-before })
-	mesh.Check(time.Since(disconnected) < workAfterClient, qt.IsTrue, qt.Commentf("%v", time.Since(disconnected)))
-	time.Sleep(workAfterClient - time.Since(disconnected))
-	then, _ := count()
-	time.Sleep(workAfterClient)
+	mesh.waitFor("the endpoints have abandoned all requests", func() bool { runs, abandoned := count(); return abandoned == runs-before })
+	mesh.Check(time.Since(disconnected) < maxWorkAfterDisconnect, qt.IsTrue,
+		qt.Commentf("the endpoints worked for %v after the clients had disconnected", time.Since(disconnected)))
+	time.Sleep(maxWorkAfterDisconnect - time.Since(disconnected))
+	runsThen, _ := count()
+	time.Sleep(maxWorkAfterDisconnect)
 	runs, _ := count()
-	mesh.Check(runs, qt.Equals, then, qt.Commentf("a request reached an endpoint long after its client had disconnected"))
+	mesh.Check(runs, qt.Equals, runsThen, qt.Commentf("a request reached an endpoint long after its client had disconnected"))
 }
 
-// A request is in flight when its route is removed from the configuration: it is served, and the next one gets 404.
+// A request whose route is removed from the configuration while it is in flight is served. The next request to that path gets 404.
 func TestARequestOutlivesItsRoute(t *testing.T) {
 	mesh := newMesh(t, 11)
 	mesh.waitFirstConfiguration(longRoute, "k1")
@@ -74,14 +75,14 @@
 		}
 		return n
 	}
-	var release []func()
+	var releases []func()
 	for _, name := range endpoints {
-		release = append(release, mesh.applications[name].Hold())
+		releases = append(releases, mesh.applications[name].Hold())
 	}
 	before := runs()
 	answers := make(chan clientExchange, 1)
 	go func() {
-		c := &testClient{m: mesh, machine: "access-2"}
+		c := &testClient{mesh: mesh, machine: "access-2"}
 		defer c.close()
 		a, _ := c.do("POST", "/book/long/x")
 		answers <- a
@@ -93,9 +94,9 @@
 		a, _ := mesh.send("access-2", "GET", "/book/long/x", "k1", nil)
 		return a.status == http.StatusNotFound
 	})
-	for _, f := range release {
-		f()
+	for _, release := range releases {
+		release()
 	}
 	a := <-answers
-	mesh.Check(a.answered && a.status == http.StatusOK, qt.IsTrue, qt.Commentf("%+v", a))
+	mesh.Check(a.answered && a.status == http.StatusOK, qt.IsTrue, qt.Commentf("want an answer with status 200, got %+v", a))
 }
--- a/internal/mesh/assembly/listen.go
+++ b/internal/mesh/assembly/listen.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	listenTimeout       = 2 * time.Second       // for an address that is in use to become free
-	listenRetryInterval = 50 * time.Millisecond // between two attempts to listen
-	httpHeaderTimeout   = 5 * time.Second       // to read a call's header
-	httpIdleTimeout     = 30 * time.Second      // after which a connection without calls is closed
-	httpMaxHeaderBytes  = 32 << 10              // bytes of a call's header
+	listenTimeout       = 2 * time.Second       // longest wait for an address that is in use to become free
+	listenRetryInterval = 50 * time.Millisecond // time between two attempts to listen
+	httpHeaderTimeout   = 5 * time.Second       // limit for reading a request's header
+	httpIdleTimeout     = 30 * time.Second      // time after which a connection without requests is closed
+	httpMaxHeaderBytes  = 32 << 10              // largest request header
 )
 
-// listen listens on addresses of the process: on all, or on none if one of them can't be used. close closes the listeners.
+// listen listens on addresses of the process. It listens on none of them if one can't be used. close closes the listeners.
 func (p *process) listen(addresses ...string) ([]net.Listener, error) {
 	listeners, err := listenAll(p.ctx, addresses...)
 	p.listeners = append(p.listeners, listeners...)
 	return listeners, err
 }
 
-// listenAll listens on all addresses or on none. The error names the address.
+// listenAll listens on all addresses, or on none if one can't be used. The error names that address.
 func listenAll(ctx context.Context, addresses ...string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
@@ -41,8 +41,8 @@
 	return listeners, nil
 }
 
-// listenRetrying listens on an address. It retries for listenTimeout, as an earlier incarnation of the process may still use the address.
-// The error names the address.
+// listenRetrying listens on an address. It retries for listenTimeout, because an earlier incarnation of the process may still use the
+// address. The error names the address.
 func listenRetrying(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	for began := time.Now(); ; {
@@ -54,14 +54,14 @@
 	}
 }
 
-// closeListener closes a listener that may be closed already.
+// closeListener closes a listener, which may already be closed.
 func (p *process) closeListener(listener net.Listener) {
 	if err := listener.Close(); err != nil && !isClosed(err) {
-		p.log.WithField("address", listener.Addr()).WithError(err).Debug("assembly: a listener did not close")
+		p.log.WithField("address", listener.Addr()).WithError(err).Debug("assembly: failed to close a listener")
 	}
 }
 
-// serveHTTP serves short calls until shutDownHTTPServers. If the server fails, awaitTermination returns its error.
+// serveHTTP serves HTTP requests on a listener until shutDownHTTPServers. If the server fails, awaitTermination returns its error.
 func (p *process) serveHTTP(handler http.Handler, listener net.Listener) {
 	server := &http.Server{
 		Handler:           handler,
@@ -77,20 +77,20 @@
 	})
 }
 
-// shutDownHTTPServers shuts down the servers of short calls. Each call that was read is answered; those that aren't when ctx ends are
-// aborted.
+// shutDownHTTPServers shuts down the HTTP servers that serveHTTP has started. Requests that were read are completed; those that are not
+// complete when ctx ends are aborted.
 func (p *process) shutDownHTTPServers(ctx context.Context) {
 	for _, server := range p.httpServers {
 		if err := server.Shutdown(ctx); err != nil {
-			p.log.WithError(err).Warn("assembly: a call is cut off")
+			p.log.WithError(err).Warn("assembly: an HTTP server did not shut down cleanly, aborting its requests")
 			p.closeHTTPServer(server)
 		}
 	}
 }
 
-// closeHTTPServer closes a server with its connections.
+// closeHTTPServer closes a server and its connections.
 func (p *process) closeHTTPServer(server *http.Server) {
 	if err := server.Close(); err != nil && !isClosed(err) {
-		p.log.WithError(err).Debug("assembly: a server did not close")
+		p.log.WithError(err).Debug("assembly: failed to close an HTTP server")
 	}
 }
--- a/internal/mesh/assembly/local_endpoint.go
+++ b/internal/mesh/assembly/local_endpoint.go
@@ -10,31 +10,32 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// maxEndedIDs is the number of ended endpoint IDs that are remembered.
+// maxEndedIDs is the largest number of ended endpoint IDs that are retained.
 const maxEndedIDs = 16
 
-// localEndpoint decides which endpoint beside a sidecar is the current one; inbound holds its ID and state. An endpoint gets a new ID at
-// each start. Its keepalives and deregistrations may arrive late, may be forwarded by other processes, and may be reported by others that
-// remember an earlier endpoint.
+// localEndpoint decides which ID of the endpoint beside a sidecar is the current one; inbound holds the current ID and its state. An
+// endpoint gets a new ID at each start. Its keepalives and deregistrations may arrive late, or be forwarded by other processes. Other
+// processes may also send a record of an earlier ID.
 //
 //	(none) --keepalive--> serving --keepalive "draining"--> draining --deregistration--> ended
 //	                         \------------------deregistration, or a keepalive of a new ID----/
 //
 // An ID that has ended never comes back.
 type localEndpoint struct {
-	address string // at which the endpoint serves
-	zone    string
+	address string // address at which the endpoint serves requests
+	zone    string // zone of the sidecar's machine
 	inbound *inbound.Proxy
 	agent   *agent.Agent
 
-	mu           sync.Mutex // guards the fields below; no function that may call localEndpoint is called with mu held
+	mu           sync.Mutex // guards the fields below; must not be held while a function is called that may call localEndpoint
 	lastSequence uint64     // callSequence of the newest keepalive of the current ID
-	endedIDs     []string   // the oldest first, up to maxEndedIDs
-	shuttingDown bool       // the sidecar is shutting down, and publishes no keepalive any more
+	endedIDs     []string   // IDs that have ended, oldest first; at most maxEndedIDs
+	shuttingDown bool       // whether the sidecar is shutting down, and no longer publishes keepalives
 }
 
-// HandleReport implements agent.LocalEndpoint: it handles a keepalive or a deregistration that this process received, or that another
-// process forwarded. It reports whether that came from the endpoint here. One that arrives late changes nothing.
+// HandleReport implements agent.LocalEndpoint. It handles a keepalive or a deregistration that this process has received from an endpoint,
+// or that another process has forwarded. It returns true if the report is from the local endpoint. A report that arrives late changes
+// nothing.
 func (l *localEndpoint) HandleReport(endpoint discovery.Endpoint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,9 +53,9 @@
 	return true
 }
 
-// handleLeaving handles the record, from other processes, of an endpoint at this address that is draining or has deregistered
-// (agent.Config.OnEndpointLeaving). An earlier ID in such a record never replaces the current one: if it is draining, it becomes the
-// current one only if the endpoint here has not sent a keepalive yet.
+// handleLeaving handles a record of another process that says that an endpoint at this address is draining or has deregistered
+// (agent.Config.OnEndpointLeaving). An earlier ID in such a record never replaces the current ID. The ID of a draining endpoint becomes the
+// current ID only if the local endpoint has not sent a keepalive yet.
 func (l *localEndpoint) handleLeaving(endpoint discovery.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,14 +69,14 @@
 	if endpoint.State != discovery.Draining || slices.Contains(l.endedIDs, endpoint.ID) {
 		return
 	}
-	unknown := current.ID == ""
-	drainsNow := endpoint.ID == current.ID && state < admission.Draining
-	if unknown || drainsNow {
+	noCurrentID := current.ID == ""
+	startsDraining := endpoint.ID == current.ID && state < admission.Draining
+	if noCurrentID || startsDraining {
 		l.applyKeepalive(endpoint)
 	}
 }
 
-// applyDeregistration ends an endpoint ID, and reports whether that is one of the endpoint here. The caller holds the lock.
+// applyDeregistration ends an endpoint ID, and reports whether it is an ID of the local endpoint. The caller holds the lock.
 func (l *localEndpoint) applyDeregistration(endpoint discovery.Endpoint) bool {
 	current, _ := l.inbound.Endpoint()
 	if endpoint.ID == current.ID {
@@ -84,8 +85,8 @@
 		l.agent.PublishEnd(endpoint.ID, discovery.Deregistered)
 		return true
 	}
-	// The ID is an earlier one, or one that an earlier incarnation of this process knew. A deregistration without an address was received
-	// over HTTP, from the endpoint here.
+	// The ID is an earlier one, or one that only an earlier incarnation of this process knew. A deregistration without an address comes
+	// from the local endpoint, which has sent it over HTTP.
 	if endpoint.AppAddress != "" && endpoint.AppAddress != l.address {
 		return false
 	}
@@ -93,7 +94,7 @@
 	return true
 }
 
-// applyKeepalive makes an endpoint the current one, or updates it. The caller holds the lock.
+// applyKeepalive makes an endpoint ID the current one, or updates the state of the current one. The caller holds the lock.
 func (l *localEndpoint) applyKeepalive(endpoint discovery.Endpoint) {
 	if current, _ := l.inbound.Endpoint(); endpoint.ID != current.ID {
 		l.rememberEnded(current.ID)
@@ -111,7 +112,7 @@
 	}
 }
 
-// rememberEnded records that an ID has ended, as late keepalives of it may still arrive. The caller holds the lock.
+// rememberEnded records that an ID has ended, because late keepalives with it may still arrive. The caller holds the lock.
 func (l *localEndpoint) rememberEnded(id string) {
 	if id == "" || slices.Contains(l.endedIDs, id) {
 		return
@@ -122,7 +123,7 @@
 	}
 }
 
-// shutDown makes localEndpoint publish no keepalive from now on.
+// shutDown records that the sidecar is shutting down: keepalives are no longer published.
 func (l *localEndpoint) shutDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/mesh/assembly/local_endpoint_test.go
+++ b/internal/mesh/assembly/local_endpoint_test.go
@@ -16,7 +16,7 @@
 	"quincegap/internal/mesh/transport"
 )
 
-// newTestProcess returns a process that listens on no address.
+// newTestProcess returns a process with the given settings that listens on no address.
 func newTestProcess(t *testing.T, own *settings.Settings) *process {
 	t.Helper()
 	log := logrus.New()
@@ -29,8 +29,8 @@
 	return p
 }
 
-// startSidecar returns a sidecar without peers, which listens on no address.
-func startSidecar(t *testing.T) *sidecar {
+// newTestSidecar returns a sidecar that has no peers, and listens on no address.
+func newTestSidecar(t *testing.T) *sidecar {
 	t.Helper()
 	return newSidecar(newTestProcess(t, &settings.Settings{
 		Name:               "n",
@@ -42,9 +42,9 @@
 	}))
 }
 
-// A sidecar has acknowledged that its endpoint is draining, and has lost power right after that; it is a new incarnation now. Other
-// processes have either the record from before or the newest one, and a keepalive may arrive late. The sidecar admits requests to the
-// endpoint only after a keepalive that has it serving, and no longer once a record has it draining or deregistered.
+// A sidecar has acknowledged that its endpoint is draining, has lost power right afterwards, and has restarted. Other processes have either
+// an older record or the newest one, and a keepalive may arrive late. The sidecar admits requests to the endpoint only after a keepalive
+// with the state serving, and no longer after a record with the state draining or deregistered.
 func TestRestartedSidecarAdmitsNothingToADrainingEndpoint(t *testing.T) {
 	c := qt.New(t)
 	record := func(state discovery.State) discovery.Endpoint {
@@ -66,40 +66,40 @@
 		return s
 	}
 
-	restarted := startSidecar(t)
+	restarted := newTestSidecar(t)
 	restarted.agent.ApplyRecord(record(discovery.Serving))
-	c.Check(state(restarted), qt.Equals, admission.Unknown, qt.Commentf("others remember that it serves"))
+	c.Check(state(restarted), qt.Equals, admission.Unknown, qt.Commentf("after another process's record with the state serving"))
 	restarted.agent.ApplyRecord(record(discovery.Draining))
 	c.Check(state(restarted), qt.Equals, admission.Draining)
 	late := record(discovery.Serving)
 	c.Assert(restarted.local.HandleReport(late), qt.IsTrue)
-	c.Check(state(restarted), qt.Equals, admission.Draining, qt.Commentf("a keepalive that comes late"))
+	c.Check(state(restarted), qt.Equals, admission.Draining, qt.Commentf("after a late keepalive"))
 
-	restarted = startSidecar(t)
+	restarted = newTestSidecar(t)
 	restarted.agent.ApplyRecord(record(discovery.Deregistered))
 	c.Assert(restarted.local.HandleReport(late), qt.IsTrue)
-	c.Check(state(restarted), qt.Equals, admission.Unknown, qt.Commentf("a keepalive of an ID that has ended"))
+	c.Check(state(restarted), qt.Equals, admission.Unknown, qt.Commentf("after a keepalive of an ID that has ended"))
 
-	restarted = startSidecar(t)
+	restarted = newTestSidecar(t)
 	c.Assert(restarted.local.HandleReport(discovery.Endpoint{ID: "x", State: discovery.Deregistered}), qt.IsTrue,
-		qt.Commentf("it deregisters at a new process"))
+		qt.Commentf("a deregistration that a restarted sidecar receives"))
 	c.Assert(restarted.local.HandleReport(late), qt.IsTrue)
 	c.Check(state(restarted), qt.Equals, admission.Unknown)
 
-	restarted = startSidecar(t)
+	restarted = newTestSidecar(t)
 	own := record(discovery.Serving)
 	c.Assert(restarted.local.HandleReport(own), qt.IsTrue)
-	c.Check(state(restarted), qt.Equals, admission.Serving, qt.Commentf("its own keepalive"))
+	c.Check(state(restarted), qt.Equals, admission.Serving, qt.Commentf("after a keepalive of the endpoint"))
 	restarted.agent.ApplyRecord(record(discovery.Deregistered))
-	c.Check(state(restarted), qt.Equals, admission.Terminated, qt.Commentf("it has deregistered at another process"))
+	c.Check(state(restarted), qt.Equals, admission.Terminated, qt.Commentf("after a deregistration at another process"))
 }
 
-// A sidecar is a registry owner of its own endpoint's service, so that it has records of earlier IDs at the endpoint's address. While it
-// publishes a new ID, these records are reported to itself (OnEndpointLeaving). That must not block it: it goes on answering the
-// endpoint and the platform.
+// A sidecar that is a registry owner of its own endpoint's service has records of earlier IDs at the endpoint's address. When it publishes
+// a new ID, its agent reports these records to the sidecar itself (OnEndpointLeaving). This must not block the sidecar: it continues to
+// answer the endpoint and the platform.
 func TestSidecarThatOwnsItsOwnServiceAcceptsTheNextEndpointID(t *testing.T) {
 	c := qt.New(t)
-	sidecar := startSidecar(t)
+	sidecar := newTestSidecar(t)
 	sidecar.run(sidecar.agent.Run)
 	answered := make(chan struct{})
 	go func() {
@@ -124,17 +124,17 @@
 	select {
 	case <-answered:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a keepalive has no answer")
+		t.Fatal("a keepalive or the readiness probe was not answered within 5 s")
 	}
 	current, state := sidecar.inbound.Endpoint()
 	c.Check(current.ID, qt.Equals, "third")
 	c.Check(state, qt.Equals, admission.Serving)
 }
 
-// A record of an earlier ID at the endpoint's address never replaces the ID that the endpoint itself has sent.
+// A record of an earlier ID at the endpoint's address never replaces the ID in the endpoint's own keepalives.
 func TestAnEarlierEndpointIDDoesNotReplaceTheCurrentOne(t *testing.T) {
 	c := qt.New(t)
-	sidecar := startSidecar(t)
+	sidecar := newTestSidecar(t)
 	own := discovery.Endpoint{
 		ID:         "now",
 		Service:    "s",
@@ -156,9 +156,9 @@
 			Revision:           3,
 			LeaseRemaining:     5 * time.Second,
 		})
-		current, is := sidecar.inbound.Endpoint()
-		c.Check(current.ID, qt.Equals, "now", qt.Commentf("%v", state))
-		c.Check(is, qt.Equals, admission.Serving, qt.Commentf("%v", state))
+		current, admitted := sidecar.inbound.Endpoint()
+		c.Check(current.ID, qt.Equals, "now", qt.Commentf("current ID after a record with state %v", state))
+		c.Check(admitted, qt.Equals, admission.Serving, qt.Commentf("admission state after a record with state %v", state))
 	}
 	own.Sequence = 2
 	c.Assert(sidecar.local.HandleReport(own), qt.IsTrue)
--- a/internal/mesh/assembly/process.go
+++ b/internal/mesh/assembly/process.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	maxCallBytes   = 68 << 20              // bytes of all peers' calls that are in memory at once: the largest body, and its header
-	gcPercent      = 150                   // see debug.SetGCPercent
-	heapFraction   = 0.6                   // part of the machine's memory that is the runtime's soft limit
-	reloadInterval = 5 * time.Second       // between two reads of the settings file, which may change without a SIGHUP
-	taskTimeout    = 50 * time.Millisecond // for the background tasks to end; the process exits even if one hangs
-	maxServerFails = 8                     // capacity of serverErrors: more than there are servers, so that none of them blocks
-	bitsPerMegabit = 1e6
+	maxCallBytes        = 68 << 20              // limit of the memory for peers' calls; fits the largest body and its header
+	gcPercent           = 150                   // argument of debug.SetGCPercent
+	heapFraction        = 0.6                   // the runtime's soft memory limit, as a fraction of the machine's memory
+	reloadInterval      = 5 * time.Second       // time between two reads of the settings file, which may change without a SIGHUP
+	taskStopTimeout     = 50 * time.Millisecond // longest wait for the background tasks to end; the process exits even if one hangs
+	serverErrorCapacity = 8                     // capacity of serverErrors; larger than the number of servers, so that none of them blocks
+	bitsPerMegabit      = 1e6
 )
 
-// process holds what both programs have in common.
+// process is the part that both programs have in common.
 type process struct {
-	settings     *settings.Settings // as they were at the start of the process
+	settings     *settings.Settings // settings at the start of the process; reloads do not change them
 	settingsPath string
 	signals      lifecycle.Signals
 	hub          *transport.Hub
 	log          *logrus.Logger
 	logRing      *logging.Ring
-	seed         uint64 // of all random numbers except the incarnation
+	seed         uint64 // seed of all random numbers except the incarnation
 
-	ctx    context.Context // ended by close; the parent of all contexts of the process
+	ctx    context.Context // parent of all contexts of the process; close cancels it
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup // background goroutines; close waits for them, up to taskTimeout
 
 	listeners    []net.Listener
 	httpServers  []*http.Server
-	serverErrors chan error // of servers that have failed
+	serverErrors chan error // errors of the servers that have failed
 }
 
-// newProcess reads the settings file and returns a process without servers and tasks. The error names the file, and each field that can't
-// be used.
+// newProcess reads the settings file, and returns a process that has no servers and no tasks yet. The error names the file, and each field
+// that is invalid.
 func newProcess(settingsPath string, signals lifecycle.Signals) (*process, error) {
 	loaded, err := settings.Load(settingsPath)
 	if err != nil {
@@ -65,11 +65,11 @@
 		log:          log,
 		logRing:      ring,
 		seed:         rand.Uint64(),
-		serverErrors: make(chan error, maxServerFails),
+		serverErrors: make(chan error, serverErrorCapacity),
 	}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	hello := transport.Hello{
-		Incarnation: rand.Uint64() | 1, // never 0, which stands for none
+		Incarnation: rand.Uint64() | 1, // never 0, which stands for no incarnation
 		Address:     loaded.InternalAddress(),
 		Name:        loaded.Name,
 		Zone:        loaded.Zone,
@@ -80,14 +80,15 @@
 	return p, nil
 }
 
-// run starts a background task. Its context ends when the process is closed.
+// run starts a background task. The task's context ends when the process is closed.
 func (p *process) run(task func(ctx context.Context)) {
 	p.tasks.Go(func() { task(p.ctx) })
 }
 
-// close ends the links, listeners and background tasks of the process. It is called after the shutdown, and if the process can't start.
+// close ends the links, listeners and background tasks of the process. It is called after the shutdown, and also if the process can't
+// start.
 func (p *process) close() {
-	p.hub.Drain(p.hub.Now()) // without waiting for peers: an orderly shutdown has done that before
+	p.hub.Drain(p.hub.Now()) // does not wait for peers: a shutdown in order has already done so
 	for _, listener := range p.listeners {
 		p.closeListener(listener)
 	}
@@ -99,11 +100,11 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(taskTimeout):
+	case <-time.After(taskStopTimeout):
 	}
 }
 
-// acceptLinks accepts links of other processes until close. If the listener fails, awaitTermination returns its error.
+// acceptLinks accepts links of other processes until the process is closed. If the listener fails, awaitTermination returns its error.
 func (p *process) acceptLinks(listener net.Listener) {
 	p.tasks.Go(func() {
 		if err := p.hub.Listen(listener); err != nil {
@@ -112,8 +113,8 @@
 	})
 }
 
-// handleReloads applies changes of the settings file, and dumps the log on SIGUSR1, until ctx ends. It runs as a task of the process, and
-// thus also while the process starts and shuts down.
+// handleReloads applies changes of the settings file, and dumps the log on SIGUSR1, until ctx ends. It runs as a background task, and thus
+// also while the process starts and shuts down.
 func (p *process) handleReloads(ctx context.Context, apply func(*settings.Settings)) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
@@ -131,29 +132,29 @@
 	}
 }
 
-// reload reads the settings file and applies it. A file that can't be used changes nothing.
+// reload reads the settings file and applies it. A file with an error is logged, and changes nothing.
 func (p *process) reload(apply func(*settings.Settings)) {
 	loaded, err := settings.Load(p.settingsPath)
 	if err != nil {
-		p.log.WithError(err).Warn("assembly: settings are kept as they were")
+		p.log.WithError(err).Warn("assembly: failed to reload the settings, keeping the current ones")
 		return
 	}
 	apply(loaded)
 }
 
-// awaitTermination waits until the process has to end. It returns nil after SIGTERM, else the error of the server that failed. The process
-// is then to shut down in order in both cases.
+// awaitTermination waits until the process has to end. It returns nil after SIGTERM, and otherwise the error of the server that has failed.
+// In both cases the caller then shuts down the process in order.
 func (p *process) awaitTermination() error {
 	select {
 	case <-p.signals.Terminate:
 		return nil
 	case err := <-p.serverErrors:
-		p.log.WithError(err).Error("assembly: a server failed, the process ends")
+		p.log.WithError(err).Error("assembly: a server failed, shutting down")
 		return err
 	}
 }
 
-// isClosed reports whether err means that a listener or server was closed already.
+// isClosed reports whether err means that a listener or server was already closed.
 func isClosed(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)
 }
--- a/internal/mesh/assembly/replacement_test.go
+++ b/internal/mesh/assembly/replacement_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/mesh/agent"
 )
 
-// controlState reads the state of a control-plane process.
+// controlState reads the state of a control-plane process. ok is false if that fails.
 func (t *testMesh) controlState(machine *testMachine) (s agent.State, ok bool) {
 	status, page, err := t.get(machine, "8105", "/mesh/state")
 	ok = err == nil && status == http.StatusOK && json.Unmarshal(page, &s) == nil
@@ -31,10 +31,10 @@
 	return body
 }
 
-// waitForVoter waits until the process asked reports three voters, and that another process is, or isn't, one of them.
+// waitForVoter waits until the process asked reports three voters, with or without the process on machine, as want says.
 func (t *testMesh) waitForVoter(asked, machine *testMachine, want bool) {
 	t.Helper()
-	t.waitFor("voters with "+machine.name, func() bool {
+	t.waitFor("three voters are reported, with or without "+machine.name, func() bool {
 		s, ok := t.controlState(asked)
 		return ok && s.Confirmed && len(s.Voters) == 3 && slices.Contains(s.Voters, machine.ip+":8105") == want
 	})
@@ -52,7 +52,7 @@
 	})
 }
 
-// startStandby starts a control-plane process with an empty disk. ip is the last number of its address, with the dot before it.
+// startStandby starts a control-plane process with an empty disk. ip is the last number of its address, preceded by the dot.
 func (t *testMesh) startStandby(name, ip, zone string) *testMachine {
 	t.Helper()
 	machine := &testMachine{name: name, role: "core", ip: t.subnet + ip, zone: zone}
@@ -61,14 +61,15 @@
 	return machine
 }
 
-// A control-plane process shuts down while a standby runs, and later another one is lost for good and replaced. After each of these events
-// one of the remaining processes loses its disk. Each time the acknowledged configuration is read back, and the next change is accepted.
+// A control-plane process shuts down while a standby runs, and later another one is lost permanently and replaced. After each of these
+// events one of the remaining processes loses its disk. Each time the acknowledged configuration is read back, and the next change is
+// accepted.
 func TestControlMachinesAreReplaced(t *testing.T) {
 	mesh := newMesh(t, 4)
 	mesh.waitFirstConfiguration("", "k1")
 	coreA, coreB, coreC := mesh.machines["core-a"], mesh.machines["core-b"], mesh.machines["core-c"]
 	coreD := mesh.startStandby("core-d", ".4", "a")
-	mesh.waitFor("it is there, for a moment", func() bool {
+	mesh.waitFor("core-a reports core-d as a member", func() bool {
 		s, ok := mesh.controlState(coreA)
 		isCoreD := func(member agent.MemberState) bool { return member.Address == coreD.ip+":7640" }
 		return ok && s.Confirmed && slices.ContainsFunc(s.Members, isCoreD)
@@ -79,24 +80,32 @@
 	mesh.Assert(coreA.cmd.Wait(), qt.IsNil)
 	mesh.Check(time.Since(began) < 5*time.Second, qt.IsTrue)
 	coreA.cmd = nil
-	s, ok := mesh.controlState(coreB) // it has handed its vote over before it ended
+	s, ok := mesh.controlState(coreB) // core-a has handed over its vote before it exited
 	mesh.Assert(ok && s.Confirmed, qt.IsTrue)
 	mesh.Check(slices.Contains(s.Voters, coreA.ip+":8105"), qt.IsFalse)
 	mesh.Check(slices.Contains(s.Voters, coreD.ip+":8105"), qt.IsTrue)
 	mesh.restartWithEmptyDisk(coreC)
-	mesh.waitFor("a change", func() bool { return mesh.replaceConfiguration(1, mesh.configuration(2, "", "k2")) == http.StatusOK })
-	mesh.waitFor("it is read back", func() bool { return bytes.Equal(mesh.retrieveConfiguration(coreC), mesh.configuration(2, "", "k2")) })
+	mesh.waitFor("configuration r2 is accepted", func() bool {
+		return mesh.replaceConfiguration(1, mesh.configuration(2, "", "k2")) == http.StatusOK
+	})
+	mesh.waitFor("core-c returns configuration r2", func() bool {
+		return bytes.Equal(mesh.retrieveConfiguration(coreC), mesh.configuration(2, "", "k2"))
+	})
 
 	mesh.kill(coreB)
 	mesh.Assert(os.RemoveAll(mesh.dataDirectory(coreB)), qt.IsNil)
 	coreE := mesh.startStandby("core-e", ".5", "b")
 	mesh.waitForVoter(coreD, coreE, true)
 	mesh.waitForVoter(coreD, coreB, false)
-	mesh.waitFor("another change", func() bool { return mesh.replaceConfiguration(2, mesh.configuration(3, "", "k3")) == http.StatusOK })
+	mesh.waitFor("configuration r3 is accepted", func() bool {
+		return mesh.replaceConfiguration(2, mesh.configuration(3, "", "k3")) == http.StatusOK
+	})
 	mesh.restartWithEmptyDisk(coreD)
-	mesh.waitFor("the process without a disk reads it back", func() bool {
+	mesh.waitFor("core-d returns configuration r3 after the loss of its disk", func() bool {
 		return bytes.Equal(mesh.retrieveConfiguration(coreD), mesh.configuration(3, "", "k3"))
 	})
-	mesh.waitFor("the next change", func() bool { return mesh.replaceConfiguration(3, mesh.configuration(4, "", "k4")) == http.StatusOK })
-	t.Logf("took %v", time.Since(began).Round(time.Millisecond))
+	mesh.waitFor("configuration r4 is accepted", func() bool {
+		return mesh.replaceConfiguration(3, mesh.configuration(4, "", "k4")) == http.StatusOK
+	})
+	t.Logf("the replacements took %v", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/mesh/assembly/scenarios_test.go
+++ b/internal/mesh/assembly/scenarios_test.go
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Clients see the effects of a configuration, access keys, added routes, a draining endpoint, a crashed one, and a new endpoint ID at an
-// earlier address.
+// Clients see the effects of a configuration, of access keys and of added routes, of an endpoint that drains and one that crashes, and of
+// a new endpoint ID at the address of an earlier one.
 func TestMeshServes(t *testing.T) {
 	mesh := newMesh(t, 1)
 	mesh.waitReady()
@@ -21,36 +21,38 @@
 	mesh.Assert(a.status, qt.Equals, 200)
 	mesh.Assert(a.body, qt.Matches, `i-access-[01] desk POST /book/one\?x=1 from board for "north": 7 bytes`)
 	mesh.Assert(a.header.Get("Endpoint-Seal"), qt.Contains, id)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		path, key string
 		status    int
 	}{{"/read/x", "", 401}, {"/read/x", "nobody", 401}, {"/none/", "k1", 404}} {
-		a, _ := mesh.send("access-0", "GET", x.path, x.key, nil)
-		mesh.Assert(a.status, qt.Equals, x.status, qt.Commentf("%+v", x))
+		a, _ := mesh.send("access-0", "GET", test.path, test.key, nil)
+		mesh.Assert(a.status, qt.Equals, test.status, qt.Commentf("test case %+v", test))
 	}
 	tooLarge, _ := mesh.send("access-0", "POST", "/book/x", "k1", make([]byte, 100001))
 	mesh.Assert(tooLarge.status, qt.Equals, 413)
 	largest, _ := mesh.send("access-0", "POST", "/book/x", "k1", make([]byte, 100000))
 	mesh.Assert(largest.body, qt.Matches, ".*: 100000 bytes")
 	mesh.Assert(largest.header.Get("Keep-Alive"), qt.Equals, "timeout=14")
-	// One change removes a key and adds a route. A configuration that can't be parsed, or has an outdated base version, is never applied.
+	// One change removes an access key and adds a route. A configuration that can't be parsed, or whose base version is outdated, is never
+	// applied.
 	added := `,{"name":"new","hostName":"shop.example","pathPrefix":"/read/new/","routeKind":"idempotent",` +
 		`"timeout":"1000ms","target":"300ms","priority":1,"serviceName":"desk","maxAttempts":1,"publicAccess":true}`
 	mesh.Assert(mesh.replaceConfiguration(1, []byte(`{"configVersion":"r2","routeTable":[{`)), qt.Equals, 400)
 	mesh.Assert(mesh.replaceConfiguration(1, mesh.configuration(3, added, "k1")), qt.Equals, 200)
 	mesh.Assert(mesh.replaceConfiguration(1, mesh.configuration(4, "", "k2")), qt.Equals, 412)
-	mesh.Assert(mesh.replaceConfiguration(1, mesh.configuration(3, added, "k1")), qt.Equals, 200) // the same call, repeated
+	mesh.Assert(mesh.replaceConfiguration(1, mesh.configuration(3, added, "k1")), qt.Equals, 200) // an identical call is repeated
 	acknowledged := time.Now()
 	for name, x := range mesh.machines {
 		if x.role == "access" {
-			mesh.waitFor(name+" follows", func() bool {
+			mesh.waitFor(name+" has applied the change", func() bool {
 				a, _ := mesh.send(name, "GET", "/read/new/x", "", nil)
 				b, _ := mesh.send(name, "GET", "/read/x", "k2", nil)
 				return a.status == 200 && b.status == 401
 			})
 		}
 	}
-	mesh.Assert(time.Since(acknowledged) < 2500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(acknowledged)))
+	mesh.Assert(time.Since(acknowledged) < 2500*time.Millisecond, qt.IsTrue,
+		qt.Commentf("sidecars applied the change only %v after it was acknowledged", time.Since(acknowledged)))
 	mesh.replaceEndpointsOfBoard()
 }
 
@@ -58,7 +60,7 @@
 // endpoint with a new ID at the address of the first, and checks that it serves.
 func (t *testMesh) replaceEndpointsOfBoard() {
 	t.Helper()
-	// One endpoint is draining: callers use the other one only.
+	// While one endpoint is draining, callers use only the other one.
 	t.Assert(t.applications["access-2"].Drain(), qt.IsTrue)
 	t.waitFor("callers avoid the draining endpoint", func() bool {
 		for range 20 {
@@ -69,16 +71,16 @@
 		return true
 	})
 	t.Assert(t.applications["access-2"].Deregister(), qt.IsTrue)
-	// The other crashes, and an endpoint with a new ID starts at the first one's address.
+	// The other endpoint crashes, and an endpoint with a new ID starts at the address of the first.
 	t.applications["access-3"].Crash()
 	t.startApplication(t.machines["access-2"], "i-new")
 	var last response
 	defer func() {
 		if t.Failed() {
-			t.Logf("last %d %s", last.status, last.body)
+			t.Logf("the last answer has status %d and body %s", last.status, last.body)
 		}
 	}()
-	// A late keepalive of the ID that has ended changes nothing.
+	// A late keepalive of an ID that has ended has no effect.
 	ip := t.machines["access-2"].ip
 	late, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+ip+":8105/endpoints/i-access-2/keepalive",
 		strings.NewReader(`{"serviceName":"board","address":"`+ip+`:8103","zone":"c","slotCount":4,"state":"in_service",`+
@@ -93,23 +95,23 @@
 	})
 }
 
-// bookings is a client that sends non-idempotent requests, one after the other, by two sidecars in turn.
-type bookings struct {
-	m        *testMesh
-	stop     chan struct{}
+// bookingClient is a client that sends non-idempotent requests, one after the other, to two sidecars in turn.
+type bookingClient struct {
+	mesh     *testMesh
+	stop     chan struct{}  // closed by finish
 	done     chan struct{}  // closed when run has ended
-	statuses map[string]int // by request ID; guarded by done
+	statuses map[string]int // statuses of the answers by request ID; read only after done is closed
 }
 
-// startBookings starts the client.
-func startBookings(m *testMesh) *bookings {
-	b := &bookings{m: m, stop: make(chan struct{}), done: make(chan struct{}), statuses: map[string]int{}}
+// startBookings starts a bookingClient.
+func startBookings(mesh *testMesh) *bookingClient {
+	b := &bookingClient{mesh: mesh, stop: make(chan struct{}), done: make(chan struct{}), statuses: map[string]int{}}
 	go b.run()
 	return b
 }
 
 // run sends requests until stop is closed.
-func (b *bookings) run() {
+func (b *bookingClient) run() {
 	defer close(b.done)
 	for i := 0; ; i++ {
 		select {
@@ -117,16 +119,17 @@
 			return
 		default:
 		}
-		a, id := b.m.send([]string{"access-2", "access-3"}[i%2], "POST", "/book/x", "k1", []byte("b"))
+		a, id := b.mesh.send([]string{"access-2", "access-3"}[i%2], "POST", "/book/x", "k1", []byte("b"))
 		b.statuses[id] = a.status
 	}
 }
 
-// finish stops the client, and checks that each request ran at most once, that those with status 200 ran and that rejected ones did not.
-func (b *bookings) finish() {
+// finish stops the client, and checks that each request ran at most once, that each request with status 200 ran, and that no rejected
+// request ran.
+func (b *bookingClient) finish() {
 	close(b.stop)
 	<-b.done
-	mesh := b.m
+	mesh := b.mesh
 	mesh.Helper()
 	runs := map[string]int{}
 	for _, a := range mesh.applications {
@@ -143,19 +146,19 @@
 			mesh.Check(runs[id], qt.Equals, 1)
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 			rejected++
-			mesh.Check(runs[id], qt.Equals, 0, qt.Commentf("booking %s was rejected and ran", id))
+			mesh.Check(runs[id], qt.Equals, 0, qt.Commentf("booking %s was rejected, but ran", id))
 		}
 	}
 	mesh.Assert(served > 0, qt.IsTrue)
 	mesh.Logf("%d bookings: %d served, %d rejected", len(b.statuses), served, rejected)
 }
 
-// Processes are killed and suspended under load: no non-idempotent request runs twice, and after each event requests are served again.
+// Processes are killed and suspended under load. No non-idempotent request runs twice, and after each event requests are served again.
 func TestMeshSurvivesCrashesOfItsProcesses(t *testing.T) {
 	mesh := newMesh(t, 2)
 	mesh.waitReady()
 	load := startBookings(mesh)
-	// The sidecar beside one of two desks is killed; then the other is suspended while the first is back.
+	// The sidecar beside one of the two endpoints of the service desk is killed. After it has restarted, the other one is suspended.
 	mesh.kill(mesh.machines["access-0"])
 	mesh.waitServed("access-2", "/book/y")
 	mesh.start(mesh.machines["access-0"])
@@ -163,9 +166,9 @@
 	mesh.signal(mesh.machines["access-1"], syscall.SIGSTOP)
 	mesh.waitServed("access-2", "/book/z")
 	mesh.signal(mesh.machines["access-1"], syscall.SIGCONT)
-	// One control-plane process is killed, and a change still goes through; then all at once, and their disks hold the change.
+	// One control-plane process is killed, and a change is still accepted. Then all of them are killed, and their disks retain the change.
 	mesh.kill(mesh.machines["core-b"])
-	mesh.waitFor("a change without one control-plane process", func() bool {
+	mesh.waitFor("a change is accepted without core-b", func() bool {
 		return mesh.replaceConfiguration(1, mesh.configuration(5, "", "k1", "k3")) == http.StatusOK
 	})
 	for _, zone := range []string{"a", "c"} {
@@ -175,14 +178,14 @@
 	for _, zone := range coreZones {
 		mesh.start(mesh.machines["core-"+zone])
 	}
-	mesh.waitFor("the change is read back", func() bool {
+	mesh.waitFor("core-b returns the change", func() bool {
 		return bytes.Equal(mesh.retrieveConfiguration(mesh.machines["core-b"]), mesh.configuration(5, "", "k1", "k3"))
 	})
-	// A disk is lost: the process remembers no promise, and the others' votes stand.
+	// A disk is lost: the process has lost its promises as a voter, but the other processes retain theirs.
 	mesh.kill(mesh.machines["core-a"])
 	mesh.Assert(os.RemoveAll(mesh.dataDirectory(mesh.machines["core-a"])), qt.IsNil)
 	mesh.start(mesh.machines["core-a"])
-	mesh.waitFor("a change with a lost disk", func() bool {
+	mesh.waitFor("a change is accepted after core-a has lost its disk", func() bool {
 		return mesh.replaceConfiguration(5, mesh.configuration(8, "", "k1", "k4")) == http.StatusOK
 	})
 	mesh.waitServed("access-2", "/book/w")
@@ -193,13 +196,13 @@
 	load.finish()
 }
 
-// A sidecar gets SIGTERM with requests in flight: all of them are answered, and the process ends by itself within the grace time.
+// A sidecar that gets SIGTERM while requests are in flight answers all of them, and exits within the grace time.
 func TestSidecarShutsDownGracefully(t *testing.T) {
 	mesh := newMesh(t, 3)
 	mesh.waitReady()
 	before := len(mesh.applications["access-0"].Executions()) + len(mesh.applications["access-1"].Executions())
-	release := mesh.applications["access-0"].Hold()
-	other := mesh.applications["access-1"].Hold()
+	release0 := mesh.applications["access-0"].Hold()
+	release1 := mesh.applications["access-1"].Hold()
 	answers := make(chan response, 4)
 	for range 4 {
 		go func() {
@@ -210,23 +213,23 @@
 	mesh.waitFor("the requests are in flight", func() bool {
 		select {
 		case a := <-answers:
-			mesh.Fatalf("a request was answered %d %s", a.status, a.body)
+			mesh.Fatalf("a request was answered too early, with status %d and body %s", a.status, a.body)
 		default:
 		}
 		return len(mesh.applications["access-0"].Executions())+len(mesh.applications["access-1"].Executions()) == before+4
 	})
 	sidecar := mesh.machines["access-2"]
 	mesh.Assert(sidecar.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
-	mesh.waitFor("it reports that it is not ready", func() bool {
+	mesh.waitFor("access-2 reports that it is not ready", func() bool {
 		status, _, err := mesh.get(sidecar, "8100", "/readiness")
 		return err == nil && status == http.StatusServiceUnavailable
 	})
-	release()
-	other()
+	release0()
+	release1()
 	for range 4 {
 		mesh.Assert((<-answers).status, qt.Equals, 200)
 	}
 	began := time.Now()
 	mesh.Assert(mesh.waitForExit(sidecar), qt.IsNil)
-	mesh.Assert(time.Since(began) < 6*time.Second, qt.IsTrue, qt.Commentf("it has not ended within the grace time"))
+	mesh.Assert(time.Since(began) < 6*time.Second, qt.IsTrue, qt.Commentf("the sidecar has not exited within the grace time"))
 }
--- a/internal/mesh/assembly/shutdown_test.go
+++ b/internal/mesh/assembly/shutdown_test.go
@@ -15,55 +15,55 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Requests may run for five sixths of the grace time at least, and the steps of the shutdown follow each other within it.
+// Requests may run for at least five sixths of the grace time, and all steps of the shutdown follow each other within the grace time.
 func TestShutdownPlanKeepsItsOrder(t *testing.T) {
 	const now = time.Hour
 	for _, grace := range []time.Duration{200 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second, time.Minute} {
 		t.Run(grace.String(), func(t *testing.T) {
 			plan := planShutdown(now, grace)
-			qt.Check(t, plan.answersDue-now > grace*5/6, qt.IsTrue, qt.Commentf("%+v", plan))
+			qt.Check(t, plan.answersDue-now > grace*5/6, qt.IsTrue, qt.Commentf("time for requests in the plan %+v", plan))
 			inOrder := now < plan.rejectFrom && plan.rejectFrom < plan.answersDue && plan.answersDue < plan.exitBy
-			qt.Check(t, inOrder && plan.exitBy < now+grace, qt.IsTrue, qt.Commentf("%+v", plan))
+			qt.Check(t, inOrder && plan.exitBy < now+grace, qt.IsTrue, qt.Commentf("order of the plan %+v", plan))
 		})
 	}
 }
 
 // clientExchange is one request of a client, and its outcome.
 type clientExchange struct {
-	id, path string
-	answered bool          // the client has received a complete answer
-	status   int           // of the answer
-	began    bool          // the client has received some bytes of an answer
-	waited   time.Duration // for the answer or the error
-	err      error
+	id, path    string
+	answered    bool          // whether the client has received a complete answer
+	status      int           // status of the answer; 0 if none was read
+	answerBegan bool          // whether the client has received any byte of an answer
+	elapsed     time.Duration // time from the request to the answer or the error
+	err         error
 }
 
-// testClient sends requests on one connection. It opens another one if that was closed.
+// testClient sends requests on one connection. It opens a new connection if the previous one was closed.
 type testClient struct {
-	m       *testMesh
-	machine string
-	keep    bool // the connection is kept after an answer
-	conn    net.Conn
-	r       *bufio.Reader
+	mesh      *testMesh
+	machine   string // name of the machine whose sidecar gets the requests
+	keepAlive bool   // whether the connection stays open after an answer
+	conn      net.Conn
+	r         *bufio.Reader
 }
 
 // close closes the connection, if one is open.
 func (t *testClient) close() {
 	if t.conn != nil {
-		_ = t.conn.Close() // the other side may have reset it
+		_ = t.conn.Close() // fails if the other side has reset the connection
 		t.conn = nil
 	}
 }
 
-// do sends a request and reads its answer. refused means that it could not open a connection.
+// do sends a request and reads its answer. refused is true if the client could not open a connection.
 func (t *testClient) do(method, path string) (exchange clientExchange, refused bool) {
-	t.m.mu.Lock()
-	t.m.requestCount++
-	exchange.id = fmt.Sprintf("%016x", t.m.requestCount)
+	t.mesh.mu.Lock()
+	t.mesh.requestCount++
+	exchange.id = fmt.Sprintf("%016x", t.mesh.requestCount)
 	exchange.path = path
-	t.m.mu.Unlock()
+	t.mesh.mu.Unlock()
 	if t.conn == nil {
-		conn, err := t.m.dial(t.m.machines[t.machine])
+		conn, err := t.mesh.dial(t.mesh.machines[t.machine])
 		if err != nil {
 			return exchange, true
 		}
@@ -75,19 +75,19 @@
 	_, _ = fmt.Fprintf(t.conn, "%s %s HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: %s\r\nKey: k1\r\nTime-Remaining: 15000\r\n\r\n",
 		method, path, exchange.id)
 	_, exchange.err = t.r.Peek(1)
-	exchange.began = exchange.err == nil
-	if exchange.began {
+	exchange.answerBegan = exchange.err == nil
+	if exchange.answerBegan {
 		exchange.status, exchange.err = t.read(method, exchange.id)
 		exchange.answered = exchange.err == nil
 	}
-	exchange.waited = time.Since(began)
-	if !exchange.answered || !t.keep {
+	exchange.elapsed = time.Since(began)
+	if !exchange.answered || !t.keepAlive {
 		t.close()
 	}
 	return exchange, false
 }
 
-// read reads a complete answer, and checks that it is the one to the request with an ID.
+// read reads a complete answer, and checks that it belongs to the request with an ID.
 func (t *testClient) read(method, id string) (status int, err error) {
 	response, err := http.ReadResponse(t.r, &http.Request{Method: method})
 	if err != nil {
@@ -98,7 +98,7 @@
 		return response.StatusCode, err
 	}
 	if response.StatusCode == http.StatusOK && response.Header.Get("Attempt-Id") != id {
-		return response.StatusCode, fmt.Errorf("the answer to %q", response.Header.Get("Attempt-Id"))
+		return response.StatusCode, fmt.Errorf("received the answer to another request, %q", response.Header.Get("Attempt-Id"))
 	}
 	if response.Close {
 		t.close()
@@ -108,26 +108,26 @@
 
 // clientLoad runs clients, and records their exchanges.
 type clientLoad struct {
-	clients sync.WaitGroup
-	stop    chan struct{}    // closed by finish
-	mu      sync.Mutex       // guards the fields below
-	ending  []clientExchange // with the sidecar that shuts down
-	others  []clientExchange // with another sidecar
+	clients  sync.WaitGroup
+	stop     chan struct{}    // closed by finish
+	mu       sync.Mutex       // guards the fields below
+	stopping []clientExchange // exchanges with the sidecar that shuts down
+	others   []clientExchange // exchanges with another sidecar
 }
 
-// maxRejections is how many requests of one client may be rejected before it gives up.
+// maxRejections is the number of rejected requests after which a client stops.
 const maxRejections = 100
 
-// once starts a client that sends one request by the sidecar that shuts down.
-func (l *clientLoad) once(c *testClient, method, path string) {
+// sendOnce starts a client that sends one request to the sidecar that shuts down.
+func (l *clientLoad) sendOnce(c *testClient, method, path string) {
 	l.clients.Go(func() {
 		defer c.close()
-		l.exchange(c, method, path, &l.ending)
+		l.exchange(c, method, path, &l.stopping)
 	})
 }
 
-// repeat starts a client that sends GET requests until the load is finished, or until it can't connect.
-func (l *clientLoad) repeat(c *testClient, path string, into *[]clientExchange) {
+// sendRepeatedly starts a client that sends GET requests until the load is finished, until it can't connect, or until maxRejections.
+func (l *clientLoad) sendRepeatedly(c *testClient, path string, into *[]clientExchange) {
 	l.clients.Go(func() {
 		defer c.close()
 		for rejections := 0; rejections < maxRejections && !l.stopped(); {
@@ -164,11 +164,11 @@
 	}
 }
 
-// running reports whether both sidecars have served some requests.
+// running reports whether clients have exchanged more than 5 requests with each of the two sidecars.
 func (l *clientLoad) running() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.ending) > 5 && len(l.others) > 5
+	return len(l.stopping) > 5 && len(l.others) > 5
 }
 
 // finish stops all clients, and waits for them.
@@ -182,7 +182,7 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// check checks that each request that the sidecar read before it ended has a complete answer, and that none was rejected and ran.
+// check checks that each request that the stopping sidecar has read got a complete answer, and that no rejected request ran.
 func (l *clientLoad) check(mesh *testMesh) {
 	mesh.Helper()
 	ran := map[string]bool{}
@@ -192,24 +192,25 @@
 		}
 	}
 	count := map[int]int{}
-	for _, exchange := range l.ending {
+	for _, exchange := range l.stopping {
 		count[exchange.status]++
-		neverRead := !exchange.began && !ran[exchange.id] && exchange.waited < time.Second
-		mesh.Check(exchange.answered || neverRead, qt.IsTrue, qt.Commentf("%+v, ran %v", exchange, ran[exchange.id]))
-		mesh.Check(isRejection(exchange.status) && ran[exchange.id], qt.IsFalse, qt.Commentf("rejected and run: %+v", exchange))
+		neverRead := !exchange.answerBegan && !ran[exchange.id] && exchange.elapsed < time.Second
+		mesh.Check(exchange.answered || neverRead, qt.IsTrue,
+			qt.Commentf("a request that may have been read has no answer: %+v, ran %v", exchange, ran[exchange.id]))
+		mesh.Check(isRejection(exchange.status) && ran[exchange.id], qt.IsFalse, qt.Commentf("a request was rejected, but ran: %+v", exchange))
 	}
 	for _, exchange := range l.others {
 		hasOutcome := exchange.status == http.StatusOK || isRejection(exchange.status)
-		mesh.Check(exchange.answered && hasOutcome, qt.IsTrue, qt.Commentf("another sidecar's: %+v", exchange))
+		mesh.Check(exchange.answered && hasOutcome, qt.IsTrue, qt.Commentf("a request to the other sidecar has no valid answer: %+v", exchange))
 	}
-	mesh.Logf("%d requests: %v; %d of another sidecar", len(l.ending), count, len(l.others))
-	mesh.Assert(count[http.StatusOK] > 0 && count[http.StatusServiceUnavailable] > 0, qt.IsTrue, qt.Commentf("%v", count))
-	mesh.Assert(count[http.StatusGatewayTimeout], qt.Equals, 2, qt.Commentf("%v", count))
+	mesh.Logf("%d requests to the stopping sidecar by status: %v; %d to the other one", len(l.stopping), count, len(l.others))
+	mesh.Assert(count[http.StatusOK] > 0 && count[http.StatusServiceUnavailable] > 0, qt.IsTrue, qt.Commentf("number by status %v", count))
+	mesh.Assert(count[http.StatusGatewayTimeout], qt.Equals, 2, qt.Commentf("number by status %v", count))
 }
 
-// A sidecar gets SIGTERM under load. Each request that it has read has a complete answer before the process ends, also one that no endpoint
-// answers and whose deadline is long after the end. Requests that have not run are rejected. The answers of the endpoint beside it reach
-// their callers completely, over a slow link.
+// A sidecar gets SIGTERM under load. It answers each request that it has read completely before it exits, even a request that no endpoint
+// answers and whose deadline is long after the exit. Requests that have not run are rejected. The answers of the sidecar's endpoint reach
+// their callers completely over a slow link.
 func TestEveryRequestReadIsAnsweredDuringShutdown(t *testing.T) {
 	mesh := newMeshWith(t, 4, "linkMbps = 18.0\n", "grace = \"3s\"\n")
 	mesh.waitFirstConfiguration(longRoute, "k1")
@@ -227,25 +228,25 @@
 	before := runs()
 	load := &clientLoad{stop: make(chan struct{})}
 	for range 2 {
-		load.once(&testClient{m: mesh, machine: "access-2"}, "POST", "/book/long/x")
+		load.sendOnce(&testClient{mesh: mesh, machine: "access-2"}, "POST", "/book/long/x")
 	}
-	mesh.waitFor("requests are in flight", func() bool { return runs() == before+2 })
+	mesh.waitFor("two requests are in flight", func() bool { return runs() == before+2 })
 	for i := range 3 {
-		load.repeat(&testClient{m: mesh, machine: "access-2", keep: i > 0}, "/read/x?bytes=20000", &load.ending)
-		load.repeat(&testClient{m: mesh, machine: "access-0", keep: i > 0}, "/read/x?bytes=150000", &load.others)
+		load.sendRepeatedly(&testClient{mesh: mesh, machine: "access-2", keepAlive: i > 0}, "/read/x?bytes=20000", &load.stopping)
+		load.sendRepeatedly(&testClient{mesh: mesh, machine: "access-0", keepAlive: i > 0}, "/read/x?bytes=150000", &load.others)
 	}
-	mesh.waitFor("the load runs", load.running)
+	mesh.waitFor("both sidecars serve the load", load.running)
 	sidecar := mesh.machines["access-2"]
 	mesh.Assert(sidecar.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	began := time.Now()
 	mesh.Assert(mesh.waitForExit(sidecar), qt.IsNil)
-	t.Logf("ended after %v", time.Since(began))
+	t.Logf("the sidecar exited after %v", time.Since(began))
 	load.finish()
 	load.check(mesh)
 }
 
-// A sidecar shuts down while the endpoint beside it works on a request that another sidecar has sent. Late in the grace time the endpoint
-// makes a call of its own for that request: the call is served, and so is the request.
+// A sidecar shuts down while its endpoint works on a request that another sidecar has sent. Late in the grace time the endpoint makes a
+// nested call for that request. Both the nested call and the request are served.
 func TestNestedCallsAreServedDuringShutdown(t *testing.T) {
 	mesh := newMeshWith(t, 8, "", "grace = \"6s\"\n")
 	routes := longRoute + `,{"name":"inner","hostName":"shop.example","pathPrefix":"/inner/","routeKind":"idempotent",` +
@@ -255,42 +256,42 @@
 		mesh.waitServed("access-2", path)
 	}
 	for _, name := range []string{"access-0", "access-1"} {
-		mesh.waitFor(name+" serves calls", func() bool {
+		mesh.waitFor(name+" serves /inner/x", func() bool {
 			a, _ := mesh.send(name, "GET", "/inner/x", "", nil)
 			return a.status == http.StatusOK
 		})
 	}
-	release := map[string]func(){}
+	releases := map[string]func(){}
 	before := map[string]int{}
 	for _, name := range []string{"access-0", "access-1"} {
-		release[name], before[name] = mesh.applications[name].Hold(), len(mesh.applications[name].Executions())
+		releases[name], before[name] = mesh.applications[name].Hold(), len(mesh.applications[name].Executions())
 	}
 	answers := make(chan clientExchange, 1)
 	go func() {
-		c := &testClient{m: mesh, machine: "access-2"}
+		c := &testClient{mesh: mesh, machine: "access-2"}
 		defer c.close()
 		a, _ := c.do("POST", "/book/long/x?call=/inner/x")
 		answers <- a
 	}()
-	at := ""
+	running := ""
 	mesh.waitFor("the request is in flight", func() bool {
 		for name, n := range before {
 			if len(mesh.applications[name].Executions()) > n {
-				at = name
+				running = name
 			}
 		}
-		return at != ""
+		return running != ""
 	})
-	sidecar := mesh.machines[at]
+	sidecar := mesh.machines[running]
 	mesh.signal(sidecar, syscall.SIGTERM)
 	mesh.waitFor("the sidecar rejects new requests", func() bool {
-		a, _ := mesh.send(at, "GET", "/read/x", "k1", nil)
+		a, _ := mesh.send(running, "GET", "/read/x", "k1", nil)
 		return a.status == http.StatusServiceUnavailable
 	})
-	for _, f := range release {
-		f()
+	for _, release := range releases {
+		release()
 	}
 	a := <-answers
-	mesh.Check(a.answered && a.status == http.StatusOK, qt.IsTrue, qt.Commentf("%+v", a))
+	mesh.Check(a.answered && a.status == http.StatusOK, qt.IsTrue, qt.Commentf("want an answer with status 200, got %+v", a))
 	mesh.Assert(mesh.waitForExit(sidecar), qt.IsNil)
 }
--- a/internal/mesh/assembly/sidecar.go
+++ b/internal/mesh/assembly/sidecar.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	bodyMemoryFraction = 0.3      // part of the machine's memory for the bodies of clients' requests
-	minBodyMemoryBytes = 68 << 20 // bytes of the largest body that a configuration may allow
+	bodyMemoryFraction = 0.3      // fraction of the machine's memory that the bodies of clients' requests may use
+	minBodyMemoryBytes = 68 << 20 // lower bound of that memory: the largest body that a configuration may allow
 )
 
 // sidecar is the process beside an endpoint.
@@ -33,8 +33,8 @@
 	local    *localEndpoint
 }
 
-// RunSidecar runs the sidecar beside an endpoint until SIGTERM, and shuts it down. The error says why it could not start, or which of
-// its servers failed.
+// RunSidecar runs the sidecar beside an endpoint until SIGTERM, and then shuts it down. It returns an error if the sidecar can't start, or
+// if one of its servers fails.
 func RunSidecar(settingsPath string, signals lifecycle.Signals) error {
 	p, err := newProcess(settingsPath, signals)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return err
 }
 
-// newSidecar returns a sidecar, whose parts are connected with each other and not running yet.
+// newSidecar returns a sidecar whose parts are connected with each other, but are not running yet.
 func newSidecar(p *process) *sidecar {
 	s := &sidecar{process: p}
 	s.inbound = inbound.New(p.settings.ApplicationAddress, p.hub.Now, p.log, func(endpointID string) {
@@ -85,7 +85,8 @@
 	return s
 }
 
-// outboundOptions returns the options of the outbound proxy. Their functions are called once the agent and the quota client are set.
+// outboundOptions returns the options of the outbound proxy. The functions in them must not be called before the agent and the quota client
+// are set.
 func (s *sidecar) outboundOptions() outbound.Options {
 	return outbound.Options{
 		Hub:              s.hub,
@@ -100,12 +101,12 @@
 	}
 }
 
-// applySettings applies the settings that may change while a sidecar runs: the seeds.
+// applySettings applies the only settings that may change while a sidecar runs: the seeds.
 func (s *sidecar) applySettings(changed *settings.Settings) {
 	s.agent.SetSeeds(changed.SeedAddresses())
 }
 
-// serveClients serves the requests of clients and of the endpoint here. If the server fails, awaitTermination returns its error.
+// serveClients serves the requests of clients and of the local endpoint. If the server fails, awaitTermination returns its error.
 func (s *sidecar) serveClients(listener net.Listener) {
 	s.tasks.Go(func() {
 		if err := s.outbound.Server().Serve(listener); err != nil {
@@ -114,8 +115,8 @@
 	})
 }
 
-// serveReadiness answers the platform's readiness probes: 200 while the sidecar has applied a configuration and is not shutting down, else
-// 503.
+// serveReadiness answers the platform's readiness probes with 200 if the sidecar has applied a configuration and is not shutting down, and
+// with 503 otherwise.
 func (s *sidecar) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if s.local.isShuttingDown() || s.outbound.Config() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/mesh/assembly/sidecar_shutdown.go
+++ b/internal/mesh/assembly/sidecar_shutdown.go
@@ -9,26 +9,30 @@
 	"quincegap/internal/mesh/discovery"
 )
 
-// The steps by which a sidecar divides the grace time, from SIGTERM to SIGKILL. With a short grace time they are fractions of it.
+// Durations into which a sidecar divides the grace time, which is the time from SIGTERM to SIGKILL. With a short grace time they are
+// limited to fractions of it.
 const (
-	readinessNotice = 2400 * time.Millisecond // the platform probes every second, and sends no clients after two failed probes
-	answerMargin    = 900 * time.Millisecond  // before SIGKILL, to send the answers that are being written, also over a slow link
-	// answerDivisor makes answerMargin a part of a short grace time: requests get six sevenths (five sixths are required:
-	// docs/incidents/signal-while-ending.md).
+	// readinessNotice is the time from SIGTERM, after which readiness probes fail, to the rejection of new requests: the platform probes
+	// every second, and sends no more clients after two failed probes.
+	readinessNotice = 2400 * time.Millisecond
+	// answerMargin is the time before SIGKILL that remains for sending the answers that are being written, also over a slow link.
+	answerMargin = 900 * time.Millisecond
+	// answerDivisor limits answerMargin to a fraction of a short grace time: requests get six sevenths of it. They need at least five
+	// sixths: docs/incidents/signal-while-ending.md.
 	answerDivisor        = 7
-	exitMargin           = 250 * time.Millisecond // before SIGKILL
-	exitDivisor          = 12                     // exitMargin is this part of a short grace time
-	shutdownPollInterval = 20 * time.Millisecond  // between two checks whether a step is complete
+	exitMargin           = 250 * time.Millisecond // time before SIGKILL at which the process exits
+	exitDivisor          = 12                     // limits exitMargin to the grace time divided by it
+	shutdownPollInterval = 20 * time.Millisecond  // time between two checks whether a step is complete
 )
 
-// shutdownPlan holds the times of a sidecar's shutdown, on the process's clock. Invariant: rejectFrom < answersDue < exitBy.
+// shutdownPlan has the times of the steps of a sidecar's shutdown, on the process's clock. Invariant: rejectFrom < answersDue < exitBy.
 type shutdownPlan struct {
-	rejectFrom time.Duration // later requests are rejected
-	answersDue time.Duration // each request that was read has its outcome by then
-	exitBy     time.Duration // the process ends, whether or not clients have read their answers
+	rejectFrom time.Duration // time from which new requests are rejected
+	answersDue time.Duration // deadline for the outcome of each request that was read
+	exitBy     time.Duration // time at which the process exits, even if clients have not read their answers
 }
 
-// planShutdown plans the shutdown of a process that gets SIGTERM now, and SIGKILL after the grace time.
+// planShutdown returns the plan for a process that gets SIGTERM at the time now, and SIGKILL when the grace time has passed.
 func planShutdown(now, grace time.Duration) shutdownPlan {
 	return shutdownPlan{
 		rejectFrom: now + min(readinessNotice, grace*2/5),
@@ -37,17 +41,17 @@
 	}
 }
 
-// shutDown shuts down the sidecar in order. The sidecar reports that it is not ready, and serves requests until clients go to other
-// sidecars; it rejects later requests, and waits until each request that was read has its answer, including those that other sidecars
-// have sent to the endpoint here.
+// shutDown shuts down the sidecar in order. The sidecar reports that it is not ready, and serves requests until clients use other sidecars.
+// It then rejects new requests, and waits until each request that was read has its answer, including those that other sidecars have sent
+// to the local endpoint.
 func (s *sidecar) shutDown(clients net.Listener) {
 	plan := planShutdown(s.hub.Now(), s.settings.Bounds.Grace)
 	s.local.shutDown()
 	s.outbound.ShutDownBy(plan.answersDue)
 	if endpoint, _ := s.inbound.Endpoint(); endpoint.ID != "" {
-		s.agent.PublishEnd(endpoint.ID, discovery.Crashed) // not Deregistered: the endpoint may go on beside the next incarnation
+		s.agent.PublishEnd(endpoint.ID, discovery.Crashed) // not Deregistered: the endpoint may continue to run beside the next incarnation
 	}
-	s.waitUntil(plan.rejectFrom, func() bool { return false }) // without polling: the readiness probes are to fail first
+	s.waitUntil(plan.rejectFrom, func() bool { return false }) // always until rejectFrom: readiness probes must fail first
 	s.rejectNewRequests()
 	s.waitUntil(plan.answersDue, func() bool { return s.outbound.OpenRequests() == 0 && s.inbound.Pending() == 0 })
 	s.closeListener(clients)
@@ -59,7 +63,7 @@
 	s.hub.Drain(plan.exitBy)
 }
 
-// rejectNewRequests makes the sidecar reject new requests of clients, and those of other sidecars for the endpoint here.
+// rejectNewRequests makes the sidecar reject new requests of clients, and new requests of other sidecars to the local endpoint.
 func (s *sidecar) rejectNewRequests() {
 	s.outbound.RejectNewRequests()
 	if endpoint, state := s.inbound.Endpoint(); endpoint.ID != "" && state != admission.Terminated {
@@ -67,7 +71,7 @@
 	}
 }
 
-// waitUntil waits until done returns true, at most until the given time.
+// waitUntil waits until done returns true, but no longer than until the time at.
 func (s *sidecar) waitUntil(at time.Duration, done func() bool) {
 	for s.hub.Now() < at && !done() {
 		time.Sleep(shutdownPollInterval)
--- a/internal/mesh/assembly/testmesh_test.go
+++ b/internal/mesh/assembly/testmesh_test.go
@@ -23,11 +23,11 @@
 	"quincegap/internal/standin/application"
 )
 
-// TestMain makes the test program also the two programs that it tests: with a role in its environment it runs that one.
+// TestMain lets the test program also act as each of the two programs that it tests: if the environment has a role, it runs that program.
 func TestMain(m *testing.M) {
 	run := map[string]func(string, lifecycle.Signals) error{"access": RunSidecar, "core": RunControlPlane}[os.Getenv("MESH_TEST_ROLE")]
 	if run == nil {
-		http.DefaultClient.Timeout = 10 * time.Second // a process that never answers fails its test
+		http.DefaultClient.Timeout = 10 * time.Second // a process that does not answer fails its test
 		os.Exit(m.Run())
 	}
 	signals := lifecycle.Catch()
@@ -43,34 +43,35 @@
 // coreZones are the zones of the control-plane machines core-a, core-b and core-c.
 var coreZones = []string{"a", "b", "c"}
 
-// testMesh is a small mesh of real processes on loopback, with an address for each machine.
+// testMesh is a small mesh of real processes on the loopback interface, with an address for each machine.
 type testMesh struct {
 	*qt.C
-	folder       string
-	subnet       string // the first three numbers of its addresses
+	folder       string // directory of the settings files and data directories
+	subnet       string // first three numbers of the mesh's addresses
 	machines     map[string]*testMachine
 	applications map[string]*application.Endpoint
-	limits       string // further lines of limitSet
-	bounds       string // lines of boundSet
-	requestCount int
-	mu           sync.Mutex
+	limits       string     // additional lines of limitSet in the settings
+	bounds       string     // lines of boundSet in the settings
+	requestCount int        // number of requests sent; determines their IDs
+	mu           sync.Mutex // guards requestCount
 }
 
 // testMachine is a machine of the mesh, with one process.
 type testMachine struct {
 	name, role, ip, zone string
-	service              string    // of the endpoint on it; empty without one
-	initial              bool      // the next start is the first one of the whole system
-	cmd                  *exec.Cmd // nil while no process runs
+	service              string    // service of the endpoint on the machine; empty if it has no endpoint
+	initial              bool      // whether the next start is part of the first start of the whole system
+	cmd                  *exec.Cmd // the machine's process; nil while none runs
 }
 
-// newMesh starts the n-th mesh of this test process. Its addresses depend on the process ID, so that several may run on a machine.
+// newMesh starts the n-th mesh of this test process. The addresses depend on the process ID, so that several test processes can run on one
+// machine.
 func newMesh(t *testing.T, n int) *testMesh {
 	t.Helper()
 	return newMeshWith(t, n, "", "")
 }
 
-// newMeshWith is newMesh with further lines for the settings' limitSet and boundSet.
+// newMeshWith is newMesh with additional lines for limitSet and boundSet in the settings.
 func newMeshWith(t *testing.T, n int, limits, bounds string) *testMesh {
 	t.Helper()
 	subnet := fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, os.Getpid()/200%80*3+n)
@@ -84,11 +85,11 @@
 		bounds:       bounds,
 	}
 	t.Cleanup(func() {
-		for _, x := range mesh.machines {
-			mesh.kill(x)
+		for _, machine := range mesh.machines {
+			mesh.kill(machine)
 		}
-		for _, a := range mesh.applications {
-			a.Crash()
+		for _, endpoint := range mesh.applications {
+			endpoint.Crash()
 		}
 	})
 	for i, zone := range coreZones {
@@ -100,7 +101,7 @@
 	return mesh
 }
 
-// addMachine starts the process on a machine, and the endpoint if it has a service.
+// addMachine adds a machine and starts its process. If service is not empty it also starts an endpoint.
 func (t *testMesh) addMachine(name, role, ip, zone, service string) {
 	machine := &testMachine{name: name, role: role, ip: ip, zone: zone, service: service, initial: true}
 	t.machines[name] = machine
@@ -110,7 +111,7 @@
 	}
 }
 
-// startApplication starts the endpoint on a machine.
+// startApplication starts an endpoint on a machine.
 func (t *testMesh) startApplication(machine *testMachine, id string) {
 	endpoint, err := application.Start(application.Options{
 		ID:                id,
@@ -126,7 +127,7 @@
 	t.applications[machine.name] = endpoint
 }
 
-// settingsText returns the settings file of a machine.
+// settingsText returns the content of a machine's settings file.
 func (t *testMesh) settingsText(machine *testMachine) string {
 	data := ""
 	if machine.role == "core" {
@@ -171,12 +172,12 @@
 	machine.initial = false
 }
 
-// signalsFile returns the path of the file that a machine's process writes once it catches signals.
+// signalsFile returns the path of the file that a machine's process creates once it catches signals.
 func (t *testMesh) signalsFile(machine *testMachine) string {
 	return filepath.Join(t.folder, machine.name+".caught")
 }
 
-// kill ends a machine's process without a shutdown. Its disk stays.
+// kill ends a machine's process without a shutdown. Its data directory is retained.
 func (t *testMesh) kill(machine *testMachine) {
 	if machine.cmd != nil {
 		_ = machine.cmd.Process.Kill() // fails if the process has ended
@@ -185,13 +186,13 @@
 	}
 }
 
-// waitFor waits until ok returns true, and fails the test after twenty seconds. what names the condition.
-func (t *testMesh) waitFor(what string, ok func() bool) {
+// waitFor waits until ok returns true, and fails the test after 20 s. condition describes what it waits for.
+func (t *testMesh) waitFor(condition string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !ok(); {
+		if time.Now().After(deadline) {
 			t.logState()
-			t.Fatalf("%s: not within twenty seconds", what)
+			t.Fatalf("condition not met within 20 s: %s", condition)
 		}
 		select {
 		case <-t.applications["access-0"].Acknowledged():
@@ -205,7 +206,7 @@
 	t.Helper()
 	for _, zone := range coreZones {
 		if _, state, err := t.get(t.machines["core-"+zone], "8105", "/mesh/state"); err == nil {
-			t.Logf("core-%s: %s", zone, state)
+			t.Logf("state of core-%s: %s", zone, state)
 		}
 	}
 }
@@ -235,12 +236,12 @@
 
 // response is the answer to a client's request.
 type response struct {
-	status int // -1 without an answer
+	status int // -1 if there was no answer
 	body   string
 	header http.Header
 }
 
-// send sends a request to a machine's sidecar, on a new connection. It returns the answer and the request's ID.
+// send sends a request to a machine's sidecar on a new connection. It returns the answer and the request's ID.
 func (t *testMesh) send(name, method, path, key string, body []byte) (a response, id string) {
 	t.mu.Lock()
 	t.requestCount++
@@ -276,8 +277,8 @@
 	}
 }
 
-// configuration returns a configuration with an idempotent route /read/ to the service board and a non-idempotent one /book/ to the
-// service desk. extra is the JSON of further routes, which begins with a comma; keys are the access keys of the tenant.
+// configuration returns a configuration with an idempotent route /read/ to the service board, and a non-idempotent route /book/ to the
+// service desk. extra is the JSON of additional routes, which begins with a comma; keys are the access keys of the tenant.
 func (t *testMesh) configuration(version int, extra string, keys ...string) []byte {
 	accessKeys, err := json.Marshal(keys)
 	t.Assert(err, qt.IsNil)
@@ -293,20 +294,20 @@
 		"tenantTable":[{"name":"north","accessKeys":%s,"priority":1,"ratePerS":500,"burstSize":500}]}`, version, extra, accessKeys)
 }
 
-// longRoute is the JSON of a further route, whose requests may take long.
+// longRoute is the JSON of an additional route, whose requests may take up to 15 s.
 const longRoute = `,{"name":"long","hostName":"shop.example","pathPrefix":"/book/long/","routeKind":"non_idempotent",` +
 	`"timeout":"15000ms","target":"300ms","priority":1,"serviceName":"desk","maxAttempts":2,"publicAccess":false}`
 
-// replaceConfiguration replaces the configuration as an operator does, at any control-plane process that answers. Without a clear answer it
-// repeats the call, unchanged. It returns the status of the answer.
+// replaceConfiguration replaces the configuration as an operator does, at any control-plane process that answers. It repeats the same call
+// until an answer says whether the change was accepted. It returns the status of the last answer.
 func (t *testMesh) replaceConfiguration(base int, config []byte) (status int) {
 	for range 10 {
 		for _, zone := range coreZones {
-			x := t.machines["core-"+zone]
-			if x.cmd == nil {
+			machine := t.machines["core-"+zone]
+			if machine.cmd == nil {
 				continue
 			}
-			answered, ok := t.replaceAt(x, base, config)
+			answered, ok := t.replaceAt(machine, base, config)
 			if !ok {
 				continue
 			}
@@ -320,7 +321,7 @@
 	return status
 }
 
-// replaceAt replaces the configuration at one process. ok is false without an answer.
+// replaceAt replaces the configuration at one process. ok is false if there was no answer.
 func (t *testMesh) replaceAt(machine *testMachine, base int, config []byte) (status int, ok bool) {
 	url := "http://" + machine.ip + ":8105/configuration/replace"
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, bytes.NewReader(config))
@@ -333,17 +334,17 @@
 // waitFirstConfiguration sends the first configuration until it is accepted.
 func (t *testMesh) waitFirstConfiguration(extra string, keys ...string) {
 	t.Helper()
-	t.waitFor("the first configuration", func() bool {
+	t.waitFor("the first configuration is accepted", func() bool {
 		return t.replaceConfiguration(0, t.configuration(1, extra, keys...)) == http.StatusOK
 	})
 }
 
-// waitReady waits until the mesh has a configuration, and every sidecar serves both services.
+// waitReady waits until the mesh has a configuration and every sidecar serves both services.
 func (t *testMesh) waitReady() {
 	t.Helper()
 	t.waitFirstConfiguration("", "k1", "k2")
-	for name, x := range t.machines {
-		if x.role != "access" {
+	for name, machine := range t.machines {
+		if machine.role != "access" {
 			continue
 		}
 		for _, path := range []string{"/read/x", "/book/x"} {
@@ -358,7 +359,7 @@
 	var last response
 	defer func() {
 		if t.Failed() {
-			t.Logf("%s %s: last %d %s %v", name, path, last.status, last.body, last.header)
+			t.Logf("last answer of %s to GET %s: status %d, body %s, header %v", name, path, last.status, last.body, last.header)
 		}
 	}()
 	t.waitFor(name+" serves "+path, func() bool {
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -11,7 +11,7 @@
 const (
 	dialTimeout       = 600 * time.Millisecond // limit for establishing a connection
 	idleTimeout       = 30 * time.Second       // time since the last call after which the side that dialled closes the link
-	leaveTimeout      = 300 * time.Millisecond // time after a leavingFrame until this side closes its sending half, if the peer has not closed the link
+	leaveTimeout      = 300 * time.Millisecond // time for the peer to close the link after a leavingFrame, before this side half-closes it
 	readBufferBytes   = 4 << 10                // size of a link's read buffer
 	socketBufferBytes = 128 << 10              // size of the kernel's write buffer; small, because no frame can overtake the bytes in it
 )
