--- a/internal/mesh/assembly/process.go
+++ b/internal/mesh/assembly/process.go
@@ -41,7 +41,7 @@
 
 	ctx    context.Context // parent of all contexts of the process; close cancels it
 	cancel context.CancelFunc
-	tasks  sync.WaitGroup // background goroutines; close waits for them, up to taskTimeout
+	tasks  sync.WaitGroup // background goroutines; close waits for them, at most taskStopTimeout
 
 	listeners    []net.Listener
 	httpServers  []*http.Server
@@ -149,7 +149,7 @@
 	case <-p.signals.Terminate:
 		return nil
 	case err := <-p.serverErrors:
-		p.log.WithError(err).Error("assembly: a server failed, shutting down")
+		p.log.WithError(err).Error("assembly: a server failed, the process ends")
 		return err
 	}
 }
--- a/internal/mesh/transport/methods.go
+++ b/internal/mesh/transport/methods.go
@@ -42,7 +42,7 @@
 		var request Q
 		if err := codec.Unmarshal(call.Body, PQ(&request)); err != nil {
 			h.log.WithField("peer", call.link.peer).WithField("method", method).WithError(err).
-				Warn("transport: invalid request, closing the link")
+				Warn("transport: invalid request, the link is closed")
 			call.link.fail(err.Error())
 			return
 		}
--- a/internal/mesh/transport/reader.go
+++ b/internal/mesh/transport/reader.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// isConnectionEnd reports whether err means that the connection has ended or failed, as opposed to an invalid frame.
+// isConnectionEnd reports whether err means that the connection has ended between two frames or has failed, as opposed to an invalid frame.
 func isConnectionEnd(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.As(err, &network)
@@ -53,7 +53,7 @@
 
 // warnInvalid logs that the peer has violated the protocol.
 func (l *Link) warnInvalid(err error) {
-	l.hub.log.WithField("peer", l.peer).WithField("name", l.peerName()).WithError(err).Warn("transport: invalid frame, closing the link")
+	l.hub.log.WithField("peer", l.peer).WithField("name", l.peerName()).WithError(err).Warn("transport: invalid frame, the link is closed")
 }
 
 // peerName returns the name of the peer's machine; empty until the peer's hello was received.
--- a/internal/mesh/transport/shaper.go
+++ b/internal/mesh/transport/shaper.go
@@ -15,7 +15,7 @@
 	maxActiveTransfers = 3
 	// maxChunkTime is the longest time that a chunk may occupy the uplink, and thus the longest time that a small message waits for a chunk.
 	maxChunkTime = 4 * time.Millisecond
-	// minChunkBytes is the lower bound of the chunk size on a slow uplink.
+	// minChunkBytes is the lower bound of shaper.chunkBytes on a slow uplink.
 	minChunkBytes = 2 << 10
 	// transferRecheckInterval is the time after which a writer checks again whether an inactive transfer has become active, unless finish
 	// wakes it earlier.
--- a/internal/mesh/transport/transport_test.go
+++ b/internal/mesh/transport/transport_test.go
@@ -179,7 +179,7 @@
 	for _, test := range []struct {
 		name   string
 		bytes  []byte
-		logged string // text of the log line; empty if the connection only ends, which is not logged
+		logged string // text that the log line must contain; empty if the peer closes the connection, and the log is not checked
 	}{
 		{"a frame of 2 GB", binary.BigEndian.AppendUint32(nil, 2<<30-1), "a frame of 2147483647 bytes, 16640 at most"},
 		{"a field of another type", callBytes(true, []byte{0x08, 1}), "field 1 has another type"},
