--- a/internal/modules/route/check.go
+++ b/internal/modules/route/check.go
@@ -10,32 +10,32 @@
 	"quincegap/internal/config/schema"
 )
 
-// matchPrefix is the prefix of the keys of a route's pattern.
+// matchPrefix is the prefix of the setting keys of a route's pattern.
 const matchPrefix = "match_"
 
-// matchKeys are the keys of a route's pattern. A fault of the whole pattern is reported at the first of them that is set.
+// matchKeys are the setting keys of a route's pattern. A fault of the whole pattern is reported at the first of them that is set.
 var matchKeys = []string{"match_path", "match_host", "match_classes", "match_methods", "match_tenants", "match_headers"}
 
-// servedKeys are the keys without effect if serve is false.
-var servedKeys = []string{
+// keysRequiringServe are the setting keys that have no effect if serve is false.
+var keysRequiringServe = []string{
 	"whole_time", "attempt_time", "route_attempts", "most_open", "retry_share", "retry_reserve", "retry_on", "retry_pause", "route_worth",
 	"copy_after", "copy_share",
 }
 
-// retryKeys are the keys without effect if route_attempts is 1.
-var retryKeys = []string{"retry_share", "retry_on", "retry_pause"}
+// keysRequiringRetries are the setting keys that have no effect if route_attempts is 1.
+var keysRequiringRetries = []string{"retry_share", "retry_on", "retry_pause"}
 
-// unmatchedHeaders cannot be matched, because they belong to the message or to one request.
-var unmatchedHeaders = []string{"Connection", "Transfer-Encoding", "Content-Length", "X-Txn", "X-Remaining", "Host"}
+// unmatchableHeaders are the headers that a pattern must not match, because they describe the message or belong to a single request.
+var unmatchableHeaders = []string{"Connection", "Transfer-Encoding", "Content-Length", "X-Txn", "X-Remaining", "Host"}
 
-// checkedRoute is the pattern of a route that was checked.
+// checkedRoute is a route that has been checked without faults.
 type checkedRoute struct {
 	name    string
-	number  int // in the order of the file
+	number  int // position among the routes that were checked, in the order of the file
 	pattern *Pattern
 }
 
-// ruleCheck checks one rule.
+// ruleCheck has what the checks of one rule need.
 type ruleCheck struct {
 	*Rule
 	file    *schema.File
@@ -45,16 +45,16 @@
 	report  schema.Reporter
 }
 
-// check reports settings of a route that could break a rule or have no effect, and a clash with a route before it.
+// check reports settings of a route that contradict other settings or have no effect, and clashes with an earlier route of the file.
 func check(file *schema.File, name string, rule *Rule, report schema.Reporter) {
-	first, n := Rules.First(file)
-	if n > MaxRoutes {
+	first, count := Rules.First(file)
+	if count > MaxRoutes {
 		if rule == first {
-			report(findingKey(file, name), "%d routes are more than %d", n, MaxRoutes)
+			report(findingKey(file, name), "the file has %d routes, the maximum is %d", count, MaxRoutes)
 		}
 		return
 	}
-	p, faults := rule.compile()
+	pattern, faults := rule.compile()
 	for _, fault := range faults {
 		key := matchPrefix + fault.key
 		if file.Setting("route", name, fault.key) != nil {
@@ -65,18 +65,18 @@
 	if len(faults) > 0 {
 		return
 	}
-	c := &ruleCheck{Rule: rule, file: file, name: name, pattern: p, classes: appfile.ClassTable.All(file), report: report}
-	c.checkReach()
+	c := &ruleCheck{Rule: rule, file: file, name: name, pattern: pattern, classes: appfile.ClassTable.All(file), report: report}
+	c.checkMatchable()
 	c.checkTimes()
 	c.checkLimits()
 	c.checkHedging()
-	if rule == first || first.checked == nil { // nil if the first rule has faults
+	if rule == first || first.checked == nil { // the first rule does not get here if it has faults
 		first.checked = &prefixIndex[checkedRoute]{}
 	}
 	c.checkClashes(first)
 }
 
-// findingKey returns the key of a route at which a fault of its whole pattern is reported.
+// findingKey returns the setting key at which a fault of a route's whole pattern is reported.
 func findingKey(f *schema.File, name string) string {
 	for _, key := range matchKeys {
 		if f.Setting("route", name, key) != nil {
@@ -89,8 +89,9 @@
 // isSet reports whether the file sets a key of the route.
 func (c *ruleCheck) isSet(key string) bool { return c.file.Setting("route", c.name, key) != nil }
 
-// checkClashes compares the route with those before it, and adds it to them. Of several clashes the first in the file is reported, so
-// that the findings do not depend on the order of a map.
+// checkClashes reports whether the route matches the same requests as an earlier one or overlaps with it, and adds the route to the
+// checked ones. Of several clashes it reports the one with the first route in the file, so that the findings do not depend on the order
+// of a map.
 func (c *ruleCheck) checkClashes(first *Rule) {
 	var clash checkedRoute
 	for other := range first.checked.candidates(c.pattern) {
@@ -106,41 +107,41 @@
 	}
 	at := c.file.Location("route", clash.name, "")
 	if c.pattern.compare(clash.pattern) == equal {
-		c.report(findingKey(c.file, c.name), "matches just what [route.%s] does (%s)", clash.name, at)
+		c.report(findingKey(c.file, c.name), "matches the same requests as [route.%s] (%s)", clash.name, at)
 		return
 	}
 	c.report(findingKey(c.file, c.name), "overlaps with [route.%s] (%s), and neither is more specific: both match %s", clash.name, at,
 		exampleRequest(c.pattern, clash.pattern))
 }
 
-// checkReach reports criteria that no request can match.
-func (c *ruleCheck) checkReach() {
+// checkMatchable reports criteria that no request can satisfy.
+func (c *ruleCheck) checkMatchable() {
 	if len(c.classes) > 0 {
-		c.checkWords("classes", "class", c.pattern.classes, func(class string) bool { return appfile.ClassTable.Get(c.file, class) != nil })
+		c.checkNamesExist("classes", "class", c.pattern.classes, func(name string) bool { return appfile.ClassTable.Get(c.file, name) != nil })
 		c.checkMethods()
 	}
 	if tenants := appfile.TenantTable.All(c.file); len(tenants) > 0 {
-		c.checkWords("tenants", "tenant", c.pattern.tenants, func(tenant string) bool { return appfile.TenantTable.Get(c.file, tenant) != nil })
+		c.checkNamesExist("tenants", "tenant", c.pattern.tenants, func(name string) bool { return appfile.TenantTable.Get(c.file, name) != nil })
 	} else if len(c.classes) > 0 && len(c.pattern.tenants) > 0 {
-		c.report("match_tenants", "nothing can match it: there are no tenants")
+		c.report("match_tenants", "no request can match it: the file has no tenants")
 	}
 	for _, condition := range c.pattern.headers {
-		if slices.Contains(unmatchedHeaders, condition.name) {
-			c.report("match_headers", "%s is not matched: it belongs to the message, not to what is asked for", condition.name)
+		if slices.Contains(unmatchableHeaders, condition.name) {
+			c.report("match_headers", "%s cannot be matched: it describes the message or belongs to a single request", condition.name)
 		}
 	}
 }
 
-// checkWords reports names of things that the file does not have.
-func (c *ruleCheck) checkWords(key, what string, words []string, known func(string) bool) {
-	for _, word := range words {
-		if !known(word) {
-			c.report(matchPrefix+key, "there is no %s %q", what, word)
+// checkNamesExist reports names of classes or tenants that the file does not define.
+func (c *ruleCheck) checkNamesExist(key, kind string, names []string, exists func(string) bool) {
+	for _, name := range names {
+		if !exists(name) {
+			c.report(matchPrefix+key, "there is no %s %q", kind, name)
 		}
 	}
 }
 
-// checkMethods reports methods that no request of the route's classes has.
+// checkMethods reports the methods if no request of the route's classes has one of them.
 func (c *ruleCheck) checkMethods() {
 	if len(c.pattern.methods) == 0 {
 		return
@@ -151,7 +152,7 @@
 		}
 	}
 	if len(c.pattern.classes) == 0 || appfile.ClassTable.Get(c.file, c.pattern.classes[0]) != nil {
-		c.report("match_methods", "nothing can match it: safe classes come with GET, others with POST")
+		c.report("match_methods", "no request can match it: requests of safe classes use GET, those of other classes POST")
 	}
 }
 
@@ -163,7 +164,7 @@
 	return "POST"
 }
 
-// checkTimes reports timeouts that contradict each other, for the first class with which they do.
+// checkTimes reports timeouts that contradict each other or the deadline of a class, for the first class of the route for which they do.
 func (c *ruleCheck) checkTimes() {
 	for _, class := range c.classes {
 		if allows(c.pattern.classes, class.Name) && c.checkTimesOf(class) {
@@ -172,42 +173,43 @@
 	}
 }
 
-// checkTimesOf reports timeouts that contradict each other for a class, and returns whether it has found any.
+// checkTimesOf reports the first contradiction of the timeouts for one class, and returns whether there is one.
 func (c *ruleCheck) checkTimesOf(class schema.Named[appfile.Class]) bool {
 	text := schema.FormatDuration
 	deadline := class.Value.Deadline
 	if c.Timeout > deadline {
-		c.report("whole_time", "%s is longer than callers of %s wait: its deadline is %s (%s)", text(c.Timeout), class.Name, text(deadline),
+		c.report("whole_time", "%s is longer than the deadline of class %s, %s (%s)", text(c.Timeout), class.Name, text(deadline),
 			c.file.Location("class", class.Name, "deadline"))
 		return true
 	}
-	whole := cmp.Or(c.Timeout, deadline)
+	timeout := cmp.Or(c.Timeout, deadline)
 	origin := "its deadline"
 	if c.Timeout > 0 {
 		origin = "whole_time"
 	}
 	switch {
-	case c.AttemptTimeout > whole:
-		c.report("attempt_time", "%s is longer than the whole time of %s, %s (%s)", text(c.AttemptTimeout), class.Name, text(whole), origin)
-	case c.AttemptTimeout > 0 && c.MaxAttempts > 1 && c.AttemptTimeout*time.Duration(c.MaxAttempts) > whole:
-		c.report("route_attempts", "%d attempts of %s each take longer than the whole time of %s, %s (%s)",
-			c.MaxAttempts, text(c.AttemptTimeout), class.Name, text(whole), origin)
-	case c.RetryBackoff >= whole:
-		c.report("retry_pause", "%s is no shorter than the whole time of %s, %s (%s): no second attempt would go out",
-			text(c.RetryBackoff), class.Name, text(whole), origin)
+	case c.AttemptTimeout > timeout:
+		c.report("attempt_time", "%s is longer than the request timeout of class %s, %s (%s)",
+			text(c.AttemptTimeout), class.Name, text(timeout), origin)
+	case c.AttemptTimeout > 0 && c.MaxAttempts > 1 && c.AttemptTimeout*time.Duration(c.MaxAttempts) > timeout:
+		c.report("route_attempts", "%d attempts of %s each take longer than the request timeout of class %s, %s (%s)",
+			c.MaxAttempts, text(c.AttemptTimeout), class.Name, text(timeout), origin)
+	case c.RetryBackoff >= timeout:
+		c.report("retry_pause", "%s is not shorter than the request timeout of class %s, %s (%s): no second attempt would be sent",
+			text(c.RetryBackoff), class.Name, text(timeout), origin)
 	case class.Value.Idempotency == balancer.NonIdempotent && c.AttemptTimeout > 0 && len(c.pattern.classes) > 0:
-		c.report("attempt_time", "%s is unsafe: an attempt that is given up may have run and cannot go out again, "+
-			"so a time of its own only fails what would have been answered", class.Name)
+		c.report("attempt_time", "class %s is unsafe: an attempt that times out may have run and cannot be retried, "+
+			"so a timeout for one attempt only fails requests that would have been answered", class.Name)
 	default:
 		return false
 	}
 	return true
 }
 
-// checkLimits reports limits without effect, and those above what the machine has.
+// checkLimits reports limits that have no effect, and a MaxOpen above the number of sockets.
 func (c *ruleCheck) checkLimits() {
 	if !c.Serve {
-		for _, key := range servedKeys {
+		for _, key := range keysRequiringServe {
 			if c.isSet(key) {
 				c.report(key, "means nothing: serve is false")
 			}
@@ -217,17 +219,18 @@
 	if c.isSet("retry_reserve") && c.RetryShare < 0 {
 		c.report("retry_reserve", "means nothing without retry_share")
 	}
-	for _, key := range retryKeys {
+	for _, key := range keysRequiringRetries {
 		if c.MaxAttempts == 1 && c.isSet(key) {
 			c.report(key, "means nothing: route_attempts is 1")
 		}
 	}
 	if limits := appfile.LimitsTable.In(c.file); limits.Sockets > 0 && c.MaxOpen > limits.Sockets {
-		c.report("most_open", "%d cannot be held: limits.sockets is %d (%s)", c.MaxOpen, limits.Sockets, c.file.Location("limits", "sockets"))
+		c.report("most_open", "%d open requests exceed limits.sockets, which is %d (%s)", c.MaxOpen, limits.Sockets,
+			c.file.Location("limits", "sockets"))
 	}
 }
 
-// checkHedging reports settings for hedged requests that a rule forbids, or that have no effect.
+// checkHedging reports settings for hedged requests that other settings or a class forbid, or that have no effect.
 func (c *ruleCheck) checkHedging() {
 	if c.HedgeQuantile <= 0 {
 		if c.isSet("copy_share") && c.Serve {
@@ -238,11 +241,11 @@
 	if !appfile.AttemptsTable.In(c.file).HedgedRequests {
 		switch {
 		case c.file.Setting("attempts", "second_copies") != nil:
-			c.report("copy_after", "two attempts of a request may not be out at once: attempts.second_copies is false (%s)",
+			c.report("copy_after", "two attempts of a request may not be in flight at once: attempts.second_copies is false (%s)",
 				c.file.Location("attempts", "second_copies"))
 			return
 		case len(c.classes) > 0:
-			c.report("copy_after", "two attempts of a request may not be out at once unless attempts.second_copies is true")
+			c.report("copy_after", "two attempts of a request may not be in flight at once unless attempts.second_copies is true")
 			return
 		}
 	}
@@ -251,7 +254,7 @@
 	}
 	for _, name := range c.pattern.classes {
 		if class := appfile.ClassTable.Get(c.file, name); class != nil && class.Idempotency == balancer.NonIdempotent {
-			c.report("copy_after", "%s is unsafe: its effect would happen twice", name)
+			c.report("copy_after", "class %s is unsafe: its effect would happen twice", name)
 			return
 		}
 	}
--- a/internal/modules/route/example.go
+++ b/internal/modules/route/example.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// exampleRequest describes a request that two patterns both match; they must not be disjoint.
-func exampleRequest(p, q *Pattern) string {
-	host := cmp.Or(exampleHost(p, q), "any.example.org")
-	path := cmp.Or(examplePath(p, q), "/")
-	text := commonWord(p.methods, q.methods, "GET") + " http://" + host + path
-	if class := commonWord(p.classes, q.classes, ""); class != "" {
+// exampleRequest describes a request that two patterns both match. The patterns must not be disjoint.
+func exampleRequest(first, second *Pattern) string {
+	host := cmp.Or(exampleHost(first, second), "any.example.org")
+	path := cmp.Or(examplePath(first, second), "/")
+	text := commonValue(first.methods, second.methods, "GET") + " http://" + host + path
+	if class := commonValue(first.classes, second.classes, ""); class != "" {
 		text += ", X-Lane: " + class
 	}
-	if tenant := commonWord(p.tenants, q.tenants, ""); tenant != "" {
+	if tenant := commonValue(first.tenants, second.tenants, ""); tenant != "" {
 		text += ", X-Org: " + tenant
 	}
 	values := map[string]string{}
-	for _, c := range slices.Concat(p.headers, q.headers) {
+	for _, c := range slices.Concat(first.headers, second.headers) {
 		values[c.name] = cmp.Or(c.value, values[c.name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -28,13 +28,14 @@
 	return text
 }
 
-// commonWord returns the first word that both sets allow, of which an empty one allows all; preset if both allow all.
-func commonWord(a, b []string, preset string) string {
+// commonValue returns the first value that two sets have in common. An empty set stands for all values; if both are empty, the result is
+// fallback.
+func commonValue(a, b []string, fallback string) string {
 	switch {
 	case len(a) > 0 && len(b) > 0:
-		for _, word := range a {
-			if slices.Contains(b, word) {
-				return word
+		for _, value := range a {
+			if slices.Contains(b, value) {
+				return value
 			}
 		}
 	case len(a) > 0:
@@ -42,10 +43,10 @@
 	case len(b) > 0:
 		return b[0]
 	}
-	return preset
+	return fallback
 }
 
-// exampleHost returns a host that both patterns match; "" for any.
+// exampleHost returns a host that both patterns match, or "" if both match any host.
 func exampleHost(p, q *Pattern) string {
 	host := p.host
 	if host == "" || strings.HasPrefix(host, "*") && q.host != "" && compareHosts(q.host, host) == narrower {
@@ -57,14 +58,14 @@
 	return host
 }
 
-// examplePath returns a path that both patterns match; "" for the root.
-func examplePath(p, q *Pattern) string {
+// examplePath returns a path that both patterns match; it is "" for the root.
+func examplePath(first, second *Pattern) string {
 	var path strings.Builder
-	for i := range max(len(p.segments), len(q.segments)) {
+	for i := range max(len(first.segments), len(second.segments)) {
 		text := "x"
-		for _, o := range []*Pattern{p, q} {
-			if i < len(o.segments) && !o.segments[i].any {
-				text = o.segments[i].text
+		for _, pattern := range []*Pattern{first, second} {
+			if i < len(pattern.segments) && !pattern.segments[i].wildcard {
+				text = pattern.segments[i].text
 			}
 		}
 		path.WriteString("/" + text)
--- a/internal/modules/route/example_test.go
+++ b/internal/modules/route/example_test.go
@@ -6,9 +6,10 @@
 	"quincegap/internal/modules/route"
 )
 
-// Of two routes that match a request the more specific one is taken.
+// This example compiles the routes of a file, and finds the most specific route of a request. A request with an ambiguous path is not
+// routed.
 func Example() {
-	file, _ := read(base + `
+	file, _ := decodeFile(baseSettings + `
 [route.trips]
 match_path = "/trips/{rest...}"
 most_open = 1
--- a/internal/modules/route/explain.go
+++ b/internal/modules/route/explain.go
@@ -5,36 +5,36 @@
 	"strings"
 )
 
-// Reason is why a route is taken for a request or not.
+// Reason says why a route is selected for a request or not.
 type Reason struct {
 	*Route
-	Taken bool
-	Text  string // for people
+	Taken bool   // whether the route is selected
+	Text  string // explanation for people
 }
 
-// Explain returns for each route, in the order of the file, why it is taken for a request or not. It compares the request with all
+// Explain returns for each route, in the order of the file, why it is selected for a request or not. It compares the request with all
 // routes, so it is much slower than Find.
-func (t *Table) Explain(q *Request) (all []Reason) {
-	best, _ := t.Find(q)
+func (t *Table) Explain(request *Request) (reasons []Reason) {
+	best, _ := t.Find(request)
 	for _, r := range t.Routes {
 		reason := Reason{Route: r}
-		switch mismatch := r.pattern.mismatch(q); {
+		switch mismatch := r.pattern.mismatch(request); {
 		case r == best:
 			reason.Taken = true
 			reason.Text = "taken"
 		case mismatch != "":
 			reason.Text = mismatch
 		case best == nil:
-			reason.Text = "the path goes nowhere: " + AmbiguousPath(q.Path)
+			reason.Text = "the path goes nowhere: " + AmbiguousPath(request.Path)
 		default:
 			reason.Text = "matches too; " + best.Name + " is more specific"
 		}
-		all = append(all, reason)
+		reasons = append(reasons, reason)
 	}
-	return all
+	return reasons
 }
 
-// mismatch describes the first criterion of the pattern that a request does not match; "" if it matches.
+// mismatch describes the first criterion of the pattern that a request does not satisfy, or returns "" if it satisfies all.
 func (p *Pattern) mismatch(request *Request) string {
 	if text := p.hostMismatch(request); text != "" {
 		return text
@@ -42,12 +42,12 @@
 	if text := p.pathMismatch(request); text != "" {
 		return text
 	}
-	for _, c := range []struct {
+	for _, criterion := range []struct {
 		name, value string
 		allowed     []string
 	}{{"method", request.Method, p.methods}, {"class", request.Class, p.classes}, {"tenant", request.Tenant, p.tenants}} {
-		if !allows(c.allowed, c.value) {
-			return fmt.Sprintf("%s %q is not %s", c.name, c.value, strings.Join(c.allowed, " or "))
+		if !allows(criterion.allowed, criterion.value) {
+			return fmt.Sprintf("%s %q is not %s", criterion.name, criterion.value, strings.Join(criterion.allowed, " or "))
 		}
 	}
 	for _, c := range p.headers {
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// hostMismatch describes why the host of a request does not match, or "".
+// hostMismatch describes why the host of a request does not match, or returns "" if it matches.
 func (p *Pattern) hostMismatch(q *Request) string {
 	var buffer [256]byte
 	host := string(hostName(q.Host, buffer[:0]))
@@ -69,10 +69,10 @@
 	return fmt.Sprintf("host %s is not %s", q.Host, p.host)
 }
 
-// pathMismatch describes why the path of a request does not match, or "".
-func (p *Pattern) pathMismatch(q *Request) string {
+// pathMismatch describes why the path of a request does not match, or returns "" if it matches.
+func (p *Pattern) pathMismatch(request *Request) string {
 	var path []string
-	if trimmed := trimPath(q.Path); trimmed != "" {
+	if trimmed := trimPath(request.Path); trimmed != "" {
 		path = strings.Split(trimmed, "/")
 	}
 	var buffer [256]byte
@@ -80,7 +80,7 @@
 		if i >= len(path) {
 			return fmt.Sprintf("the path has %d segments, at least %d are asked for", len(path), len(p.segments))
 		}
-		if text, ok := unescape(path[i], buffer[:0]); !s.any && (!ok || string(text) != s.text) {
+		if text, ok := unescape(path[i], buffer[:0]); !s.wildcard && (!ok || string(text) != s.text) {
 			return fmt.Sprintf("segment %d of the path is %q, not %q", i+1, path[i], s.text)
 		}
 	}
@@ -90,9 +90,9 @@
 	return ""
 }
 
-// mismatch describes why the headers of a request do not satisfy the condition, or "".
+// mismatch describes why the headers of a request do not satisfy the condition, or returns "" if they do.
 func (c *condition) mismatch(header map[string][]string) string {
-	if c.holds(header) {
+	if c.matches(header) {
 		return ""
 	}
 	switch got := header[c.name]; len(got) {
--- a/internal/modules/route/find.go
+++ b/internal/modules/route/find.go
@@ -2,27 +2,27 @@
 
 import "strings"
 
-// Request is what patterns match.
+// Request has the properties of a request that patterns match.
 type Request struct {
-	Host   string // as it was received, with or without a port
-	Path   string // as it was received, escaped, without the query
+	Host   string // Host header as received, with or without a port
+	Path   string // escaped path as received, without the query
 	Method string
 	Class  string
-	Tenant string              // "" for none
-	Header map[string][]string // by canonical names
+	Tenant string              // "" for a request without a tenant
+	Header map[string][]string // values by canonical header name
 }
 
-// Find returns the most specific route that matches a request, nil for none. It returns false if the path is ambiguous and a route has
-// a path: the request must not be forwarded.
-func (t *Table) Find(q *Request) (r *Route, ok bool) {
+// Find returns the most specific route that matches a request, or nil if none does. It returns false if the path is ambiguous and any
+// route has a path: then the request must not be forwarded.
+func (t *Table) Find(request *Request) (r *Route, ok bool) {
 	if t == nil || len(t.Routes) == 0 {
 		return nil, true
 	}
-	if t.checksPaths && AmbiguousPath(q.Path) != "" {
+	if t.checksPaths && AmbiguousPath(request.Path) != "" {
 		return nil, false
 	}
-	s := search{request: q}
-	path := trimPath(q.Path)
+	s := search{request: request}
+	path := trimPath(request.Path)
 	if len(t.hosts) > 0 || len(t.subdomains) > 0 {
 		s.walkHosts(t, path)
 	}
@@ -32,18 +32,18 @@
 	return s.best, true
 }
 
-// search finds the deepest route that matches a request. Of two routes that match the same request one is always wider than the other,
-// so the deepest is the narrowest.
+// search finds the route with the greatest depth that matches a request. Of two routes that match the same request, one is always wider
+// than the other, so the route with the greatest depth is the most specific one.
 type search struct {
 	request *Request
-	best    *Route                // so far
-	buffer  [maxSegmentBytes]byte // for an unescaped segment
+	best    *Route                // most specific match so far; nil if there is none
+	buffer  [maxSegmentBytes]byte // memory for an unescaped segment
 }
 
-// canImprove reports whether a route of a depth would be narrower than the best one so far.
+// canImprove reports whether a matching route of this depth would be more specific than the best one so far.
 func (s *search) canImprove(depth int) bool { return s.best == nil || depth > s.best.depth }
 
-// walkHosts walks the trees of the request's host, and of the wildcards that match it.
+// walkHosts walks the tree of the request's host, and those of the host wildcards that match it.
 func (s *search) walkHosts(t *Table, path string) {
 	var buffer [256]byte
 	host := hostName(s.request.Host, buffer[:0])
@@ -60,7 +60,7 @@
 	}
 }
 
-// walk visits a node and those below it with the segments that are left; end is set if there are none.
+// walk visits a node and the nodes below it that match the remaining segments of the path; end is set if no segments remain.
 func (s *search) walk(at *node, path string, end bool) {
 	if !s.canImprove(at.maxDepth) {
 		return
@@ -74,7 +74,7 @@
 		}
 		return
 	}
-	text, left, more := strings.Cut(path, "/")
+	text, remaining, more := strings.Cut(path, "/")
 	if len(at.children) > 0 {
 		var next *node
 		if strings.IndexByte(text, '%') < 0 {
@@ -83,15 +83,15 @@
 			next = at.children[string(b)]
 		}
 		if next != nil {
-			s.walk(next, left, !more)
+			s.walk(next, remaining, !more)
 		}
 	}
 	if at.wildcard != nil {
-		s.walk(at.wildcard, left, !more)
+		s.walk(at.wildcard, remaining, !more)
 	}
 }
 
-// visit finds the best route of a leaf, by the criteria that its routes have.
+// visit looks for a more specific match in a leaf. It looks up each combination of criteria that a route of the leaf has.
 func (s *search) visit(leaf *leaf) {
 	if !s.canImprove(leaf.maxDepth) {
 		return
@@ -100,19 +100,19 @@
 		if !used {
 			continue
 		}
-		var k criteria
-		if mask&asksMethod > 0 {
-			k.method = s.request.Method
+		var key criteria
+		if mask&methodBit > 0 {
+			key.method = s.request.Method
 		}
-		if mask&asksClass > 0 {
-			k.class = s.request.Class
+		if mask&classBit > 0 {
+			key.class = s.request.Class
 		}
-		if mask&asksTenant > 0 {
-			k.tenant = s.request.Tenant
+		if mask&tenantBit > 0 {
+			key.tenant = s.request.Tenant
 		}
-		for _, r := range leaf.routes[k] {
+		for _, r := range leaf.routes[key] {
 			if !s.canImprove(r.depth) {
-				break // the deepest routes are first
+				break // the routes are in descending order of depth
 			}
 			if r.pattern.hasHeaders(s.request.Header) {
 				s.best = r
@@ -122,19 +122,19 @@
 	}
 }
 
-// hasHeaders reports whether a request has the headers of the pattern.
+// hasHeaders reports whether the headers of a request satisfy all conditions of the pattern.
 func (p *Pattern) hasHeaders(header map[string][]string) bool {
 	for i := range p.headers {
-		if !p.headers[i].holds(header) {
+		if !p.headers[i].matches(header) {
 			return false
 		}
 	}
 	return true
 }
 
-// holds reports whether the headers of a request satisfy the condition. A header with a value must not be repeated: an endpoint might
-// read another value than the sidecar.
-func (c *condition) holds(header map[string][]string) bool {
+// matches reports whether the headers of a request satisfy the condition. If the condition has a value, the header must not be repeated:
+// an endpoint might read another of the values than the sidecar.
+func (c *condition) matches(header map[string][]string) bool {
 	got := header[c.name]
 	if len(got) == 0 {
 		return false
--- a/internal/modules/route/hedge.go
+++ b/internal/modules/route/hedge.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// latencyHistogram is a histogram of the latencies of answers, in steps of 5%, in which older ones count less and less.
+// latencyHistogram is a histogram of the latencies of answers, with buckets that grow by 5% each. The weight of older answers decays.
 type latencyHistogram struct {
-	counts [histogramSteps]float64
+	counts [histogramBuckets]float64
 	total  float64
 }
 
 const (
-	histogramSteps = 320
-	minLatency     = 100 * time.Microsecond // of the first step
-	stepGrowth     = 1.05                   // minLatency times this to the power of histogramSteps is 10 minutes
-	maxSamples     = 2000                   // at which all counts are halved
-	minSamples     = 50                     // below which there is no quantile
-	maxHedgeTokens = 10.0                   // hedged requests that may be saved up
+	histogramBuckets = 320
+	minLatency       = 100 * time.Microsecond // lower limit of the first bucket, which has all shorter latencies as well
+	bucketGrowth     = 1.05                   // minLatency times this to the power of histogramBuckets is 10 minutes
+	maxSamples       = 2000                   // total at which all counts are halved
+	minSamples       = 50                     // total below which quantile returns no value
+	maxHedgeTokens   = 10.0                   // maximum number of hedged requests in the budget
 )
 
-// stepOf returns the step of a latency.
-func stepOf(d time.Duration) int {
+// bucketOf returns the index of the bucket of a latency.
+func bucketOf(d time.Duration) int {
 	if d <= minLatency {
 		return 0
 	}
-	return min(histogramSteps-1, int(math.Log(float64(d)/float64(minLatency))/math.Log(stepGrowth)))
+	return min(histogramBuckets-1, int(math.Log(float64(d)/float64(minLatency))/math.Log(bucketGrowth)))
 }
 
 func (l *latencyHistogram) add(d time.Duration) {
-	l.counts[stepOf(d)]++
+	l.counts[bucketOf(d)]++
 	l.total++
 	if l.total < maxSamples {
 		return
@@ -40,7 +40,7 @@
 	l.total /= 2
 }
 
-// quantile returns the q-quantile of the latencies, accurate to 5%; false if there are too few samples.
+// quantile returns the q-quantile of the latencies, accurate to 5%. It returns false if there are fewer than minSamples.
 func (l *latencyHistogram) quantile(q float64) (time.Duration, bool) {
 	if l.total < minSamples {
 		return 0, false
@@ -48,21 +48,22 @@
 	sum := 0.0
 	for i, n := range l.counts {
 		if sum += n; sum >= q*l.total {
-			return time.Duration(float64(minLatency) * math.Pow(stepGrowth, float64(i+1))), true
+			return time.Duration(float64(minLatency) * math.Pow(bucketGrowth, float64(i+1))), true
 		}
 	}
 	return 0, false
 }
 
-// RecordLatency records the latency of an answer. For an attempt that is cancelled because a hedged one was answered, that is the time
-// until then: without those the slow attempts would be missing.
+// RecordLatency records the latency of an answer. For an attempt that is cancelled because a hedged one was answered first, the latency is
+// the time until the cancellation: without these attempts the histogram would lack the slow ones.
 func (r *Route) RecordLatency(d time.Duration) {
 	if r.Settings.HedgeQuantile > 0 {
 		r.State.latencies.add(d)
 	}
 }
 
-// HedgeDelay returns after which time without an answer a request is to be hedged; false for not at all.
+// HedgeDelay returns after which time without an answer a request is to be hedged. It returns false if the route does not hedge, or has
+// recorded too few latencies.
 func (r *Route) HedgeDelay() (time.Duration, bool) {
 	if r.Settings.HedgeQuantile <= 0 {
 		return 0, false
@@ -70,7 +71,7 @@
 	return r.State.latencies.quantile(r.Settings.HedgeQuantile)
 }
 
-// TakeHedge takes a hedged request out of the budget, and reports whether the budget covered it.
+// TakeHedge takes one hedged request out of the budget, and reports whether the budget covered it.
 func (r *Route) TakeHedge() bool {
 	if r.State.hedgeTokens < 1 {
 		return false
@@ -80,8 +81,8 @@
 	return true
 }
 
-// earnHedge adds HedgeShare to the budget, for a request that is admitted.
-func (r *Route) earnHedge() {
+// addHedgeTokens adds HedgeShare to the budget of hedged requests when a request is admitted.
+func (r *Route) addHedgeTokens() {
 	if r.Settings.HedgeQuantile > 0 {
 		r.State.hedgeTokens = min(r.State.hedgeTokens+r.Settings.HedgeShare, maxHedgeTokens)
 	}
--- a/internal/modules/route/module_test.go
+++ b/internal/modules/route/module_test.go
@@ -16,50 +16,50 @@
 
 const ms = time.Millisecond
 
-// world is a simulation: it passes requests through routes and a Balancer, as the sidecar's loop does, to endpoints with random
-// outcomes, and audits each attempt and each answer. It is the Balancer's Host.
-type world struct {
+// simulation passes requests through routes and a Balancer to endpoints with random outcomes, as the sidecar's event loop does, and checks
+// each attempt and each answer. It is the Balancer's Host.
+type simulation struct {
 	t           *testing.T
 	rng         *rand.Rand
 	now         time.Duration
 	events      eventQueue
 	seq         int
-	b           *balancer.Balancer
-	maxAttempts int // attempts that the site allows
+	balancer    *balancer.Balancer
+	maxAttempts int // maximum number of attempts that the site allows
 	classes     []balancer.Class
-	open        map[balancer.RequestID]*call
+	open        map[balancer.RequestID]*pendingRequest
 	routes      map[string]*countedRoute
 }
 
-// countedRoute is a route with counts of its own, against which the state of the route is checked.
+// countedRoute is a route with separate counts, against which the state of the route is checked.
 type countedRoute struct {
 	*route.Route
-	open, retries, answered int // requests that are open, retries that were sent, requests that were answered
+	open, retries, answered int // number of open requests, of retries that were sent, and of requests that were answered
 }
 
-// call is a request.
-type call struct {
+// pendingRequest is a request that has no final answer, or has an attempt in flight.
+type pendingRequest struct {
 	class        *balancer.Class
 	route        *countedRoute
 	deadline     time.Duration
-	attempts     int
-	inFlight     bool
-	mayRun       bool
-	cell         int           // where it may have run
-	final        bool          // it has its final answer
-	retryTaken   bool          // out of the budget of its route, and not sent
-	exhausted    bool          // its route allows no retry after its last outcome
-	backoffUntil time.Duration // no attempt may be sent before
+	attempts     int           // attempts that were sent
+	inFlight     bool          // whether the last attempt has no outcome yet
+	mayRun       bool          // whether an endpoint may have executed the request
+	cell         int           // cell of the first endpoint at which the request may have run
+	final        bool          // whether the request has its final answer
+	retryTaken   bool          // whether a retry was taken out of the route's budget and has not been sent
+	exhausted    bool          // whether the route allows no retry after the last outcome
+	backoffUntil time.Duration // time before which no attempt may be sent
 }
 
-// event is a step of the simulation.
+// event is a function that the simulation calls at a time.
 type event struct {
 	at  time.Duration
-	seq int // orders events of the same time
+	seq int // order among events of the same time
 	do  func()
 }
 
-// eventQueue is a heap.Interface, with the next event first.
+// eventQueue implements heap.Interface. The next event is the first.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -75,31 +75,31 @@
 	return x
 }
 
-// after schedules an event.
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now + max(d, 0), w.seq, do})
+// schedule schedules a call of do after a delay.
+func (s *simulation) schedule(d time.Duration, do func()) {
+	s.seq++
+	heap.Push(&s.events, event{s.now + max(d, 0), s.seq, do})
 }
 
-// cellOf returns the cell of an endpoint.
+// cellOf returns the cell of an endpoint. Each cell has three consecutive endpoint IDs.
 func cellOf(e balancer.EndpointID) int { return int(e) / 3 }
 
-// Send audits an attempt, and draws its outcome.
-func (w *world) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
-	call := w.open[id]
-	w.auditSend(id, call, to)
-	call.attempts++
-	if call.attempts > w.maxAttempts {
-		w.t.Fatalf("%s is sent %d times, the site allows %d", id, call.attempts, w.maxAttempts)
-	}
-	if call.route != nil {
-		w.auditRoute(id, call, timeout)
-	}
-	call.inFlight = true
-	call.retryTaken = false
-	number := call.attempts - 1
-	elapsed, status := w.drawOutcome()
-	left := call.deadline - w.now
+// Send checks an attempt, and draws its outcome.
+func (s *simulation) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
+	pending := s.open[id]
+	s.auditSend(id, pending, to)
+	pending.attempts++
+	if pending.attempts > s.maxAttempts {
+		s.t.Fatalf("%s is sent %d times, want at most the %d that the site allows", id, pending.attempts, s.maxAttempts)
+	}
+	if pending.route != nil {
+		s.auditRoute(id, pending, timeout)
+	}
+	pending.inFlight = true
+	pending.retryTaken = false
+	number := pending.attempts - 1
+	elapsed, status := s.drawOutcome()
+	left := pending.deadline - s.now
 	if timeout > 0 {
 		left = min(left, timeout)
 	}
@@ -107,90 +107,91 @@
 		elapsed = left
 		status = balancer.StatusTimeout
 	}
-	w.after(elapsed, func() { w.attemptEnded(id, call, to, number, elapsed, status) })
+	s.schedule(elapsed, func() { s.attemptEnded(id, pending, to, number, elapsed, status) })
 }
 
-// auditSend checks that the class, the outcomes before and the deadline allow an attempt.
-func (w *world) auditSend(id balancer.RequestID, c *call, to balancer.EndpointID) {
-	w.t.Helper()
+// auditSend checks that an attempt is allowed by the class, the outcomes of earlier attempts and the deadline.
+func (s *simulation) auditSend(id balancer.RequestID, pending *pendingRequest, to balancer.EndpointID) {
+	s.t.Helper()
 	switch {
-	case c == nil || c.final || c.inFlight:
-		w.t.Fatalf("%s is sent after its end, or twice at once", id)
-	case c.mayRun && c.class.Idempotency == balancer.NonIdempotent:
-		w.t.Fatalf("%s is not idempotent, may have run, and is sent again", id)
-	case c.mayRun && c.class.Idempotency == balancer.IdempotentWithKey && cellOf(to) != c.cell:
-		w.t.Fatalf("%s may have run in cell %d and goes to %d", id, c.cell, cellOf(to))
-	case c.exhausted || w.now < c.backoffUntil:
-		w.t.Fatalf("%s is sent after an outcome that allows no retry (%v), or within its backoff", id, c.exhausted)
-	case w.now >= c.deadline:
-		w.t.Fatalf("%s is sent after its deadline", id)
+	case pending == nil || pending.final || pending.inFlight:
+		s.t.Fatalf("%s is sent after its final answer, or has two attempts in flight", id)
+	case pending.mayRun && pending.class.Idempotency == balancer.NonIdempotent:
+		s.t.Fatalf("%s is not idempotent, may have run, and is sent again", id)
+	case pending.mayRun && pending.class.Idempotency == balancer.IdempotentWithKey && cellOf(to) != pending.cell:
+		s.t.Fatalf("%s may have run in cell %d and is sent to cell %d", id, pending.cell, cellOf(to))
+	case pending.exhausted || s.now < pending.backoffUntil:
+		s.t.Fatalf("%s is sent after an outcome without a retry (%v), or at %v within its backoff until %v", id, pending.exhausted, s.now,
+			pending.backoffUntil)
+	case s.now >= pending.deadline:
+		s.t.Fatalf("%s is sent after its deadline", id)
 	}
 }
 
-// auditRoute checks that the route of a request allows an attempt.
-func (w *world) auditRoute(id balancer.RequestID, c *call, timeout time.Duration) {
-	w.t.Helper()
-	route := c.route
+// auditRoute checks that the route of a request allows an attempt, and counts retries.
+func (s *simulation) auditRoute(id balancer.RequestID, pending *pendingRequest, timeout time.Duration) {
+	s.t.Helper()
+	route := pending.route
 	settings := route.Settings
-	if settings.MaxAttempts > 0 && c.attempts > settings.MaxAttempts {
-		w.t.Fatalf("%s is sent %d times, its route allows %d", id, c.attempts, settings.MaxAttempts)
+	if settings.MaxAttempts > 0 && pending.attempts > settings.MaxAttempts {
+		s.t.Fatalf("%s is sent %d times, want at most the %d that its route allows", id, pending.attempts, settings.MaxAttempts)
 	}
 	limit := settings.AttemptTimeout
-	if limit > 0 && (timeout <= 0 && c.deadline-w.now > limit || timeout > limit) {
-		w.t.Fatalf("%s: an attempt of %v, its route allows %v", id, timeout, limit)
+	if limit > 0 && (timeout <= 0 && pending.deadline-s.now > limit || timeout > limit) {
+		s.t.Fatalf("%s: an attempt has timeout %v (0 for none), want at most the %v that its route allows", id, timeout, limit)
 	}
-	if c.attempts == 1 {
+	if pending.attempts == 1 {
 		return
 	}
 	route.retries++
 	budget := float64(settings.RetryReserve) + settings.RetryShare*float64(route.answered)
 	if settings.RetryShare >= 0 && float64(route.retries) > budget+1e-6 {
-		w.t.Fatalf("route %s: %d retries after %d answers", route.Name, route.retries, route.answered)
+		s.t.Fatalf("route %s: %d retries after %d answers, want at most %v", route.Name, route.retries, route.answered, budget)
 	}
 }
 
 // drawOutcome draws the duration and the status of an attempt.
-func (w *world) drawOutcome() (elapsed time.Duration, status balancer.Status) {
-	elapsed = time.Duration(w.rng.ExpFloat64() * float64(60*ms))
-	if w.rng.IntN(3) != 0 {
+func (s *simulation) drawOutcome() (elapsed time.Duration, status balancer.Status) {
+	elapsed = time.Duration(s.rng.ExpFloat64() * float64(60*ms))
+	if s.rng.IntN(3) != 0 {
 		return elapsed, balancer.StatusOK
 	}
 	faults := []balancer.Status{
 		balancer.StatusError, balancer.StatusRejected, balancer.StatusConnectFailed,
 		balancer.StatusReset, balancer.StatusInvalidResponse, balancer.StatusTimeout,
 	}
-	return elapsed, faults[w.rng.IntN(len(faults))]
+	return elapsed, faults[s.rng.IntN(len(faults))]
 }
 
-// attemptEnded reports the outcome of an attempt to the Balancer, as the sidecar's loop does.
-func (w *world) attemptEnded(
-	id balancer.RequestID, call *call, to balancer.EndpointID, number int, elapsed time.Duration, status balancer.Status,
+// attemptEnded reports the outcome of an attempt to the Balancer, as the sidecar's event loop does.
+func (s *simulation) attemptEnded(
+	id balancer.RequestID, pending *pendingRequest, to balancer.EndpointID, number int, elapsed time.Duration, status balancer.Status,
 ) {
-	call.inFlight = false
-	if !status.NeverRan() && !call.mayRun {
-		call.mayRun = true
-		call.cell = cellOf(to)
+	pending.inFlight = false
+	if !status.NeverRan() && !pending.mayRun {
+		pending.mayRun = true
+		pending.cell = cellOf(to)
 	}
 	noRetry, backoff := false, time.Duration(0)
-	if call.route != nil && !call.final && status != balancer.StatusOK {
-		if allowed := call.route.Settings.AllowsRetry(status); allowed {
-			call.retryTaken = call.retryTaken || call.route.TakeRetry()
+	if pending.route != nil && !pending.final && status != balancer.StatusOK {
+		if allowed := pending.route.Settings.AllowsRetry(status); allowed {
+			pending.retryTaken = pending.retryTaken || pending.route.TakeRetry()
 		} else {
-			call.exhausted = true
+			pending.exhausted = true
 		}
-		noRetry = !call.retryTaken
-		backoff = call.route.Settings.Backoff(call.attempts, w.rng.Float64())
-		call.backoffUntil = w.now + backoff
-	}
-	final := call.final
-	if status == balancer.StatusOK && !call.final {
-		if final = true; call.route != nil {
-			call.route.Answered()
-			call.route.answered++
+		noRetry = !pending.retryTaken
+		backoff = pending.route.Settings.Backoff(pending.attempts, s.rng.Float64())
+		pending.backoffUntil = s.now + backoff
+	}
+	final := pending.final
+	if status == balancer.StatusOK && !pending.final {
+		if final = true; pending.route != nil {
+			pending.route.Answered()
+			pending.route.answered++
 		}
-		w.finish(id, call)
+		s.finish(id, pending)
 	}
-	w.b.HandleOutcome(w.now, balancer.Outcome{
+	s.balancer.HandleOutcome(s.now, balancer.Outcome{
 		ID:       id,
 		Endpoint: to,
 		Attempt:  number,
@@ -200,97 +201,99 @@
 		NoRetry:  noRetry,
 		Backoff:  backoff,
 	})
-	w.forget(id, call)
+	s.removeIfDone(id, pending)
 }
 
-// finish records the final answer of a request, and checks that it is the only one and in time.
-func (w *world) finish(id balancer.RequestID, c *call) {
-	if c.final {
-		w.t.Fatalf("%s has two final answers", id)
+// finish records the final answer of a request, and checks that it is the only one and at most 10 ms after the deadline.
+func (s *simulation) finish(id balancer.RequestID, pending *pendingRequest) {
+	if pending.final {
+		s.t.Fatalf("%s has two final answers", id)
 	}
-	c.final = true
-	if w.now > c.deadline+10*ms {
-		w.t.Fatalf("%s ends %v after its deadline", id, w.now-c.deadline)
+	pending.final = true
+	if s.now > pending.deadline+10*ms {
+		s.t.Fatalf("%s ends %v after its deadline", id, s.now-pending.deadline)
 	}
 }
 
-// forget deletes a request that has its final answer and no attempt in flight.
-func (w *world) forget(id balancer.RequestID, c *call) {
-	if !c.final || c.inFlight || w.open[id] != c {
+// removeIfDone removes a request that has its final answer and no attempt in flight.
+func (s *simulation) removeIfDone(id balancer.RequestID, pending *pendingRequest) {
+	if !pending.final || pending.inFlight || s.open[id] != pending {
 		return
 	}
-	delete(w.open, id)
-	if c.retryTaken {
-		c.route.ReturnRetry()
+	delete(s.open, id)
+	if pending.retryTaken {
+		pending.route.ReturnRetry()
 	}
-	if c.route != nil {
-		c.route.Done()
-		c.route.open--
+	if pending.route != nil {
+		pending.route.Done()
+		pending.route.open--
 	}
 }
 
-// Reject checks that a request that is rejected has not run.
-func (w *world) Reject(id balancer.RequestID, _ time.Duration) {
-	c := w.open[id]
-	if c.mayRun && c.class.Idempotency != balancer.Idempotent {
-		w.t.Fatalf("%s may have run and is rejected", id)
-	}
-	w.finish(id, c)
-	w.forget(id, c)
+// Reject checks that a rejected request cannot have run unless it is idempotent, and records its final answer.
+func (s *simulation) Reject(id balancer.RequestID, _ time.Duration) {
+	pending := s.open[id]
+	if pending.mayRun && pending.class.Idempotency != balancer.Idempotent {
+		s.t.Fatalf("%s is not idempotent, may have run, and is rejected", id)
+	}
+	s.finish(id, pending)
+	s.removeIfDone(id, pending)
 }
 
-// Fail records that a request has failed.
-func (w *world) Fail(id balancer.RequestID) {
-	w.finish(id, w.open[id])
-	w.forget(id, w.open[id])
+// Fail records a failure as the final answer of a request.
+func (s *simulation) Fail(id balancer.RequestID) {
+	s.finish(id, s.open[id])
+	s.removeIfDone(id, s.open[id])
 }
 
-// Cancel does nothing: the outcome of an attempt that is cancelled follows as drawn.
-func (w *world) Cancel(balancer.RequestID, int) {}
+// Cancel does nothing: the outcome that was drawn for a cancelled attempt still occurs.
+func (s *simulation) Cancel(balancer.RequestID, int) {}
 
-// SetTimer schedules a call of the Balancer.
-func (w *world) SetTimer(token uint64, d time.Duration) {
-	w.after(d, func() { w.b.HandleTimer(w.now, token) })
+// SetTimer schedules a call of the Balancer's HandleTimer.
+func (s *simulation) SetTimer(token uint64, d time.Duration) {
+	s.schedule(d, func() { s.balancer.HandleTimer(s.now, token) })
 }
 
 // The other methods of a Host do nothing.
 
-func (w *world) HealthCheck(balancer.EndpointID)          {}
-func (w *world) SendToPeer(int, []byte)                   {}
-func (w *world) WatchEndpoints(bool)                      {}
-func (w *world) FetchEndpoints()                          {}
-func (w *world) CloseIdleConnections(balancer.EndpointID) {}
-func (w *world) Log(string)                               {}
+func (s *simulation) HealthCheck(balancer.EndpointID)          {}
+func (s *simulation) SendToPeer(int, []byte)                   {}
+func (s *simulation) WatchEndpoints(bool)                      {}
+func (s *simulation) FetchEndpoints()                          {}
+func (s *simulation) CloseIdleConnections(balancer.EndpointID) {}
+func (s *simulation) Log(string)                               {}
 
-// arrive finds the route of a random request and, if that admits it, passes the request to the Balancer, as the sidecar does.
-func (w *world) arrive(id balancer.RequestID, table *route.Table) {
-	class := w.rng.IntN(len(w.classes))
-	call := &call{class: &w.classes[class]}
+// arrive draws a request and finds its route. If there is none or the route admits the request, it passes the request to the Balancer, as
+// the sidecar does.
+func (s *simulation) arrive(id balancer.RequestID, table *route.Table) {
+	class := s.rng.IntN(len(s.classes))
+	pending := &pendingRequest{class: &s.classes[class]}
 	method := "POST"
-	if call.class.Idempotency == balancer.Idempotent {
+	if pending.class.Idempotency == balancer.Idempotent {
 		method = "GET"
 	}
-	path := []string{"/a", "/a/b", "/c/d/e", "/"}[w.rng.IntN(4)]
-	matched, ok := table.Find(&route.Request{Host: "a.org", Path: path, Method: method, Class: call.class.Name})
+	path := []string{"/a", "/a/b", "/c/d/e", "/"}[s.rng.IntN(4)]
+	matched, ok := table.Find(&route.Request{Host: "a.org", Path: path, Method: method, Class: pending.class.Name})
 	if !ok {
-		w.t.Fatal("an unambiguous path is not routed")
+		s.t.Fatalf("a request with the unambiguous path %q is not routed", path)
 	}
-	left := time.Duration(1+w.rng.IntN(3000)) * ms
-	request := balancer.Request{ID: id, Class: class, TimeLeft: min(left, call.class.Deadline)}
+	left := time.Duration(1+s.rng.IntN(3000)) * ms
+	request := balancer.Request{ID: id, Class: class, TimeLeft: min(left, pending.class.Deadline)}
 	if matched != nil {
-		counted := w.routes[matched.Name]
+		counted := s.routes[matched.Name]
 		if counted == nil {
 			counted = &countedRoute{Route: matched}
-			w.routes[matched.Name] = counted
+			s.routes[matched.Name] = counted
 		}
 		full := matched.Settings.MaxOpen > 0 && counted.open >= matched.Settings.MaxOpen
 		if admitted := matched.Admit(); admitted == (full || !matched.Settings.Serve) {
-			w.t.Fatalf("route %s: %d open, admitted %v", matched.Name, counted.open, admitted)
+			s.t.Fatalf("route %s with %d open requests, MaxOpen %d and Serve %v: got admitted %v", matched.Name, counted.open,
+				matched.Settings.MaxOpen, matched.Settings.Serve, admitted)
 		} else if !admitted {
 			return
 		}
 		counted.open++
-		call.route = counted
+		pending.route = counted
 		request.MaxAttempts = matched.Settings.MaxAttempts
 		request.AttemptTimeout = matched.Settings.AttemptTimeout
 		request.ValueFactor = matched.Settings.Value
@@ -298,15 +301,15 @@
 			request.TimeLeft = min(request.TimeLeft, matched.Settings.Timeout)
 		}
 	}
-	call.deadline = w.now + request.TimeLeft
-	w.open[id] = call
-	w.b.HandleRequest(w.now, request)
+	pending.deadline = s.now + request.TimeLeft
+	s.open[id] = pending
+	s.balancer.HandleRequest(s.now, request)
 }
 
-// randomRules draws the routes of a file, which may have faults.
+// randomRules draws the routes of a file. They may be invalid.
 func randomRules(rng *rand.Rand) string {
 	var text strings.Builder
-	pick := func(some ...string) string { return some[rng.IntN(len(some))] }
+	pick := func(options ...string) string { return options[rng.IntN(len(options))] }
 	for i := range 1 + rng.IntN(4) {
 		fmt.Fprintf(&text, "[route.r%d]\n", i)
 		text.WriteString(pick(
@@ -332,95 +335,96 @@
 	return text.String()
 }
 
-// newWorld returns a world with the classes of a file and 12 endpoints.
-func newWorld(t *testing.T, f *schema.File, rng *rand.Rand, seed uint64) *world {
+// newSimulation returns a simulation with the classes of a file and 12 endpoints.
+func newSimulation(t *testing.T, file *schema.File, rng *rand.Rand, seed uint64) *simulation {
 	t.Helper()
-	world := &world{
+	sim := &simulation{
 		t: t, rng: rng, now: time.Second, maxAttempts: 1 + rng.IntN(5),
-		open: map[balancer.RequestID]*call{}, routes: map[string]*countedRoute{},
+		open: map[balancer.RequestID]*pendingRequest{}, routes: map[string]*countedRoute{},
 	}
-	for _, c := range appfile.ClassTable.All(f) {
-		world.classes = append(world.classes, balancer.Class{
+	for _, c := range appfile.ClassTable.All(file) {
+		sim.classes = append(sim.classes, balancer.Class{
 			Name: c.Name, LatencyTarget: c.Value.LatencyTarget, Deadline: c.Value.Deadline, Value: 1,
 			Idempotency: c.Value.Idempotency, KeyScope: c.Value.KeyScope, KeyWindow: c.Value.KeyWindow,
 		})
 	}
 	settings := balancer.Settings{
-		Instances: 1, Quantum: 2 * ms, Classes: world.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: world.maxAttempts,
+		Instances: 1, Quantum: 2 * ms, Classes: sim.classes, MayCancel: rng.IntN(2) == 0, MaxAttempts: sim.maxAttempts,
 		ConnectTimeout: 100 * ms, MaxRetryAfter: 2 * time.Second, PropagatesDeadline: true,
 	}
 	var err error
-	if world.b, err = balancer.New(settings, seed, world); err != nil {
+	if sim.balancer, err = balancer.New(settings, seed, sim); err != nil {
 		t.Fatal(err)
 	}
-	l := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
+	list := balancer.EndpointList{Kind: balancer.ListFull, Version: 1}
 	for e := balancer.EndpointID(1); e <= 12; e++ {
-		l.Entries = append(l.Entries, balancer.ListEntry{Endpoint: e, Cell: cellOf(e), Weight: 1})
+		list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: e, Cell: cellOf(e), Weight: 1})
 	}
-	world.b.HandleEndpoints(world.now, l)
-	return world
+	sim.balancer.HandleEndpoints(sim.now, list)
+	return sim
 }
 
-// play sends 300 requests, and runs until there are no more events.
-func (w *world) play(table *route.Table, seed uint64) {
-	w.t.Helper()
-	n := 0
+// run sends 300 requests, and runs until there are no more events, for at most a minute of simulated time.
+func (s *simulation) run(table *route.Table, seed uint64) {
+	s.t.Helper()
+	sent := 0
 	var next func()
 	next = func() {
-		n++
-		if n > 300 {
+		sent++
+		if sent > 300 {
 			return
 		}
-		w.arrive(balancer.RequestID(fmt.Sprint("r", n)), table)
-		w.after(time.Duration(w.rng.ExpFloat64()*float64(15*ms)), next)
-	}
-	w.after(0, next)
-	for steps := 0; len(w.events) > 0 && w.now < time.Minute; steps++ {
-		x := heap.Pop(&w.events).(event)
-		w.now = x.at
-		x.do()
+		s.arrive(balancer.RequestID(fmt.Sprint("r", sent)), table)
+		s.schedule(time.Duration(s.rng.ExpFloat64()*float64(15*ms)), next)
+	}
+	s.schedule(0, next)
+	for steps := 0; len(s.events) > 0 && s.now < time.Minute; steps++ {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
+		e.do()
 		if steps > 200_000 {
-			w.t.Fatalf("seed %d: there is no end of events at %v", seed, w.now)
+			s.t.Fatalf("seed %d: events are still scheduled at %v after %d steps", seed, s.now, steps)
 		}
 	}
 }
 
-// audit checks that each request has a final answer, and that no route counts a request as open. It returns how many answers and
-// retries there were on routes.
-func (w *world) audit(seed uint64) (answered, retries int) {
-	w.t.Helper()
-	for id, c := range w.open {
-		w.t.Fatalf("seed %d: %s has no final answer: %+v", seed, id, c)
-	}
-	for name, x := range w.routes {
-		if x.State.Open != 0 || x.open != 0 {
-			w.t.Fatalf("seed %d: route %s: %d are still open", seed, name, x.State.Open)
+// audit checks that each request has a final answer, and that no route counts a request as open. It returns how many answers and retries
+// the routes had.
+func (s *simulation) audit(seed uint64) (answered, retries int) {
+	s.t.Helper()
+	for id, pending := range s.open {
+		s.t.Fatalf("seed %d: %s has no final answer: %+v", seed, id, pending)
+	}
+	for name, counted := range s.routes {
+		if counted.State.Open != 0 || counted.open != 0 {
+			s.t.Fatalf("seed %d: route %s: got %d open requests by its state and %d by the simulation, want 0", seed, name, counted.State.Open,
+				counted.open)
 		}
-		answered += x.answered
-		retries += x.retries
+		answered += counted.answered
+		retries += counted.retries
 	}
 	return answered, retries
 }
 
-// With a file that has no faults no rule is broken, whatever the outcomes at endpoints: each request has one final answer in time, none
-// that may have run is retried unless its class allows it, or rejected, and the bounds of its route hold exactly.
+// With a valid file the following holds whatever the outcomes at endpoints: each request gets exactly one final answer, and in time. A
+// request that may have run is neither rejected nor retried unless its class allows that. The limits of its route are never exceeded.
 func TestAcceptedFilesBreakNoRule(t *testing.T) {
-	played, answered, retries := 0, 0, 0
-	for seed := uint64(0); played < 150; seed++ {
+	files, answered, retries := 0, 0, 0
+	for seed := uint64(0); files < 150; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		f, fault := read(base + randomRules(rng))
+		file, fault := decodeFile(baseSettings + randomRules(rng))
 		if fault != "" {
 			continue
 		}
-		played++
-		w := newWorld(t, f, rng, seed)
-		w.play(route.Compile(f), seed)
-		a, r := w.audit(seed)
+		files++
+		sim := newSimulation(t, file, rng, seed)
+		sim.run(route.Compile(file), seed)
+		a, r := sim.audit(seed)
 		answered += a
 		retries += r
 	}
-	t.Logf("%d files, %d answers, %d further attempts", played, answered, retries)
+	t.Logf("%d files, %d answers, %d retries", files, answered, retries)
 	if answered < 5000 || retries < 500 {
-		t.Errorf("%d answers, %d further attempts: too few to tell", answered, retries)
+		t.Errorf("got %d answers and %d retries on routes, want at least 5000 and 500", answered, retries)
 	}
 }
--- a/internal/modules/route/parse.go
+++ b/internal/modules/route/parse.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// badHost returns the fault of a pattern's host, or "".
-func badHost(host string) string {
+// hostFault returns why the host of a pattern is invalid, or "" if it is valid.
+func hostFault(host string) string {
 	if host == "" {
 		return ""
 	}
@@ -17,15 +17,16 @@
 	case len(host) > maxHostBytes:
 		return fmt.Sprintf("has more than %d bytes", maxHostBytes)
 	case strings.Contains(name, "*"):
-		return "a * stands for the first labels alone, as in \"*.example.org\""
+		return "a * may only replace the first labels, as in \"*.example.org\""
 	case strings.ContainsAny(host, "/:[]@ ") || strings.HasPrefix(name, ".") || strings.HasSuffix(name, ".") || strings.Contains(name, ".."):
-		return "is no host name; write it without scheme, port or path"
+		return "is not a host name; write it without scheme, port or path"
 	}
 	return ""
 }
 
-// readPath parses the path of a pattern. rest is set if any number of further segments may follow.
-func readPath(path string) (segments []segment, rest bool, fault string) {
+// parsePath parses the path of a pattern. rest is set if any number of further segments may follow. fault says why the path is invalid;
+// it is "" for a valid path.
+func parsePath(path string) (segments []segment, rest bool, fault string) {
 	if path == "" {
 		return nil, true, ""
 	}
@@ -39,40 +40,41 @@
 	if len(parts) > MaxSegments {
 		return nil, false, fmt.Sprintf("has more than %d segments", MaxSegments)
 	}
-	names := map[string]bool{} // of wildcards
+	names := map[string]bool{} // the wildcard names used so far
 	for i, part := range parts {
 		last := i == len(parts)-1
 		if !strings.HasPrefix(part, "{") {
-			if fault = badSegment(part, last); fault != "" {
+			if fault = segmentFault(part, last); fault != "" {
 				return nil, false, fault
 			}
 			segments = append(segments, segment{text: part})
 			continue
 		}
-		many, fault := readWildcard(part, last, names)
+		many, fault := parseWildcard(part, last, names)
 		if fault != "" {
 			return nil, false, fault
 		}
 		if many {
 			return segments, true, ""
 		}
-		segments = append(segments, segment{any: true})
+		segments = append(segments, segment{wildcard: true})
 	}
 	return segments, false, ""
 }
 
-// readWildcard parses a segment like {id}, or like {rest...}, for which many is set. names are the names of the wildcards before it.
-func readWildcard(part string, last bool, names map[string]bool) (many bool, fault string) {
+// parseWildcard parses a segment like {id}, or like {rest...}, for which many is set. names has the names of the wildcards before it, and
+// gets the name of this one. fault is "" if the segment is valid.
+func parseWildcard(part string, last bool, names map[string]bool) (many bool, fault string) {
 	name, closed := strings.CutSuffix(strings.TrimPrefix(part, "{"), "}")
 	if !closed {
-		return false, fmt.Sprintf("%q: a wildcard is a whole segment, like {id}", part)
+		return false, fmt.Sprintf("%q: a wildcard must be a whole segment, like {id}", part)
 	}
 	name, many = strings.CutSuffix(name, "...")
 	switch {
 	case many && !last:
-		return false, fmt.Sprintf("%q stands for the rest of a path, and has to be its end", part)
+		return false, fmt.Sprintf("%q matches the rest of a path, and must be the last segment", part)
 	case name == "" || strings.ContainsAny(name, "{}.*"):
-		return false, fmt.Sprintf("%q: a wildcard has a name, like {id} or {rest...}", part)
+		return false, fmt.Sprintf("%q: a wildcard must have a name, like {id} or {rest...}", part)
 	case names[name]:
 		return false, fmt.Sprintf("two wildcards have the name %q", name)
 	}
@@ -80,63 +82,63 @@
 	return many, ""
 }
 
-// badSegment returns the fault of a segment that is no wildcard, or "".
-func badSegment(part string, last bool) string {
+// segmentFault returns why a segment without a wildcard is invalid, or "" if it is valid.
+func segmentFault(part string, last bool) string {
 	switch {
 	case part == "" && last:
-		return "ends in /: write it without (it matches both), or end it in /{rest...}"
+		return "ends in /: remove the final / (a path matches with and without it), or end it in /{rest...}"
 	case part == "" || part == "." || part == "..":
-		return fmt.Sprintf("has the segment %q, which no path that is routed has", part)
+		return fmt.Sprintf("has the segment %q, which no path of a routed request contains", part)
 	case len(part) > maxSegmentBytes:
 		return fmt.Sprintf("has a segment of more than %d bytes", maxSegmentBytes)
 	case strings.ContainsAny(part, "{}*?#%\\") || strings.ContainsFunc(part, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		return fmt.Sprintf("%q: write characters as they are, not escaped; { } * ? # %% and \\ cannot be in it", part)
+		return fmt.Sprintf("%q: write characters unescaped; spaces, control characters and { } * ? # %% \\ are not allowed", part)
 	}
 	return ""
 }
 
-// readWords parses words that are separated by commas, and sorts them.
-func readWords(text string) (words []string, fault string) {
+// parseList parses a list of items that are separated by commas, and sorts them. An empty text is an empty list.
+func parseList(text string) (items []string, fault string) {
 	if text == "" {
 		return nil, ""
 	}
 	for part := range strings.SplitSeq(text, ",") {
-		word := strings.TrimSpace(part)
-		if word == "" {
-			return nil, "has an empty word between commas"
+		item := strings.TrimSpace(part)
+		if item == "" {
+			return nil, "has an empty item between commas"
 		}
-		if slices.Contains(words, word) {
-			return nil, fmt.Sprintf("has %q twice", word)
+		if slices.Contains(items, item) {
+			return nil, fmt.Sprintf("has %q twice", item)
 		}
-		words = append(words, word)
+		items = append(items, item)
 	}
-	if len(words) > maxWords {
-		return nil, fmt.Sprintf("has more than %d words", maxWords)
+	if len(items) > maxListItems {
+		return nil, fmt.Sprintf("has more than %d items", maxListItems)
 	}
-	slices.Sort(words)
-	return words, ""
+	slices.Sort(items)
+	return items, ""
 }
 
-// readHeaders parses conditions like "Name: value" or "Name" that are separated by commas, and sorts them by name.
-func readHeaders(text string) (all []condition, fault string) {
-	words, fault := readWords(text)
-	for _, word := range words {
-		name, value, _ := strings.Cut(word, ":")
-		name = canonical(strings.TrimSpace(name))
-		if name == "" || strings.ContainsFunc(name, notInHeaderName) {
-			return nil, fmt.Sprintf("%q is no header: write \"Name: value\", or \"Name\" for any value", word)
+// parseHeaders parses conditions like "Name: value" or "Name" that are separated by commas, and sorts them by name.
+func parseHeaders(text string) (conditions []condition, fault string) {
+	items, fault := parseList(text)
+	for _, item := range items {
+		name, value, _ := strings.Cut(item, ":")
+		name = canonicalHeaderName(strings.TrimSpace(name))
+		if name == "" || strings.ContainsFunc(name, isInvalidInHeaderName) {
+			return nil, fmt.Sprintf("%q is not a header: write \"Name: value\", or \"Name\" for any value", item)
 		}
-		if slices.ContainsFunc(all, func(c condition) bool { return c.name == name }) {
+		if slices.ContainsFunc(conditions, func(c condition) bool { return c.name == name }) {
 			return nil, fmt.Sprintf("has %q twice", name)
 		}
-		all = append(all, condition{name: name, value: strings.TrimSpace(value)})
+		conditions = append(conditions, condition{name: name, value: strings.TrimSpace(value)})
 	}
-	slices.SortFunc(all, func(a, b condition) int { return cmp.Compare(a.name, b.name) })
-	return all, fault
+	slices.SortFunc(conditions, func(a, b condition) int { return cmp.Compare(a.name, b.name) })
+	return conditions, fault
 }
 
-// notInHeaderName reports whether a character cannot be in the name of a header (RFC 9110, section 5.6.2).
-func notInHeaderName(r rune) bool {
+// isInvalidInHeaderName reports whether a character is not allowed in the name of a header (RFC 9110, section 5.6.2).
+func isInvalidInHeaderName(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return false
@@ -144,8 +146,9 @@
 	return !strings.ContainsRune("!#$%&'*+-.^_`|~", r)
 }
 
-// canonical returns the name of a header in the form of net/http. Names that differ in case only are the same (RFC 9110).
-func canonical(name string) string {
+// canonicalHeaderName returns the name of a header in the canonical form of net/http. Names that differ only in case are the same
+// (RFC 9110).
+func canonicalHeaderName(name string) string {
 	b := []byte(name)
 	upper := true
 	for i, c := range b {
--- a/internal/modules/route/path.go
+++ b/internal/modules/route/path.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// trimPath returns a path without one slash at its begin and one at its end, which do not matter for matching.
+// trimPath returns a path without one leading and one trailing slash, which do not matter for matching.
 func trimPath(path string) string { return strings.TrimSuffix(strings.TrimPrefix(path, "/"), "/") }
 
-// AmbiguousPath returns why two programs may read an escaped path differently, or "" if it is unambiguous. The sidecar could match one
-// route for an ambiguous path, and the endpoint could serve the path of another.
+// AmbiguousPath returns why two programs may interpret an escaped path differently, or "" if it is unambiguous. For an ambiguous path the
+// sidecar could select one route while the endpoint serves the path of another.
 func AmbiguousPath(path string) string {
 	if path == "" || path[0] != '/' {
 		return "it does not begin with /"
 	}
-	from := 1 // of the segment
+	start := 1 // index of the current segment
 	for i := 1; i <= len(path); i++ {
 		if i == len(path) || path[i] == '/' {
-			if text := ambiguousSegment(path[from:i], i == len(path)); text != "" {
+			if text := ambiguousSegment(path[start:i], i == len(path)); text != "" {
 				return text
 			}
-			from = i + 1
+			start = i + 1
 		}
 	}
 	return ""
 }
 
-// ambiguousSegment returns why a segment is ambiguous, or "". Only the last one may be empty.
+// ambiguousSegment returns why a segment is ambiguous, or "". Only the last segment of a path may be empty.
 func ambiguousSegment(segment string, last bool) string {
-	const otherThanDots = 3 // the value of dots for a segment with other characters
+	const otherThanDots = 3 // value of dots for a segment that has other characters too
 	if segment == "" && !last {
 		return "it has // in it"
 	}
@@ -59,7 +59,7 @@
 	return ""
 }
 
-// unhex returns the value of a hexadecimal digit; negative for another character.
+// unhex returns the value of a hexadecimal digit, or -1 for any other character.
 func unhex(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -72,8 +72,8 @@
 	return -1
 }
 
-// unescape decodes the escapes of an unambiguous segment into a buffer. It returns false if the buffer is too short: then the segment
-// is longer than any of a pattern.
+// unescape decodes an unambiguous segment into a buffer. It returns false if the buffer is too short: in that case the segment is longer
+// than any segment of a pattern.
 func unescape(s string, buffer []byte) ([]byte, bool) {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -89,8 +89,8 @@
 	return buffer, true
 }
 
-// hostName writes the host of a request into a buffer, in lower case and without port and final dot. It returns nil if the host is an IPv6
-// address or too long, because no pattern has such a host.
+// hostName writes the host of a request into a buffer, in lower case and without port and final dot, and returns it. It returns nil if
+// the host is an IPv6 address or longer than the buffer, because no pattern has such a host.
 func hostName(host string, buffer []byte) []byte {
 	if strings.HasPrefix(host, "[") {
 		return nil
--- a/internal/modules/route/pattern.go
+++ b/internal/modules/route/pattern.go
@@ -7,52 +7,52 @@
 	"strings"
 )
 
-// The bounds of a pattern.
+// Limits on the size of a pattern.
 const (
-	// MaxSegments bounds the segments of a path.
+	// MaxSegments is the maximum number of segments of a path.
 	MaxSegments     = 32
 	maxSegmentBytes = 256
-	maxWords        = 64 // methods, classes, tenants or headers
+	maxListItems    = 64 // maximum length of each list of methods, classes, tenants or headers
 	maxHostBytes    = 253
 )
 
-// Pattern is the criteria of a route. The zero value matches the path / of any host.
+// Pattern has the criteria by which a route matches requests. The zero value matches the path / of any host.
 type Pattern struct {
-	host     string // "" for any; "*.x" for those under x
+	host     string // "" for any host; "*.x" for all hosts under x
 	segments []segment
-	rest     bool     // any number of further segments may follow
-	methods  []string // sorted; empty for any, like classes and tenants
-	classes  []string
-	tenants  []string
+	rest     bool        // any number of further segments may follow
+	methods  []string    // sorted; empty for any method
+	classes  []string    // sorted; empty for any class
+	tenants  []string    // sorted; empty for any tenant
 	headers  []condition // sorted by name
 }
 
-// segment is a segment of a path: a text, or any.
+// segment is a segment of a pattern's path: a text, or a wildcard that matches any text.
 type segment struct {
-	text string
-	any  bool
+	text     string
+	wildcard bool
 }
 
-// condition is the condition that a request has a header: once and with a value, or with any value.
+// condition requires that a request has a header: exactly once with a given value, or any number of times with any values.
 type condition struct {
-	name  string // canonical
-	value string // "" for any
+	name  string // see canonicalHeaderName
+	value string // "" for any value
 }
 
-// PatternText is a pattern as a file has it. An empty field matches any request.
+// PatternText is a pattern as it is written in a settings file. An empty field matches any request.
 type PatternText struct {
-	Host    string // "x.example.org", or "*.example.org"
-	Path    string // "/a/b", "/a/{x}", "/a/{rest...}"
-	Methods string // separated by commas, like Classes, Tenants and Headers
-	Classes string
-	Tenants string
-	Headers string // "Name: value" or "Name"
+	Host    string // like "x.example.org" or "*.example.org"
+	Path    string // like "/a/b", "/a/{x}" or "/a/{rest...}"
+	Methods string // a list separated by commas
+	Classes string // a list separated by commas
+	Tenants string // a list separated by commas
+	Headers string // a list of "Name: value" or "Name", separated by commas
 }
 
-// fault is the fault of one field of a PatternText.
+// fault says why a setting of a route is invalid. Its key is that of a match_ setting without the prefix, or of another setting.
 type fault struct{ key, text string }
 
-// newPattern parses a pattern. If there are faults the pattern must not be used.
+// newPattern parses a pattern. The pattern must not be used if there are faults.
 func newPattern(source PatternText) (pattern *Pattern, faults []fault) {
 	pattern = &Pattern{host: strings.ToLower(source.Host)}
 	report := func(key, text string) {
@@ -60,9 +60,9 @@
 			faults = append(faults, fault{key, text})
 		}
 	}
-	report("host", badHost(source.Host))
+	report("host", hostFault(source.Host))
 	var text string
-	pattern.segments, pattern.rest, text = readPath(source.Path)
+	pattern.segments, pattern.rest, text = parsePath(source.Path)
 	report("path", text)
 	for _, field := range []struct {
 		key, text string
@@ -72,20 +72,20 @@
 		{"classes", source.Classes, &pattern.classes},
 		{"tenants", source.Tenants, &pattern.tenants},
 	} {
-		*field.into, text = readWords(field.text)
+		*field.into, text = parseList(field.text)
 		report(field.key, text)
 	}
 	for _, method := range pattern.methods {
 		if method != "GET" && method != "POST" {
-			report("methods", fmt.Sprintf("%q is no method that is served: GET and POST are", method))
+			report("methods", fmt.Sprintf("method %q is not supported: only GET and POST are", method))
 		}
 	}
-	pattern.headers, text = readHeaders(source.Headers)
+	pattern.headers, text = parseHeaders(source.Headers)
 	report("headers", text)
 	return pattern, faults
 }
 
-// String returns the pattern for people.
+// String describes the pattern for people.
 func (p *Pattern) String() string {
 	var parts []string
 	add := func(key, value string) {
@@ -104,11 +104,11 @@
 	return cmp.Or(strings.Join(parts, ", "), "everything")
 }
 
-// pathText returns the path for people; "" for any.
+// pathText describes the path for people; it returns "" if the pattern matches any path.
 func (p *Pattern) pathText() string {
 	var path strings.Builder
 	for _, s := range p.segments {
-		if s.any {
+		if s.wildcard {
 			path.WriteString("/{}")
 		} else {
 			path.WriteString("/" + s.text)
@@ -123,7 +123,7 @@
 	return path.String()
 }
 
-// allows reports whether a set of words, of which an empty one has all, has a word.
-func allows(set []string, word string) bool {
-	return len(set) == 0 || slices.Contains(set, word)
+// allows reports whether a set contains a value. An empty set allows all values.
+func allows(set []string, value string) bool {
+	return len(set) == 0 || slices.Contains(set, value)
 }
--- a/internal/modules/route/prefixindex.go
+++ b/internal/modules/route/prefixindex.go
@@ -2,18 +2,19 @@
 
 import "iter"
 
-// prefixIndex holds values by the first segment of the paths of their patterns, so that patterns without common requests need not be
-// compared.
+// prefixIndex has values by the first segment of the paths of their patterns. Patterns whose first segments differ match no common
+// request, and need not be compared.
 type prefixIndex[T any] struct {
-	texts map[string][]T // by the first segment
-	wild  []T            // of patterns whose first segment can be any
+	byFirstSegment  map[string][]T // values of patterns with a fixed first segment
+	anyFirstSegment []T            // values of patterns that match any first segment
 }
 
-// firstSegment returns the first segment of the paths that the pattern matches; false if it can be any.
+// firstSegment returns the first segment of the paths that the pattern matches, or false if the pattern matches any first segment. For a
+// pattern that matches only the root it returns "/", which no segment equals.
 func (p *Pattern) firstSegment() (text string, ok bool) {
 	switch {
 	case len(p.segments) > 0:
-		return p.segments[0].text, !p.segments[0].any
+		return p.segments[0].text, !p.segments[0].wildcard
 	case p.rest:
 		return "", false
 	}
@@ -24,26 +25,27 @@
 func (p *prefixIndex[T]) add(pattern *Pattern, x T) {
 	text, ok := pattern.firstSegment()
 	if !ok {
-		p.wild = append(p.wild, x)
+		p.anyFirstSegment = append(p.anyFirstSegment, x)
 		return
 	}
-	if p.texts == nil {
-		p.texts = map[string][]T{}
+	if p.byFirstSegment == nil {
+		p.byFirstSegment = map[string][]T{}
 	}
-	p.texts[text] = append(p.texts[text], x)
+	p.byFirstSegment[text] = append(p.byFirstSegment[text], x)
 }
 
-// candidates iterates over the values whose patterns may match requests that a pattern matches as well, wider ones among them.
+// candidates iterates over the values whose patterns may match requests that the given pattern also matches. The values of all wider
+// patterns are among them.
 func (p *prefixIndex[T]) candidates(pattern *Pattern) iter.Seq[T] {
 	return func(yield func(T) bool) {
-		if !yieldAll(p.wild, yield) {
+		if !yieldAll(p.anyFirstSegment, yield) {
 			return
 		}
 		if text, ok := pattern.firstSegment(); ok {
-			yieldAll(p.texts[text], yield)
+			yieldAll(p.byFirstSegment[text], yield)
 			return
 		}
-		for _, list := range p.texts {
+		for _, list := range p.byFirstSegment {
 			if !yieldAll(list, yield) {
 				return
 			}
@@ -51,7 +53,7 @@
 	}
 }
 
-// yieldAll yields all values of a list, and returns false if the iteration is to end.
+// yieldAll yields all values of a list. It returns false if the iteration is to stop.
 func yieldAll[T any](list []T, yield func(T) bool) bool {
 	for _, x := range list {
 		if !yield(x) {
--- a/internal/modules/route/relation.go
+++ b/internal/modules/route/relation.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// relation is the relation of the set of requests that a pattern matches to that of another pattern.
+// relation is the relation between two sets of requests: the set that one pattern matches, and the set that another pattern matches.
 type relation int
 
-// The relations.
+// The relations of a first set to a second one.
 const (
 	equal    relation = iota
-	narrower          // a subset
-	wider             // a superset
-	disjoint          // no request in common
-	overlaps          // some requests in common, and each has others
+	narrower          // the first set is a proper subset of the second
+	wider             // the first set is a proper superset of the second
+	disjoint          // the sets have no request in common
+	overlaps          // the sets have requests in common, and each has requests that the other lacks
 )
 
-// and returns the relation of the intersection of two criteria, of which r and s are the relations.
-func (r relation) and(s relation) relation {
+// combine returns the relation of patterns with two criteria, where r is their relation by the first criterion alone and s by the second.
+func (r relation) combine(s relation) relation {
 	switch {
 	case r == disjoint || s == disjoint:
 		return disjoint
@@ -30,31 +30,31 @@
 	return overlaps
 }
 
-// compare returns the relation of p to q.
-func (p *Pattern) compare(q *Pattern) relation {
-	r := comparePaths(p, q)
+// compare returns the relation of p to another pattern.
+func (p *Pattern) compare(other *Pattern) relation {
+	r := comparePaths(p, other)
 	if r == disjoint {
 		return r
 	}
-	r = r.and(compareSets(p.classes, q.classes))
+	r = r.combine(compareSets(p.classes, other.classes))
 	if r == disjoint {
 		return r
 	}
-	return r.and(compareSets(p.methods, q.methods)).and(compareSets(p.tenants, q.tenants)).
-		and(compareHosts(p.host, q.host)).and(compareHeaders(p.headers, q.headers))
+	return r.combine(compareSets(p.methods, other.methods)).combine(compareSets(p.tenants, other.tenants)).
+		combine(compareHosts(p.host, other.host)).combine(compareHeaders(p.headers, other.headers))
 }
 
-// compareHosts returns the relation of two hosts of patterns.
+// compareHosts returns the relation of the hosts of two patterns.
 func compareHosts(a, b string) relation {
-	under := func(a, b string) bool { // each host that a matches is matched by b
+	isSubset := func(a, b string) bool { // b matches each host that a matches
 		return b == "" || strings.HasPrefix(b, "*") && strings.HasSuffix(strings.TrimPrefix(a, "*"), b[1:])
 	}
 	switch {
 	case a == b:
 		return equal
-	case under(a, b):
+	case isSubset(a, b):
 		return narrower
-	case under(b, a):
+	case isSubset(b, a):
 		return wider
 	}
 	return disjoint
@@ -64,11 +64,11 @@
 func comparePaths(first, second *Pattern) (rel relation) {
 	for i := range min(len(first.segments), len(second.segments)) {
 		switch a, b := first.segments[i], second.segments[i]; {
-		case a.any && b.any:
-		case a.any:
-			rel = rel.and(wider)
-		case b.any:
-			rel = rel.and(narrower)
+		case a.wildcard && b.wildcard:
+		case a.wildcard:
+			rel = rel.combine(wider)
+		case b.wildcard:
+			rel = rel.combine(narrower)
 		case a.text != b.text:
 			return disjoint
 		}
@@ -77,14 +77,14 @@
 	case a > b && !second.rest || a < b && !first.rest:
 		return disjoint
 	case a > b, a == b && second.rest && !first.rest:
-		return rel.and(narrower)
+		return rel.combine(narrower)
 	case a < b, a == b && first.rest && !second.rest:
-		return rel.and(wider)
+		return rel.combine(wider)
 	}
 	return rel
 }
 
-// compareSets returns the relation of two sorted sets, of which an empty one has all words.
+// compareSets returns the relation of two sorted sets. An empty set stands for all values.
 func compareSets(first, second []string) relation {
 	common := 0
 	for _, x := range first {
@@ -111,23 +111,23 @@
 	return overlaps
 }
 
-// compareHeaders returns the relation of two lists of conditions, which are sorted by name.
+// compareHeaders returns the relation of two lists of conditions. Both are sorted by name.
 func compareHeaders(first, second []condition) (rel relation) {
 	for len(first) > 0 || len(second) > 0 {
 		switch {
 		case len(second) == 0 || len(first) > 0 && first[0].name < second[0].name:
-			rel = rel.and(narrower)
+			rel = rel.combine(narrower)
 			first = first[1:]
 			continue
 		case len(first) == 0 || second[0].name < first[0].name:
-			rel = rel.and(wider)
+			rel = rel.combine(wider)
 			second = second[1:]
 			continue
 		case first[0].value == second[0].value:
 		case first[0].value == "":
-			rel = rel.and(wider)
+			rel = rel.combine(wider)
 		case second[0].value == "":
-			rel = rel.and(narrower)
+			rel = rel.combine(narrower)
 		default:
 			return disjoint
 		}
--- a/internal/modules/route/retry.go
+++ b/internal/modules/route/retry.go
@@ -9,33 +9,33 @@
 	"quincegap/internal/balancer"
 )
 
-// maxBackoffDoublings bounds the growth of a backoff.
+// maxBackoffDoublings is how many times a backoff doubles at most.
 const maxBackoffDoublings = 10
 
-// Answered records that a request was answered, which earns RetryShare of a retry.
+// Answered records that a request was answered, and adds RetryShare to the retry budget.
 func (r *Route) Answered() {
 	if r.Settings.RetryShare >= 0 {
-		r.fillRetries()
+		r.fillRetryBudget()
 		r.State.retryTokens = min(r.State.retryTokens+r.Settings.RetryShare, float64(r.Settings.RetryReserve))
 	}
 }
 
-// fillRetries fills the budget at the start, and reduces it if a reload has lowered RetryReserve.
-func (r *Route) fillRetries() {
-	if !r.State.filled {
-		r.State.filled = true
+// fillRetryBudget sets the retry budget to RetryReserve at its first call, and reduces it if a reload has lowered RetryReserve.
+func (r *Route) fillRetryBudget() {
+	if !r.State.retryFilled {
+		r.State.retryFilled = true
 		r.State.retryTokens = float64(r.Settings.RetryReserve)
 	}
 	r.State.retryTokens = min(r.State.retryTokens, float64(r.Settings.RetryReserve))
 }
 
-// TakeRetry takes a retry out of the budget, and reports whether the budget covered it. If the retry is not sent, ReturnRetry has to be
+// TakeRetry takes one retry out of the budget, and reports whether the budget covered it. If the retry is not sent, ReturnRetry must be
 // called.
 func (r *Route) TakeRetry() bool {
 	if r.Settings.RetryShare < 0 {
 		return true
 	}
-	r.fillRetries()
+	r.fillRetryBudget()
 	if r.State.retryTokens < 1 {
 		r.State.Denied++
 		return false
@@ -44,17 +44,17 @@
 	return true
 }
 
-// ReturnRetry returns a retry that was taken and not sent to the budget.
+// ReturnRetry puts a retry back into the budget that TakeRetry has taken and that was not sent.
 func (r *Route) ReturnRetry() {
 	if r.Settings.RetryShare >= 0 {
-		r.fillRetries()
+		r.fillRetryBudget()
 		r.State.retryTokens = min(r.State.retryTokens+1, float64(r.Settings.RetryReserve))
 	}
 }
 
-// outcomes are the names in settings files of outcomes without an answer.
+// outcomes are the outcomes of attempts without an answer, by their names in settings files.
 var outcomes = []struct {
-	word     string
+	name     string
 	statuses []balancer.Status
 }{
 	{"turned-away", []balancer.Status{balancer.StatusRejected}},
@@ -64,16 +64,16 @@
 	{"late", []balancer.Status{balancer.StatusTimeout, balancer.StatusCancelled}},
 }
 
-// readOutcomes parses names of outcomes that are separated by commas, and returns one bit for each status.
-func readOutcomes(text string) (bits uint, fault string) {
-	words, fault := readWords(text)
+// parseOutcomes parses names of outcomes that are separated by commas, and returns one bit for each status. fault is "" if all are valid.
+func parseOutcomes(text string) (bits uint, fault string) {
+	names, fault := parseList(text)
 	if fault != "" {
 		return 0, fault
 	}
-	for _, word := range words {
-		statuses := statusesOf(word)
+	for _, name := range names {
+		statuses := statusesOf(name)
 		if statuses == nil {
-			return 0, fmt.Sprintf("%q is no outcome: %s are", word, strings.Join(outcomeWords(), ", "))
+			return 0, fmt.Sprintf("%q is not an outcome; the outcomes are %s", name, strings.Join(outcomeNames(), ", "))
 		}
 		for _, s := range statuses {
 			bits |= 1 << s
@@ -82,42 +82,43 @@
 	return bits, ""
 }
 
-// statusesOf returns the statuses of the outcome with a name; nil if there is none.
-func statusesOf(word string) []balancer.Status {
+// statusesOf returns the statuses of the outcome with a name, or nil if there is no such outcome.
+func statusesOf(name string) []balancer.Status {
 	for _, o := range outcomes {
-		if o.word == word {
+		if o.name == name {
 			return o.statuses
 		}
 	}
 	return nil
 }
 
-// outcomeWords returns the names of all outcomes.
-func outcomeWords() (words []string) {
+// outcomeNames returns the names of all outcomes.
+func outcomeNames() (names []string) {
 	for _, o := range outcomes {
-		words = append(words, o.word)
+		names = append(names, o.name)
 	}
-	return words
+	return names
 }
 
-// AllowsRetry reports whether the route allows a retry after an outcome. The class may still forbid it.
+// AllowsRetry reports whether the route allows a retry after an attempt with a status. The class may still forbid it.
 func (s *Settings) AllowsRetry(status balancer.Status) bool {
 	return s.retryable == 0 || s.retryable&(1<<status) > 0
 }
 
 // RetryOutcomes returns the names of the outcomes after which a retry is allowed, separated by commas.
 func (s *Settings) RetryOutcomes() string {
-	var all []string
+	var names []string
 	for _, o := range outcomes {
 		if slices.ContainsFunc(o.statuses, s.AllowsRetry) {
-			all = append(all, o.word)
+			names = append(names, o.name)
 		}
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(names, ", ")
 }
 
-// Backoff returns how long to wait after an attempt, numbered from 1, before the next one. It doubles with each attempt, and has a
-// jitter of half of it up or down by a random number from 0 to 1, so that requests that failed together are not retried together.
+// Backoff returns how long to wait after an attempt, numbered from 1, before the next one. The mean doubles with each attempt. The
+// result is between half and one and a half of the mean, in proportion to random, which is from 0 to 1: this jitter keeps requests that
+// failed at the same time from being retried at the same time.
 func (s *Settings) Backoff(attempt int, random float64) time.Duration {
 	if s.RetryBackoff <= 0 {
 		return 0
--- a/internal/modules/route/route_test.go
+++ b/internal/modules/route/route_test.go
@@ -9,27 +9,27 @@
 	"testing"
 )
 
-// routesOf returns routes whose names are their numbers. Patterns that clash with one before are left out.
-func routesOf(tb testing.TB, all ...PatternText) (routes []*Route) {
+// routesOf returns a route for each pattern, with the index of the pattern as its name. It omits patterns that clash with an earlier one.
+func routesOf(tb testing.TB, patterns ...PatternText) (routes []*Route) {
 	tb.Helper()
-	for i, text := range all {
-		p, faults := newPattern(text)
+	for i, text := range patterns {
+		pattern, faults := newPattern(text)
 		if len(faults) > 0 {
-			tb.Fatalf("%+v: %v", text, faults)
+			tb.Fatalf("pattern %+v is rejected: %v", text, faults)
 		}
 		clashes := slices.ContainsFunc(routes, func(other *Route) bool {
-			r := p.compare(other.pattern)
-			return r == equal || r == overlaps
+			rel := pattern.compare(other.pattern)
+			return rel == equal || rel == overlaps
 		})
 		if !clashes {
-			routes = append(routes, &Route{Name: strconv.Itoa(i), Settings: &Settings{Serve: true}, State: &State{}, pattern: p})
+			routes = append(routes, &Route{Name: strconv.Itoa(i), Settings: &Settings{Serve: true}, State: &State{}, pattern: pattern})
 		}
 	}
 	return routes
 }
 
-// somePatterns are the patterns of specificityCases, which use them by their numbers.
-var somePatterns = []PatternText{
+// specificityPatterns are the patterns of specificityCases, which refer to them by index.
+var specificityPatterns = []PatternText{
 	{},
 	{Path: "/{rest...}", Classes: "book-trip"},
 	{Path: "/trips/{rest...}"},
@@ -45,11 +45,11 @@
 	{Path: "/süd/{id}"},
 }
 
-// specificityCases are patterns that do not clash, a request, and the pattern whose route is taken for it; -1 for none.
+// specificityCases are requests, each with the routes of a table and the route that is selected for it.
 var specificityCases = []struct {
-	use     []int
+	use     []int // indices of the patterns in the table
 	request Request
-	want    int
+	want    int // index of the pattern whose route is selected; -1 for none
 }{
 	{
 		[]int{0, 2, 3, 4, 5, 6, 7, 8},
@@ -81,50 +81,51 @@
 	{[]int{0, 1}, Request{Path: "/x", Class: "book-trip"}, 1},
 }
 
-// The most specific route is taken, whatever the order of the file, and other spellings of a path take the same route.
+// The most specific route is selected whatever the order of the routes, and other spellings of a path select the same route.
 func TestMostSpecific(t *testing.T) {
 	for seed := range uint64(20) {
-		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(somePatterns))
-		for _, c := range specificityCases {
-			var use []int // in the order of this seed
+		order := rand.New(rand.NewPCG(seed, 1)).Perm(len(specificityPatterns))
+		for _, test := range specificityCases {
+			var use []int // indices of the patterns in a random order
 			for _, i := range order {
-				if slices.Contains(c.use, i) {
+				if slices.Contains(test.use, i) {
 					use = append(use, i)
 				}
 			}
-			if got := findPattern(t, use, &c.request); got != c.want {
-				t.Errorf("%+v: route %d, should be %d", c.request, got, c.want)
+			if got := findPattern(t, use, &test.request); got != test.want {
+				t.Errorf("request %+v among patterns %v: got pattern %d, want %d", test.request, use, got, test.want)
 			}
 		}
 	}
 }
 
-// findPattern returns the number of the pattern whose route is taken for a request, of those in use; -1 for none.
-func findPattern(t *testing.T, use []int, q *Request) int {
+// findPattern returns the index of the pattern whose route is selected for a request from a table of the patterns in use, or -1 if none
+// is.
+func findPattern(t *testing.T, use []int, request *Request) int {
 	t.Helper()
 	var texts []PatternText
 	for _, i := range use {
-		texts = append(texts, somePatterns[i])
+		texts = append(texts, specificityPatterns[i])
 	}
 	table := newTable(routesOf(t, texts...))
 	if len(table.Routes) != len(use) {
-		t.Fatalf("%v: some clash", use)
+		t.Fatalf("some of the patterns %v clash", use)
 	}
-	r, ok := table.Find(q)
+	r, ok := table.Find(request)
 	if !ok {
-		t.Fatalf("%+v is not routed", q)
+		t.Fatalf("request %+v is not routed", request)
 	}
 	if r == nil {
 		return -1
 	}
-	number, err := strconv.Atoi(r.Name)
+	index, err := strconv.Atoi(r.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return use[number]
+	return use[index]
 }
 
-// Requests with an ambiguous path are not routed; other spellings of a path are.
+// Requests with an ambiguous path are not routed. Unambiguous spellings of a path are.
 func TestAmbiguousPaths(t *testing.T) {
 	table := newTable(routesOf(t, PatternText{Path: "/{rest...}"}, PatternText{Path: "/pay/{id}"}))
 	for _, path := range []string{
@@ -133,47 +134,47 @@
 		"/pay/%252e", "/pay/..", "/..",
 	} {
 		if _, ok := table.Find(&Request{Path: path}); ok {
-			t.Errorf("%q is routed", path)
+			t.Errorf("ambiguous path %q is routed", path)
 		}
 	}
 	for _, path := range []string{
 		"/pay/1", "/pay/1/", "/p%61y/1", "/pay/...", "/pay/a..b", "/pay/%C3%BC", "/pay/.x", "/pay/" + strings.Repeat("a", 60_000),
 	} {
 		if r, ok := table.Find(&Request{Path: path}); !ok || r == nil || r.Name != "1" {
-			t.Errorf("%.40q takes route %v, %v", path, r, ok)
+			t.Errorf("path %.40q: got route %v (routed %v), want route 1", path, r, ok)
 		}
 	}
 	// If no route has a path, no request is rejected for its path.
 	table = newTable(routesOf(t, PatternText{Classes: "a"}))
 	if r, ok := table.Find(&Request{Path: "//x/..", Class: "a"}); !ok || r == nil {
-		t.Error("a path was checked though no route has one")
+		t.Errorf("no route has a path, but a request with an ambiguous path is not routed: got route %v (routed %v)", r, ok)
 	}
 }
 
-// draws draws patterns and requests with few different values, so that many match.
+// draws draws random patterns and requests. They have few different values, so that many requests match.
 type draws struct{ *rand.Rand }
 
-// path draws a path of at most so many segments, with wildcards if it is that of a pattern.
-func (d draws) path(of []string, most int, wild bool) string {
+// path draws a path of at most maxSegments of the given segments, also with wildcards if wildcards is set.
+func (d draws) path(segments []string, maxSegments int, wildcards bool) string {
 	var b strings.Builder
-	for i := range d.IntN(most + 1) {
+	for i := range d.IntN(maxSegments + 1) {
 		switch {
-		case wild && d.IntN(4) == 0:
+		case wildcards && d.IntN(4) == 0:
 			fmt.Fprintf(&b, "/{w%d}", i)
 		default:
-			b.WriteString("/" + of[d.IntN(len(of))])
+			b.WriteString("/" + segments[d.IntN(len(segments))])
 		}
 	}
-	if wild && d.IntN(3) == 0 {
+	if wildcards && d.IntN(3) == 0 {
 		b.WriteString("/{rest...}")
 	}
 	return b.String()
 }
 
-// some draws a subset.
-func (d draws) some(of ...string) string {
+// subset draws a subset, each item with a probability of a quarter, and joins it with commas.
+func (d draws) subset(items ...string) string {
 	var set []string
-	for _, x := range of {
+	for _, x := range items {
 		if d.IntN(4) == 0 {
 			set = append(set, x)
 		}
@@ -186,10 +187,10 @@
 	return PatternText{
 		Host:    []string{"", "", "", "a.org", "*.org", "*.a.org", "b.a.org"}[d.IntN(7)],
 		Path:    d.path([]string{"a", "b", "c"}, 3, true),
-		Methods: d.some("GET", "POST"),
-		Classes: d.some("x", "y", "z"),
-		Tenants: d.some("n", "s"),
-		Headers: d.some("A: 1", "B", "C: 2"),
+		Methods: d.subset("GET", "POST"),
+		Classes: d.subset("x", "y", "z"),
+		Tenants: d.subset("n", "s"),
+		Headers: d.subset("A: 1", "B", "C: 2"),
 	}
 }
 
@@ -214,7 +215,7 @@
 	return drawn
 }
 
-// matches reports whether a pattern matches a request, without the table.
+// matches reports whether a pattern matches a request. It does not use the table, which is compared with it.
 func (p *Pattern) matches(request *Request) bool {
 	host := strings.ToLower(request.Host)
 	if p.host != "" && p.host != host && (!strings.HasPrefix(p.host, "*") || !strings.HasSuffix(host, p.host[1:])) {
@@ -228,7 +229,7 @@
 		return false
 	}
 	for i, s := range p.segments {
-		if !s.any && s.text != path[i] {
+		if !s.wildcard && s.text != path[i] {
 			return false
 		}
 	}
@@ -236,10 +237,10 @@
 		p.hasHeaders(request.Header)
 }
 
-// With random routes and requests the table finds the same route as a comparison with all of them. Disjoint patterns match no request
-// in common, a narrower one only requests that the wider one matches, and no two routes that match a request overlap.
+// With random routes and requests, the table finds the same route as a comparison of the request with all routes. Disjoint patterns match
+// no common request, a narrower pattern matches only requests that the wider one matches, and no two routes that match a request overlap.
 func TestFindAgainstAllRoutes(t *testing.T) {
-	found, deep := 0, 0
+	found, contested := 0, 0 // requests with a route, and with more than two that match
 	for seed := range uint64(300) {
 		random := draws{rand.New(rand.NewPCG(seed, 2))}
 		var all []PatternText
@@ -248,28 +249,28 @@
 		}
 		table := newTable(routesOf(t, all...))
 		for range 200 {
-			q := random.request()
-			best, matching := narrowestOf(t, table.Routes, &q)
-			if got, ok := table.Find(&q); !ok || got != best {
-				t.Fatalf("seed %d: %+v: %v, should be %v", seed, q, got, best)
+			request := random.request()
+			best, matching := narrowestOf(t, table.Routes, &request)
+			if got, ok := table.Find(&request); !ok || got != best {
+				t.Fatalf("seed %d: request %+v: got route %v (routed %v), want %v", seed, request, got, ok, best)
 			}
 			if best != nil {
 				found++
 			}
 			if matching > 2 {
-				deep++
+				contested++
 			}
 		}
 		for range 100 {
 			checkRelation(t, random)
 		}
 	}
-	if found < 10000 || deep < 200 {
-		t.Errorf("%d requests were matched, %d by more than two routes: too few", found, deep)
+	if found < 10000 || contested < 200 {
+		t.Errorf("%d requests were matched, %d by more than two routes; want at least 10000 and 200", found, contested)
 	}
 }
 
-// narrowestOf returns the narrowest of the routes that match a request, and how many match.
+// narrowestOf returns the narrowest route that matches a request, and how many routes match.
 func narrowestOf(t *testing.T, routes []*Route, request *Request) (best *Route, matching int) {
 	t.Helper()
 	for _, route := range routes {
@@ -286,80 +287,82 @@
 			best = route
 		case wider:
 		default:
-			t.Fatalf("%+v is matched by %v and %v, which are %d to each other", request, route.pattern, best.pattern, rel)
+			t.Fatalf("request %+v is matched by the patterns %v and %v, whose relation is %d, want narrower or wider", request, route.pattern,
+				best.pattern, rel)
 		}
 	}
 	return best, matching
 }
 
-// inverse has for each relation of p to q that of q to p.
+// inverse has for each relation of p to q the relation of q to p.
 var inverse = map[relation]relation{equal: equal, narrower: wider, wider: narrower, disjoint: disjoint, overlaps: overlaps}
 
-// checkRelation draws two patterns, and checks their relation with random requests.
+// checkRelation draws two patterns, and checks their relation against which random requests they match.
 func checkRelation(t *testing.T, d draws) {
 	t.Helper()
 	first, _ := newPattern(d.pattern())
 	second, _ := newPattern(d.pattern())
 	rel := first.compare(second)
 	if back := second.compare(first); back != inverse[rel] {
-		t.Fatalf("%v to %v: %d, and back %d", first, second, rel, back)
+		t.Fatalf("the relation of %v to %v is %d, and the reverse one is %d, want %d", first, second, rel, back, inverse[rel])
 	}
 	for range 30 {
-		q := d.request()
-		x := first.matches(&q)
-		y := second.matches(&q)
+		request := d.request()
+		x := first.matches(&request)
+		y := second.matches(&request)
 		if rel == equal && x != y || rel == narrower && x && !y || rel == wider && y && !x || rel == disjoint && x && y {
-			t.Fatalf("%v to %v: %d, but %+v is matched %v and %v", first, second, rel, q, x, y)
+			t.Fatalf("the relation of %v to %v is %d, but whether they match %+v is %v and %v", first, second, rel, request, x, y)
 		}
 	}
 	if rel == disjoint {
 		return
 	}
 	if text := exampleRequest(first, second); !strings.Contains(text, " http://") {
-		t.Fatal(text)
+		t.Fatalf("example request of %v and %v: got %q, want one with a URL", first, second, text)
 	}
 }
 
-// The limits of a route: which requests are rejected, which may be retried, and that a reload keeps the state.
+// A route rejects requests above MaxOpen and denies retries that the budget does not cover. Routes with the same State, as after a reload,
+// have common counts.
 func TestLimits(t *testing.T) {
 	route := &Route{Settings: &Settings{Serve: true, MaxOpen: 2, RetryShare: 0.5, RetryReserve: 2}, State: &State{}}
 	for i := range 3 {
 		if got := route.Admit(); got != (i < 2) {
-			t.Errorf("two are admitted, and no third: the %dth %v", i+1, got)
+			t.Errorf("request %d with MaxOpen 2: got admitted %v, want %v", i+1, got, i < 2)
 		}
 	}
 	if route.Done(); !route.Admit() {
-		t.Error("one has ended")
+		t.Error("no request is admitted after one of two has ended")
 	}
 	for range 2 {
 		if !route.TakeRetry() {
-			t.Error("the budget is full at the start")
+			t.Error("a retry is denied while the initial budget of 2 is not used up")
 		}
 	}
 	if route.TakeRetry() {
-		t.Error("the budget is empty")
+		t.Error("a retry is allowed after the budget was used up")
 	}
 	if route.ReturnRetry(); !route.TakeRetry() {
-		t.Error("one retry was returned")
+		t.Error("a retry is denied after one was returned")
 	}
 	route.Answered()
 	if route.TakeRetry() {
-		t.Error("one answer earns half a retry")
+		t.Error("a retry is allowed after one answer, which adds only half a retry")
 	}
 	route.Answered()
 	if !route.TakeRetry() {
-		t.Error("two answers earn a retry")
+		t.Error("a retry is denied after two answers, which add one")
 	}
 	later := &Route{Settings: &Settings{Serve: false}, State: route.State}
 	if later.Admit() {
-		t.Error("a route that is off admits a request")
+		t.Error("a route with Serve false admits a request")
 	}
 	if route.Done(); later.State.Open != 1 || later.State.Rejected != 2 || route.State.Denied != 2 {
-		t.Errorf("%+v", *later.State)
+		t.Errorf("got state %+v, want Open 1, Rejected 2 and Denied 2", *later.State)
 	}
 }
 
-// No path makes the table fail, or find a route that does not match it.
+// No path makes Find panic, or select a route that does not match the path.
 func FuzzFind(f *testing.F) {
 	d := draws{rand.New(rand.NewPCG(1, 2))}
 	var all []PatternText
@@ -374,13 +377,13 @@
 		q := Request{Path: path, Method: "GET", Class: "x", Tenant: "n", Host: "a.org"}
 		r, ok := table.Find(&q)
 		if ok != (AmbiguousPath(path) == "") {
-			t.Errorf("%q: %v, %q", path, ok, AmbiguousPath(path))
+			t.Errorf("path %q: got routed %v, though AmbiguousPath returns %q", path, ok, AmbiguousPath(path))
 		}
 		if r == nil || strings.ContainsAny(path, "%") {
 			return
 		}
 		if !r.pattern.matches(&q) {
-			t.Errorf("%q takes %v", path, r.pattern)
+			t.Errorf("path %q selects route %v, which does not match it", path, r.pattern)
 		}
 	})
 }
@@ -390,17 +393,17 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var routes []*Route
 			for i := range n {
-				w := PatternText{Path: fmt.Sprintf("/svc%d/trips/{id}/seats", i/4), Methods: []string{"GET", "POST"}[i%2]}
+				text := PatternText{Path: fmt.Sprintf("/svc%d/trips/{id}/seats", i/4), Methods: []string{"GET", "POST"}[i%2]}
 				if i%4 >= 2 {
-					w.Classes = "book-trip"
+					text.Classes = "book-trip"
 				}
-				p, _ := newPattern(w)
+				p, _ := newPattern(text)
 				routes = append(routes, &Route{Settings: &Settings{}, State: &State{}, pattern: p})
 			}
 			table := newTable(routes)
 			q := Request{Host: "booking.example.org:8080", Path: fmt.Sprintf("/svc%d/trips/81723/seats", n/8), Method: "GET", Class: "book-trip"}
 			if r, _ := table.Find(&q); r == nil {
-				b.Fatal("none")
+				b.Fatalf("no route is found for %+v", q)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/modules/route/rules.go
+++ b/internal/modules/route/rules.go
@@ -11,26 +11,26 @@
 type Rule struct {
 	PatternText
 	Settings
-	RetryOn string // names of outcomes, separated by commas
+	RetryOn string // names of outcomes after which a retry is allowed, separated by commas
 
-	pattern    *Pattern // once it is compiled; nil if it has faults
+	pattern    *Pattern // set by compile; nil if the rule has faults
 	isCompiled bool
 
-	// Only in the first rule of a file: the routes that were checked so far, and how many.
+	// The routes of the file that were checked so far, and their number. Only the first rule of a file has them.
 	checked      *prefixIndex[checkedRoute]
 	checkedCount int
 }
 
 const (
-	// MaxRoutes bounds the routes of a file.
+	// MaxRoutes is the maximum number of routes of a file.
 	MaxRoutes = 5000
-	// noBudget is the share of retries of a route without a budget of its own.
-	noBudget = -1.0
-	// maxNameBytes bounds the name of a route.
+	// noRetryBudget is the default of Settings.RetryShare: the route does not limit retries by a budget.
+	noRetryBudget = -1.0
+	// maxNameBytes is the maximum length of the name of a route.
 	maxNameBytes = 64
 )
 
-// textKey returns the key of a setting with a text.
+// textKey returns the schema key of a setting with a text.
 func textKey(name string, field func(*Rule) *string, example, help string) schema.KeyOf[Rule] {
 	return schema.String(name, field, schema.StringOptions{Example: example}, schema.OnReload, help)
 }
@@ -70,7 +70,7 @@
 		"How long to wait before a second attempt; twice as long before each further one, and by chance between half of that and "+
 			"one and a half times."),
 	schema.Float("retry_share", func(r *Rule) *float64 { return &r.RetryShare },
-		schema.Bounds[float64]{Default: noBudget, Min: noBudget, Max: 1}, schema.OnReload,
+		schema.Bounds[float64]{Default: noRetryBudget, Min: noRetryBudget, Max: 1}, schema.OnReload,
 		"Further attempts for each answered request, saved up to retry_reserve; negative for no budget of the route's own."),
 	schema.Int("retry_reserve", func(r *Rule) *int { return &r.RetryReserve },
 		schema.Bounds[int]{Default: 10, Min: 0, Max: 100_000}, schema.OnReload,
@@ -85,59 +85,60 @@
 	schema.Duration("come_back", func(r *Rule) *time.Duration { return &r.RetryAfter },
 		schema.Bounds[time.Duration]{Default: time.Second, Min: 0, Max: time.Minute}, schema.OnReload,
 		"Retry-After of what serve or most_open turns away."),
-).CheckNames(badName)
+).CheckNames(nameFault)
 
-// check refers to Rules, so it cannot be part of its initialisation.
+// The check is added here because it refers to Rules, so the initialisation of Rules cannot refer to it.
 func init() { Rules.Check(check) }
 
-// durationKey returns the key of a setting with a duration.
+// durationKey returns the schema key of a setting with a duration.
 func durationKey(name string, field func(*Rule) *time.Duration, example, help string) schema.KeyOf[Rule] {
 	bounds := schema.Bounds[time.Duration]{Min: 10 * time.Millisecond, Max: time.Hour, Optional: true, Example: example}
 	return schema.Duration(name, field, bounds, schema.OnReload, help)
 }
 
-// badName returns the fault of a route's name, or "".
-func badName(name string) string {
+// nameFault returns why the name of a route is invalid, or "" if it is valid.
+func nameFault(name string) string {
 	if len(name) > maxNameBytes || strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
-		return "is no name of a route: up to 64 printable characters without spaces"
+		return "is not a route name: use up to 64 printable characters without spaces"
 	}
 	return ""
 }
 
-// compile returns the rule's pattern, which is parsed once, and its faults, at the first call; nil if it has faults.
+// compile returns the rule's pattern, or nil if the rule has faults. The rule is parsed at the first call, and only that call returns the
+// faults.
 func (r *Rule) compile() (*Pattern, []fault) {
 	if r.isCompiled {
 		return r.pattern, nil
 	}
 	r.isCompiled = true
-	p, faults := newPattern(r.PatternText)
-	retryable, text := readOutcomes(r.RetryOn)
+	pattern, faults := newPattern(r.PatternText)
+	retryable, text := parseOutcomes(r.RetryOn)
 	if text != "" {
 		faults = append(faults, fault{"retry_on", text})
 	}
 	r.retryable = retryable
 	if len(faults) == 0 {
-		r.pattern = p
+		r.pattern = pattern
 	}
 	return r.pattern, faults
 }
 
-// Compile returns the table of the routes of a file that was checked; nil for one without routes, and for no file.
-func Compile(f *schema.File) *Table {
-	if f == nil {
+// Compile returns the table of the routes of a file that was checked. It returns nil if the file is nil or has no routes.
+func Compile(file *schema.File) *Table {
+	if file == nil {
 		return nil
 	}
-	all := Rules.All(f)
+	all := Rules.All(file)
 	if len(all) == 0 {
 		return nil
 	}
 	var routes []*Route
 	for _, rule := range all {
-		p, _ := rule.Value.compile()
-		if p == nil {
-			continue // its faults were reported
+		pattern, _ := rule.Value.compile()
+		if pattern == nil {
+			continue // check has reported the faults of the rule
 		}
-		routes = append(routes, &Route{Name: rule.Name, Settings: &rule.Value.Settings, State: &State{}, pattern: p})
+		routes = append(routes, &Route{Name: rule.Name, Settings: &rule.Value.Settings, State: &State{}, pattern: pattern})
 	}
 	return newTable(routes)
 }
--- a/internal/modules/route/table.go
+++ b/internal/modules/route/table.go
@@ -6,56 +6,56 @@
 	"strings"
 )
 
-// Route is a route of a Table.
+// Route is a route of a Table, with its settings and its state.
 type Route struct {
 	Name     string
 	Settings *Settings
 	State    *State
 
 	pattern *Pattern
-	depth   int // the length of the longest chain of ever wider routes that begins with this one
+	depth   int // length of the longest chain of routes that begins with this one and in which each next route is wider
 }
 
 // Pattern returns the criteria of the route.
 func (r *Route) Pattern() *Pattern { return r.pattern }
 
-// Table finds the route of a request. It has a tree of path segments for each host, and does not change.
+// Table finds the route of a request. It has a tree of path segments for each host, and is immutable after KeepStates.
 type Table struct {
-	Routes      []*Route // in the order of the file
-	hosts       map[string]*node
-	subdomains  map[string]*node // of "*.x", by x
-	anyHost     *node            // nil for none
-	checksPaths bool             // a route has a path, so ambiguous paths are rejected
+	Routes      []*Route         // all routes in the order of the file
+	hosts       map[string]*node // trees by the host of the patterns
+	subdomains  map[string]*node // trees of patterns with a host like "*.x", by x
+	anyHost     *node            // tree of patterns without a host; nil if there are none
+	checksPaths bool             // ambiguous paths are rejected, because a route has a path
 }
 
 // node is a node of a tree of path segments.
 type node struct {
-	children map[string]*node // by the next segment
-	wildcard *node            // for any next segment
-	exact    *leaf            // of patterns that end here
-	rest     *leaf            // of patterns that continue with any segments
-	maxDepth int              // of the routes at the node and below it
+	children map[string]*node // child nodes by the text of the next segment
+	wildcard *node            // child node for any next segment
+	exact    *leaf            // routes whose path ends at this node
+	rest     *leaf            // routes whose path allows any number of further segments
+	maxDepth int              // greatest depth of the routes at this node and below it
 }
 
-// leaf has the routes of one host and path, by their other criteria.
+// leaf has the routes of one host and path, by their method, class and tenant.
 type leaf struct {
-	routes   map[criteria][]*Route // the deepest first
-	used     [criteriaMasks]bool   // the masks of the criteria that a route has
-	maxDepth int
+	routes   map[criteria][]*Route   // the routes of each combination of criteria, in descending order of depth
+	used     [criteriaMaskCount]bool // masks of the criteria that at least one route has
+	maxDepth int                     // greatest depth of the routes
 }
 
-// criteria are a method, a class and a tenant; "" for any.
+// criteria are a method, a class and a tenant, each "" for any.
 type criteria struct{ method, class, tenant string }
 
-// The bits of a mask of criteria.
+// The bits of a mask that says which criteria a route has, and the number of such masks.
 const (
-	asksMethod = 1 << iota
-	asksClass
-	asksTenant
-	criteriaMasks
+	methodBit = 1 << iota
+	classBit
+	tenantBit
+	criteriaMaskCount
 )
 
-// newTable returns a table of routes, which must not clash.
+// newTable returns a table of routes. No two of them may be equal or overlap.
 func newTable(routes []*Route) *Table {
 	t := &Table{Routes: routes, hosts: map[string]*node{}, subdomains: map[string]*node{}}
 	setDepths(routes)
@@ -66,34 +66,34 @@
 }
 
 // setDepths sets the depth of each route, which is one more than the greatest depth of all wider routes. A route is never wider than one
-// with a lower specificity, so all wider routes come before it in that order.
+// with a lower specificity, so sorting by specificity puts all routes that are wider than a route before it.
 func setDepths(routes []*Route) {
 	order := slices.Clone(routes)
 	slices.SortStableFunc(order, func(a, b *Route) int { return a.pattern.specificity() - b.pattern.specificity() })
-	var before prefixIndex[*Route]
+	var previous prefixIndex[*Route]
 	for _, r := range order {
 		r.depth = 1
-		for w := range before.candidates(r.pattern) {
-			if w.depth >= r.depth && r.pattern.compare(w.pattern) == narrower {
-				r.depth = w.depth + 1
+		for other := range previous.candidates(r.pattern) {
+			if other.depth >= r.depth && r.pattern.compare(other.pattern) == narrower {
+				r.depth = other.depth + 1
 			}
 		}
-		before.add(r.pattern, r)
+		previous.add(r.pattern, r)
 	}
 }
 
-// specificity returns a number that is higher for a pattern than for any that is wider.
+// specificity returns a number that is higher for a pattern than for any wider pattern.
 func (p *Pattern) specificity() (score int) {
-	const oneHost = 1000 // above the value for any wildcard, which grows with its length
+	const exactHost = 1000 // higher than the score of any host with a wildcard, which grows with its length
 	switch {
 	case strings.HasPrefix(p.host, "*"):
 		score += 1 + len(p.host)
 	case p.host != "":
-		score += oneHost
+		score += exactHost
 	}
 	for _, s := range p.segments {
 		score += 2
-		if !s.any {
+		if !s.wildcard {
 			score++
 		}
 	}
@@ -102,7 +102,7 @@
 	}
 	for _, allowed := range [][]string{p.methods, p.classes, p.tenants} {
 		if len(allowed) > 0 {
-			score += maxWords + 1 - len(allowed)
+			score += maxListItems + 1 - len(allowed)
 		}
 	}
 	for _, c := range p.headers {
@@ -116,28 +116,28 @@
 
 // add adds a route to the tree of its host.
 func (t *Table) add(route *Route) {
-	p := route.pattern
-	if !p.rest || len(p.segments) > 0 {
+	pattern := route.pattern
+	if !pattern.rest || len(pattern.segments) > 0 {
 		t.checksPaths = true
 	}
-	n := t.root(p.host)
-	n.maxDepth = max(n.maxDepth, route.depth)
-	for _, s := range p.segments {
-		n = n.next(s)
-		n.maxDepth = max(n.maxDepth, route.depth)
+	at := t.rootFor(pattern.host)
+	at.maxDepth = max(at.maxDepth, route.depth)
+	for _, s := range pattern.segments {
+		at = at.childFor(s)
+		at.maxDepth = max(at.maxDepth, route.depth)
 	}
-	at := &n.exact
-	if p.rest {
-		at = &n.rest
+	routes := &at.exact
+	if pattern.rest {
+		routes = &at.rest
 	}
-	if *at == nil {
-		*at = &leaf{routes: map[criteria][]*Route{}}
+	if *routes == nil {
+		*routes = &leaf{routes: map[criteria][]*Route{}}
 	}
-	(*at).add(route)
+	(*routes).add(route)
 }
 
-// root returns the root of the tree of a pattern's host, a new one if there is none.
-func (t *Table) root(host string) *node {
+// rootFor returns the root of the tree for a pattern's host, and adds it if there is none.
+func (t *Table) rootFor(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
 			t.anyHost = &node{}
@@ -145,14 +145,14 @@
 		return t.anyHost
 	}
 	if name, wildcard := strings.CutPrefix(host, "*."); wildcard {
-		return child(t.subdomains, name)
+		return getOrAddNode(t.subdomains, name)
 	}
-	return child(t.hosts, host)
+	return getOrAddNode(t.hosts, host)
 }
 
-// next returns the node of a next segment, a new one if there is none.
-func (n *node) next(s segment) *node {
-	if s.any {
+// childFor returns the child node for a segment, and adds it if there is none.
+func (n *node) childFor(s segment) *node {
+	if s.wildcard {
 		if n.wildcard == nil {
 			n.wildcard = &node{}
 		}
@@ -161,11 +161,11 @@
 	if n.children == nil {
 		n.children = map[string]*node{}
 	}
-	return child(n.children, s.text)
+	return getOrAddNode(n.children, s.text)
 }
 
-// child returns the node with a name, a new one if there is none.
-func child(nodes map[string]*node, name string) *node {
+// getOrAddNode returns the node with a name, and adds it if there is none.
+func getOrAddNode(nodes map[string]*node, name string) *node {
 	if nodes[name] == nil {
 		nodes[name] = &node{}
 	}
@@ -174,42 +174,42 @@
 
 // add adds a route under each combination of its methods, classes and tenants.
 func (l *leaf) add(route *Route) {
-	p := route.pattern
+	pattern := route.pattern
 	mask := 0
-	for i, allowed := range [][]string{p.methods, p.classes, p.tenants} {
+	for i, allowed := range [][]string{pattern.methods, pattern.classes, pattern.tenants} {
 		if len(allowed) > 0 {
 			mask |= 1 << i
 		}
 	}
 	l.used[mask] = true
 	l.maxDepth = max(l.maxDepth, route.depth)
-	for _, method := range orAny(p.methods) {
-		for _, class := range orAny(p.classes) {
-			for _, tenant := range orAny(p.tenants) {
-				k := criteria{method, class, tenant}
-				l.routes[k] = append(l.routes[k], route)
-				slices.SortStableFunc(l.routes[k], func(a, b *Route) int { return b.depth - a.depth })
+	for _, method := range valuesOrAny(pattern.methods) {
+		for _, class := range valuesOrAny(pattern.classes) {
+			for _, tenant := range valuesOrAny(pattern.tenants) {
+				key := criteria{method, class, tenant}
+				l.routes[key] = append(l.routes[key], route)
+				slices.SortStableFunc(l.routes[key], func(a, b *Route) int { return b.depth - a.depth })
 			}
 		}
 	}
 }
 
-// orAny returns a set of words, or "", for any, if it is empty.
-func orAny(words []string) []string {
-	if len(words) == 0 {
+// valuesOrAny returns the values of a set, or only "", which stands for any value, if the set is empty.
+func valuesOrAny(set []string) []string {
+	if len(set) == 0 {
 		return []string{""}
 	}
-	return words
+	return set
 }
 
-// KeepStates takes over the states of the routes of a table before, by name, when a file is read again. It has to be called before the
-// table is used.
-func (t *Table) KeepStates(before *Table) {
-	if t == nil || before == nil {
+// KeepStates takes over the states of the routes with the same names from the previous table, when the file is reloaded. It must be called
+// before the table is used.
+func (t *Table) KeepStates(previous *Table) {
+	if t == nil || previous == nil {
 		return
 	}
 	states := map[string]*State{}
-	for _, r := range before.Routes {
+	for _, r := range previous.Routes {
 		states[r.Name] = r.State
 	}
 	for _, r := range t.Routes {
