--- a/internal/modules/peers/change.go
+++ b/internal/modules/peers/change.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// maxChanges bounds the changes between two calls of TakeChanges; the oldest are dropped.
+// maxChanges is the maximum number of changes that are stored for TakeChanges; if there are more, the oldest are discarded.
 const maxChanges = 256
 
-// The causes of changes, as log lines have them.
+// The causes of changes, as they appear in log lines.
 const (
-	causeOwn         = "its own word"
-	causeHeard       = "heard of"
-	causeUnreachable = "not reached"
-	causeNoAnswer    = "no answer"
-	causeNotRefuted  = "denied no suspicion"
+	causeSetState     = "its own word"
+	causeRecordMerged = "heard of"
+	causeUnreachable  = "not reached"
+	causeNoAnswer     = "no answer"
+	causeNotRefuted   = "denied no suspicion"
 )
 
 // Change is one transition of a member's state, for log lines.
 type Change struct {
-	At       time.Duration // on the clock of the View
+	At       time.Duration // time of the transition, in the time of the View
 	Name     string
 	Process  uint64
-	From, To State  // From is 0 for a new member
-	Witness  string // the name of the member that claimed it
-	Cause    string
+	From, To State  // the previous and the new state; the previous one of a new member is 0
+	Witness  string // name of the member that claimed the new state
+	Cause    string // reason for the transition, for people
 }
 
-// recordChange records the transition of a member to its present state.
+// recordChange stores the transition of a member from a state to its present one.
 func (v *View) recordChange(now time.Duration, m *member, from State, witness, cause string) {
 	if len(v.changes) >= maxChanges {
 		v.changes = v.changes[1:]
@@ -34,7 +34,7 @@
 	})
 }
 
-// TakeChanges returns the transitions since the last call, in their order.
+// TakeChanges returns the transitions since the last call, in the order in which they happened.
 func (v *View) TakeChanges() []Change {
 	changes := v.changes
 	v.changes = nil
--- a/internal/modules/peers/example_test.go
+++ b/internal/modules/peers/example_test.go
@@ -7,8 +7,8 @@
 	"quincegap/internal/modules/peers"
 )
 
-// A view that meets one other member is stable after a while, and has a share of the load. A source of records would call Merge,
-// MarkReachable and Tick.
+// This example shows a view that meets one other member. The view is stable after Options.SettleAfter, and then has a share of the load.
+// In a sidecar, the source of records calls Merge, MarkReachable and Tick.
 func Example() {
 	options := peers.Options{
 		SuspicionTimeout: 2 * time.Second, ForgetAfter: time.Minute, SettleAfter: time.Second, DampingWindow: 20 * time.Second,
--- a/internal/modules/peers/golden_test.go
+++ b/internal/modules/peers/golden_test.go
@@ -10,8 +10,8 @@
 	"quincegap/internal/golden"
 )
 
-// The texts of a view for people and tools: the report as JSON, the names of states and confidences, the causes of changes, and the
-// lines on the differences of two views.
+// The golden file has the texts of a view for people and tools: the causes of changes, the report as JSON, the lines about differences
+// between views, and the names of confidences and states.
 func TestGoldenReport(t *testing.T) {
 	view := settledView(4, options)
 	view.merge(Record{})
@@ -21,29 +21,29 @@
 	view.advance(options.SuspicionTimeout)
 	view.MarkUnreachable(view.now, 4)
 	view.SetState(view.now, Leaving)
-	var all strings.Builder
+	var output strings.Builder
 	for _, c := range view.TakeChanges() {
-		fmt.Fprintf(&all, "%v %s %s %s->%s by %q: %s\n", c.At, c.Name, FormatProcess(c.Process), c.From, c.To, c.Witness, c.Cause)
+		fmt.Fprintf(&output, "%v %s %s %s->%s by %q: %s\n", c.At, c.Name, FormatProcess(c.Process), c.From, c.To, c.Witness, c.Cause)
 	}
 	report := view.Report(view.now, func(process uint64) string { return fmt.Sprintf("10.0.0.%d:7946", process) })
 	text, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all.Write(text)
+	output.Write(text)
 	other := Report{Name: "n05", Confidence: Partitioned.String(), Members: []MemberReport{{Name: "n77", InGroup: true}}}
-	f := FleetReport{Own: report, Others: []Report{other}, Unresponsive: []string{"n06/0000000000000006"}}
-	all.WriteString("\n" + strings.Join(f.Differences(), "\n") + "\n")
+	fleet := FleetReport{Own: report, Others: []Report{other}, Unresponsive: []string{"n06/0000000000000006"}}
+	output.WriteString("\n" + strings.Join(fleet.Differences(), "\n") + "\n")
 	for c := Changing; c <= Partitioned; c++ {
-		all.WriteString(c.String() + "\n")
+		output.WriteString(c.String() + "\n")
 	}
 	for s := State(0); s <= Gone+1; s++ {
-		all.WriteString(s.String() + "\n")
+		output.WriteString(s.String() + "\n")
 	}
-	golden.Text(t, "report.txt", []byte(all.String()))
+	golden.Text(t, "report.txt", []byte(output.String()))
 }
 
-// The share that the Balancer gets from a view, for a name that two processes have.
+// The golden file has the names of a share, which the Balancer gets, if this process does not own its name.
 func TestGoldenShare(t *testing.T) {
 	view := settledView(3, options)
 	first := record(1, Serving)
--- a/internal/modules/peers/joinschedule.go
+++ b/internal/modules/peers/joinschedule.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// maxAddressesPerAttempt is small because each address that does not respond costs a timeout.
+	// maxAddressesPerAttempt is the maximum number of addresses of one attempt. It is small because each address that does not respond
+	// costs a timeout.
 	maxAddressesPerAttempt = 3
-	// maxJitter is the longest backoff, as a factor of its mean.
+	// maxJitter is the ratio of the longest backoff to the mean backoff.
 	maxJitter = 1.5
-	// maxBackoffDoublings keeps the shift from overflowing; MaxBackoff is reached long before.
+	// maxBackoffDoublings prevents an overflow of the shift. The backoff reaches MaxBackoff long before.
 	maxBackoffDoublings = 16
-	// jitterStream selects this random stream among those of the same seed.
+	// jitterStream is the second seed of the random generator, which makes its values independent of other generators with the same seed.
 	jitterStream = 0x7265
 )
 
-// JoinSchedule decides which addresses are tried, and when, to find other members: at the start, after a partition, and when all
-// addresses have changed. The addresses are tried in turn. They have three origins: those that a file configures, those that a search
-// has discovered, and those learned from members, of which the latest are kept.
+// JoinSchedule decides when this process tries to find other members, and at which addresses: at the start, after a partition, and when
+// all addresses have changed. It goes through the addresses in turn. They have three origins: addresses that the settings file configures,
+// addresses that a search has discovered, and addresses of members that were reached, of which the latest are retained.
 type JoinSchedule struct {
-	MinBackoff time.Duration // between two attempts while members are missing; doubles with each failure, up to MaxBackoff
-	MaxBackoff time.Duration // also between two attempts while none is missing: two groups that never met do not know of each other
-	MaxLearned int           // how many learned addresses are kept
+	MinBackoff time.Duration // mean time between two attempts while members are missing; doubles with each failure, up to MaxBackoff
+	// MaxBackoff is also the mean time between two attempts while no member is missing: two groups that have never met do not know that
+	// the other exists.
+	MaxBackoff time.Duration
+	MaxLearned int // maximum number of learned addresses, and of discovered ones
 
-	configured []string
-	discovered []string // by the last search
-	learned    []string // the latest last
-	next       int      // index of the address that is tried next
-	nextAt     time.Duration
-	failures   int // attempts since the last one that found a member
+	configured []string      // addresses of the settings file
+	discovered []string      // addresses that the last search has discovered
+	learned    []string      // addresses of members that were reached, the latest last
+	next       int           // index of the address that is tried next, in the concatenation of these lists
+	nextAt     time.Duration // time from which the next attempt is due
+	failures   int           // number of attempts since the last one that found a member
 	rng        *rand.Rand
 }
 
-// NewJoinSchedule returns a schedule for the addresses of a file, and those that an earlier process has learned. The first attempt is
-// due at once.
+// NewJoinSchedule returns a schedule for the addresses of a settings file, and for those that an earlier process of this sidecar has
+// learned. The first attempt is due immediately.
 func NewJoinSchedule(minBackoff, maxBackoff time.Duration, maxLearned int, configured, learned []string, seed uint64) *JoinSchedule {
 	s := &JoinSchedule{
 		MinBackoff: minBackoff,
@@ -50,7 +53,8 @@
 	return s
 }
 
-// Learn adds the address of a member that was reached.
+// Learn adds the address of a member that was reached, or makes it the latest one. If there are more than MaxLearned, the oldest is
+// discarded.
 func (s *JoinSchedule) Learn(address string) {
 	if slices.Contains(s.configured, address) {
 		return
@@ -64,22 +68,23 @@
 	}
 }
 
-// SetDiscovered replaces the addresses of the last search, such as one in a catalogue. At most MaxLearned are kept.
+// SetDiscovered replaces the discovered addresses with those of a new search, for example in a service catalogue. Only the first
+// MaxLearned addresses are used.
 func (s *JoinSchedule) SetDiscovered(addresses []string) {
 	s.discovered = slices.Clone(addresses[:min(len(addresses), s.MaxLearned)])
 }
 
-// Learned returns the learned addresses, the latest last, to be saved for a later process.
+// Learned returns the learned addresses, the latest last, so that they can be saved for a later process.
 func (s *JoinSchedule) Learned() []string { return slices.Clone(s.learned) }
 
-// Due reports whether an attempt is due, and schedules the next one. missing is set while members are missing, because the view is
-// partitioned or has met no other member. The backoff has jitter, so that the members of a fleet that is restarted do not connect to
-// one seed member at the same time.
+// Due reports whether an attempt is due, and if so schedules the next one. missing says whether members are missing, because the view is
+// partitioned or has met no other member. The backoff has jitter, so that the members of a fleet that is restarted do not all connect to
+// the same member at the same time.
 func (s *JoinSchedule) Due(now time.Duration, missing bool) bool {
 	if now < s.nextAt {
 		longest := maxJitter * float64(s.backoff())
 		if missing && float64(s.nextAt-now) > longest {
-			s.nextAt = now + s.jitter(s.backoff()) // members are missing since the last attempt: the backoff is shortened
+			s.nextAt = now + s.jitter(s.backoff()) // members went missing after the wait was set to MaxBackoff: it is shortened
 		}
 		return false
 	}
@@ -93,7 +98,8 @@
 	return true
 }
 
-// NextAddresses returns the addresses of one attempt, in their turn. Reachable ones are left out: their members are known.
+// NextAddresses returns the next addresses in turn, at most as many as one attempt may have. It omits reachable addresses, because the
+// members there are already known.
 func (s *JoinSchedule) NextAddresses(reachable func(address string) bool) (addresses []string) {
 	all := slices.Concat(s.configured, s.discovered, s.learned)
 	for range all {
@@ -110,15 +116,15 @@
 	return addresses
 }
 
-// ResetBackoff resets the backoff after an attempt that has found a member.
+// ResetBackoff resets the backoff to MinBackoff. It is called after an attempt that has found a member.
 func (s *JoinSchedule) ResetBackoff() { s.failures = 0 }
 
-// backoff returns the mean backoff after the failures so far.
+// backoff returns the mean backoff for the present number of failures.
 func (s *JoinSchedule) backoff() time.Duration {
 	return min(s.MinBackoff<<min(s.failures, maxBackoffDoublings), s.MaxBackoff)
 }
 
-// jitter draws a duration between half and one and a half of its mean.
+// jitter draws a duration between half and one and a half of the mean.
 func (s *JoinSchedule) jitter(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (maxJitter - s.rng.Float64()))
 }
--- a/internal/modules/peers/namehistory.go
+++ b/internal/modules/peers/namehistory.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// maxFlaps is after how many appearances and disappearances within Options.DampingWindow a name is damped. The first appearance, a
-// restart and one more disappearance are as many.
+// maxFlaps is the number of appearances and disappearances, with less than Options.DampingWindow between one and the next, at which a name
+// is damped. A first appearance, a restart (a disappearance and an appearance) and one further disappearance reach it.
 const maxFlaps = 4
 
 // nameHistory is the history of a name's appearances and disappearances.
 type nameHistory struct {
-	present   bool
-	changedAt time.Duration // last appearance or disappearance
-	flaps     int           // within the damping window of one another
-	damped    bool          // counts as gone until it is steady
+	present   bool          // whether the name is present now
+	changedAt time.Duration // time of the last appearance or disappearance
+	flaps     int           // number of successive appearances and disappearances with less than the damping window in between
+	damped    bool          // whether the name counts as gone until it is steady
 }
 
-// counts reports whether the name will be in the group of the next stable view.
-func (h *nameHistory) counts() bool { return h.present && !h.damped }
+// eligible reports whether the name would be in the group if the view became stable now.
+func (h *nameHistory) eligible() bool { return h.present && !h.damped }
 
 // steady reports whether the name neither appeared nor disappeared within the damping window.
 func (h *nameHistory) steady(now, window time.Duration) bool { return now-h.changedAt >= window }
 
-// flap records an appearance or a disappearance, and reports whether it may change the group: not if the name was damped before.
+// flap records an appearance or a disappearance, and reports whether it may change the group. It may not if the name was already damped.
 func (h *nameHistory) flap(now, window time.Duration) bool {
 	if h.steady(now, window) {
 		h.flaps = 0
@@ -34,9 +34,9 @@
 	return true
 }
 
-// nameStatus is the joint status of the processes of one name.
+// nameStatus is the combined status of all processes with one name.
 type nameStatus struct {
-	present bool // one of them is present
-	known   bool // there is one
-	leaving bool // one of them has announced its shutdown
+	present bool // whether at least one process is present
+	known   bool // whether at least one process has a record
+	leaving bool // whether at least one process has announced its shutdown
 }
--- a/internal/modules/peers/report.go
+++ b/internal/modules/peers/report.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// Report is the view of one member, for people and tools. The JSON keys are those of the admin pages.
+// Report describes the view of one member, for people and tools. The admin pages have it as JSON.
 type Report struct {
 	Name           string         `json:"name"`
 	Process        string         `json:"process"` // see FormatProcess
 	Confidence     string         `json:"confidence"`
-	Reachable      int            `json:"reached"` // see View.Reachable
-	GroupSize      int            `json:"of"`
-	Instances      int            `json:"instances"` // 0 until the view is stable for the first time
+	Reachable      int            `json:"reached"`   // how many names of the reference group are present, see View.Reachable
+	GroupSize      int            `json:"of"`        // size of the reference group
+	Instances      int            `json:"instances"` // see Share; 0 until the view is stable for the first time
 	Ordinal        int            `json:"ordinal"`
 	MaxInstances   int            `json:"sharing"`
 	OwnsName       bool           `json:"placed"`
 	Version        uint64         `json:"version"`
 	Digest         string         `json:"digest"`
 	DuplicateNames []string       `json:"twice,omitempty"`
-	Rejected       map[string]int `json:"refused,omitempty"` // how many messages and records were rejected, by reason
-	Members        []MemberReport `json:"members"`           // by name, then by process
+	Rejected       map[string]int `json:"refused,omitempty"` // number of messages and records that were rejected, by reason
+	Members        []MemberReport `json:"members"`           // all members, sorted by name and process
 }
 
-// MemberReport is one member in a Report.
+// MemberReport describes one member in a Report.
 type MemberReport struct {
 	Name        string `json:"name"`
 	Process     string `json:"process"`
 	State       string `json:"state"`
-	StateAgeMS  int64  `json:"for_ms"`
+	StateAgeMS  int64  `json:"for_ms"` // time since the view got the state, in milliseconds
 	Incarnation uint64 `json:"incarnation"`
 	Zone        string `json:"zone,omitempty"`
 	Version     string `json:"version,omitempty"`
 	Address     string `json:"address,omitempty"`
 	Reachable   bool   `json:"reached"`
-	InGroup     bool   `json:"counts"`
+	InGroup     bool   `json:"counts"` // the member owns its name, and the name is in the group
 }
 
-// FleetReport is the view of one member, and those of the members that have answered it.
+// FleetReport has the view of one member, and the views of the members that have answered its query.
 type FleetReport struct {
 	Own          Report   `json:"own"`
 	Others       []Report `json:"others,omitempty"`
-	Unresponsive []string `json:"silent,omitempty"` // members that have not answered in time, as NAME/PROCESS
+	Unresponsive []string `json:"silent,omitempty"` // members that have not answered in time, each as NAME/PROCESS
 }
 
-// rejectedRecords is the reason in a report for records that the view has rejected.
-const rejectedRecords = "records, spoilt or beyond the most"
+// rejectedRecordsReason is the key of Report.Rejected for the records that the view has rejected.
+const rejectedRecordsReason = "records, spoilt or beyond the most"
 
-// FormatProcess returns a process as reports, log lines and names of nodes have it.
+// FormatProcess formats the ID of a process as it appears in reports, log lines and node names: 16 hexadecimal digits.
 func FormatProcess(process uint64) string { return fmt.Sprintf("%016x", process) }
 
-// Report returns a report on the view. address returns the address of a process, which only the source knows, or an empty text.
+// Report returns a report on the view. The function address returns the address of a process, which only the source knows, or "".
 func (v *View) Report(now time.Duration, address func(process uint64) string) Report {
 	own := v.Self()
 	share, _ := v.Share(now)
@@ -74,9 +74,9 @@
 		Rejected:       map[string]int{},
 	}
 	if v.rejected > 0 {
-		report.Rejected[rejectedRecords] = v.rejected
+		report.Rejected[rejectedRecordsReason] = v.rejected
 	}
-	owners := map[uint64]bool{} // processes that own their name
+	owners := map[uint64]bool{} // present processes that own their name
 	for _, m := range v.Present(now) {
 		owners[m.Process] = true
 	}
@@ -100,7 +100,7 @@
 	return report
 }
 
-// groupNames returns the names in the group of a report, in order.
+// groupNames returns the names of the reported members that are in the group, sorted.
 func (r *Report) groupNames() (names []string) {
 	for _, m := range r.Members {
 		if m.InGroup {
@@ -111,16 +111,16 @@
 	return names
 }
 
-// differences returns the names that another member's group lacks or has in addition, and its confidence if that differs.
+// differences describes how the view of another member differs: names that its group lacks or has in addition, and its confidence.
 func (r *Report) differences(other *Report) (found []string) {
 	own := r.groupNames()
-	theirs := other.groupNames()
+	others := other.groupNames()
 	for _, name := range own {
-		if !slices.Contains(theirs, name) {
+		if !slices.Contains(others, name) {
 			found = append(found, "without "+name)
 		}
 	}
-	for _, name := range theirs {
+	for _, name := range others {
 		if !slices.Contains(own, name) {
 			found = append(found, "with "+name)
 		}
@@ -131,7 +131,7 @@
 	return found
 }
 
-// Differences returns a line for each member whose view differs from the own one, and for each that has not answered.
+// Differences returns a line for each member whose view differs from the own view, and one for each member that has not answered.
 func (f *FleetReport) Differences() (lines []string) {
 	for i := range f.Others {
 		other := &f.Others[i]
--- a/internal/modules/peers/stability.go
+++ b/internal/modules/peers/stability.go
@@ -5,73 +5,73 @@
 	"time"
 )
 
-// Confidence is how far a view can be relied on.
+// Confidence says how reliable a view is.
 type Confidence uint8
 
-// The confidences.
+// The values of Confidence.
 const (
-	// Changing is a view that has changed within Options.SettleAfter, or that has met no other member yet. Its users keep the last
-	// group, and at the start the settings of a file.
+	// Changing is a view that has changed within Options.SettleAfter, or that has met no other member yet. Its users go on with the last
+	// group or, before the first one, with the settings of the file.
 	Changing Confidence = iota
-	// Settled is a view without a change that has more than half of the reference group: the group that was settled last, without
-	// members that have announced their shutdown; before the first one, the members that are expected.
+	// Settled is a stable view with more than half of the reference group. The reference group is the last settled group, without members
+	// that have announced their shutdown since; before the first settled group it is Options.ExpectedMembers.
 	Settled
-	// Partitioned is a view without a change that has half of the reference group or less. It may be one side of a network partition,
-	// whose other side goes on as well: what may exist only once must not be decided here.
+	// Partitioned is a stable view with half of the reference group or less. It may be that of one side of a network partition whose other
+	// side also continues to run, so it must not be used to decide about anything that may exist only once.
 	Partitioned
 )
 
-// String returns the confidence as reports and log lines have it.
+// String returns the confidence as it appears in reports and log lines.
 func (c Confidence) String() string {
 	return [...]string{"changing", "settled", "cut off"}[min(c, Partitioned)]
 }
 
-// maxSettleIntervals bounds how long a view with changes all the time stays unstable, as a multiple of Options.SettleAfter. During a
-// release that takes minutes, the endpoints of members that have ended would otherwise get no calls for that long.
-const maxSettleIntervals = 5
+// maxUnstableIntervals is the maximum time for which a view that changes continuously stays unstable, as a multiple of
+// Options.SettleAfter. Without it, the endpoints of members that have ended would get no calls during a release, which takes minutes.
+const maxUnstableIntervals = 5
 
-// stability decides when a view is stable, and has the group of that moment. It gets the status of names from the view, and knows no
-// processes.
+// stability decides when a view is stable, and stores the group of that moment. The view passes it the status of names; it has no
+// information on processes.
 type stability struct {
 	options   *Options
-	histories map[string]*nameHistory
-	metOthers bool          // another process has been present
-	lastTick  time.Duration // a long pause between two ticks means that this process was suspended
-
-	unsettled      bool          // the group has changed since the view was last stable
-	unsettledSince time.Duration // the time of the first of these changes
-	lastChange     time.Duration // the time of the last of them
-
-	// The view when it was last stable.
-	names       []string // the group, in order; nil before the first time
-	partitioned bool     // it was not settled
-	damped      int      // how many names were damped
-
-	// The reference group, by which a partition is recognised.
-	reference map[string]bool          // the names of the group that was settled last
-	lost      map[string]time.Duration // names of earlier groups that have disappeared without an announcement, and when
-	resumed   bool                     // reference was saved by an earlier process of this sidecar
-	resumedAt time.Duration
+	histories map[string]*nameHistory // histories of the names that are present, or were until recently
+	metOthers bool                    // whether another process has ever been present
+	lastTick  time.Duration           // time of the last tick; a long pause after it means that this process was suspended
+
+	unstable      bool          // whether the group may have changed since the view was last stable
+	unstableSince time.Duration // time of the first of these changes
+	lastChange    time.Duration // time of the last change
+
+	// The state of the view when it was last stable.
+	names       []string // names of the group, sorted; nil if the view was never stable
+	partitioned bool     // whether the view was partitioned instead of settled
+	damped      int      // number of damped names
+
+	// The reference group, with which the present names are compared to detect a partition.
+	reference map[string]bool          // names of the last settled group
+	lost      map[string]time.Duration // names of earlier groups that disappeared without an announcement, and when
+	resumed   bool                     // whether reference was saved by an earlier process of this sidecar
+	resumedAt time.Duration            // time at which it was resumed
 }
 
-// newStability returns the state of a view that knows no names.
-func newStability(o *Options, now time.Duration) stability {
+// newStability returns the stability of a view without any names.
+func newStability(options *Options, now time.Duration) stability {
 	return stability{
-		options:        o,
-		histories:      map[string]*nameHistory{},
-		lastTick:       now,
-		unsettled:      true,
-		unsettledSince: now,
-		lastChange:     now,
-		reference:      map[string]bool{},
-		lost:           map[string]time.Duration{},
+		options:       options,
+		histories:     map[string]*nameHistory{},
+		lastTick:      now,
+		unstable:      true,
+		unstableSince: now,
+		lastChange:    now,
+		reference:     map[string]bool{},
+		lost:          map[string]time.Duration{},
 	}
 }
 
-// applyStatus applies the present status of a name.
+// applyStatus updates the history of a name to its present status.
 func (s *stability) applyStatus(now time.Duration, name string, status nameStatus) {
 	if status.leaving && !status.present {
-		// An announced shutdown is no sign of a partition.
+		// An announced shutdown does not indicate a partition.
 		delete(s.reference, name)
 		delete(s.lost, name)
 	}
@@ -87,13 +87,13 @@
 	if history.damped && steady {
 		history.damped = false
 		if history.present {
-			s.unsettle(now)
+			s.markUnstable(now)
 		}
 	}
 	if history.present != status.present {
 		history.present = status.present
 		if history.flap(now, s.options.DampingWindow) {
-			s.unsettle(now)
+			s.markUnstable(now)
 		}
 		return
 	}
@@ -102,24 +102,25 @@
 	}
 }
 
-// unsettle records a change after which the group may be another.
-func (s *stability) unsettle(now time.Duration) {
-	if !s.unsettled {
-		s.unsettled = true
-		s.unsettledSince = now
+// markUnstable records a change that may change the group.
+func (s *stability) markUnstable(now time.Duration) {
+	if !s.unstable {
+		s.unstable = true
+		s.unstableSince = now
 	}
 	s.lastChange = now
 }
 
-// tick records that this process runs. After a pause longer than Options.SettleAfter its view is out of date.
+// tick records that this process is running. If the last tick is longer ago than Options.SettleAfter, the process was suspended and its
+// view is out of date.
 func (s *stability) tick(now time.Duration) {
 	if now-s.lastTick > s.options.SettleAfter {
-		s.unsettle(now)
+		s.markUnstable(now)
 	}
 	s.lastTick = now
 }
 
-// resume sets the group of an earlier process as the reference.
+// resume sets the group of an earlier process as the reference group. It has no effect once the view has been stable.
 func (s *stability) resume(now time.Duration, names []string) {
 	if s.names != nil || len(names) == 0 {
 		return
@@ -131,11 +132,11 @@
 	s.resumedAt = now
 }
 
-// confidence returns the confidence at a time.
+// confidence returns the confidence of the view at a time.
 func (s *stability) confidence(now time.Duration) Confidence {
 	wasSuspended := now-s.lastTick > s.options.SettleAfter
 	switch {
-	case s.unsettled || wasSuspended:
+	case s.unstable || wasSuspended:
 		return Changing
 	case s.partitioned:
 		return Partitioned
@@ -143,21 +144,21 @@
 	return Settled
 }
 
-// settling reports whether the view is not yet stable again after a change.
-func (s *stability) settling(now time.Duration) bool {
+// stabilizing reports whether the view is not yet stable again after a change.
+func (s *stability) stabilizing(now time.Duration) bool {
 	if !s.metOthers && s.options.ExpectedMembers > 1 {
-		return true // each member is alone until it has found the others
+		return true // until a member has found another one, its view says nothing about the group
 	}
 	quiet := now-s.lastChange >= s.options.SettleAfter
-	overdue := now-s.unsettledSince >= maxSettleIntervals*s.options.SettleAfter
-	return s.unsettled && !quiet && !overdue
+	overdue := now-s.unstableSince >= maxUnstableIntervals*s.options.SettleAfter
+	return s.unstable && !quiet && !overdue
 }
 
-// reachable returns how many names of the reference group count, and how many it has.
+// reachable returns how many names of the reference group are eligible, and the size of the reference group.
 func (s *stability) reachable() (reached, size int) {
 	if len(s.reference) == 0 {
 		for _, h := range s.histories {
-			if h.counts() {
+			if h.eligible() {
 				reached++
 			}
 		}
@@ -165,7 +166,7 @@
 	}
 	add := func(name string) {
 		size++
-		if h := s.histories[name]; h != nil && h.counts() {
+		if h := s.histories[name]; h != nil && h.eligible() {
 			reached++
 		}
 	}
@@ -180,14 +181,14 @@
 	return reached, size
 }
 
-// trySettle makes the view stable if it has not changed for long enough, and reports whether the group or its confidence is new.
-func (s *stability) trySettle(now time.Duration) bool {
+// tryStabilize makes the view stable if it has not changed for long enough. It reports whether there is a new group or confidence.
+func (s *stability) tryStabilize(now time.Duration) bool {
 	if s.resumed && now-s.resumedAt >= s.options.ResumeWindow {
 		clear(s.reference)
 		s.resumed = false
-		s.unsettle(now)
+		s.markUnstable(now)
 	}
-	if s.settling(now) {
+	if s.stabilizing(now) {
 		return false
 	}
 	reached, size := s.reachable()
@@ -195,10 +196,10 @@
 	if !partitioned {
 		s.forgetLost(now)
 	}
-	if !s.unsettled && s.partitioned == partitioned {
+	if !s.unstable && s.partitioned == partitioned {
 		return false
 	}
-	s.unsettled = false
+	s.unstable = false
 	s.partitioned = partitioned
 	s.updateNames()
 	if !partitioned {
@@ -207,7 +208,8 @@
 	return true
 }
 
-// forgetLost drops the lost names that disappeared before Options.LossWindow: they belong to no partition that is still being detected.
+// forgetLost removes the lost names that disappeared at least Options.LossWindow ago. They are not part of a partition that is still being
+// detected.
 func (s *stability) forgetLost(now time.Duration) {
 	for name, at := range s.lost {
 		if now-at >= s.options.LossWindow {
@@ -216,7 +218,7 @@
 	}
 }
 
-// updateNames sets the group to the names that count now.
+// updateNames sets the group to the eligible names, and counts the damped ones.
 func (s *stability) updateNames() {
 	s.names = []string{}
 	s.damped = 0
@@ -231,7 +233,7 @@
 	slices.Sort(s.names)
 }
 
-// updateReference makes the group the reference, by which a later partition is recognised.
+// updateReference makes the group the reference group, and marks names that are no longer in it as lost.
 func (s *stability) updateReference(now time.Duration) {
 	for name := range s.reference {
 		s.lost[name] = now
--- a/internal/modules/peers/stability_test.go
+++ b/internal/modules/peers/stability_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// After a partition into halves neither side is settled, however long it lasts; of unequal sides only the larger one is. Both are once
-// the partition has healed. MaxInstances is never lower than the number of members that may go on.
+// After a partition into halves neither side is settled, however long the partition lasts. Of unequal sides only the larger one is
+// settled. After the partition has healed both are. During a partition MaxInstances includes the members at the other side that may still
+// run.
 func TestNoTwoSidesAreSettled(t *testing.T) {
 	for _, test := range []struct {
 		name           string
-		here, there    int
+		here, there    int // members at this side and at the other side
 		want           Confidence
 		wantMaxMembers int
 	}{
@@ -28,21 +29,21 @@
 			}
 			view.staysFor(t, 100*options.SettleAfter, test.want)
 			if s, ok := view.Share(view.now); !ok || s.Instances != test.here || s.MaxInstances != test.wantMaxMembers {
-				t.Errorf("%+v, want %d instances of at most %d", s, test.here, test.wantMaxMembers)
+				t.Errorf("share during the partition: got %+v, %v; want %d instances of at most %d", s, ok, test.here, test.wantMaxMembers)
 			}
 			for process := test.here + 1; process <= test.here+test.there; process++ {
 				view.rejoin(uint64(process), 2)
 			}
 			view.advance(options.SettleAfter)
 			if s, _ := view.Share(view.now); s.Confidence != Settled || s.Instances != test.here+test.there || s.MaxInstances != s.Instances {
-				t.Errorf("healed: %+v", s)
+				t.Errorf("share after the partition has healed: got %+v, want it settled with %d instances", s, test.here+test.there)
 			}
 		})
 	}
 }
 
-// If the members at the other side of a partition are detected as lost one by one, with a stable view in between, neither side is
-// settled. If they are lost over a longer time, the rest is.
+// If the members at the other side of a partition are detected as lost one by one, with a stable view in between, neither side is settled.
+// If the losses are further apart than the loss window, they are no partition, and the remaining members are settled.
 func TestLostOneByOne(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -60,13 +61,14 @@
 			}
 			view.advance(2 * options.LossWindow)
 			if view.confidence() != test.want || len(view.names()) != 5 {
-				t.Errorf("five of ten went: %v, %v, want %v", view.confidence(), view.names(), test.want)
+				t.Errorf("after the loss of five of ten members: got %v with group %v, want %v with 5 names",
+					view.confidence(), view.names(), test.want)
 			}
 		})
 	}
 }
 
-// Members that announce their shutdown are no sign of a partition: a fleet that is scaled in stays settled.
+// Members that announce their shutdown do not indicate a partition: an application that is scaled in stays settled.
 func TestLeavingIsNoPartition(t *testing.T) {
 	view := settledView(10, options)
 	for p := uint64(3); p <= 10; p++ {
@@ -76,33 +78,34 @@
 	}
 	view.advance(options.SettleAfter)
 	if s, _ := view.Share(view.now); s.Confidence != Settled || s.Instances != 2 || s.MaxInstances != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("share after 8 of 10 members have left: got %+v, want it settled with 2 instances", s)
 	}
 }
 
-// With ExpectedMembers the first group is settled only if it has more than half of them. A member that knows no other has no share.
+// The first group is settled only if it has more than half of ExpectedMembers. A member that knows no other member has no share. After a
+// restart, Resume makes the group of the earlier process the reference group.
 func TestStart(t *testing.T) {
 	six := options
 	six.ExpectedMembers = 6
 	view := newTestView(six)
 	if view.advance(time.Minute); view.confidence() != Changing {
-		t.Errorf("alone: %v", view.confidence())
+		t.Errorf("confidence without any other member: got %v, want changing", view.confidence())
 	}
 	if _, ok := view.Share(view.now); ok {
-		t.Error("alone, it has a share")
+		t.Error("a member that knows no other member has a share")
 	}
 	view.join(2)
 	view.join(3)
 	view.advance(six.SettleAfter)
 	if s, ok := view.Share(view.now); !ok || s.Confidence != Partitioned || s.Instances != 3 || s.MaxInstances != 6 {
-		t.Errorf("3 of 6: %+v", s)
+		t.Errorf("share with 3 of 6 members: got %+v, %v; want it partitioned, with 3 instances of at most 6", s, ok)
 	}
 	view.join(4)
 	view.advance(six.SettleAfter)
 	if s, ok := view.Share(view.now); !ok || s.Confidence != Settled || s.Instances != 4 || s.MaxInstances != 4 {
-		t.Errorf("4 of 6: %+v", s)
+		t.Errorf("share with 4 of 6 members: got %+v, %v; want it settled, with 4 instances of at most 4", s, ok)
 	}
-	// A member that restarts within a partition recognises it by the group of its earlier process, for ResumeWindow.
+	// A member that restarts during a partition detects it by the group of its earlier process, for ResumeWindow.
 	again := newTestView(six)
 	again.Resume(0, []string{"n01", "n02", "n03", "n04", "n05", "n06", "n07", "n08", "n09"})
 	for p := uint64(2); p <= 4; p++ {
@@ -110,15 +113,17 @@
 	}
 	again.advance(six.SettleAfter)
 	if s, ok := again.Share(again.now); !ok || s.Confidence != Partitioned || s.MaxInstances != 9 || again.SettledGroup() != nil {
-		t.Errorf("resumed, 4 of 9: %+v, %v", s, again.SettledGroup())
+		t.Errorf("with 4 of 9 resumed members: got share %+v, %v and settled group %v; want it partitioned with at most 9, and no group", s, ok,
+			again.SettledGroup())
 	}
 	again.advance(six.ResumeWindow + six.SettleAfter)
 	if s, _ := again.Share(again.now); s.Confidence != Settled || s.MaxInstances != 4 || len(again.SettledGroup()) != 4 {
-		t.Errorf("long after: %+v", s)
+		t.Errorf("after ResumeWindow: got share %+v and settled group %v, want it settled with at most 4, and 4 names", s, again.SettledGroup())
 	}
 }
 
-// A name that flaps changes the group at most twice in DampingWindow, and does not keep others from changing it.
+// A name that flaps is damped: it changes the group at most 3 times, is counted in MaxInstances, and does not prevent changes by other
+// members. It is in the group again after it was steady for DampingWindow.
 func TestFlappingNameIsDamped(t *testing.T) {
 	view := settledView(6, options)
 	groupChanges, last := 0, view.names()
@@ -137,22 +142,22 @@
 		}
 	}
 	if s, _ := view.Share(view.now); s.MaxInstances != 6 || s.Instances != 5 {
-		t.Errorf("a damped name is not counted: %+v", s)
+		t.Errorf("share with one damped name: got %+v, want 5 instances of at most 6", s)
 	}
 	if groupChanges > 3 || slices.Contains(last, "n04") {
-		t.Errorf("%d changes of the group, %v", groupChanges, last)
+		t.Errorf("got %d changes of the group, and last %v; want at most 3, and a group without n04", groupChanges, last)
 	}
 	view.MarkUnreachable(view.now, 6)
 	view.advance(options.SettleAfter)
 	if n := view.names(); slices.Contains(n, "n06") || view.confidence() != Settled {
-		t.Errorf("another's death meanwhile: %v, %v", n, view.confidence())
+		t.Errorf("after the loss of n06 while n04 is damped: got group %v, %v; want it settled without n06", n, view.confidence())
 	}
 	if view.advance(options.DampingWindow + options.SettleAfter); !slices.Contains(view.names(), "n04") {
-		t.Errorf("steady for long: %v", view.names())
+		t.Errorf("after n04 was steady for the damping window: got group %v, want n04 in it", view.names())
 	}
 }
 
-// A view that changes all the time becomes stable nevertheless.
+// A view that changes continuously becomes stable nevertheless.
 func TestEndlessChangeBecomesStable(t *testing.T) {
 	view := settledView(4, options)
 	view.MarkUnreachable(view.now, 3)
@@ -161,23 +166,23 @@
 		view.advance(time.Second)
 	}
 	if slices.Contains(view.names(), "n03") {
-		t.Errorf("one that died %v ago: %v", 30*time.Second, view.names())
+		t.Errorf("%v after the loss of n03: got group %v, want it without n03", 30*time.Second, view.names())
 	}
 }
 
-// After a pause of the process its view is not settled.
+// If there was no Tick for longer than SettleAfter, as after a suspension of the process, the view is Changing until it is stable again.
 func TestPauseUnsettles(t *testing.T) {
 	view := settledView(5, options)
 	view.now += options.SettleAfter + time.Second
 	if view.Tick(view.now); view.confidence() != Changing {
-		t.Errorf("after a pause: %v", view.confidence())
+		t.Errorf("confidence after a pause: got %v, want changing", view.confidence())
 	}
 	if view.advance(options.SettleAfter); view.confidence() != Settled || len(view.names()) != 5 {
-		t.Errorf("later: %v, %v", view.confidence(), view.names())
+		t.Errorf("SettleAfter after the pause: got %v with group %v, want settled with 5 names", view.confidence(), view.names())
 	}
 }
 
-// The confidence is never higher than that of the group: between a change and the next stable moment it is Changing.
+// The confidence is never higher than when the group was set: from a change until the view is stable again it is Changing.
 func TestConfidenceGoesWithTheGroup(t *testing.T) {
 	view := settledView(4, options)
 	for p := uint64(2); p <= 4; p++ {
@@ -185,19 +190,19 @@
 		view.advance(options.SettleAfter)
 	}
 	if s, _ := view.Share(view.now); s.Confidence != Partitioned || len(s.Names) != 1 {
-		t.Fatalf("alone: %+v", s)
+		t.Fatalf("share after the loss of all other members: got %+v, want it partitioned with 1 name", s)
 	}
-	// They come back over a longer time than a view stays unstable.
+	// The members come back over a longer time than the maximum for which a view stays unstable.
 	for p := uint64(2); p <= 4; p++ {
 		view.rejoin(p, 2)
 		if s, _ := view.Share(view.now); s.Confidence != Changing {
-			t.Errorf("%d is back, and not in the group: %+v", p, s)
+			t.Errorf("share when %d is back but not in the group: got %+v, want changing", p, s)
 		}
 		view.advance(options.SettleAfter / 2)
 	}
-	view.advance(maxSettleIntervals * options.SettleAfter)
+	view.advance(maxUnstableIntervals * options.SettleAfter)
 	view.MarkUnreachable(view.now, 4)
 	if s, _ := view.Share(view.now); s.Confidence != Changing {
-		t.Errorf("one went: %+v", s)
+		t.Errorf("share right after the loss of a member: got %+v, want changing", s)
 	}
 }
--- a/internal/modules/peers/view.go
+++ b/internal/modules/peers/view.go
@@ -10,64 +10,65 @@
 	"time"
 )
 
-// Options are the settings of a View. All but ExpectedMembers are above 0.
+// Options are the settings of a View. All except ExpectedMembers must be positive.
 type Options struct {
-	SuspicionTimeout    time.Duration // until a suspect that does not refute it is gone
-	ForgetAfter         time.Duration // until a gone member is forgotten; longer than any record can be in flight
-	SettleAfter         time.Duration // without a change until the view is stable
-	DampingWindow       time.Duration // in which flaps of a name are counted; longer than SettleAfter
-	LossWindow          time.Duration // within which all members at the other side of a partition are detected as lost
-	ResumeWindow        time.Duration // for which the group of an earlier process is the reference
-	MinExchangeInterval time.Duration // between two full exchanges because of a difference
-	ExpectedMembers     int           // the settings' number of members, of which a first settled group has more than half; 0 or 1 for none
-	MaxMembers          int           // how many processes are kept, including tombstones
+	SuspicionTimeout    time.Duration // time in which a suspect can refute the suspicion before it is gone
+	ForgetAfter         time.Duration // time after which a gone member is removed; longer than any record can be in flight
+	SettleAfter         time.Duration // time without a change after which the view is stable
+	DampingWindow       time.Duration // time after which a name that did not flap is steady; longer than SettleAfter
+	LossWindow          time.Duration // time within which all members at the other side of a partition are detected as lost
+	ResumeWindow        time.Duration // time for which the group of an earlier process is the reference group
+	MinExchangeInterval time.Duration // minimum time between two full exchanges because of a difference
+	ExpectedMembers     int           // members by the settings; the first settled group has more than half of them; 0 or 1 if unknown
+	MaxMembers          int           // maximum number of processes with a record, including tombstones
 }
 
-// member is a record with what this process itself has observed of the member.
+// member is the record of a process, and what this process itself has observed about it.
 type member struct {
 	Record
-	stateSince time.Duration // when the view got its present state
-	knownSince time.Duration // when the view got its first record
-	reachable  bool          // this process's source reaches it
+	stateSince time.Duration // time at which the view got the member's present state and incarnation
+	knownSince time.Duration // time at which the view got the first record of the member
+	reachable  bool          // whether this process's source reaches the member
 }
 
 // View is one process's view of all members.
 type View struct {
-	self         uint64
+	self         uint64 // ID of this process
 	options      Options
-	members      map[uint64]*member // by process
+	members      map[uint64]*member // members by process ID, this process among them
 	group        stability
-	version      uint64
-	rejected     int           // records
-	changes      []Change      // since the last TakeChanges
-	lastExchange time.Duration // when ShouldExchange last returned true
+	version      uint64        // see Version
+	rejected     int           // number of records that were rejected
+	changes      []Change      // transitions since the last TakeChanges
+	lastExchange time.Duration // time at which ShouldExchange last returned true
 }
 
-// New returns the view of a process that knows only itself. self.Incarnation may be 0.
-func New(self Record, o Options, now time.Duration) *View {
-	v := &View{self: self.Process, options: o, members: map[uint64]*member{}, lastExchange: now}
+// New returns the view of a process that knows no other process yet. self.Incarnation may be 0.
+func New(self Record, options Options, now time.Duration) *View {
+	v := &View{self: self.Process, options: options, members: map[uint64]*member{}, lastExchange: now}
 	v.group = newStability(&v.options, now)
 	v.members[self.Process] = &member{Record: self, stateSince: now, knownSince: now, reachable: true}
 	v.updateName(now, self.Name)
 	return v
 }
 
-// Self returns this process's own record, as it is to be announced.
+// Self returns this process's own record, which is to be announced to other members.
 func (v *View) Self() Record { return v.members[v.self].Record }
 
-// SetState sets this process's own state, Serving or Leaving. A state before the present one changes nothing.
+// SetState sets this process's own state to Serving or Leaving. It has no effect for other states, or if the present state is the same or
+// a later one.
 func (v *View) SetState(now time.Duration, s State) {
 	m := v.members[v.self]
 	if s > m.State && (s == Serving || s == Leaving) {
-		v.setState(now, m, s, m.Name, causeOwn)
+		v.setState(now, m, s, m.Name, causeSetState)
 	}
 }
 
-// Merge merges a record from another member, the witness, and reports whether it is new, so that it is to be broadcast. A false record
-// of this process is refuted by a higher incarnation of Self, which is to be announced instead. That is also so if it was refuted
-// before: the witness does not know that.
+// Merge merges a record that another member, the witness, has sent. It returns true if the record is new and is to be broadcast. If the
+// record is a false one about this process, Merge raises the incarnation of Self to refute it and returns true; then Self is to be
+// broadcast instead. Merge also returns true if the false record was refuted before, because the witness does not have the refutation.
 func (v *View) Merge(now time.Duration, record Record, witness string) bool {
-	// The highest incarnation could not be refuted, so no correct member uses it.
+	// No correct member uses the highest incarnation, because it could not be refuted.
 	if record.Process == 0 || record.State < Joining || record.State > Gone || record.Incarnation == math.MaxUint64 {
 		v.rejected++
 		return false
@@ -90,10 +91,11 @@
 	return true
 }
 
-// addMember adds the first record of a process, unless there are too many members.
+// addMember adds the first record of a process. It returns false if the process is gone, or if there are too many members and none can be
+// evicted.
 func (v *View) addMember(now time.Duration, r Record, witness string) bool {
 	if r.State == Gone {
-		return false // a member that was never known need not be recorded as gone
+		return false // no tombstone is needed for a member that was never known
 	}
 	if len(v.members) >= v.options.MaxMembers && !v.evictOne() {
 		v.rejected++
@@ -101,11 +103,11 @@
 	}
 	m := &member{Record: r, stateSince: now, knownSince: now}
 	v.members[r.Process] = m
-	v.recordChange(now, m, 0, witness, causeHeard)
+	v.recordChange(now, m, 0, witness, causeRecordMerged)
 	return true
 }
 
-// updateMember replaces the record of a known process, if the new one supersedes it.
+// updateMember replaces the record of a known process if the new one supersedes it, and reports whether it does.
 func (v *View) updateMember(now time.Duration, m *member, r Record, witness string) bool {
 	if !r.supersedes(&m.Record) {
 		return false
@@ -113,10 +115,10 @@
 	previous := m.Record
 	m.Record = r
 	if previous.State != r.State || previous.Incarnation != r.Incarnation {
-		m.stateSince = now // a higher incarnation is the member's own: it has refuted the state before
+		m.stateSince = now // a higher incarnation comes from the member itself, which has refuted the earlier state
 	}
 	if previous.State != r.State {
-		v.recordChange(now, m, previous.State, witness, causeHeard)
+		v.recordChange(now, m, previous.State, witness, causeRecordMerged)
 	}
 	if previous.Name != r.Name {
 		v.updateName(now, previous.Name)
@@ -124,8 +126,8 @@
 	return true
 }
 
-// yieldName sets BornMillis of this process, while it starts, to after that of a present process with its name, whatever their clocks
-// say: that process keeps the name.
+// yieldName raises BornMillis of this process above that of a present process with the same name, if this process is still Joining. So the
+// other process owns the name, whatever the clocks of the two are.
 func (v *View) yieldName(r Record) {
 	own := v.members[v.self]
 	if r.Name != own.Name || !r.State.Present() || own.State != Joining || own.BornMillis > r.BornMillis {
@@ -136,8 +138,8 @@
 	v.version++
 }
 
-// refute handles a record of this process itself, and reports whether Self is to be announced. However often a false record arrives,
-// its incarnation is refuted once.
+// refute handles a record about this process itself, and reports whether Self is to be broadcast. However often a false record arrives, it
+// raises the incarnation only once.
 func (v *View) refute(r Record) bool {
 	m := v.members[v.self]
 	if r.Incarnation < m.Incarnation {
@@ -151,8 +153,9 @@
 	return true
 }
 
-// Disputed returns the records of members that are claimed to be gone and that this process's source reaches. Each is to be sent to
-// that member itself, repeatedly until it is refuted, because neither a broadcast nor a refutation surely reaches each member.
+// Disputed returns the records of members that are claimed to be gone although this process's source reaches them. Each record is to be
+// sent to its member repeatedly until the member refutes it, because neither a broadcast nor a refutation is certain to reach every
+// member.
 func (v *View) Disputed() (all []Record) {
 	for _, m := range v.members {
 		if m.reachable && m.State == Gone {
@@ -170,8 +173,8 @@
 	}
 }
 
-// MarkUnreachable records that the source no longer reaches a process. It returns the record to be broadcast, and false if that is not
-// new.
+// MarkUnreachable records that this process's source no longer reaches a process. It returns the new record, which is to be broadcast, or
+// false if the process is unknown, is this one or was already gone.
 func (v *View) MarkUnreachable(now time.Duration, process uint64) (Record, bool) {
 	m := v.members[process]
 	if m == nil || process == v.self {
@@ -186,8 +189,9 @@
 	return m.Record, true
 }
 
-// MarkSuspect records that a member did not answer, for sources that do not decide themselves whether it is reachable. It returns the
-// record to be broadcast, and false if that is not new.
+// MarkSuspect records that a member did not answer. It is for sources that do not decide themselves whether a member is reachable. It
+// returns the new record, which is to be broadcast, or false if the process is unknown, is this one or was already Suspect or in a later
+// state.
 func (v *View) MarkSuspect(now time.Duration, process uint64) (Record, bool) {
 	m := v.members[process]
 	if m == nil || process == v.self || m.State >= Suspect {
@@ -197,7 +201,7 @@
 	return m.Record, true
 }
 
-// setState sets the state of a member by a decision of this process.
+// setState sets the state of a member because of a decision of this process.
 func (v *View) setState(now time.Duration, m *member, s State, witness, cause string) {
 	previous := m.State
 	m.State = s
@@ -207,8 +211,8 @@
 	v.updateName(now, m.Name)
 }
 
-// evictOne forgets the member that has been gone for longest, or else the one that has been unreachable for longest, and reports
-// whether there was one. A reachable member is never forgotten in favour of a new one.
+// evictOne removes one unreachable member: the one that has been gone for longest or, if none is gone, the one that has had its state for
+// longest. It reports whether there was one. A reachable member is never evicted.
 func (v *View) evictOne() bool {
 	var victim *member
 	for _, m := range v.members {
@@ -226,7 +230,8 @@
 	return true
 }
 
-// evictedBefore orders members for eviction: those that are gone first, then by how long they have had their state.
+// evictedBefore reports whether a member is evicted before another one: a gone member first, then the one that has had its state for
+// longer.
 func (m *member) evictedBefore(other *member) bool {
 	if gone := m.State == Gone; gone != (other.State == Gone) {
 		return gone
@@ -234,20 +239,21 @@
 	return cmp.Or(cmp.Compare(m.stateSince, other.stateSince), cmp.Compare(m.Process, other.Process)) < 0
 }
 
+// forget removes a member.
 func (v *View) forget(m *member) {
 	delete(v.members, m.Process)
 	v.version++
 }
 
-// Tick advances the view in time: suspects that have not refuted it are gone, members that have long been gone or were never reached
-// are forgotten, and a view without changes becomes stable. It returns the records that are new by this, in the order of their
-// processes. It is to be called several times in each Options.SettleAfter: a longer pause means that this process was suspended
-// (SIGSTOP, a virtual machine that was moved), and that its view is out of date.
+// Tick applies all timeouts. It moves suspects that have not refuted the suspicion in time to Gone, removes members that have been gone
+// or unreached for Options.ForgetAfter, and makes a view without changes stable. It returns the new records, which are to be broadcast,
+// in the order of their processes. It must be called several times in each Options.SettleAfter: a longer pause means that this process
+// was suspended (by SIGSTOP, or because its virtual machine was moved) and that its view is out of date.
 func (v *View) Tick(now time.Duration) (updates []Record) {
 	v.group.tick(now)
 	for _, process := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[process]
-		neverReached := m.State != Gone && !m.reachable // MarkUnreachable sets a member that was reached to Gone
+		neverReached := m.State != Gone && !m.reachable // MarkUnreachable moves a member that was reached to Gone
 		switch {
 		case process == v.self:
 		case m.State == Suspect && now-m.stateSince >= v.options.SuspicionTimeout:
@@ -260,13 +266,13 @@
 		}
 	}
 	v.updateAllNames(now)
-	if v.group.trySettle(now) {
+	if v.group.tryStabilize(now) {
 		v.version++
 	}
 	return updates
 }
 
-// updateName passes the status of a name to the group.
+// updateName passes the status of a name to v.group.
 func (v *View) updateName(now time.Duration, name string) {
 	var status nameStatus
 	for _, m := range v.members {
@@ -277,7 +283,7 @@
 	v.group.applyStatus(now, name, status)
 }
 
-// updateAllNames passes the status of all names to the group, including names that no member has any more.
+// updateAllNames passes the status of all names to v.group, including names that no member has any more.
 func (v *View) updateAllNames(now time.Duration) {
 	statuses := map[string]nameStatus{}
 	for name := range v.group.histories {
@@ -291,7 +297,7 @@
 	}
 }
 
-// mergeStatus adds a member to the status of its name.
+// mergeStatus returns the status of a name with one more of its members.
 func (v *View) mergeStatus(now time.Duration, m *member, status nameStatus) nameStatus {
 	present := v.present(now, m)
 	if present && m.Process != v.self {
@@ -304,27 +310,30 @@
 	}
 }
 
-// present reports whether a process counts as present: this one reaches it, and it serves or can still refute that it is gone.
+// present reports whether a member counts as present: this process's source reaches it, and it serves or can still refute the claim that
+// it is suspect or gone.
 func (v *View) present(now time.Duration, m *member) bool {
 	refutable := m.State == Gone && now-m.stateSince < v.options.SuspicionTimeout
 	return m.reachable && (m.State.Present() || refutable)
 }
 
-// Resume sets the group of an earlier process of this sidecar as the one that was settled last, for Options.ResumeWindow, so that a
-// member that starts within a partition recognises it. It changes nothing once the view has been stable.
+// Resume sets the names of a settled group of an earlier process of this sidecar as the reference group for Options.ResumeWindow, so that
+// a member that starts during a partition detects it. It has no effect once the view has been stable.
 func (v *View) Resume(now time.Duration, names []string) { v.group.resume(now, names) }
 
-// Confidence returns how far the view, and the group of when it was last stable, can be relied on at a time. It is never higher than it
-// was then, because later changes are not part of the group.
+// Confidence returns how reliable the view and its group are at a time. It is never higher than when the view was last stable, because the
+// group lacks later changes.
 func (v *View) Confidence(now time.Duration) Confidence { return v.group.confidence(now) }
 
-// Reachable returns how many names of the reference group are present, and how many it has: the group that was settled last, without
-// members that have announced their shutdown since; before the first one, how many are present and how many are expected. Names that
-// were lost within Options.LossWindow still belong to it: the losses at the other side of a partition are not detected all at once, and
-// if the group shrank with each loss, both sides would be settled.
+// Reachable returns how many names of the reference group are present, and the size of the reference group, which is the last settled
+// group without members that have announced their shutdown since. Before the first settled group it returns how many names are present
+// and how many are expected. Names that were lost within Options.LossWindow still belong to the reference group: the members at the other
+// side of a partition are not detected as lost all at once, and if the reference group shrank with each loss, both sides would be
+// settled.
 func (v *View) Reachable() (reached, size int) { return v.group.reachable() }
 
-// SettledGroup returns the names of the group that was settled last, in order, for Resume in a later process; nil before the first.
+// SettledGroup returns the sorted names of the last settled group, to be saved and passed to Resume in a later process. It returns nil if
+// no group has been settled in this process.
 func (v *View) SettledGroup() (names []string) {
 	if v.group.resumed {
 		return nil
@@ -336,11 +345,11 @@
 	return names
 }
 
-// Present returns the members that count as present, in the order of names. Of several processes with one name it has the one that owns
-// the name, so that a second one that is started with the same file takes no share of another. This process is included if it serves
-// and owns its name.
+// Present returns the records of the members that count as present, sorted by name. Of several processes with one name it has only the
+// owner of the name, so that a second process that is started with the same file does not reduce the share of other members. This process
+// is included if it serves and owns its name.
 func (v *View) Present(now time.Duration) []Record {
-	owners := map[string]Record{}
+	owners := map[string]Record{} // the present owner of each name
 	for _, m := range v.members {
 		if !v.present(now, m) {
 			continue
@@ -354,9 +363,9 @@
 	return all
 }
 
-// DuplicateNames returns the names that several present processes have, in order.
+// DuplicateNames returns the sorted names that more than one present process has.
 func (v *View) DuplicateNames(now time.Duration) (names []string) {
-	processes := map[string]int{}
+	processes := map[string]int{} // number of present processes by name
 	for _, m := range v.members {
 		if !v.present(now, m) {
 			continue
@@ -370,7 +379,7 @@
 	return names
 }
 
-// Records returns all records, in the order of the processes, for a member that has none yet.
+// Records returns all records, in the order of the processes. They are sent to a member that has none yet, and in a full exchange.
 func (v *View) Records() (all []Record) {
 	for _, process := range slices.Sorted(maps.Keys(v.members)) {
 		all = append(all, v.members[process].Record)
@@ -378,7 +387,8 @@
 	return all
 }
 
-// Digest returns a hash of the processes that are present. It is the same at two members if these are, and hardly ever otherwise.
+// Digest returns a hash of the present processes, with their incarnations and states. Two members whose views agree on these have the same
+// digest; other views have different digests, except for very rare hash collisions.
 func (v *View) Digest(now time.Duration) uint64 {
 	hash := fnv.New64a()
 	var b [8]byte
@@ -389,24 +399,24 @@
 		}
 		for _, x := range []uint64{process, m.Incarnation, uint64(m.State)} {
 			binary.LittleEndian.PutUint64(b[:], x)
-			_, _ = hash.Write(b[:]) // a hash returns no error
+			_, _ = hash.Write(b[:]) // Write of a hash never returns an error
 		}
 	}
 	return hash.Sum64()
 }
 
-// ShouldExchange reports whether all records are to be exchanged with another member, because of its digest. Updates in flight make
-// digests differ for a moment, so only a difference from a stable view counts, and at most one in Options.MinExchangeInterval.
+// ShouldExchange reports whether all records are to be exchanged with another member, because its digest differs. Updates in flight make
+// digests differ for a moment, so it returns true only if this view is stable, and at most once in each Options.MinExchangeInterval.
 func (v *View) ShouldExchange(now time.Duration, digest uint64) bool {
-	if v.group.unsettled || now-v.lastExchange < v.options.MinExchangeInterval || digest == v.Digest(now) {
+	if v.group.unstable || now-v.lastExchange < v.options.MinExchangeInterval || digest == v.Digest(now) {
 		return false
 	}
 	v.lastExchange = now
 	return true
 }
 
-// Version returns a number that grows with each change of the view.
+// Version returns a number that increases with each change of the view.
 func (v *View) Version() uint64 { return v.version }
 
-// Rejected returns how many records were rejected: malformed ones, and those of new members beyond Options.MaxMembers.
+// Rejected returns how many records were rejected: malformed ones, and records of new members above Options.MaxMembers.
 func (v *View) Rejected() int { return v.rejected }
