--- a/internal/modules/peers/stability.go
+++ b/internal/modules/peers/stability.go
@@ -14,7 +14,7 @@
 	// group or, before the first one, with the settings of the file.
 	Changing Confidence = iota
 	// Settled is a stable view with more than half of the reference group. The reference group is the last settled group, without members
-	// that have announced their shutdown since; before the first settled group it is Options.ExpectedMembers.
+	// that have announced their shutdown since; before the first settled group its size is Options.ExpectedMembers.
 	Settled
 	// Partitioned is a stable view with half of the reference group or less. It may be that of one side of a network partition whose other
 	// side also continues to run, so it must not be used to decide about anything that may exist only once.
--- a/internal/modules/peers/view.go
+++ b/internal/modules/peers/view.go
@@ -15,7 +15,7 @@
 	SuspicionTimeout    time.Duration // time in which a suspect can refute the suspicion before it is gone
 	ForgetAfter         time.Duration // time after which a gone member is removed; longer than any record can be in flight
 	SettleAfter         time.Duration // time without a change after which the view is stable
-	DampingWindow       time.Duration // time after which a name that did not flap is steady; longer than SettleAfter
+	DampingWindow       time.Duration // time after which a name without a flap is steady and its flaps are reset; longer than SettleAfter
 	LossWindow          time.Duration // time within which all members at the other side of a partition are detected as lost
 	ResumeWindow        time.Duration // time for which the group of an earlier process is the reference group
 	MinExchangeInterval time.Duration // minimum time between two full exchanges because of a difference
@@ -246,9 +246,10 @@
 }
 
 // Tick applies all timeouts. It moves suspects that have not refuted the suspicion in time to Gone, removes members that have been gone
-// or unreached for Options.ForgetAfter, and makes a view without changes stable. It returns the new records, which are to be broadcast,
-// in the order of their processes. It must be called several times in each Options.SettleAfter: a longer pause means that this process
-// was suspended (by SIGSTOP, or because its virtual machine was moved) and that its view is out of date.
+// for Options.ForgetAfter or were not reached within that time after their first record, and makes a view without changes stable. It
+// returns the new records, which are to be broadcast, in the order of their processes. It must be called several times in each
+// Options.SettleAfter: a longer pause means that this process was suspended (by SIGSTOP, or because its virtual machine was moved) and
+// that its view is out of date.
 func (v *View) Tick(now time.Duration) (updates []Record) {
 	v.group.tick(now)
 	for _, process := range slices.Sorted(maps.Keys(v.members)) {
