--- a/internal/network/exchange/attempt.go
+++ b/internal/network/exchange/attempt.go
@@ -11,63 +11,63 @@
 	"quincegap/internal/config/settings"
 )
 
-// The headers of endpoints' answers. They are data.
+// The headers of endpoints' responses that the sidecar evaluates. They are part of the protocol and must not change.
 const (
-	headerLoad     = "X-Pressure"    // a load report, see settings.ParseLoad
-	headerRejected = "X-Turned-Away" // "1" in a 503 or 504 for a request that has not run
+	headerLoad     = "X-Pressure"    // load report in the format of settings.ParseLoad
+	headerRejected = "X-Turned-Away" // "1" in a 503 or 504 response if the endpoint has not executed the request
 )
 
-// Inbound is the part of a caller's request that is forwarded to an endpoint unchanged.
+// Inbound is the part of a caller's request that a transport forwards to an endpoint unchanged.
 type Inbound struct {
 	Method string
 	Target string // request target as the client wrote it
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Safe marks a request that may run any number of times: a transport may send it in early data, which can be replayed.
+	// Safe marks a request that may be executed any number of times. A transport may send it in early data, which can be replayed.
 	Safe bool
 }
 
-// Response is an endpoint's complete answer.
+// Response is a complete response from an endpoint.
 type Response struct {
 	Header http.Header
 	Body   []byte
 }
 
-// Endpoint is one incarnation of an endpoint at one address. After a restart or at another address the endpoint is a new Endpoint.
+// Endpoint is one incarnation of an endpoint at one address. A restart or a change of address makes a new Endpoint.
 type Endpoint struct {
 	ID      balancer.EndpointID
 	UID     string
 	Address string       // host:port
-	BootMS  int64        // its start, Unix time in milliseconds; 0 if it is unknown
-	Zone    string       // as listed now; read and set by the loop alone
-	Cell    int          // likewise
-	Open    atomic.Bool  // new attempts are allowed
-	Waiting atomic.Int32 // attempts that wait for an answer on connections that are open
+	BootMS  int64        // start time of the endpoint, Unix time in milliseconds; 0 if unknown
+	Zone    string       // current zone in the endpoint list; accessed by the loop only
+	Cell    int          // current cell in the endpoint list; accessed by the loop only
+	Open    atomic.Bool  // whether new attempts are allowed
+	Waiting atomic.Int32 // number of attempts that await a response on an established connection
 }
 
-// Attempt is one attempt to have a request served by an endpoint.
+// Attempt is one attempt to send a request to an endpoint and receive its response.
 type Attempt struct {
 	Request  *Inbound
 	Endpoint *Endpoint
 	Sent     time.Time
-	Context  context.Context // ends at the attempt's deadline, or when the attempt is cancelled
-	Bodies   *Budget         // from which the answer's body is reserved
+	Context  context.Context // done at the attempt's deadline or when the attempt is cancelled
+	Bodies   *Budget         // budget from which the memory for the response body is reserved
 }
 
-// UnsentStatus returns the status of an attempt whose last byte was certainly not written: StatusNotSent after its deadline or when
-// it was cancelled, StatusConnectFailed otherwise.
+// UnsentStatus returns the status of an attempt whose request was certainly not written completely: StatusNotSent if the attempt's
+// deadline has passed or it was cancelled, StatusConnectFailed otherwise.
 func (a *Attempt) UnsentStatus() balancer.Status {
-	// A dialer keeps the context's deadline by a timer of its own, which may fire before the context's does. If a request's own
-	// deadline counted as a failed connection, a healthy endpoint would be ejected.
+	// The deadline is checked besides the context because a dialer enforces it with a separate timer, which may fire before the
+	// context's. If an expired request deadline counted as a failed connection, a healthy endpoint would be ejected.
 	if deadline, _ := a.Context.Deadline(); a.Context.Err() != nil || !time.Now().Before(deadline) {
 		return balancer.StatusNotSent
 	}
 	return balancer.StatusConnectFailed
 }
 
-// IncompleteStatus returns the status of an attempt without a complete, valid answer. broken means that the connection failed, and not
-// the answer's content.
+// IncompleteStatus returns the status of an attempt that was sent but got no complete, valid response. broken means that the connection
+// failed; otherwise the content of the response was invalid.
 func (a *Attempt) IncompleteStatus(broken bool) balancer.Status {
 	switch {
 	case errors.Is(a.Context.Err(), context.DeadlineExceeded):
@@ -77,7 +77,7 @@
 	case broken:
 		return balancer.StatusReset
 	}
-	// The endpoint is healthy and has run the request, but its answer is invalid.
+	// The endpoint is healthy and has executed the request, but its response is invalid.
 	return balancer.StatusInvalidResponse
 }
 
@@ -86,20 +86,21 @@
 	Status   balancer.Status
 	Elapsed  time.Duration
 	Response *Response      // nil unless Status is StatusOK
-	Load     *balancer.Load // nil if the endpoint reported none
-	Conn     Conn           // nil unless the connection can carry another attempt
-	// Unreachable means that nothing was sent because the endpoint can't be reached by this protocol: the attempt may be made by
-	// another protocol.
+	Load     *balancer.Load // nil if the response had no valid load report
+	Conn     Conn           // connection to reuse for other attempts; nil if there is none
+	// Unreachable means that nothing was sent because the endpoint can't be reached over this protocol. The attempt may be repeated
+	// over another protocol.
 	Unreachable bool
-	// Blocked means that this protocol no longer reaches the endpoint, though the endpoint runs.
+	// Blocked means that the endpoint is running but can no longer be reached over this protocol.
 	Blocked bool
 }
 
-// ResultOf returns the result of an attempt that was answered. It keeps header and changes it.
+// ResultOf returns the result of an attempt that received a complete response. It takes ownership of header and body, and removes
+// hop-by-hop headers from header.
 func ResultOf(code int, header http.Header, body []byte) Result {
 	res := Result{Status: balancer.StatusError}
 	if report := header.Get(headerLoad); report != "" {
-		res.Load, _ = settings.ParseLoad(report, "=") // a report that cannot be read is none
+		res.Load, _ = settings.ParseLoad(report, "=") // an invalid report is ignored
 	}
 	switch {
 	case code == http.StatusOK:
@@ -111,7 +112,7 @@
 			res.Status = balancer.StatusRejected
 		}
 	case code < http.StatusInternalServerError:
-		res.Status = balancer.StatusInvalidResponse // the request is at fault, not the endpoint
+		res.Status = balancer.StatusInvalidResponse // the request is invalid; the endpoint is healthy
 	}
 	return res
 }
--- a/internal/network/exchange/body.go
+++ b/internal/network/exchange/body.go
@@ -7,14 +7,14 @@
 	"sync/atomic"
 )
 
-// MaxBody bounds the body of one request and of one answer, in bytes.
+// MaxBody is the maximum size of a request body and of a response body, in bytes.
 const MaxBody = 64 << 10
 
-// ErrBodyTooLarge is returned if a peer sends more than a bound allows.
-var ErrBodyTooLarge = errors.New("too large")
+// ErrBodyTooLarge means that a peer sent a larger body or message than the limit allows.
+var ErrBodyTooLarge = errors.New("body or message exceeds its size limit")
 
-// ReadAll reads a body of at most MaxBody bytes; it returns ErrBodyTooLarge for a longer one. Memory is allocated as the bytes come: a
-// peer may announce a length and send nothing.
+// ReadAll reads a body of at most MaxBody bytes; it returns ErrBodyTooLarge for a longer one. Memory is allocated as the bytes arrive,
+// because a peer may announce a large body and send nothing.
 func ReadAll(body io.Reader) ([]byte, error) {
 	b := bytes.NewBuffer(make([]byte, 0, bytes.MinRead))
 	if _, err := b.ReadFrom(io.LimitReader(body, MaxBody+1)); err != nil {
@@ -26,21 +26,21 @@
 	return b.Bytes(), nil
 }
 
-// Budget bounds the memory for the bodies of all requests and answers together, in bytes. The zero value has none left. It is safe for
-// concurrent use.
-type Budget struct{ left atomic.Int64 }
+// Budget limits the memory for the bodies of all requests and responses together, in bytes. The zero value has no bytes available; Release
+// adds the initial ones. A Budget is safe for concurrent use.
+type Budget struct{ available atomic.Int64 }
 
-// Reserve reserves n bytes. It returns false, and reserves nothing, if fewer are left.
+// Reserve reserves n bytes. If fewer are available it reserves nothing and returns false.
 func (b *Budget) Reserve(n int) bool {
-	if b.left.Add(-int64(n)) >= 0 {
+	if b.available.Add(-int64(n)) >= 0 {
 		return true
 	}
 	b.Release(n)
 	return false
 }
 
-// Release returns n bytes to the budget. It also fills a new one.
-func (b *Budget) Release(n int) { b.left.Add(int64(n)) }
+// Release returns n reserved bytes to the budget. It also sets the size of a new budget.
+func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
 
-// Available returns how many bytes are left.
-func (b *Budget) Available() int64 { return b.left.Load() }
+// Available returns the number of bytes that can be reserved.
+func (b *Budget) Available() int64 { return b.available.Load() }
--- a/internal/network/exchange/doc.go
+++ b/internal/network/exchange/doc.go
@@ -1,12 +1,12 @@
-// Package exchange has the types that callers' protocols, the loop and endpoints' protocols of the standalone sidecar exchange:
-// requests, answers, attempts and their outcomes.
+// Package exchange defines the types that the caller protocols, the event loop and the endpoint protocols of the standalone sidecar pass
+// to each other: requests, responses, attempts and their results.
 //
 //	caller ──▶ Front ──http.Request, Caller──▶ handler ──▶ loop ──Attempt──▶ Transport ──▶ endpoint
-//	caller ◀── Front ◀──────── answer ──────── handler ◀── loop ◀──Result─── Transport ◀── endpoint
+//	caller ◀── Front ◀─────── response ─────── handler ◀── loop ◀──Result─── Transport ◀── endpoint
 //
-// A Front speaks a protocol with callers. It hands an http.Request to the handler, with a Caller in its context that represents the
-// connection. Checks that all protocols have in common are the handler's. A Transport speaks a protocol with endpoints, and makes
-// attempts. The loop between them knows neither protocol.
+// A Front serves callers over one protocol. It passes each http.Request to the handler, with a Caller in the request's context that
+// represents the connection. The handler makes the checks that all protocols have in common. A Transport makes attempts at endpoints over
+// one protocol. The loop between them is independent of both protocols.
 //
-// Sizes are in bytes. A Budget counts the bytes of all bodies; the receiver of an answer releases the answer's.
+// Sizes are in bytes. A Budget limits the memory of all bodies together; the receiver of a response releases the bytes of its body.
 package exchange
--- a/internal/network/exchange/example_test.go
+++ b/internal/network/exchange/example_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-// What an endpoint answers decides whether the request may be sent again.
+// The status of a result tells whether the endpoint rejected the request, failed or served it.
 func ExampleResultOf() {
 	busy := exchange.ResultOf(http.StatusServiceUnavailable, http.Header{"X-Turned-Away": {"1"}}, nil)
 	failed := exchange.ResultOf(http.StatusServiceUnavailable, http.Header{}, nil)
@@ -22,10 +22,10 @@
 	// seat 7, 0 headers
 }
 
-// All bodies together hold no more than the budget.
+// A reservation fails if it would exceed the budget.
 func ExampleBudget() {
 	var bodies exchange.Budget
-	bodies.Release(100) // what there is in the first place
+	bodies.Release(100) // initial size of the budget
 	fmt.Println(bodies.Reserve(70), bodies.Reserve(40), bodies.Available())
 	bodies.Release(70)
 	fmt.Println(bodies.Available())
--- a/internal/network/http1/answer.go
+++ b/internal/network/http1/answer.go
@@ -15,24 +15,24 @@
 
 const (
 	maxBodyBytes     = exchange.MaxBody
-	maxHeadBytes     = 16 << 10
-	maxInformational = 16 // 1xx responses before the final one
+	maxHeadBytes     = 16 << 10 // status lines and headers of a response
+	maxInformational = 16       // number of 1xx responses before the final one
 )
 
 var (
-	errMalformed = errors.New("cannot be read")
-	errNoMemory  = errors.New("no memory for the body")
+	errMalformed = errors.New("malformed response")
+	errNoMemory  = errors.New("memory budget for bodies is exhausted")
 )
 
 // head is the status line and the headers of a response.
 type head struct {
 	code       int
 	header     textproto.MIMEHeader
-	persistent bool // the connection stays open after the response
+	persistent bool // whether the connection stays open after the response
 }
 
-// read reads the response to the request that was written. An error that is not the connection's means that the response is invalid;
-// after any error the connection can't be used again.
+// read reads the response to the request that was written. After an error the connection can't be reused; an error for which isConnError
+// is false means that the response is invalid.
 func (a *attempt) read(c *conn) (res exchange.Result, err error) {
 	c.readable = maxHeadBytes
 	h, err := readFinalHead(c.reader)
@@ -42,16 +42,16 @@
 	if !a.Bodies.Reserve(maxBodyBytes) {
 		return res, errNoMemory
 	}
-	kept := 0
-	defer func() { a.Bodies.Release(maxBodyBytes - kept) }()
-	c.readable = maxBodyBytes + maxHeadBytes // the body, and the framing of its chunks
+	retained := 0 // bytes of the reservation that the result still uses
+	defer func() { a.Bodies.Release(maxBodyBytes - retained) }()
+	c.readable = maxBodyBytes + maxHeadBytes // maxHeadBytes is for chunk framing and the trailer
 	body, err := readBody(c.reader, h)
 	if err != nil {
 		return res, err
 	}
 	res = exchange.ResultOf(h.code, http.Header(h.header), body)
 	if res.Response != nil {
-		kept = len(body)
+		retained = len(body)
 	}
 	if h.persistent && c.reader.Buffered() == 0 {
 		res.Conn = c
@@ -59,7 +59,7 @@
 	return res, nil
 }
 
-// readFinalHead reads the head of the final response, and skips informational ones.
+// readFinalHead reads the head of the final response. It skips at most maxInformational informational (1xx) responses.
 func readFinalHead(r *bufio.Reader) (h head, err error) {
 	for range maxInformational + 1 {
 		if h, err = readHead(r); err != nil {
@@ -69,10 +69,10 @@
 			return h, nil
 		}
 	}
-	return h, errMalformed // more than maxInformational came, and no final one
+	return h, errMalformed // more than maxInformational informational responses
 }
 
-// readHead reads one head, up to the empty line.
+// readHead reads one head, including the empty line that ends it.
 func readHead(r *bufio.Reader) (h head, err error) {
 	text := textproto.NewReader(r)
 	line, err := text.ReadLine()
@@ -96,8 +96,8 @@
 	return h, nil
 }
 
-// readBody reads a response's body of at most maxBodyBytes. It returns errMalformed if the body's end is ambiguous: if lengths disagree,
-// or there is none, so that only the connection's end would end the body.
+// readBody reads a response's body of at most maxBodyBytes. It returns errMalformed if the length of the body is ambiguous or not
+// declared: a body that ends with the connection could be truncated unnoticed.
 func readBody(r *bufio.Reader, h head) ([]byte, error) {
 	lengths := h.header["Content-Length"]
 	codings := h.header["Transfer-Encoding"]
@@ -122,7 +122,7 @@
 	return body, err
 }
 
-// readLength reads a body whose Content-Length is given as text.
+// readLength reads a body; length is the value of its Content-Length header.
 func readLength(r *bufio.Reader, length string) ([]byte, error) {
 	n, err := strconv.ParseUint(length, 10, 63)
 	if err != nil {
--- a/internal/network/http1/attempt.go
+++ b/internal/network/http1/attempt.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// settleTime is the least time between an answer and the next request on a connection. Nothing ties an answer to its request, so
-	// bytes that an endpoint sends after an answer must arrive before the next request is written.
-	settleTime = time.Millisecond
-	// resetSpread is the time in which a dying process resets all its connections.
+	// reuseDelay is the minimum time between a response and the next request on a connection. HTTP/1.1 has nothing that ties a
+	// response to its request, so surplus bytes after a response must be detected before the next request is written.
+	reuseDelay = time.Millisecond
+	// resetSpread is the time within which all connections of an exiting process are reset.
 	resetSpread = 3 * time.Millisecond
 )
 
 // attempt is an attempt over HTTP/1.1.
 type attempt struct{ *exchange.Attempt }
 
-// run makes the attempt on an idle connection or, if c is nil, on a new one. When it returns the connection is closed or idle, so that
-// the balancer may send the request again.
+// run makes the attempt on the idle connection c, or on a new one if c is nil or no longer usable. When it returns the connection is
+// closed or idle, so that the balancer may send the request again.
 func (a *attempt) run(c *conn, connectTimeout time.Duration) (res exchange.Result) {
 	defer func() { res.Elapsed = time.Since(a.Sent) }()
 	if c != nil {
-		time.Sleep(time.Until(c.idleSince.Add(settleTime)))
+		time.Sleep(time.Until(c.idleSince.Add(reuseDelay)))
 		if !c.alive() {
 			c.discard()
 			c = nil
@@ -47,8 +47,8 @@
 	return res
 }
 
-// dial connects to the endpoint. It tries once more after a connection that is refused or reset at once: endpoints reset new connections
-// now and then, and only a dead one does so twice.
+// dial connects to the endpoint; timeout limits each try. If the connection is refused or reset it tries once more: a healthy endpoint
+// occasionally resets a new connection, but only a failed one does so twice in a row.
 func (a *attempt) dial(timeout time.Duration) (*conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	raw, err := dialer.DialContext(a.Context, "tcp", a.Endpoint.Address)
@@ -61,9 +61,9 @@
 	return newConn(raw), nil
 }
 
-// checkEndpoint distinguishes a connection that broke alone from an endpoint that ended, which breaks all its connections and accepts no
-// new one. If a single broken connection counted as the endpoint's end, a healthy endpoint would be ejected and then go through its slow
-// start. On success the result has a new connection in the place of the broken one.
+// checkEndpoint is called after a connection broke. It changes the status from StatusReset to StatusInvalidResponse if the endpoint is
+// still running: then other attempts still await a response from it, or it accepts a new connection, which res gets for reuse. If a
+// single broken connection counted as a failure of the endpoint, a healthy endpoint would be ejected and then go through slow start.
 func (a *attempt) checkEndpoint(res *exchange.Result, connectTimeout time.Duration) {
 	time.Sleep(resetSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
@@ -76,22 +76,22 @@
 	}
 }
 
-// runOn makes the attempt on a connection, and closes the connection if it can't carry another attempt.
+// runOn makes the attempt on a connection, and closes the connection if it can't be reused.
 func (a *attempt) runOn(c *conn) exchange.Result {
-	release := context.AfterFunc(a.Context, c.discard)
+	stop := context.AfterFunc(a.Context, c.discard)
 	res := a.exchange(c)
-	if !release() || res.Conn == nil {
+	if !stop() || res.Conn == nil {
 		c.discard()
 		res.Conn = nil
 	}
 	return res
 }
 
-// exchange writes the request once, and reads the answer.
+// exchange writes the request once and reads the response.
 func (a *attempt) exchange(c *conn) exchange.Result {
 	deadline, _ := a.Context.Deadline()
 	text := encode(a.Request, time.Until(deadline))
-	// The endpoint may be draining since the dial began.
+	// The endpoint may have started to drain during the dial.
 	if !a.Endpoint.Open.Load() || a.Context.Err() != nil {
 		return exchange.Result{Status: balancer.StatusNotSent}
 	}
@@ -107,7 +107,7 @@
 	return res
 }
 
-// isConnError reports whether an answer could not be read because of the connection, and not because of its content.
+// isConnError reports whether reading a response failed because the connection broke, and not because of the response's content.
 func isConnError(err error) bool {
 	return errors.As(err, new(*net.OpError)) ||
 		errors.Is(err, io.EOF) ||
--- a/internal/network/http1/conn.go
+++ b/internal/network/http1/conn.go
@@ -14,13 +14,13 @@
 // conn is a connection to an endpoint; it carries one attempt at a time.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader // reads by way of Read, within its bound
-	readable int           // bytes that may still be read of the present answer
+	reader   *bufio.Reader // reads through conn.Read, which enforces readable
+	readable int           // number of bytes that may still be read of the current response
 
-	// Set while the connection is idle.
+	// The fields below are set while the connection is idle.
 	idleSince time.Time
 	endpoint  *exchange.Endpoint
-	element   *list.Element // in pool.idleOrder
+	element   *list.Element // list element in pool.idleOrder
 }
 
 func newConn(raw net.Conn) *conn {
@@ -29,7 +29,8 @@
 	return c
 }
 
-// Read reads at most readable bytes in all, then returns exchange.ErrBodyTooLarge: an endpoint may send without end.
+// Read reads from the connection and decreases readable. Once readable is 0 it returns exchange.ErrBodyTooLarge: an endpoint may send an
+// endless response.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.readable <= 0 {
 		return 0, exchange.ErrBodyTooLarge
@@ -39,10 +40,10 @@
 	return n, err
 }
 
-// discard closes a connection without an attempt. Nothing can be lost by an error.
+// discard closes the connection. An error of Close is ignored, since no response is expected any more.
 func (c *conn) discard() { _ = c.Close() }
 
-// alive reports whether an idle connection can carry a request: the endpoint has neither closed it nor sent anything unasked.
+// alive reports whether an idle connection can be used for a request: the endpoint has neither closed it nor sent unsolicited bytes.
 func (c *conn) alive() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -56,11 +57,11 @@
 	return n < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR))
 }
 
-// peekByte looks for a byte to read, without consuming it and without blocking. It returns 1 if there is one, 0 at the end of the stream
-// and -1 with an error; EAGAIN means that there is nothing to read.
+// peekByte checks whether there is a byte to read, without consuming it or blocking. It returns 1 if there is one, 0 at the end of the
+// stream, and -1 with an error otherwise; EAGAIN means that no byte has been received.
 func peekByte(raw syscall.RawConn) (n int, err error) {
 	n = -1
-	// Not raw.Read, which would wait until another goroutine's Read ends.
+	// raw.Read is not used because it would wait for a Read of another goroutine to end.
 	controlErr := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/network/http1/doc.go
+++ b/internal/network/http1/doc.go
@@ -2,27 +2,27 @@
 //
 // # Callers' connections
 //
-// Accepting never waits, because a connection in the backlog may already have sent a request. When all connections are in use, a new one
-// replaces one whose caller loses nothing:
+// Connections are accepted without delay, because a connection in the backlog may already have sent a request. When the limit on
+// connections is reached, a new connection replaces one whose caller loses no response. Each connection is in one of four stages:
 //
 //	       bytes are received           headers and body are read
 //	New ───────────────────▶ Reading ────────────────────────▶ Serving
 //	                            ▲                                 │ answered
 //	                            └───────────── Idle ◀─────────────┘
 //
-// New connections that have sent nothing are closed first, then idle ones, whose clients repeat on another connection a request that
-// crosses the close, then those whose request has taken longer than slowRequestAfter. If there are none, the new connection is accepted
-// in excess of the bound, and its request is rejected.
+// New connections that have sent nothing are closed first. Idle ones follow: if the client sends a request while the connection is being
+// closed, it repeats the request on another connection. The last are those that have been reading a request for longer than
+// slowRequestAfter. If there are none of these, the new connection is accepted above the limit, and its request is rejected.
 //
 // # Attempts
 //
-// An attempt is one write on one connection, and the answer to it. net/http's Transport is not used: it may send a request again by
-// itself, and does not report whether the last byte was written. Nothing in HTTP/1.1 ties an answer to its request, so a connection
-// is used again only if its answer ended at its declared length, and nothing came after it within settleTime.
+// An attempt writes the request once on one connection and reads the response. net/http's Transport is not used: it may repeat a request
+// on its own, and does not report whether the last byte was written. HTTP/1.1 has nothing that ties a response to its request, so a
+// connection is reused only if the response ended at its declared length and no bytes followed it within reuseDelay.
 //
-// A connection that breaks while an answer is awaited may have broken alone or with its endpoint; checkEndpoint finds out.
+// If a connection breaks while a response is awaited, checkEndpoint determines whether the endpoint failed too.
 //
 // # What it does not do
 //
-// It chooses no endpoint, retries no request, and leaves the checks that all protocols' fronts have in common to the handler.
+// The package does not choose endpoints or retry requests. The handler makes the checks that all protocols have in common.
 package http1
--- a/internal/network/http1/front.go
+++ b/internal/network/http1/front.go
@@ -10,12 +10,12 @@
 
 // Bounds are the limits of a Front.
 type Bounds struct {
-	MaxConnections int           // open at once
-	MaxHeaderBytes int           // of a request
-	RequestTimeout time.Duration // to receive a request's headers
-	IdleTimeout    time.Duration // between two requests
-	WriteTimeout   time.Duration // from a request's headers to the end of its answer
-	AltSvc         string        // value of the header Alt-Svc in answers (RFC 7838); empty for none
+	MaxConnections int           // number of open connections
+	MaxHeaderBytes int           // size of a request's headers
+	RequestTimeout time.Duration // time to receive a request's headers
+	IdleTimeout    time.Duration // time between two requests on a connection
+	WriteTimeout   time.Duration // time from receiving a request's headers to the end of its response
+	AltSvc         string        // value of the Alt-Svc header in responses (RFC 7838); empty for no header
 }
 
 // Front serves callers over HTTP/1.1. It implements exchange.Front.
@@ -24,7 +24,7 @@
 	server  http.Server
 }
 
-// NewFront returns a front that serves the requests on a listener by a handler. Close and Stop close the listener.
+// NewFront returns a front that serves the connections of a listener with a handler. Close and Stop close the listener.
 func NewFront(listener net.Listener, handler http.Handler, b Bounds) *Front {
 	f := &Front{}
 	f.callers.Listener = listener
@@ -59,7 +59,8 @@
 // Close implements exchange.Front.
 func (f *Front) Close() error { return f.server.Close() }
 
-// Counts returns the numbers of open connections, of idle ones and of those in all stages together, and the bound.
+// Counts returns the numbers of open connections and of idle ones, the sum of the connections in all stages, and the limit on open
+// connections. staged equals open unless the bookkeeping is wrong.
 func (f *Front) Counts() (open, idle, staged, maxOpen int) {
 	l := &f.callers
 	l.mu.Lock()
@@ -70,7 +71,7 @@
 	return l.open, l.stages[stageIdle].Len(), staged, l.maxOpen
 }
 
-// SetMaxConnections changes the bound on open connections.
+// SetMaxConnections changes the limit on open connections.
 func (f *Front) SetMaxConnections(n int) {
 	f.callers.mu.Lock()
 	defer f.callers.mu.Unlock()
--- a/internal/network/http1/pool.go
+++ b/internal/network/http1/pool.go
@@ -8,17 +8,18 @@
 	"quincegap/internal/network/exchange"
 )
 
-// pool has the idle connections to all endpoints, and bounds the number of all connections. It is not safe for concurrent use.
+// pool holds the idle connections to all endpoints, and limits the total number of connections. It is not safe for concurrent use.
 type pool struct {
-	idle      map[*exchange.Endpoint][]*conn // the most recently used one last
-	idleOrder list.List                      // of all idle *conn, the one that has been idle for the longest first
-	open      int                            // connections in use, idle or being made; at most maxOpen
+	idle      map[*exchange.Endpoint][]*conn // by endpoint; the most recently used connection is last
+	idleOrder list.List                      // list of all idle *conn; the one that has been idle the longest is first
+	open      int                            // number of connections in use, idle or being made; at most maxOpen
 	maxOpen   int
-	maxIdle   time.Duration // after which an idle connection is closed
+	maxIdle   time.Duration // time after which an idle connection is closed
 }
 
-// acquire removes the most recently used idle connection to an endpoint from the pool. It returns nil and true if the caller may make a
-// new one, and false if the bound on connections is reached. The connection may have broken meanwhile.
+// acquire removes the most recently used idle connection to an endpoint from the pool and returns it; it may have broken in the meantime.
+// If there is none, acquire returns nil and true, and the caller may make a new connection. It returns false if the limit on connections
+// is reached.
 func (p *pool) acquire(e *exchange.Endpoint, now time.Time) (c *conn, ok bool) {
 	if conns := p.idle[e]; len(conns) > 0 {
 		last := conns[len(conns)-1]
@@ -26,7 +27,7 @@
 			p.removeIdle(last)
 			return last, true
 		}
-		p.closeIdle(e) // the others are older
+		p.closeIdle(e) // the others have been idle for longer
 	}
 	if p.open >= p.maxOpen {
 		oldest := p.idleOrder.Front()
@@ -39,7 +40,7 @@
 	return nil, true
 }
 
-// release returns a connection to the pool after an attempt; nil if it has been closed.
+// release returns a connection to the pool after an attempt; c is nil if the connection has been closed.
 func (p *pool) release(e *exchange.Endpoint, c *conn) {
 	switch {
 	case c == nil:
@@ -55,7 +56,7 @@
 	}
 }
 
-// removeIdle removes a connection from the idle ones.
+// removeIdle removes an idle connection from the pool without closing it.
 func (p *pool) removeIdle(c *conn) {
 	p.idleOrder.Remove(c.element)
 	conns := p.idle[c.endpoint]
@@ -82,7 +83,7 @@
 	}
 }
 
-// sweep closes the idle connections that are too old or that their endpoint has closed.
+// sweep closes the connections that have been idle for maxIdle or are no longer alive.
 func (p *pool) sweep(now time.Time) {
 	for at := p.idleOrder.Front(); at != nil; {
 		c := at.Value.(*conn)
--- a/internal/network/http1/probe.go
+++ b/internal/network/http1/probe.go
@@ -9,11 +9,12 @@
 	"quincegap/internal/network/exchange"
 )
 
-// healthPath is the path of endpoints' health checks.
+// healthPath is the request path for health checks of endpoints.
 const healthPath = "/health"
 
-// Probe makes a health check of an endpoint on a connection of its own. The statuses are StatusOK if the endpoint is healthy, StatusError
-// if it answers otherwise, StatusTimeout, StatusConnectFailed, and StatusNotSent for an address that can't be used.
+// Probe makes a health check of an endpoint on a new connection. It returns StatusOK if the endpoint responds with status 200, StatusError
+// if it responds with another one, StatusTimeout after timeout, StatusConnectFailed if the connection fails, and StatusNotSent if the
+// address is invalid.
 func Probe(e *exchange.Endpoint, timeout time.Duration) balancer.Status {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -26,7 +27,7 @@
 	switch {
 	case ctx.Err() != nil:
 		if res != nil {
-			_ = res.Body.Close() // the answer came too late
+			_ = res.Body.Close() // the response arrived after the timeout
 		}
 		return balancer.StatusTimeout
 	case err != nil:
--- a/internal/network/http1/request.go
+++ b/internal/network/http1/request.go
@@ -9,11 +9,11 @@
 	"quincegap/internal/network/exchange"
 )
 
-// ownHeaders are the headers that encode writes itself.
+// ownHeaders lists the headers that encode sets; the caller's values are not forwarded.
 var ownHeaders = map[string]bool{"Content-Length": true, "X-Remaining": true}
 
-// encode returns a request as it is forwarded to an endpoint. The header X-Remaining is the time until the attempt's deadline, in
-// microseconds.
+// encode returns the bytes of a request to an endpoint. remaining is the time until the attempt's deadline; the X-Remaining header carries
+// it in microseconds.
 func encode(in *exchange.Inbound, remaining time.Duration) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Remaining: %du\r\n", in.Method, in.Target, in.Host,
--- a/internal/network/http1/transport.go
+++ b/internal/network/http1/transport.go
@@ -12,8 +12,8 @@
 	connectTimeout time.Duration
 }
 
-// NewTransport returns a transport with at most maxOpen connections to all endpoints together, in use and idle. It closes connections that
-// have been idle for maxIdle, and gives up connecting after connectTimeout.
+// NewTransport returns a transport with at most maxOpen connections to all endpoints together, both in use and idle. Connections are closed
+// after they have been idle for maxIdle. A dial fails after connectTimeout.
 func NewTransport(maxOpen int, maxIdle, connectTimeout time.Duration) *Transport {
 	return &Transport{
 		pool:           pool{idle: map[*exchange.Endpoint][]*conn{}, maxOpen: maxOpen, maxIdle: maxIdle},
@@ -24,7 +24,7 @@
 // SetMaxIdle changes the time after which an idle connection is closed.
 func (t *Transport) SetMaxIdle(d time.Duration) { t.maxIdle = d }
 
-// Counts returns the numbers of open connections and of idle ones among them.
+// Counts returns the number of open connections, and how many of them are idle.
 func (t *Transport) Counts() (open, idle int) { return t.open, t.idleOrder.Len() }
 
 // IdleAt returns the number of idle connections to an address.
@@ -47,8 +47,8 @@
 }
 
 // Release implements exchange.Transport.
-func (t *Transport) Release(e *exchange.Endpoint, _, left exchange.Conn) {
-	c, _ := left.(*conn)
+func (t *Transport) Release(e *exchange.Endpoint, _, reusable exchange.Conn) {
+	c, _ := reusable.(*conn)
 	t.release(e, c)
 }
 
@@ -58,7 +58,7 @@
 // Sweep implements exchange.Transport.
 func (t *Transport) Sweep(now time.Time) { t.sweep(now) }
 
-// Close closes the idle connections.
+// Close implements exchange.Transport. It closes the idle connections.
 func (t *Transport) Close() {
 	for e := range t.idle {
 		t.closeIdle(e)
--- a/internal/network/http3/attempt.go
+++ b/internal/network/http3/attempt.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	errMalformed = errors.New("cannot be read")
-	errNoMemory  = errors.New("no memory for the body")
+	errMalformed = errors.New("malformed response")
+	errNoMemory  = errors.New("memory budget for bodies is exhausted")
 )
 
 // Run implements exchange.Transport.
@@ -39,9 +39,9 @@
 	if !unsent {
 		return res
 	}
-	// The connection could not be used, and nothing was sent on it. The attempt goes to a new one, as with an idle connection of
-	// HTTP/1.1 that its endpoint has closed.
-	next := t.dialNow(attempt.Endpoint.Address)
+	// The connection could not be used, and nothing was sent on it. The attempt is made on a new connection, as HTTP/1.1 does if an
+	// idle connection has been closed by the endpoint.
+	next := t.dialAndWait(attempt.Endpoint.Address)
 	if next.err != nil {
 		return exchange.Result{Status: attempt.UnsentStatus(), Unreachable: attempt.Context.Err() == nil && !isAuthError(next.err)}
 	}
@@ -53,22 +53,23 @@
 	return res
 }
 
-// dialNow makes a connection without early data, and waits for it. It uses the transport's context, since the connection outlives the
-// attempt.
-func (t *Transport) dialNow(address string) *endpointConn {
+// dialAndWait makes a connection without early data, and waits until it is ready or has failed; the result's err tells which. It uses the
+// transport's context, since the connection outlives the attempt.
+func (t *Transport) dialAndWait(address string) *endpointConn {
 	c := &endpointConn{ready: make(chan struct{})}
 	t.dial(c, address, false)
 	return c
 }
 
-// runOn makes the attempt on a connection. unsent means that nothing was sent because the connection can't be used any more.
+// runOn makes the attempt on a connection; early allows it to send the request in early data. unsent means that nothing was sent because
+// the connection can no longer be used.
 func (t *Transport) runOn(attempt *exchange.Attempt, conn *endpointConn, early bool) (res exchange.Result, unsent bool) {
 	if !early {
-		if err := conn.waitConfirmed(attempt.Context); err != nil {
+		if err := conn.waitHandshake(attempt.Context); err != nil {
 			return exchange.Result{Status: attempt.UnsentStatus()}, attempt.Context.Err() == nil
 		}
 	}
-	// The endpoint may be draining since the handshake began.
+	// The endpoint may have started to drain during the handshake.
 	if !attempt.Endpoint.Open.Load() || attempt.Context.Err() != nil {
 		return exchange.Result{Status: balancer.StatusNotSent}, false
 	}
@@ -78,14 +79,14 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, quic.Err0RTTRejected):
-		// The endpoint has discarded all early data (RFC 9001, section 4.6.2). The connection could go on with new streams, but
-		// the library still sends frames for the old ones, which have the same numbers.
-		conn.abandon()
+		// The endpoint has discarded all early data (RFC 9001, section 4.6.2). The protocol allows new streams on this connection,
+		// but the library still sends frames for the old streams, which have the same IDs.
+		conn.closeEstablished()
 		return exchange.Result{Status: attempt.UnsentStatus()}, attempt.Context.Err() == nil
 	case isNeverSent(err):
 		return exchange.Result{Status: attempt.UnsentStatus()}, attempt.Context.Err() == nil
 	case isRejected(err):
-		// RFC 9114, section 4.1.1: the request was not processed.
+		// The request was not processed (RFC 9114, section 4.1.1).
 		res = exchange.Result{Status: balancer.StatusRejected}
 	default:
 		res = exchange.Result{Status: attempt.IncompleteStatus(conn.conn.Context().Err() != nil)}
@@ -96,28 +97,30 @@
 	return res, false
 }
 
-// checkEndpoint distinguishes a connection that broke alone from an endpoint that ended, as over HTTP/1.1. If no new connection can be
-// made over UDP, the path may have broken: an endpoint that accepts a connection over TCP still runs.
+// checkEndpoint is called after a connection broke. It changes the status from StatusReset to StatusInvalidResponse if the endpoint is
+// still running: then other attempts still await a response from it, or it accepts a new connection, which res gets for reuse. If no new
+// connection can be made, UDP may be blocked on the path: an endpoint that accepts a TCP connection is still running, and res is marked
+// as Blocked.
 func (t *Transport) checkEndpoint(attempt *exchange.Attempt, res *exchange.Result) {
 	if attempt.Endpoint.Waiting.Load() > 0 {
 		res.Status = balancer.StatusInvalidResponse
 		return
 	}
-	if next := t.dialNow(attempt.Endpoint.Address); next.err == nil {
+	if next := t.dialAndWait(attempt.Endpoint.Address); next.err == nil {
 		res.Status = balancer.StatusInvalidResponse
 		res.Conn = next
 		return
 	}
 	dialer := net.Dialer{Timeout: t.settings.HandshakeTimeout}
 	if c, err := dialer.DialContext(attempt.Context, "tcp", attempt.Endpoint.Address); err == nil {
-		_ = c.Close() // nothing was sent on it
+		_ = c.Close() // no data was sent, so an error loses nothing
 		res.Status = balancer.StatusInvalidResponse
 		res.Blocked = true
 	}
 }
 
 // isNeverSent reports whether an error means that no stream could be opened for a request. The library does not export that error's type,
-// so its text is compared. Should the text change, the attempt counts as one that may have run.
+// so its text is compared. If a later version changes the text, the request counts as one that may have been executed.
 func isNeverSent(err error) bool { return strings.HasPrefix(err.Error(), "http3: conn unusable: ") }
 
 // isRejected reports whether an error means that the endpoint has not processed the request.
@@ -130,35 +133,35 @@
 	return stream
 }
 
-// exchange sends the request on a stream of its own, and reads the answer.
+// exchange sends the request on a new stream and reads the response.
 func (t *Transport) exchange(attempt *exchange.Attempt, client *http3.ClientConn, early bool) (res exchange.Result, err error) {
 	r, err := newRequest(attempt, early)
 	if err != nil {
 		return res, err
 	}
-	answer, err := client.RoundTrip(r)
+	response, err := client.RoundTrip(r)
 	if err != nil {
 		return res, err
 	}
-	defer func() { _ = answer.Body.Close() }() // cancels what is left of it
-	if answer.StatusCode < http.StatusOK || answer.ContentLength > exchange.MaxBody {
+	defer func() { _ = response.Body.Close() }() // cancels reading the rest of the body
+	if response.StatusCode < http.StatusOK || response.ContentLength > exchange.MaxBody {
 		return res, errMalformed
 	}
 	if !attempt.Bodies.Reserve(exchange.MaxBody) {
 		return res, errNoMemory
 	}
-	kept := 0
-	defer func() { attempt.Bodies.Release(exchange.MaxBody - kept) }()
-	body, err := exchange.ReadAll(answer.Body)
+	retained := 0 // bytes of the reservation that the result still uses
+	defer func() { attempt.Bodies.Release(exchange.MaxBody - retained) }()
+	body, err := exchange.ReadAll(response.Body)
 	if err != nil {
 		return res, err
 	}
-	res = exchange.ResultOf(answer.StatusCode, answer.Header, body)
+	res = exchange.ResultOf(response.StatusCode, response.Header, body)
 	if res.Response != nil {
-		kept = len(body)
+		retained = len(body)
 	}
-	if answer.StatusCode == http.StatusTooEarly && early {
-		res.Status = balancer.StatusRejected // it has not run (RFC 8470, section 5.2)
+	if response.StatusCode == http.StatusTooEarly && early {
+		res.Status = balancer.StatusRejected // the endpoint has not processed the request (RFC 8470, section 5.2)
 	}
 	return res, nil
 }
--- a/internal/network/http3/callers.go
+++ b/internal/network/http3/callers.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/network/exchange"
 )
 
-// The reasons in CONNECTION_CLOSE frames to callers. They are data.
+// The reason phrases in CONNECTION_CLOSE frames to callers. They are part of the protocol and must not change.
 const (
 	reasonNoRoom    = "no room"
 	reasonEvicted   = "idle, and others come"
@@ -20,7 +20,7 @@
 	reasonIdle      = "idle"
 )
 
-// sweepInterval is the time between two searches for connections without a request.
+// sweepInterval is the time between two checks for connections that have had no request for too long.
 const sweepInterval = 500 * time.Millisecond
 
 // callerConn is a connection from a caller.
@@ -28,15 +28,16 @@
 	front *Front
 	conn  *quic.Conn
 
-	// front.mu guards these.
-	streams    int           // requests in progress
-	list       *list.List    // front.fresh or front.idle while streams is 0, else nil
-	element    *list.Element // in list
-	quietSince time.Time     // when it was accepted, or its last request ended
+	// The fields below are guarded by front.mu.
+	streams   int           // number of requests in progress
+	list      *list.List    // front.fresh or front.idle while streams is 0, otherwise nil
+	element   *list.Element // element of this connection in list
+	idleSince time.Time     // when the connection was accepted or its last request ended
 }
 
-// admit makes room for a connection, if necessary by closing the one that has been fresh for the longest, else the one that has been idle
-// for the longest. If there is none it returns false; nothing that the new connection sent has been processed then.
+// admit adds a connection to the open ones. At the limit it first closes the connection that has been fresh the longest or, if none is
+// fresh, the one that has been idle the longest. If all are active it returns false; no request of the new connection has been processed
+// then.
 func (f *Front) admit(conn *quic.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +52,7 @@
 		}
 		f.closeConn(oldest.Value.(*callerConn), reasonEvicted)
 	}
-	c := &callerConn{front: f, conn: conn, quietSince: f.lastAccepted}
+	c := &callerConn{front: f, conn: conn, idleSince: f.lastAccepted}
 	c.moveTo(&f.fresh)
 	f.open[conn] = c
 	context.AfterFunc(conn.Context(), func() {
@@ -62,15 +63,15 @@
 	return true
 }
 
-// closeConn ends a connection that has no request under way. The caller holds f.mu.
+// closeConn closes a connection that has no request in progress. f.mu must be held.
 func (f *Front) closeConn(c *callerConn, reason string) {
 	f.remove(c)
-	go func() { // CloseWithError waits for the connection's goroutine, which may wait for f.mu
+	go func() { // CloseWithError waits for the connection's goroutine, which may be waiting for f.mu
 		_ = c.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), reason) // never fails
 	}()
 }
 
-// remove forgets a connection. The caller holds f.mu.
+// remove removes a connection from the front's lists, unless that has been done. f.mu must be held.
 func (f *Front) remove(c *callerConn) {
 	if f.open[c.conn] == c {
 		delete(f.open, c.conn)
@@ -78,8 +79,7 @@
 	c.moveTo(nil)
 }
 
-// moveTo moves a connection to the end of a list of connections without a request; nil removes it from its list. The caller holds
-// front.mu.
+// moveTo removes a connection from the list that it is in, and appends it to another one unless that is nil. front.mu must be held.
 func (c *callerConn) moveTo(to *list.List) {
 	if c.element != nil {
 		c.list.Remove(c.element)
@@ -92,8 +92,9 @@
 	}
 }
 
-// sweep closes connections without a request, until Close. QUIC's own timeouts count packets: a connection that sends a PING now and
-// then, or a part of a request's headers, would stay for ever.
+// sweep periodically closes connections that have had no request for too long, until Close is called. QUIC's idle timeout is not
+// sufficient, since every packet restarts it: a connection that occasionally sends a PING or a part of a request's headers would never be
+// closed.
 func (f *Front) sweep(b Bounds) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -102,34 +103,35 @@
 		case <-f.ctx.Done():
 			return
 		case <-ticker.C:
-			f.closeQuiet(b)
+			f.closeInactive(b)
 		}
 	}
 }
 
-// closeQuiet closes the connections that have had no request for too long.
-func (f *Front) closeQuiet(b Bounds) {
+// closeInactive closes the fresh connections that have reached b.RequestTimeout and the idle ones that have reached b.IdleTimeout.
+func (f *Front) closeInactive(b Bounds) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closeOlder(&f.fresh, b.RequestTimeout, reasonNoRequest)
 	f.closeOlder(&f.idle, b.IdleTimeout, reasonIdle)
 }
 
-// closeOlder closes the connections of a list that have been in it for limit or longer. The caller holds f.mu.
+// closeOlder closes the connections that have been in a list for limit or longer. f.mu must be held.
 func (f *Front) closeOlder(conns *list.List, limit time.Duration, reason string) {
 	for at := conns.Front(); at != nil; at = conns.Front() {
 		c := at.Value.(*callerConn)
-		if time.Since(c.quietSince) < limit {
+		if time.Since(c.idleSince) < limit {
 			return
 		}
 		f.closeConn(c, reason)
 	}
 }
 
-// connKey is the context key of the *quic.Conn of a request.
+// connKey is the context key for the *quic.Conn of a request.
 type connKey struct{}
 
-// countRequests returns a handler that counts the requests in progress, and puts an exchange.Caller into their contexts.
+// countRequests returns a handler that counts each connection's requests in progress, sets their write deadline and adds an
+// exchange.Caller to their context.
 func (f *Front) countRequests(handler http.Handler, b Bounds) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, _ := r.Context().Value(connKey{}).(*quic.Conn)
@@ -139,13 +141,13 @@
 		}
 		defer f.endRequest(c)
 		s := &requestStream{caller: c, began: time.Now()}
-		// Fails only for a stream that is closed, where writes fail too.
+		// This fails only if the stream is closed, and then writes fail too.
 		_ = http.NewResponseController(w).SetWriteDeadline(s.began.Add(b.WriteTimeout))
 		handler.ServeHTTP(w, r.WithContext(exchange.WithCaller(r.Context(), s)))
 	})
 }
 
-// startRequest counts a request in progress. It returns nil if the connection is not open any more.
+// startRequest counts a request that begins. It returns the request's connection, or nil if that is no longer open.
 func (f *Front) startRequest(conn *quic.Conn) *callerConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,13 +160,13 @@
 	return c
 }
 
-// endRequest counts a request that has ended; after the last one the connection is idle.
+// endRequest counts a request that has ended. If it was the last one in progress, the connection becomes idle.
 func (f *Front) endRequest(c *callerConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.streams--
 	if c.streams == 0 && f.open[c.conn] == c {
-		c.quietSince = time.Now()
+		c.idleSince = time.Now()
 		c.moveTo(&f.idle)
 	}
 }
--- a/internal/network/http3/conn.go
+++ b/internal/network/http3/conn.go
@@ -15,25 +15,25 @@
 	"quincegap/internal/network/exchange"
 )
 
-// keepAlivesPerTimeout is the number of keep-alive packets in the time after which an endpoint counts as unresponsive.
+// keepAlivesPerTimeout is the number of keep-alive packets that are sent within the time after which an endpoint counts as unresponsive.
 const keepAlivesPerTimeout = 3
 
-// endpointConn is a connection to an endpoint, possibly one that is still being made.
+// endpointConn is a connection to an endpoint, which may still be in the process of connecting.
 type endpointConn struct {
-	ready chan struct{} // closed after the connection was made or has failed
+	ready chan struct{} // closed when the connection can be used or has failed
 
-	// Valid after ready is closed.
+	// The fields below are valid after ready is closed.
 	conn   *quic.Conn
 	client *http3.ClientConn
 	err    error
 
-	// Owned by the loop.
-	attempts  int       // in progress
+	// The fields below are accessed by the loop only.
+	attempts  int       // number of attempts in progress
 	idleSince time.Time // when the last attempt ended
-	retired   bool      // no further attempts are allowed
+	retired   bool      // whether further attempts are disallowed
 }
 
-// usable reports whether the connection may carry another attempt. One that is still being made may.
+// usable reports whether the connection may be used for another attempt. A connection that is still being made is usable.
 func (e *endpointConn) usable() bool {
 	if e.retired {
 		return false
@@ -46,22 +46,22 @@
 	}
 }
 
-// close waits until the connection has been made, and closes it.
+// close waits until the connection is ready, and closes it unless it has failed.
 func (e *endpointConn) close() {
 	<-e.ready
 	if e.err == nil {
-		e.abandon()
+		e.closeEstablished()
 	}
 }
 
-// abandon closes a connection that has been made.
-func (e *endpointConn) abandon() {
+// closeEstablished closes a connection that is ready and has not failed.
+func (e *endpointConn) closeEstablished() {
 	_ = e.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "") // never fails
 }
 
-// waitConfirmed waits until the handshake is complete, so that requests are no early data. It returns the reason why the connection has
-// ended, or the context's error.
-func (e *endpointConn) waitConfirmed(ctx context.Context) error {
+// waitHandshake waits until the handshake is complete, so that a request is not sent in early data. If the connection ends before, it
+// returns the reason; if ctx is done before, it returns the context's error.
+func (e *endpointConn) waitHandshake(ctx context.Context) error {
 	select {
 	case <-e.conn.HandshakeComplete():
 		return nil
@@ -72,7 +72,8 @@
 	}
 }
 
-// dial makes a connection and closes c.ready. With early, c is ready before the handshake is complete.
+// dial makes a connection, stores it or the error in c and closes c.ready. If early is set and a session is resumed, c is ready before the
+// handshake is complete.
 func (t *Transport) dial(c *endpointConn, address string, early bool) {
 	defer close(c.ready)
 	ctx, cancel := context.WithTimeout(t.ctx, t.settings.HandshakeTimeout)
@@ -93,21 +94,22 @@
 
 // tlsConfigFor returns the TLS configuration for an address.
 func (t *Transport) tlsConfigFor(address string) *tls.Config {
-	host, _, _ := net.SplitHostPort(address) // never fails: the address has been resolved
+	host, _, _ := net.SplitHostPort(address) // never fails because the address has been resolved
 	config := t.tlsConfig.Clone()
 	config.ServerName = cmp.Or(t.settings.ServerName, host)
 	config.ClientSessionCache = addressCache{t.sessionCache, address}
 	return config
 }
 
-// quicConfig returns the QUIC configuration of connections to endpoints. As at the front, path MTU discovery is off.
+// quicConfig returns the QUIC configuration of connections to endpoints. Path MTU discovery is off for the reason given at
+// Front.quicConfig.
 func (t *Transport) quicConfig() *quic.Config {
 	const streamWindow = exchange.MaxBody + maxHeadBytes
 	return &quic.Config{
 		HandshakeIdleTimeout:           t.settings.HandshakeTimeout,
 		MaxIdleTimeout:                 t.settings.UnresponsiveTimeout,
 		KeepAlivePeriod:                t.settings.UnresponsiveTimeout / keepAlivesPerTimeout,
-		MaxIncomingStreams:             -1, // none
+		MaxIncomingStreams:             -1, // endpoints may not open bidirectional streams
 		MaxIncomingUniStreams:          maxUniStreams,
 		DisablePathMTUDiscovery:        true,
 		InitialStreamReceiveWindow:     initialStreamWindow,
@@ -117,7 +119,8 @@
 	}
 }
 
-// addressCache is the view of one address on the cache of all session tickets: only the endpoint that issued a ticket accepts it.
+// addressCache is a session cache for one address on top of the cache for all addresses, by adding the address to the keys. Tickets are
+// separated by address because only the endpoint that issued a ticket accepts it.
 type addressCache struct {
 	tls.ClientSessionCache
 	address string
@@ -133,8 +136,8 @@
 	a.ClientSessionCache.Put(a.address+" "+key, s)
 }
 
-// isAuthError reports whether a connection failed because the endpoint could not prove who it is. Then there is no fallback to a protocol
-// without that proof: an impostor would provoke it.
+// isAuthError reports whether a connection failed because the endpoint could not be authenticated. There must be no fallback to a protocol
+// without authentication then, since an impostor could force it.
 func isAuthError(err error) bool {
 	if _, bad := errors.AsType[*tls.CertificateVerificationError](err); bad {
 		return true
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// maxUniStreams suffices for a peer's control stream and the two of QPACK (RFC 9114, section 6.2), with a reserve.
+	// maxUniStreams is enough for a peer's control stream and the two QPACK streams (RFC 9114, section 6.2), with a reserve.
 	maxUniStreams = 8
-	// initialStreamWindow and initialConnectionWindow are the bytes that a peer may send before any are read; the windows grow with
-	// what is read.
+	// initialStreamWindow and initialConnectionWindow are the numbers of bytes that a peer may send before any are read. The windows
+	// grow as data is read.
 	initialStreamWindow     = 16 << 10
 	initialConnectionWindow = 64 << 10
 )
 
-// Bounds are the limits that the fronts of all protocols have.
+// Bounds are the limits that the fronts of all protocols have in common.
 type Bounds struct {
-	MaxHeaderBytes int           // of a request
-	RequestTimeout time.Duration // until a connection's first request
-	IdleTimeout    time.Duration // between two requests
-	WriteTimeout   time.Duration // from a request's headers to the end of its answer
+	MaxHeaderBytes int           // size of a request's headers
+	RequestTimeout time.Duration // time until a connection's first request
+	IdleTimeout    time.Duration // time between two requests on a connection
+	WriteTimeout   time.Duration // time from receiving a request's headers to the end of its response
 }
 
 // Front serves callers over HTTP/3. It implements exchange.Front.
@@ -41,21 +41,22 @@
 	transport *quic.Transport
 	listener  *quic.EarlyListener
 	server    *http3.Server
-	ctx       context.Context // ends with Close
+	ctx       context.Context // canceled by Close
 	cancel    context.CancelFunc
 	running   sync.WaitGroup
 
+	// mu guards the fields below.
 	mu           sync.Mutex
 	open         map[*quic.Conn]*callerConn
-	fresh        list.List // of *callerConn without a request so far, the oldest first
-	idle         list.List // of *callerConn between two requests, the one that has been idle for the longest first
-	handshakes   int       // in progress
+	fresh        list.List // list of *callerConn that have had no request yet; the oldest is first
+	idle         list.List // list of *callerConn between two requests; the one that has been idle the longest is first
+	handshakes   int       // number of handshakes in progress
 	lastAccepted time.Time
 	stopping     bool
 }
 
-// NewFront returns a front that serves the requests on a UDP socket by a handler. Close closes the socket; if NewFront returns an error the
-// socket stays open.
+// NewFront returns a front that serves the requests on a UDP socket with a handler. Close closes the socket; if NewFront returns an error,
+// the socket stays open.
 func NewFront(socket net.PacketConn, handler http.Handler, settings FrontSettings, bounds Bounds, security Security) (*Front, error) {
 	front := &Front{settings: settings, socket: socket, open: map[*quic.Conn]*callerConn{}}
 	front.ctx, front.cancel = context.WithCancel(context.Background())
@@ -83,7 +84,7 @@
 	return front, nil
 }
 
-// useSecret derives the front's keys from the secret.
+// useSecret sets keys that are derived from the secret, and starts to renew those of session tickets.
 func (f *Front) useSecret(security Security, tlsConfig *tls.Config) {
 	reset := quic.StatelessResetKey(deriveKey(security.Secret, purposeReset))
 	token := quic.TokenGeneratorKey(deriveKey(security.Secret, purposeToken))
@@ -93,8 +94,8 @@
 	f.running.Go(func() { security.renewTicketKeys(f.ctx, tlsConfig) })
 }
 
-// quicConfig returns the QUIC configuration of callers' connections. Path MTU discovery is off: the library does not notice a path whose
-// MTU shrinks later (RFC 8899, section 4.3), and all larger packets would be lost. Requests fit into few packets either way.
+// quicConfig returns the QUIC configuration of callers' connections. Path MTU discovery is off because the library does not detect that a
+// path's MTU shrinks later (RFC 8899, section 4.3), and all larger packets would be lost. Requests need few packets in any case.
 func (f *Front) quicConfig(b Bounds) *quic.Config {
 	return &quic.Config{
 		Allow0RTT:                      f.settings.EarlyData != EarlyNever,
@@ -128,15 +129,15 @@
 	return len(f.open) == 0 && time.Since(f.lastAccepted) >= d
 }
 
-// Counts returns the numbers of open connections, of those without a request in progress, and of handshakes in progress.
+// Counts returns the number of open connections, how many of them have no request in progress, and the number of handshakes in progress.
 func (f *Front) Counts() (open, idle, handshakes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.open), f.idle.Len() + f.fresh.Len(), f.handshakes
 }
 
-// Stop implements exchange.Front: it refuses new connections, sends GOAWAY on the others, rejects their new requests with
-// H3_REQUEST_REJECTED, and answers all requests that it has accepted (RFC 9114, section 5.2).
+// Stop implements exchange.Front. It refuses new connections, sends GOAWAY on existing ones, rejects their new requests with
+// H3_REQUEST_REJECTED, and completes all requests that have been accepted (RFC 9114, section 5.2).
 func (f *Front) Stop(ctx context.Context) error {
 	f.mu.Lock()
 	f.stopping = true
@@ -147,7 +148,7 @@
 	return f.Close()
 }
 
-// Close implements exchange.Front. It returns the first error of the server, the connections and the socket.
+// Close implements exchange.Front. It returns the first error from closing the server, the connections and the socket.
 func (f *Front) Close() error {
 	f.cancel()
 	_ = f.listener.Close() // never fails
--- a/internal/network/http3/handshake.go
+++ b/internal/network/http3/handshake.go
@@ -9,20 +9,21 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// errTooManyHandshakes refuses a connection with CONNECTION_REFUSED.
+// errTooManyHandshakes makes the library refuse a connection with CONNECTION_REFUSED.
 var errTooManyHandshakes = errors.New("too many handshakes")
 
-// handshake counts in Front.handshakes until it is finished.
+// handshake is a handshake in progress. Front.handshakes counts it until finish is called.
 type handshake struct {
 	front    *Front
-	finished bool // front.mu guards it
+	finished bool // whether finish has been called; guarded by front.mu
 }
 
-// handshakeKey is the context key of a connection's handshake.
+// handshakeKey is the context key for the *handshake of a connection.
 type handshakeKey struct{}
 
-// startHandshake counts the handshake of a new connection. It refuses the connection if too many are in progress: each costs a signature,
-// and a flood of Initials would exhaust the processor.
+// startHandshake counts the handshake of a new connection, and returns the connection's context. It refuses the connection with an error
+// if the front is stopping or MaxHandshakes are in progress: each handshake needs a signature, and a flood of Initials would exhaust the
+// CPU.
 func (f *Front) startHandshake(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,7 +36,7 @@
 	return context.WithValue(ctx, handshakeKey{}, h), nil
 }
 
-// finish stops counting the handshake after its success or failure. Only the first call has an effect.
+// finish stops counting the handshake after it has succeeded or failed. Only the first call has an effect.
 func (h *handshake) finish() {
 	h.front.mu.Lock()
 	defer h.front.mu.Unlock()
@@ -45,21 +46,21 @@
 	}
 }
 
-// requiresRetry reports whether an address has to be validated by a Retry (RFC 9000, section 8.1.2). That costs honest callers a round
-// trip, so it is required only while many handshakes are in progress.
+// requiresRetry reports whether an address must be validated by a Retry (RFC 9000, section 8.1.2). This costs legitimate callers a round
+// trip, so it is required only while at least half of MaxHandshakes are in progress.
 func (f *Front) requiresRetry(net.Addr) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return 2*f.handshakes >= f.settings.MaxHandshakes
 }
 
-// admittingListener accepts the connections for which the front has room.
+// admittingListener is a listener that accepts only the connections that the front admits.
 type admittingListener struct {
 	*quic.EarlyListener
 	front *Front
 }
 
-// Accept implements http3.QUICListener. It returns the next connection for which there is room.
+// Accept implements http3.QUICListener. It returns the next connection that is admitted; it closes those that are not.
 func (a admittingListener) Accept(ctx context.Context) (*quic.Conn, error) {
 	for {
 		conn, err := a.EarlyListener.Accept(ctx)
@@ -76,7 +77,8 @@
 	}
 }
 
-// wait finishes the handshake when it is complete. If the connection ends before, startHandshake's function finishes it.
+// wait calls finish when the handshake is complete. If the connection ends before, the callback that startHandshake has registered calls
+// finish.
 func (h *handshake) wait(conn *quic.Conn) {
 	select {
 	case <-conn.HandshakeComplete():
--- a/internal/network/http3/request.go
+++ b/internal/network/http3/request.go
@@ -15,8 +15,9 @@
 	"quincegap/internal/network/exchange"
 )
 
-// newRequest returns the request to send, without the headers that the library would add. The header X-Remaining is the time until the
-// attempt's deadline, in microseconds.
+// newRequest returns the request to send to the endpoint, and prevents the library from adding a User-Agent header. The X-Remaining header
+// has the time until the attempt's deadline, in microseconds. If early is set, a GET request may be sent in early data. It returns an
+// error if the request target is invalid.
 func newRequest(attempt *exchange.Attempt, early bool) (*http.Request, error) {
 	in := attempt.Request
 	deadline, _ := attempt.Context.Deadline()
@@ -31,7 +32,7 @@
 	delete(request.Header, "Content-Length")
 	request.Header["X-Remaining"] = []string{strconv.FormatInt(max(time.Until(deadline), 0).Microseconds(), 10) + "u"}
 	if _, ok := request.Header["User-Agent"]; !ok {
-		request.Header["User-Agent"] = []string{""} // keeps the library from adding its own
+		request.Header["User-Agent"] = []string{""} // prevents the library from adding its default
 	}
 	if early && request.Method == http.MethodGet {
 		request.Method = http3.MethodGet0RTT
@@ -43,12 +44,12 @@
 	return request.WithContext(attempt.Context), nil
 }
 
-// requestURL returns a URL whose request target is the one that the client wrote.
+// requestURL returns a URL that is sent as exactly the request target that the client wrote.
 func requestURL(in *exchange.Inbound) (*url.URL, error) {
 	if !strings.HasPrefix(in.Target, "//") {
 		return &url.URL{Scheme: "https", Host: in.Host, Opaque: in.Target}, nil
 	}
-	// As an opaque URL it would name another host.
+	// An opaque URL that begins with // would name another host.
 	target, err := url.ParseRequestURI(in.Target)
 	if err != nil {
 		return nil, err
--- a/internal/network/http3/security.go
+++ b/internal/network/http3/security.go
@@ -9,43 +9,44 @@
 	"time"
 )
 
-// Security has the certificate and the secret of a front.
+// Security holds the certificate and the secret of a front.
 type Security struct {
+	// Certificate returns the certificate for a handshake. It is called during handshakes, so that the certificate can be replaced.
 	Certificate func(*tls.ClientHelloInfo) (*tls.Certificate, error)
-	// Secret is the secret from which the keys of stateless resets, Retry tokens and session tickets are derived. With the same
-	// secret after a restart, callers learn at once that their old connections are gone, and resume their sessions. Nil makes the
-	// library use random keys.
+	// Secret is the secret from which the keys for stateless resets, Retry tokens and session tickets are derived. If the secret is
+	// the same after a restart, callers' old connections are reset immediately and their sessions can be resumed. If it is nil, the
+	// library uses random keys.
 	Secret []byte
-	// Now returns the time that selects the keys of session tickets; nil for time.Now.
+	// Now returns the current time, which selects the keys for session tickets; nil means time.Now.
 	Now func() time.Time
 }
 
-// The purposes for which keys are derived. They are data: other versions of the program derive the same keys.
+// The purposes for which keys are derived. They must not change, so that other versions of the program derive the same keys.
 const (
 	purposePrefix = "quincegap "
 	purposeReset  = "stateless reset"
 	purposeToken  = "token"
-	purposeTicket = "ticket " // and the day
+	purposeTicket = "ticket " // prefix; the number of the day since the Unix epoch follows
 )
 
 const (
 	day = 24 * time.Hour
-	// ticketKeyInterval is the time after which the keys of session tickets are set again; they change with the day.
+	// ticketKeyInterval is the time between two updates of the keys for session tickets, which change every day.
 	ticketKeyInterval = time.Hour
 )
 
-// deriveKey derives the key for a purpose from a secret.
+// deriveKey derives the key for a purpose from a secret, by HKDF with SHA-256.
 func deriveKey(secret []byte, purpose string) (key [32]byte) {
-	text, err := hkdf.Key(sha256.New, secret, nil, purposePrefix+purpose, len(key))
+	derived, err := hkdf.Key(sha256.New, secret, nil, purposePrefix+purpose, len(key))
 	if err != nil {
-		panic(err) // only for a key longer than the hash allows
+		panic(err) // fails only if the key is longer than the hash allows
 	}
-	copy(key[:], text)
+	copy(key[:], derived)
 	return key
 }
 
-// ticketKeys returns the keys of session tickets of the present day, which encrypts, and of the days before and after: a ticket is valid
-// for a day at least at every sidecar with the same secret, also if clocks differ by hours.
+// ticketKeys returns the keys for session tickets: that of the current day, which also encrypts new tickets, and those of the previous and
+// the next day. Therefore every sidecar with the same secret accepts a ticket for at least a day, even if clocks differ by hours.
 func ticketKeys(secret []byte, now time.Time) (keys [][32]byte) {
 	today := now.Unix() / int64(day.Seconds())
 	for _, d := range []int64{today, today - 1, today + 1} {
@@ -54,7 +55,7 @@
 	return keys
 }
 
-// renewTicketKeys sets the ticket keys of a configuration every ticketKeyInterval, until ctx ends.
+// renewTicketKeys sets the ticket keys of a TLS configuration every ticketKeyInterval, until ctx is done.
 func (s *Security) renewTicketKeys(ctx context.Context, config *tls.Config) {
 	ticker := time.NewTicker(ticketKeyInterval)
 	defer ticker.Stop()
--- a/internal/network/http3/settings.go
+++ b/internal/network/http3/settings.go
@@ -14,11 +14,11 @@
 
 // The policies for early data.
 const (
-	EarlyNever EarlyData = "never" // no early data is accepted: each handshake costs its round trip
-	EarlySafe  EarlyData = "safe"  // safe requests are processed at once, others after the handshake
+	EarlyNever EarlyData = "never" // accepts no early data, so that resuming a session takes a full round trip
+	EarlySafe  EarlyData = "safe"  // processes safe requests in early data immediately, and others after the handshake
 )
 
-// FrontSettings is the table [http3] of a settings file, for callers. See FrontTable for each one's meaning.
+// FrontSettings holds the values of the table [http3] of a settings file, for HTTP/3 from callers. FrontTable describes each of them.
 type FrontSettings struct {
 	Listen           string
 	CertFile         string
@@ -33,7 +33,7 @@
 	ConnectionWindow int64
 }
 
-// FrontTable is the table [http3] of a settings file.
+// FrontTable defines the table [http3] of a settings file.
 var FrontTable = schema.NewTable("http3", "HTTP/3 from callers, beside HTTP/1.1. Off unless http3_listen is set.",
 	schema.Address("http3_listen", func(c *FrontSettings) *string { return &c.Listen },
 		schema.StringOptions{Example: "127.0.0.1:8443"}, true, schema.AtStart,
@@ -79,10 +79,10 @@
 	}
 })
 
-// MinSecretChars is the minimum length of the secret, in characters.
+// MinSecretChars is the minimum length of the secret in FrontSettings.SecretFile, in characters.
 const MinSecretChars = 32
 
-// noSafeClass reports whether a file has classes, and none whose requests are idempotent without a key.
+// noSafeClass reports whether a file defines request classes, but none whose requests are idempotent without a key.
 func noSafeClass(f *schema.File) bool {
 	classes := appfile.ClassTable.All(f)
 	return len(classes) > 0 && !slices.ContainsFunc(classes, func(c schema.Named[appfile.Class]) bool {
@@ -90,7 +90,7 @@
 	})
 }
 
-// TransportSettings is the table [http3-endpoints] of a settings file. See TransportTable for each one's meaning.
+// TransportSettings holds the values of the table [http3-endpoints] of a settings file. TransportTable describes each of them.
 type TransportSettings struct {
 	Use                 Use
 	CAFile              string
@@ -108,11 +108,11 @@
 
 // The policies for HTTP/3 to endpoints.
 const (
-	Never  Use = "never"
-	Prefer Use = "prefer" // HTTP/3, and HTTP/1.1 if no connection can be made over UDP
+	Never  Use = "never"  // uses HTTP/1.1 only
+	Prefer Use = "prefer" // uses HTTP/3, or HTTP/1.1 if no connection can be made over UDP
 )
 
-// TransportTable is the table [http3-endpoints] of a settings file.
+// TransportTable defines the table [http3-endpoints] of a settings file.
 var TransportTable = schema.NewTable("http3-endpoints", "HTTP/3 to endpoints, at the UDP port with their address's number.",
 	schema.Choice("http3_to_endpoints", func(e *TransportSettings) *Use { return &e.Use },
 		[]Use{Never, Prefer}, Never, false, schema.AtStart,
--- a/internal/network/http3/stream.go
+++ b/internal/network/http3/stream.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// requestStream is the stream of a request. It implements exchange.Caller.
+// requestStream is the stream that a request arrived on. It implements exchange.Caller.
 type requestStream struct {
 	caller *callerConn
 	began  time.Time
 }
 
-// BeginRequest implements exchange.Caller. No request is in excess: QUIC's bounds reject it before.
+// BeginRequest implements exchange.Caller. excess is always false, because QUIC's limits reject connections and streams earlier.
 func (r *requestStream) BeginRequest() (began time.Time, excess bool) { return r.began, false }
 
 // BodyReceived implements exchange.Caller.
@@ -22,14 +22,13 @@
 	return r.caller.front.idle.Len()
 }
 
-// CloseAfter implements exchange.Caller: each request ends its own stream, and GOAWAY announces the connection's end.
+// CloseAfter implements exchange.Caller. It does nothing: each request has its own stream, and GOAWAY announces the connection's end.
 func (r *requestStream) CloseAfter(http.Header) {}
 
-// AddHeaders implements exchange.Caller.
+// AddHeaders implements exchange.Caller. It adds none.
 func (r *requestStream) AddHeaders(http.Header) {}
 
-// Early implements exchange.Caller. Until the handshake is complete the request may be a replay; only the end of the handshake proves that
-// it is none (RFC 9001, section 9.2).
+// Early implements exchange.Caller. A request may be a replay until the handshake is complete (RFC 9001, section 9.2).
 func (r *requestStream) Early() bool {
 	select {
 	case <-r.caller.conn.HandshakeComplete():
@@ -39,7 +38,7 @@
 	}
 }
 
-// Confirm implements exchange.Caller.
+// Confirm implements exchange.Caller. It waits until the handshake is complete.
 func (r *requestStream) Confirm(ctx context.Context) bool {
 	select {
 	case <-r.caller.conn.HandshakeComplete():
--- a/internal/network/http3/transport.go
+++ b/internal/network/http3/transport.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	maxHeadBytes = 16 << 10 // of an answer
-	maxTickets   = 1024     // in the session cache
+	maxHeadBytes = 16 << 10 // size of a response's headers
+	maxTickets   = 1024     // number of tickets in the session cache
 )
 
-// Transport makes attempts over HTTP/3: several at once on one connection, each on a stream of its own. It implements
+// Transport makes attempts over HTTP/3: several concurrently on one connection, each on a separate stream. It implements
 // exchange.Transport.
 type Transport struct {
 	settings     TransportSettings
-	maxOpen      int           // bounds the connections
-	maxIdle      time.Duration // after which a connection without attempts is closed
+	maxOpen      int           // maximum number of connections
+	maxIdle      time.Duration // time after which a connection without attempts is closed
 	socket       net.PacketConn
 	quic         *quic.Transport
-	h3           *http3.Transport // makes clients of connections; it makes no connections itself
+	h3           *http3.Transport // wraps connections in HTTP/3 clients; it does not dial
 	tlsConfig    *tls.Config
 	sessionCache tls.ClientSessionCache
 
-	ctx     context.Context // ends with Close
+	ctx     context.Context // canceled by Close
 	cancel  context.CancelFunc
 	dialing sync.WaitGroup
 
-	// Owned by the loop, without a lock.
+	// The fields below are accessed by the loop only, without a lock.
 	conns map[*exchange.Endpoint][]*endpointConn
-	open  int // connections in conns
+	open  int // number of connections in conns
 }
 
-// NewTransport returns a transport on a UDP socket, which Close closes. It has at most maxOpen connections, and closes those that have had
-// no attempt for maxIdle. pool has the authorities for endpoints' certificates; nil for the system's.
+// NewTransport returns a transport that uses a UDP socket, which Close closes. It has at most maxOpen connections, and closes those that
+// have had no attempt for maxIdle. pool holds the certificate authorities for endpoints; nil means those of the system.
 func NewTransport(socket net.PacketConn, settings TransportSettings, pool *x509.CertPool, maxOpen int, maxIdle time.Duration) *Transport {
 	t := &Transport{
 		settings: settings,
@@ -65,7 +65,7 @@
 	return t
 }
 
-// Counts returns the numbers of open connections and of those without attempts among them.
+// Counts returns the number of open connections, and how many of them have no attempt in progress.
 func (t *Transport) Counts() (open, idle int) {
 	for _, conns := range t.conns {
 		for _, c := range conns {
@@ -94,13 +94,13 @@
 	return c, true
 }
 
-// add adds a connection to an endpoint.
+// add adds a connection to those of an endpoint.
 func (t *Transport) add(e *exchange.Endpoint, c *endpointConn) {
 	t.conns[e] = append(t.conns[e], c)
 	t.open++
 }
 
-// evictOne closes the connection that has been idle for the longest. It reports whether there was one.
+// evictOne closes the connection that has been idle the longest. It reports whether it closed one.
 func (t *Transport) evictOne() bool {
 	var oldest *endpointConn
 	var endpoint *exchange.Endpoint
@@ -119,7 +119,7 @@
 	return true
 }
 
-// close closes a connection without attempts.
+// close removes a connection without attempts, and closes it in the background.
 func (t *Transport) close(e *exchange.Endpoint, c *endpointConn) {
 	conns := slices.DeleteFunc(t.conns[e], func(other *endpointConn) bool { return other == c })
 	t.open--
@@ -128,11 +128,11 @@
 	} else {
 		delete(t.conns, e)
 	}
-	go c.close() // it waits for a handshake in progress, and for the connection's goroutine
+	go c.close() // runs in the background since it waits for a handshake in progress and for the connection's goroutine
 }
 
 // Release implements exchange.Transport.
-func (t *Transport) Release(e *exchange.Endpoint, acquired, left exchange.Conn) {
+func (t *Transport) Release(e *exchange.Endpoint, acquired, reusable exchange.Conn) {
 	c, _ := acquired.(*endpointConn)
 	if c == nil {
 		return
@@ -141,8 +141,8 @@
 	if c.attempts == 0 {
 		c.idleSince = time.Now()
 	}
-	if other, _ := left.(*endpointConn); other != nil && other != c {
-		// Run has made another connection because this one could not be used.
+	if other, _ := reusable.(*endpointConn); other != nil && other != c {
+		// Run has made another connection because the acquired one could not be used or broke.
 		c.retired = true
 		other.idleSince = time.Now()
 		t.add(e, other)
@@ -175,10 +175,10 @@
 	}
 }
 
-// Close implements exchange.Transport. Acquire may not be called any more.
+// Close implements exchange.Transport. It closes all connections and the socket.
 func (t *Transport) Close() {
 	t.cancel()
 	t.dialing.Wait()
-	_ = t.quic.Close() // its error would change nothing: what endpoints have not read by now is lost
+	_ = t.quic.Close() // an error changes nothing, since data that endpoints have not received yet is lost in any case
 	_ = t.socket.Close()
 }
