--- a/internal/network/http1/example_test.go
+++ b/internal/network/http1/example_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/network/http1"
 )
 
-// A health check of an endpoint.
+// Probe makes a health check of an endpoint.
 func ExampleProbe() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
--- a/internal/network/http1/golden_test.go
+++ b/internal/network/http1/golden_test.go
@@ -10,27 +10,27 @@
 	"quincegap/internal/network/exchange"
 )
 
-// The requests that endpoints read, byte by byte.
+// The golden file has the exact bytes of requests to endpoints.
 func TestGoldenRequests(t *testing.T) {
 	header := http.Header{
 		"Accept": {"text/html"}, "X-Trip": {"a", "b"}, "Content-Length": {"999"}, "X-Remaining": {"7u"}, "Idempotency-Key": {"k-1"},
 	}
 	var all strings.Builder
-	for _, c := range []struct {
-		request exchange.Inbound
-		left    time.Duration
+	for _, test := range []struct {
+		request   exchange.Inbound
+		remaining time.Duration
 	}{
 		{exchange.Inbound{Method: "POST", Target: "/api/book?x=1", Host: "front.example", Header: header, Body: []byte("trip")}, 1500 * time.Millisecond},
 		{exchange.Inbound{Method: "POST", Target: "/api/book", Host: "front.example", Header: http.Header{}}, time.Microsecond},
 		{exchange.Inbound{Method: "GET", Target: "/", Host: "front.example:80", Header: header}, -time.Second},
 	} {
-		all.Write(encode(&c.request, c.left))
+		all.Write(encode(&test.request, test.remaining))
 		all.WriteString("\n----\n")
 	}
 	golden.Text(t, "requests.txt", []byte(all.String()))
 }
 
-// The headers that HTTP/1.1 adds to answers to callers.
+// The golden file has the headers that HTTP/1.1 adds to responses to callers.
 func TestGoldenAnswerHeaders(t *testing.T) {
 	header := http.Header{}
 	c := &callerConn{listener: &callerListener{altSvc: `h3=":443"; ma=60`}}
--- a/internal/network/http1/helpers_test.go
+++ b/internal/network/http1/helpers_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 10 * time.Second
 
-// newAttempt returns an attempt at an endpoint that is open, and the function that cancels it.
+// newAttempt returns an attempt at an endpoint that allows attempts, and the function that cancels the attempt.
 func newAttempt(t *testing.T, address string, timeout time.Duration, bodies *exchange.Budget) (*attempt, func()) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -30,7 +30,8 @@
 	return a, cancel
 }
 
-// runAttempt makes an attempt at an endpoint, on the test's connection unless that is nil. during runs beside the attempt; nil for nothing.
+// runAttempt makes an attempt at an endpoint, on the connection c or on a new one if c is nil. open tells whether the endpoint allows
+// attempts. during runs concurrently with the attempt unless it is nil.
 func runAttempt(t *testing.T, address string, open bool, c net.Conn, timeout time.Duration, during func(cancel func())) exchange.Result {
 	t.Helper()
 	a, cancel := newAttempt(t, address, timeout, largeBudget())
@@ -45,21 +46,21 @@
 	return a.runOn(newConn(c))
 }
 
-// largeBudget returns a budget that no test uses up.
+// largeBudget returns a memory budget that is sufficient for every test.
 func largeBudget() *exchange.Budget {
 	b := &exchange.Budget{}
 	b.Release(1 << 30)
 	return b
 }
 
-// pipe returns one end of an unbuffered connection; play has the other end, the endpoint's.
-func pipe(t *testing.T, play func(net.Conn)) net.Conn {
+// pipe returns the sidecar's end of an unbuffered connection, and runs endpoint with the other end.
+func pipe(t *testing.T, endpoint func(net.Conn)) net.Conn {
 	t.Helper()
 	near, far := net.Pipe()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		play(far)
+		endpoint(far)
 	}()
 	t.Cleanup(func() {
 		closeAll(t, near, far)
@@ -68,7 +69,7 @@
 	return near
 }
 
-// tcpPair returns both ends of a loopback connection.
+// tcpPair returns both ends of a loopback TCP connection: the sidecar's and the endpoint's.
 func tcpPair(t *testing.T) (*conn, net.Conn) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -88,17 +89,17 @@
 	return newConn(near), far
 }
 
-// readRequest reads a request, or as much of it as comes.
+// readRequest reads a request, or as much of it as arrives.
 func readRequest(c net.Conn) {
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 		_, _ = io.Copy(io.Discard, r.Body)
 	}
 }
 
-// send writes a text; the attempt may have closed the connection.
+// send writes a text to an attempt. Errors are ignored, since the attempt may have closed the connection.
 func send(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-// closeAll closes things that may be closed already.
+// closeAll closes connections and listeners, which may have been closed before.
 func closeAll(t *testing.T, all ...io.Closer) {
 	t.Helper()
 	for _, c := range all {
--- a/internal/network/http1/probe_test.go
+++ b/internal/network/http1/probe_test.go
@@ -14,27 +14,27 @@
 func TestProbe(t *testing.T) {
 	var health atomic.Int64
 	health.Store(http.StatusOK)
-	at := func(serve http.HandlerFunc) *exchange.Endpoint {
+	startEndpoint := func(serve http.HandlerFunc) *exchange.Endpoint {
 		t.Helper()
 		s := httptest.NewServer(serve)
 		t.Cleanup(s.Close)
 		return &exchange.Endpoint{Address: s.Listener.Addr().String()}
 	}
-	e := at(func(w http.ResponseWriter, r *http.Request) {
+	e := startEndpoint(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet || r.URL.Path != "/health" {
-			t.Errorf("probed with %s %s", r.Method, r.URL.Path)
+			t.Errorf("got health check %s %s, want GET /health", r.Method, r.URL.Path)
 		}
 		w.WriteHeader(int(health.Load()))
 	})
 	if got := Probe(e, testTimeout); got != balancer.StatusOK {
-		t.Errorf("healthy: %v", got)
+		t.Errorf("healthy endpoint: got %v, want %v", got, balancer.StatusOK)
 	}
 	health.Store(http.StatusServiceUnavailable)
 	if got := Probe(e, testTimeout); got != balancer.StatusError {
-		t.Errorf("unhealthy: %v", got)
+		t.Errorf("unhealthy endpoint: got %v, want %v", got, balancer.StatusError)
 	}
-	unresponsive := at(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	unresponsive := startEndpoint(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	if got := Probe(unresponsive, 100*time.Millisecond); got != balancer.StatusTimeout {
-		t.Errorf("unresponsive: %v", got)
+		t.Errorf("unresponsive endpoint: got %v, want %v", got, balancer.StatusTimeout)
 	}
 }
--- a/internal/network/http3/example_test.go
+++ b/internal/network/http3/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/network/http3"
 )
 
-// The default settings: no HTTP/3 with callers or endpoints, and no early data.
+// By default HTTP/3 is used neither with callers nor with endpoints, and early data is not accepted.
 func Example() {
 	front := http3.FrontTable.Default()
 	transport := http3.TransportTable.Default()
--- a/internal/network/http3/front_test.go
+++ b/internal/network/http3/front_test.go
@@ -18,87 +18,88 @@
 	"quincegap/internal/standin/udp"
 )
 
-func TestServes(t *testing.T) {
+func TestFrontServesRequests(t *testing.T) {
 	test := openFront(t, echo, nil)
 	client := test.caller(nil)
 	for i := range 3 {
 		code, text, err := ask(client, "POST", test.address()+"/trips?a=1", "trip")
 		if code != 200 || text != "/trips?a=1 trip" || err != nil {
-			t.Fatalf("%d: %d %q %v", i, code, text, err)
+			t.Fatalf("request %d: got status %d, body %q, error %v; want status 200 and the body /trips?a=1 trip", i, code, text, err)
 		}
 	}
 	open, idle, handshakes := test.front.Counts()
 	if open != 1 || handshakes != 0 {
-		t.Errorf("%d connections, %d idle, %d handshakes", open, idle, handshakes)
+		t.Errorf("got %d connections, %d idle, %d handshakes; want 1 connection and 0 handshakes", open, idle, handshakes)
 	}
-	test.until("it is idle", func() bool { _, idle, _ := test.front.Counts(); return idle == 1 })
+	test.until("the connection is idle", func() bool { _, idle, _ := test.front.Counts(); return idle == 1 })
 	if test.front.Quiet(0) {
-		t.Error("quiet with a connection")
+		t.Error("Quiet(0) is true though a connection is open")
 	}
 	closeAll(t, client)
-	test.until("it is forgotten", func() bool { open, idle, _ := test.front.Counts(); return open+idle == 0 })
+	test.until("the closed connection is removed", func() bool { open, idle, _ := test.front.Counts(); return open+idle == 0 })
 }
 
-// Of a thousand requests at once on one connection, those beyond the bound on streams wait at the caller, and each is answered.
+// A caller sends a thousand concurrent requests on one connection. Those above the limit on streams wait at the caller, and all get a
+// response.
 func TestThousandStreams(t *testing.T) {
-	var now, most atomic.Int64
+	var concurrent, highest atomic.Int64
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
-		if n := now.Add(1); n > most.Load() {
-			most.Store(n)
+		if n := concurrent.Add(1); n > highest.Load() {
+			highest.Store(n)
 		}
 		time.Sleep(time.Millisecond)
-		now.Add(-1)
+		concurrent.Add(-1)
 		echo(w, r)
-	}, func(c *FrontSettings, _ *Bounds, _ *Security) { c.MaxStreams = 50 })
-	c := test.caller(nil)
+	}, func(s *FrontSettings, _ *Bounds, _ *Security) { s.MaxStreams = 50 })
+	client := test.caller(nil)
 	var all sync.WaitGroup
 	for i := range 1000 {
 		all.Go(func() {
 			target := fmt.Sprintf("/%d", i)
-			if code, text, err := ask(c, "POST", test.address()+target, "x"); code != 200 || text != target+" x" || err != nil {
-				t.Errorf("%d: %d %q %v", i, code, text, err)
+			if code, text, err := ask(client, "POST", test.address()+target, "x"); code != 200 || text != target+" x" || err != nil {
+				t.Errorf("request %d: got status %d, body %q, error %v; want status 200 and the body %s x", i, code, text, err, target)
 			}
 		})
 	}
 	all.Wait()
-	if most.Load() > 50 {
-		t.Errorf("%d at once", most.Load())
+	if highest.Load() > 50 {
+		t.Errorf("%d requests were processed concurrently, want at most 50", highest.Load())
 	}
 }
 
-// When connections use up their bound, fresh and idle ones are closed, and busy ones never.
-func TestRoomIsMade(t *testing.T) {
+// A new connection at the limit on connections replaces one that is fresh or idle, and never one with a request in progress.
+func TestFrontAtLimitClosesInactiveConnections(t *testing.T) {
 	serve := make(chan bool)
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			<-serve
 		}
 		echo(w, r)
-	}, func(c *FrontSettings, _ *Bounds, _ *Security) { c.MaxConnections = 4 })
+	}, func(s *FrontSettings, _ *Bounds, _ *Security) { s.MaxConnections = 4 })
 	busy := test.caller(nil)
 	answered := askSlow(busy, test.address())
-	test.until("it is busy", func() bool { open, idle, _ := test.front.Counts(); return open == 1 && idle == 0 })
+	test.until("the request is in progress", func() bool { open, idle, _ := test.front.Counts(); return open == 1 && idle == 0 })
 	for i := range 12 {
 		if code, _, err := ask(test.caller(nil), "GET", test.address()+"/", ""); code != 200 || err != nil {
-			t.Fatalf("%d: %d %v", i, code, err)
+			t.Fatalf("connection %d: got status %d, error %v; want status 200", i, code, err)
 		}
 	}
 	if open, _, _ := test.front.Counts(); open > 4 {
-		t.Errorf("%d connections", open)
+		t.Errorf("%d connections are open, want at most 4", open)
 	}
 	close(serve)
 	if err := <-answered; err != nil {
-		t.Errorf("the busy one: %v", err)
+		t.Errorf("request on the busy connection: %v", err)
 	}
 }
 
-// A connection that brings no request, or only a part of one, is closed after its timeout though the caller keeps it alive.
+// A connection without a request, or with only a part of one, is closed after its timeout even if the caller sends keep-alive packets.
 func TestConnectionsWithoutRequestAreClosed(t *testing.T) {
 	test := openFront(t, echo, func(_ *FrontSettings, b *Bounds, _ *Security) {
 		b.RequestTimeout = 300 * time.Millisecond
 		b.IdleTimeout = 700 * time.Millisecond
 	})
-	for name, bytes := range map[string]string{"nothing": "", "half a header": "\x01\x40", "part of a header": "\x01\x20\x00\x00\xd1"} {
+	for name, data := range map[string]string{"nothing": "", "half a header": "\x01\x40", "part of a header": "\x01\x20\x00\x00\xd1"} {
 		keepAlive := &quic.Config{KeepAlivePeriod: 50 * time.Millisecond}
 		conn, err := quic.DialAddr(t.Context(), test.address(), test.tlsConfig(nil), keepAlive)
 		if err != nil {
@@ -108,24 +109,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := str.Write([]byte(bytes)); err != nil {
+		if _, err := str.Write([]byte(data)); err != nil {
 			t.Error(err)
 		}
 		select {
 		case <-conn.Context().Done():
 		case <-time.After(testTimeout):
-			t.Errorf("%s: it stays", name)
+			t.Errorf("%s: the connection is still open after %v", name, testTimeout)
 		}
 		closeConn(conn, 0)
 	}
-	test.until("all are forgotten", func() bool { open, _, _ := test.front.Counts(); return open == 0 })
+	test.until("all connections are removed", func() bool { open, _, _ := test.front.Counts(); return open == 0 })
 }
 
-// In a flood of Initials whose senders complete no handshake, the handshakes stay bounded, and a caller that answers a Retry is served.
+// During a flood of Initials whose senders do not complete their handshakes, the number of handshakes stays limited, and a caller that
+// responds to a Retry is served.
 func TestFloodOfInitials(t *testing.T) {
-	test := openFront(t, echo, func(c *FrontSettings, _ *Bounds, _ *Security) {
-		c.MaxHandshakes = 8
-		c.HandshakeTimeout = 500 * time.Millisecond
+	test := openFront(t, echo, func(s *FrontSettings, _ *Bounds, _ *Security) {
+		s.MaxHandshakes = 8
+		s.HandshakeTimeout = 500 * time.Millisecond
 	})
 	relay, err := udp.Start(test.address(), 1)
 	if err != nil {
@@ -137,10 +139,10 @@
 	var flood sync.WaitGroup
 	for range 8 {
 		flood.Go(func() {
-			for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) { // leaves processor time for the callers on a small machine
-				once, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
+			for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) { // leaves CPU time for the callers on a small machine
+				dialCtx, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 				config := test.tlsConfig(nil)
-				if conn, err := quic.DialAddr(once, relay.Address(), config, nil); err == nil {
+				if conn, err := quic.DialAddr(dialCtx, relay.Address(), config, nil); err == nil {
 					t.Error("a caller that gets no replies completed its handshake")
 					closeConn(conn, 0)
 				}
@@ -148,21 +150,21 @@
 			}
 		})
 	}
-	test.until("handshakes are under way", func() bool { _, _, n := test.front.Counts(); return n >= 4 })
+	test.until("at least 4 handshakes are in progress", func() bool { _, _, n := test.front.Counts(); return n >= 4 })
 	for i := range 5 {
 		if code, _, err := ask(test.caller(nil), "GET", test.address()+"/", ""); code != 200 || err != nil {
-			t.Errorf("%d: %d %v", i, code, err)
+			t.Errorf("caller %d: got status %d, error %v; want status 200", i, code, err)
 		}
 		if _, _, n := test.front.Counts(); n > 8 {
-			t.Errorf("%d handshakes", n)
+			t.Errorf("%d handshakes are in progress, want at most 8", n)
 		}
 	}
 	stop()
 	flood.Wait()
-	test.until("the flood is forgotten", func() bool { _, _, n := test.front.Counts(); return n == 0 })
+	test.until("no handshake is in progress", func() bool { _, _, n := test.front.Counts(); return n == 0 })
 }
 
-// After Stop the accepted requests are answered, new ones are rejected as not processed, and the front ends.
+// After Stop is called, accepted requests are completed, new ones are rejected as not processed, and the front ends.
 func TestStop(t *testing.T) {
 	serve := make(chan bool)
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
@@ -180,14 +182,14 @@
 	h3 := &http3.Transport{}
 	client := h3.NewClientConn(conn)
 	answered := askSlow(client, test.address())
-	test.until("it is taken", func() bool { open, idle, _ := test.front.Counts(); return open == 1 && idle == 0 })
+	test.until("the request is in progress", func() bool { open, idle, _ := test.front.Counts(); return open == 1 && idle == 0 })
 	stopped := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		stopped <- test.front.Stop(ctx)
 	}()
-	// A caller that has not heard the GOAWAY opens one more stream.
+	// Simulates a caller that has not received the GOAWAY yet and opens another stream.
 	test.until("a new request is rejected", func() bool {
 		str, err := conn.OpenStreamSync(t.Context())
 		if err != nil {
@@ -203,18 +205,18 @@
 		return ok && e.Remote && e.ErrorCode == quic.StreamErrorCode(http3.ErrCodeRequestRejected)
 	})
 	if _, _, err := ask(test.caller(nil), "GET", test.address()+"/", ""); err == nil {
-		t.Error("a new connection is served")
+		t.Error("a request on a new connection was served after Stop")
 	}
 	close(serve)
 	if err := <-answered; err != nil {
-		t.Errorf("what was taken: %v", err)
+		t.Errorf("accepted request: %v", err)
 	}
 	if err := <-stopped; err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("Stop returned %v, want nil", err)
 	}
 }
 
-// A caller whose address changes during a request gets one answer, and its connection counts once.
+// A caller whose address changes during a request gets one response, and its connection counts once.
 func TestRebinding(t *testing.T) {
 	var runs atomic.Int64
 	serve := make(chan bool)
@@ -228,30 +230,30 @@
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	c := test.caller(nil)
-	c.QUICConfig.KeepAlivePeriod = 50 * time.Millisecond
+	client := test.caller(nil)
+	client.QUICConfig.KeepAlivePeriod = 50 * time.Millisecond
 	answered := make(chan string, 1)
 	go func() {
-		code, text, err := ask(c, "POST", relay.Address()+"/a", "trip")
+		code, text, err := ask(client, "POST", relay.Address()+"/a", "trip")
 		answered <- fmt.Sprint(code, text, err)
 	}()
-	test.until("it is taken", func() bool { return runs.Load() == 1 })
+	test.until("the request is in progress", func() bool { return runs.Load() == 1 })
 	relay.Rebind()
-	carried := relay.Received()
-	test.until("packets come from the new port", func() bool { return relay.Received() > carried+2 })
+	before := relay.Received()
+	test.until("packets arrive from the new port", func() bool { return relay.Received() > before+2 })
 	if open, _, _ := test.front.Counts(); open != 1 {
-		t.Errorf("%d connections", open)
+		t.Errorf("%d connections are open, want 1", open)
 	}
 	close(serve)
 	if got := <-answered; got != "200/a trip<nil>" {
-		t.Errorf("got %s", got)
+		t.Errorf("got status, body and error %s, want 200/a trip<nil>", got)
 	}
 	if runs.Load() != 1 {
-		t.Errorf("it ran %d times", runs.Load())
+		t.Errorf("the request was executed %d times, want once", runs.Load())
 	}
 }
 
-// quicTransport returns a transport on a socket of its own. The test's end closes both.
+// quicTransport returns a transport on a new socket. Both are closed at the end of the test.
 func quicTransport(t *testing.T) *quic.Transport {
 	t.Helper()
 	socket := listenUDP(t)
@@ -260,7 +262,7 @@
 	return transport
 }
 
-// readAnswer reads the answer to a stream's request in the background.
+// readAnswer reads the response to a stream's request in the background, and sends its status, body and error.
 func readAnswer(str *http3.RequestStream) <-chan string {
 	answered := make(chan string, 1)
 	go func() {
@@ -276,7 +278,7 @@
 	return answered
 }
 
-// Migration: the caller itself moves to another socket during a request.
+// A caller that migrates to another socket during a request gets one response, and its connection counts once.
 func TestMigration(t *testing.T) {
 	serve := make(chan bool)
 	var runs atomic.Int64
@@ -290,7 +292,7 @@
 		t.Fatal(err)
 	}
 	defer closeConn(conn, 0)
-	// Not by RoundTrip, which reads the connection's address while it changes.
+	// RoundTrip is not used because it would read the connection's address concurrently with the migration, which changes it.
 	str, err := (&http3.Transport{DisableCompression: true}).NewClientConn(conn).OpenRequestStream(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -304,7 +306,7 @@
 	}
 	closeAll(t, str)
 	answered := readAnswer(str)
-	test.until("it is taken", func() bool { return runs.Load() == 1 })
+	test.until("the request is in progress", func() bool { return runs.Load() == 1 })
 	path, err := conn.AddPath(quicTransport(t))
 	if err != nil {
 		t.Fatal(err)
@@ -319,14 +321,14 @@
 	}
 	close(serve)
 	if got := <-answered; got != "200/a <nil>" || runs.Load() != 1 {
-		t.Errorf("got %s after %d runs", got, runs.Load())
+		t.Errorf("got status, body and error %s after %d executions, want 200/a <nil> after 1", got, runs.Load())
 	}
 	if open, _, _ := test.front.Counts(); open != 1 {
-		t.Errorf("%d connections", open)
+		t.Errorf("%d connections are open, want 1", open)
 	}
 }
 
-// Loss, reordering, duplicated datagrams and a path whose MTU shrinks delay answers and lose none.
+// No response is lost if datagrams are lost, reordered or duplicated, or if the path's MTU shrinks.
 func TestBadPaths(t *testing.T) {
 	for name, fault := range map[string]udp.Fault{
 		"loss":  {LossShare: 0.05, Delay: time.Millisecond},
@@ -344,25 +346,25 @@
 				t.Fatal(err)
 			}
 			defer relay.Close()
-			c := test.caller(nil)
-			c.QUICConfig.DisablePathMTUDiscovery = true // the caller's own packets have to fit too
+			client := test.caller(nil)
+			client.QUICConfig.DisablePathMTUDiscovery = true // the caller's packets must fit the path too
 			body := strings.Repeat("trip ", 2000)
 			for i := range 30 {
 				if i == 10 {
 					relay.SetFault(fault)
 				}
-				if code, text, err := ask(c, "POST", relay.Address()+"/a", body); code != 200 || text != "/a "+body || err != nil {
-					t.Fatalf("%d: %d, %d bytes, %v", i, code, len(text), err)
+				if code, text, err := ask(client, "POST", relay.Address()+"/a", body); code != 200 || text != "/a "+body || err != nil {
+					t.Fatalf("request %d: got status %d, %d bytes, error %v; want status 200 and the echo of %d bytes", i, code, len(text), err, len(body))
 				}
 			}
 			if runs.Load() != 30 {
-				t.Errorf("%d ran", runs.Load())
+				t.Errorf("%d requests were executed, want 30", runs.Load())
 			}
 		})
 	}
 }
 
-// A request whose answer the caller does not read ends after WriteTimeout, and others are served meanwhile.
+// If a caller does not read the response, the request ends after WriteTimeout. Other requests on the connection are served in the meantime.
 func TestSlowReader(t *testing.T) {
 	ended := make(chan bool, 1)
 	test := openFront(t, func(w http.ResponseWriter, r *http.Request) {
@@ -377,21 +379,21 @@
 		}
 		ended <- true
 	}, func(_ *FrontSettings, b *Bounds, _ *Security) { b.WriteTimeout = 500 * time.Millisecond })
-	c := test.caller(nil)
+	client := test.caller(nil)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	q, _ := http.NewRequestWithContext(ctx, "GET", "https://"+test.address()+"/large", nil)
-	res, err := c.RoundTrip(q)
+	r, _ := http.NewRequestWithContext(ctx, "GET", "https://"+test.address()+"/large", nil)
+	res, err := client.RoundTrip(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = res.Body.Close() }() // nothing of it is read
-	if code, _, err := ask(c, "GET", test.address()+"/", ""); code != 200 || err != nil {
-		t.Errorf("another one: %d %v", code, err)
+	defer func() { _ = res.Body.Close() }() // the body is not read
+	if code, _, err := ask(client, "GET", test.address()+"/", ""); code != 200 || err != nil {
+		t.Errorf("another request: got status %d, error %v; want status 200", code, err)
 	}
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("it goes on writing")
+		t.Errorf("the handler is still writing after %v", testTimeout)
 	}
 }
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -16,12 +16,12 @@
 	"quincegap/internal/network/exchange"
 )
 
-// startFuzzed starts a front whose handler fails the test for a request that is not complete. The caller closes it.
+// startFuzzed starts a front whose handler fails the test if a request is incomplete. The caller of startFuzzed closes the front.
 func startFuzzed(f *testing.F, cert *tls.Certificate) *Front {
 	f.Helper()
 	front, err := NewFront(listenUDP(f), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == "" || r.RequestURI == "" || exchange.CallerOf(r) == nil {
-			f.Errorf("a request %+v", r)
+			f.Errorf("the handler got a request without method, target or Caller: %+v", r)
 		}
 		if _, err := exchange.ReadAll(r.Body); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
@@ -39,7 +39,7 @@
 	return front
 }
 
-// Whatever a caller writes on its streams, the front keeps serving others, and its handler gets complete requests only.
+// Regardless of what a caller writes on its streams, the front serves other callers, and its handler gets complete requests only.
 func FuzzRequestStream(f *testing.F) {
 	for _, seed := range []string{
 		"", "\x01", "\x01\x00", "\x00\x04trip", "\x01\x03\x00\x00\xd1", "\x01\x40\x40", "\x04\x00", "\x07\x01\x00", "\x21\x02xx",
@@ -50,8 +50,8 @@
 	}
 	ca := newAuthority(f)
 	front := startFuzzed(f, newCertificate(f, ca, frontName))
-	good := newClient(ca.Pool())
-	f.Cleanup(func() { closeAll(f, good, front) })
+	wellBehaved := newClient(ca.Pool())
+	f.Cleanup(func() { closeAll(f, wellBehaved, front) })
 	config := clientConfig(ca.Pool(), nil)
 	f.Fuzz(func(t *testing.T, request, control []byte) {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -69,30 +69,30 @@
 			if err := s.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Error(err)
 			}
-			_, _ = io.Copy(io.Discard, s) // an answer, a reset or the connection's end: never nothing
+			_, _ = io.Copy(io.Discard, s) // ends with a response, a reset or the end of the connection
 			if ctx.Err() != nil {
-				t.Errorf("no end after %q", request)
+				t.Errorf("the stream did not end within %v after %q", testTimeout, request)
 			}
 		}
-		if code, _, err := ask(good, "GET", front.Address().String()+"/", ""); err != nil || code != 200 {
-			t.Errorf("another caller: %d, %v", code, err)
+		if code, _, err := ask(wellBehaved, "GET", front.Address().String()+"/", ""); err != nil || code != 200 {
+			t.Errorf("another caller: got status %d, error %v; want status 200", code, err)
 		}
 	})
 }
 
-// send writes b to a stream and closes it; the other end may have stopped it.
+// send writes b to a stream and closes it. Errors are ignored, since the peer may have stopped the stream.
 func send(s io.WriteCloser, b []byte) {
 	_, _ = s.Write(b)
 	_ = s.Close()
 }
 
-// rawEndpoint is a QUIC server that answers with given bytes.
+// rawEndpoint is a QUIC server that responds with given bytes.
 type rawEndpoint struct {
 	listener *quic.Listener
-	answer   atomic.Value // [2][]byte: the answer, and the bytes of the control stream
+	answer   atomic.Value // [2][]byte: the bytes of the request's stream and those of the control stream
 }
 
-// startRaw starts a rawEndpoint. The test's end closes it.
+// startRaw starts a rawEndpoint, which is closed at the end of the test.
 func startRaw(f *testing.F, cert *tls.Certificate) *rawEndpoint {
 	f.Helper()
 	socket := listenUDP(f)
@@ -101,7 +101,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Cleanup(func() { closeAll(f, l, server, socket) }) // the server with its connections
+	f.Cleanup(func() { closeAll(f, l, server, socket) }) // the server closes its connections
 	e := &rawEndpoint{listener: l}
 	go e.serve()
 	return e
@@ -114,15 +114,15 @@
 		if err != nil {
 			return
 		}
-		go r.play(conn)
+		go r.respond(conn)
 	}
 }
 
-// play answers one request of a connection.
-func (r *rawEndpoint) play(conn *quic.Conn) {
+// respond responds to one request of a connection.
+func (r *rawEndpoint) respond(conn *quic.Conn) {
 	answer := r.answer.Load().([2][]byte)
 	if s, err := conn.OpenUniStream(); err == nil {
-		_, _ = s.Write(answer[1]) // it stays open
+		_, _ = s.Write(answer[1]) // the control stream stays open
 	}
 	s, err := conn.AcceptStream(context.Background())
 	if err != nil {
@@ -132,7 +132,7 @@
 	send(s, answer[0])
 }
 
-// Whatever an endpoint writes, the attempt ends, and what may have run does not pass for what never ran.
+// Regardless of what an endpoint writes, the attempt ends, and its status does not tell that the request was not executed.
 func FuzzAnswerStream(f *testing.F) {
 	for _, seed := range []string{
 		"", "\x01", "\x01\x03\x00\x00\xd9", "\x01\x03\x00\x00\xd9\x00\x02ok", "\x00\x02ok", "\x01\x03\x00\x00\xd9\x00\x40\x40ok",
@@ -164,10 +164,11 @@
 		c, _ := transport.Acquire(e, time.Now())
 		res := transport.Run(a, c)
 		if res.Status.NeverRan() || res.Status == balancer.StatusTimeout || res.Unreachable {
-			t.Errorf("%q gave %v", answer, res.Status)
+			t.Errorf("response %q: got status %v, unreachable %v; want a status of a request that may have been executed",
+				answer, res.Status, res.Unreachable)
 		}
 		if res.Response != nil && len(res.Response.Body) > exchange.MaxBody {
-			t.Error("a body beyond its bound")
+			t.Errorf("got a body of %d bytes, want at most %d", len(res.Response.Body), exchange.MaxBody)
 		}
 		transport.Release(e, c, res.Conn)
 		e.Open.Store(false)
--- a/internal/network/http3/golden_test.go
+++ b/internal/network/http3/golden_test.go
@@ -15,8 +15,8 @@
 	"quincegap/internal/network/exchange"
 )
 
-// Keys that another version makes of the same secret, for sessions and connections to go on after an update; and what endpoints read
-// of a request.
+// The golden file has the keys that are derived from a secret and the requests that endpoints receive. Another version of the program must
+// derive the same keys, so that sessions can be resumed and old connections are reset after an update.
 func TestGoldenKeysAndRequests(t *testing.T) {
 	var all strings.Builder
 	secret := []byte("0123456789abcdef0123456789abcdef")
--- a/internal/network/http3/helpers_test.go
+++ b/internal/network/http3/helpers_test.go
@@ -28,11 +28,12 @@
 	endpointName = "slot-keeper.example.org"
 )
 
-// noError is H3_NO_ERROR.
+// noError is the error code H3_NO_ERROR.
 const noError = quic.ApplicationErrorCode(http3.ErrCodeNoError)
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// newAuthority returns a new certificate authority.
 func newAuthority(tb testing.TB) *authority.Authority {
 	tb.Helper()
 	a, err := authority.New()
@@ -42,6 +43,7 @@
 	return a
 }
 
+// newCertificate returns a certificate for a name that an authority has signed.
 func newCertificate(tb testing.TB, a *authority.Authority, name string) *tls.Certificate {
 	tb.Helper()
 	certificate, err := a.Pair(name)
@@ -51,7 +53,7 @@
 	return certificate
 }
 
-// listenUDP returns a socket on loopback.
+// listenUDP returns a UDP socket on the loopback interface.
 func listenUDP(tb testing.TB) *net.UDPConn {
 	tb.Helper()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -61,12 +63,12 @@
 	return socket
 }
 
-// clientConfig returns the TLS configuration of a front's caller.
+// clientConfig returns the TLS configuration for a caller of a front.
 func clientConfig(pool *x509.CertPool, cache tls.ClientSessionCache) *tls.Config {
 	return &tls.Config{RootCAs: pool, ServerName: frontName, NextProtos: []string{"h3"}, ClientSessionCache: cache}
 }
 
-// newClient returns a client over HTTP/3.
+// newClient returns an HTTP/3 client of a front.
 func newClient(pool *x509.CertPool) *http3.Transport {
 	return &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: frontName},
@@ -74,7 +76,7 @@
 	}
 }
 
-// testFront is a front with a handler.
+// testFront is a running front and what is needed to restart it.
 type testFront struct {
 	t        *testing.T
 	front    *Front
@@ -87,7 +89,7 @@
 	close    func()
 }
 
-// openFront starts a front, with settings that change may change. The test's end closes it.
+// openFront starts a front on a free port. change modifies its settings unless it is nil. The front is closed at the end of the test.
 func openFront(t *testing.T, handler http.HandlerFunc, change func(*FrontSettings, *Bounds, *Security)) *testFront {
 	t.Helper()
 	ca := newAuthority(t)
@@ -108,7 +110,7 @@
 	return f
 }
 
-// start starts the front at an address, as after a restart.
+// start starts a front at an address; after close it restarts the front.
 func (f *testFront) start(address string) {
 	f.t.Helper()
 	local, err := net.ResolveUDPAddr("udp", address)
@@ -129,15 +131,15 @@
 	f.served = served
 	f.close = sync.OnceFunc(func() {
 		if err := front.Close(); err != nil {
-			f.t.Errorf("closing: %v", err)
+			f.t.Errorf("Close of the front returned %v, want nil", err)
 		}
 		if err := <-served; err != nil {
-			f.t.Errorf("serving ended with %v", err)
+			f.t.Errorf("Serve of the front returned %v, want nil", err)
 		}
 	})
 }
 
-// caller returns a client of the front. The test's end closes it.
+// caller returns a client of the front, which is closed at the end of the test.
 func (f *testFront) caller(cache tls.ClientSessionCache) *http3.Transport {
 	f.t.Helper()
 	client := newClient(f.pool)
@@ -146,24 +148,24 @@
 	return client
 }
 
-// tlsConfig returns the TLS configuration of a caller of this front.
+// tlsConfig returns the TLS configuration for a caller of this front.
 func (f *testFront) tlsConfig(cache tls.ClientSessionCache) *tls.Config {
 	return clientConfig(f.pool, cache)
 }
 
 func (f *testFront) address() string { return f.front.Address().String() }
 
-// until waits until something holds.
-func (f *testFront) until(what string, holds func() bool) {
+// until waits until a condition is true; what describes the condition. It fails the test after testTimeout.
+func (f *testFront) until(what string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("not reached within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// ask makes a request, and reads its answer.
+// ask makes a request and reads the response.
 func ask(client http.RoundTripper, method, url string, body string) (code int, text string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -184,20 +186,20 @@
 	return res.StatusCode, string(all), err
 }
 
-// askSlow makes a request for /slow in the background, and sends its error, nil for an answer 200.
+// askSlow makes a request for /slow in the background, and sends its error; nil for a response with status 200.
 func askSlow(client http.RoundTripper, address string) <-chan error {
 	answered := make(chan error, 1)
 	go func() {
 		code, _, err := ask(client, "GET", address+"/slow", "")
 		if code != 200 && err == nil {
-			err = fmt.Errorf("status %d", code)
+			err = fmt.Errorf("got status %d, want 200", code)
 		}
 		answered <- err
 	}()
 	return answered
 }
 
-// echo answers with the request's target and body.
+// echo responds with the request's target and body.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -207,13 +209,13 @@
 	reply(w, fmt.Sprintf("%s %s", r.RequestURI, body))
 }
 
-// reply writes an answer; the caller may be gone.
+// reply writes a response body. Errors are ignored, since the caller may have disconnected.
 func reply(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// closeConn closes a connection; CloseWithError never fails.
+// closeConn closes a connection with an error code. CloseWithError never fails.
 func closeConn(conn *quic.Conn, code quic.ApplicationErrorCode) { _ = conn.CloseWithError(code, "") }
 
-// closeAll closes things that may be closed already.
+// closeAll closes sockets, streams and clients, which may have been closed before.
 func closeAll(tb testing.TB, all ...io.Closer) {
 	tb.Helper()
 	for _, c := range all {
@@ -223,7 +225,7 @@
 	}
 }
 
-// largeBudget returns a budget that no test uses up.
+// largeBudget returns a memory budget that is sufficient for every test.
 func largeBudget() *exchange.Budget {
 	b := &exchange.Budget{}
 	b.Release(1 << 30)
--- a/internal/network/http3/transport_test.go
+++ b/internal/network/http3/transport_test.go
@@ -24,17 +24,17 @@
 	"quincegap/internal/standin/udp"
 )
 
-// testTransport is a transport with an endpoint.
+// testTransport is a transport, and the endpoint that its attempts go to.
 type testTransport struct {
 	t         *testing.T
 	ca        *authority.Authority
 	cert      *tls.Certificate
 	transport *Transport
-	mu        sync.Mutex // the loop's part of the transport
+	mu        sync.Mutex // guards the methods of the transport that the loop calls
 	endpoint  *exchange.Endpoint
 }
 
-// newTestTransport makes a transport, with settings that change may change. The test's end closes it.
+// newTestTransport returns a transport. change modifies its settings unless it is nil. The transport is closed at the end of the test.
 func newTestTransport(t *testing.T, change func(*TransportSettings)) *testTransport {
 	t.Helper()
 	test := &testTransport{t: t, ca: newAuthority(t)}
@@ -61,7 +61,7 @@
 	return test
 }
 
-// serve starts the endpoint, which attempts go to from now on.
+// serve starts an endpoint, and directs further attempts to it.
 func (t *testTransport) serve(address string, o h3.Options, handler http.HandlerFunc) *h3.Endpoint {
 	t.t.Helper()
 	e, err := h3.Start(address, t.cert, o, handler)
@@ -73,13 +73,14 @@
 	return e
 }
 
-// target sets the address of further attempts.
+// target directs further attempts to an address.
 func (t *testTransport) target(address string) {
 	t.endpoint = &exchange.Endpoint{Address: address}
 	t.endpoint.Open.Store(true)
 }
 
-// attempt makes an attempt as the loop does; without a request it makes a booking. during runs beside it; nil for nothing.
+// attempt makes an attempt as the loop does. If in is nil the request is a booking. during runs concurrently with the attempt unless it is
+// nil.
 func (t *testTransport) attempt(in *exchange.Inbound, timeout time.Duration, during func(cancel func())) exchange.Result {
 	if in == nil {
 		in = &exchange.Inbound{Method: "POST", Target: "/book?a=1", Host: "h", Header: http.Header{"X-Txn": {"1"}}, Body: []byte("trip")}
@@ -103,66 +104,67 @@
 	return res
 }
 
-// closeIdle closes the connections without attempts.
+// closeIdle closes the connections that have no attempt in progress.
 func (t *testTransport) closeIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.transport.CloseIdle(t.endpoint)
 }
 
-// ok serves a request, with a report of its load.
+// ok echoes a request, with a load report.
 func ok(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the attempt is given up
+		return // the attempt has ended
 	}
 	w.Header().Set("X-Pressure", "inflight=7,queue=2")
 	reply(w, fmt.Sprintf("%s %s %s %s", r.Method, r.RequestURI, r.Host, body))
 }
 
-// discardBody reads a request's body.
+// discardBody reads a request's body and ignores it.
 func discardBody(r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) }
 
 func TestAttempts(t *testing.T) {
 	test := newTestTransport(t, nil)
-	seen := make(chan http.Header, 100)
+	headers := make(chan http.Header, 100)
 	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
-		seen <- r.Header
+		headers <- r.Header
 		ok(w, r)
 	})
 	for range 5 {
 		res := test.attempt(nil, testTimeout, nil)
 		if res.Status != balancer.StatusOK || string(res.Response.Body) != "POST /book?a=1 h trip" || res.Load == nil || res.Load.Queue != 2 {
-			t.Fatalf("%+v", res)
+			t.Fatalf("got %+v, want status %v, the echo of the booking and a load report with a queue of 2", res, balancer.StatusOK)
 		}
-		h := <-seen
+		h := <-headers
 		if h.Get("X-Txn") != "1" || !strings.HasSuffix(h.Get("X-Remaining"), "u") || h.Get("User-Agent") != "" ||
 			h.Get("Accept-Encoding") != "" || h.Get("Content-Length") != "4" {
-			t.Errorf("headers %v", h)
+			t.Errorf("got headers %v, want X-Txn 1, X-Remaining in microseconds, Content-Length 4, no User-Agent and no Accept-Encoding", h)
 		}
 	}
 	if endpoint.Connections() != 1 {
-		t.Errorf("%d connections", endpoint.Connections())
+		t.Errorf("the attempts used %d connections, want 1", endpoint.Connections())
 	}
 	for _, target := range []string{"//a/b", "/%7e%7E?x=%20", "/a|b"} {
 		res := test.attempt(&exchange.Inbound{Method: "GET", Target: target, Host: "h", Safe: true}, testTimeout, nil)
 		if res.Status != balancer.StatusOK || string(res.Response.Body) != "GET "+target+" h " {
-			t.Errorf("%s: %v %s", target, res.Status, res.Response.Body)
+			t.Errorf("target %s: got status %v, body %s; want %v and the echo of the target",
+				target, res.Status, res.Response.Body, balancer.StatusOK)
 		}
-		<-seen
+		<-headers
 	}
 }
 
-// Many at once share connections, each with a stream of its own, within the bounds.
+// Concurrent attempts share connections, within the limits on connections and on streams per connection.
 func TestAttemptsShareConnections(t *testing.T) {
-	test := newTestTransport(t, func(endpoint *TransportSettings) { endpoint.MaxStreams = 10 })
-	var now, highest atomic.Int64
+	test := newTestTransport(t, func(s *TransportSettings) { s.MaxStreams = 10 })
+	var concurrent, highest atomic.Int64
 	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
-		if n := now.Add(1); n > highest.Load() {
+		if n := concurrent.Add(1); n > highest.Load() {
 			highest.Store(n)
 		}
 		time.Sleep(20 * time.Millisecond)
-		now.Add(-1)
+		concurrent.Add(-1)
 		ok(w, r)
 	})
 	var all sync.WaitGroup
@@ -173,85 +175,87 @@
 			case balancer.StatusOK:
 				served.Add(1)
 			case balancer.StatusNotSent:
-				notSent.Add(1) // no connection left
+				notSent.Add(1) // the limit on connections was reached
 			default:
-				t.Errorf("%+v", res)
+				t.Errorf("got %+v, want status %v or %v", res, balancer.StatusOK, balancer.StatusNotSent)
 			}
 		})
 	}
 	all.Wait()
 	if endpoint.Connections() > 8 || highest.Load() > 80 || served.Load() < 80 || served.Load()+notSent.Load() != 100 {
-		t.Errorf("%d connections, %d at once, %d served, %d not", endpoint.Connections(), highest.Load(), served.Load(), notSent.Load())
+		t.Errorf("got %d connections, %d concurrent requests, %d served, %d not sent; want at most 8, at most 80, at least 80, the rest of 100",
+			endpoint.Connections(), highest.Load(), served.Load(), notSent.Load())
 	}
 }
 
-// An attempt that is given up is cancelled at the endpoint, and others on the connection go on.
-func TestGivenUp(t *testing.T) {
+// An attempt that times out or is cancelled is cancelled at the endpoint too, and its connection stays usable for others.
+func TestUnfinishedAttemptIsCancelledAtEndpoint(t *testing.T) {
 	test := newTestTransport(t, nil)
-	came, off := make(chan bool, 2), make(chan bool, 2)
+	received, cancelled := make(chan bool, 2), make(chan bool, 2)
 	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fast" {
 			ok(w, r)
 			return
 		}
 		discardBody(r)
-		came <- true
+		received <- true
 		<-r.Context().Done()
-		off <- true
+		cancelled <- true
 	})
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		timeout time.Duration
 		cancel  bool
 		want    balancer.Status
 	}{{300 * time.Millisecond, false, balancer.StatusTimeout}, {testTimeout, true, balancer.StatusCancelled}} {
-		res := test.attempt(nil, c.timeout, func(cancel func()) {
-			if <-came; c.cancel {
+		res := test.attempt(nil, testCase.timeout, func(cancel func()) {
+			if <-received; testCase.cancel {
 				cancel()
 			}
 		})
-		if res.Status != c.want {
-			t.Errorf("%v, want %v", res.Status, c.want)
+		if res.Status != testCase.want {
+			t.Errorf("timeout %v, cancel %v: got status %v, want %v", testCase.timeout, testCase.cancel, res.Status, testCase.want)
 		}
-		<-off
+		<-cancelled
 		if res := test.attempt(&exchange.Inbound{Method: "GET", Target: "/fast", Host: "h"}, testTimeout, nil); res.Status != balancer.StatusOK {
-			t.Errorf("another one: %v", res.Status)
+			t.Errorf("next attempt: got status %v, want %v", res.Status, balancer.StatusOK)
 		}
 	}
 	if endpoint.Connections() != 1 {
-		t.Errorf("%d connections", endpoint.Connections())
+		t.Errorf("the attempts used %d connections, want 1", endpoint.Connections())
 	}
 }
 
-// An endpoint that drains gets no new stream, not even on an open connection.
-func TestDrained(t *testing.T) {
+// An endpoint that is draining gets no new request, not even on an open connection.
+func TestDrainingEndpointGetsNoRequest(t *testing.T) {
 	test := newTestTransport(t, nil)
-	var came atomic.Int64
+	var received atomic.Int64
 	test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
-		came.Add(1)
+		received.Add(1)
 		ok(w, r)
 	})
 	test.attempt(nil, testTimeout, nil)
 	test.endpoint.Open.Store(false)
-	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusNotSent || came.Load() != 1 {
-		t.Errorf("%v, %d came", res.Status, came.Load())
+	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusNotSent || received.Load() != 1 {
+		t.Errorf("got status %v, %d requests received; want %v, 1", res.Status, received.Load(), balancer.StatusNotSent)
 	}
 	test.mu.Lock()
 	defer test.mu.Unlock()
 	test.transport.CloseIdle(test.endpoint)
 	if open, _ := test.transport.Counts(); open != 0 {
-		t.Errorf("%d connections are kept", open)
+		t.Errorf("%d connections are open after CloseIdle, want 0", open)
 	}
 }
 
-// If UDP does not get through, nothing is sent, and another protocol may be used; if the wrong endpoint answers, none may.
+// If UDP packets do not arrive, nothing is sent, and another protocol may be used. If the endpoint can't be authenticated, no other
+// protocol may be used.
 func TestNoConnection(t *testing.T) {
-	test := newTestTransport(t, func(e *TransportSettings) { e.HandshakeTimeout = 100 * time.Millisecond })
-	var came atomic.Int64
-	e := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
-		came.Add(1)
+	test := newTestTransport(t, func(s *TransportSettings) { s.HandshakeTimeout = 100 * time.Millisecond })
+	var received atomic.Int64
+	endpoint := test.serve("", h3.Options{}, func(w http.ResponseWriter, r *http.Request) {
+		received.Add(1)
 		ok(w, r)
 	})
-	relay, err := udp.Start(e.Address(), 1)
+	relay, err := udp.Start(endpoint.Address(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,37 +263,37 @@
 	relay.SetFault(udp.Fault{Blackhole: true})
 	test.target(relay.Address())
 	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
-		t.Errorf("blackholed: %+v", res)
+		t.Errorf("packets dropped: got %+v, want status %v and unreachable", res, balancer.StatusConnectFailed)
 	}
 	if res := test.attempt(nil, 20*time.Millisecond, nil); res.Status != balancer.StatusNotSent || res.Unreachable {
-		t.Errorf("at its own deadline: %+v", res)
+		t.Errorf("at the attempt's deadline: got %+v, want status %v and not unreachable", res, balancer.StatusNotSent)
 	}
-	gone := listenUDP(t)
-	test.target(gone.LocalAddr().String())
-	closeAll(t, gone)
+	closed := listenUDP(t)
+	test.target(closed.LocalAddr().String())
+	closeAll(t, closed)
 	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || !res.Unreachable {
-		t.Errorf("nobody there: %+v", res)
+		t.Errorf("closed port: got %+v, want status %v and unreachable", res, balancer.StatusConnectFailed)
 	}
 	for name, cert := range map[string]*tls.Certificate{
-		"another's name":    newCertificate(t, test.ca, "other.example.org"),
+		"another name":      newCertificate(t, test.ca, "other.example.org"),
 		"another authority": newCertificate(t, newAuthority(t), endpointName),
 	} {
-		wrong, err := h3.Start("", cert, h3.Options{}, func(http.ResponseWriter, *http.Request) { came.Add(1) })
+		wrong, err := h3.Start("", cert, h3.Options{}, func(http.ResponseWriter, *http.Request) { received.Add(1) })
 		if err != nil {
 			t.Fatal(err)
 		}
 		test.target(wrong.Address())
 		if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusConnectFailed || res.Unreachable {
-			t.Errorf("%s: %+v", name, res)
+			t.Errorf("%s: got %+v, want status %v and not unreachable", name, res, balancer.StatusConnectFailed)
 		}
 		wrong.Close()
 	}
-	if came.Load() != 0 {
-		t.Errorf("%d requests came to somebody", came.Load())
+	if received.Load() != 0 {
+		t.Errorf("%d requests were received by an endpoint, want 0", received.Load())
 	}
 }
 
-// isNeverSent compares the text of the library's error: this is that text.
+// isNeverSent compares the text of the library's error. The test fails if a version of the library changes the text.
 func TestNeverSent(t *testing.T) {
 	test := newTestTransport(t, nil)
 	endpoint := test.serve("", h3.Options{}, ok)
@@ -310,12 +314,12 @@
 		Bodies:   largeBudget(),
 	}
 	if _, err := test.transport.exchange(a, closed.client, false); err == nil || !isNeverSent(err) {
-		t.Errorf("on a closed connection: %v", err)
+		t.Errorf("exchange on a closed connection: got error %v, want one for which isNeverSent is true", err)
 	}
 	if isNeverSent(errors.New("anything else")) || isRejected(&quic.ApplicationError{Remote: true, ErrorCode: 0x10b}) {
-		t.Error("what may have run passes for what never ran")
+		t.Error("an error after which the request may have been executed counts as one of a request that was not executed")
 	}
 	if res := test.attempt(nil, testTimeout, nil); res.Status != balancer.StatusOK || endpoint.Connections() != 2 {
-		t.Errorf("%v over %d connections", res.Status, endpoint.Connections())
+		t.Errorf("next attempt: got status %v over %d connections in all, want %v over 2", res.Status, endpoint.Connections(), balancer.StatusOK)
 	}
 }
