--- a/internal/network/http1/probe_test.go
+++ b/internal/network/http1/probe_test.go
@@ -20,17 +20,17 @@
 		t.Cleanup(s.Close)
 		return &exchange.Endpoint{Address: s.Listener.Addr().String()}
 	}
-	e := startEndpoint(func(w http.ResponseWriter, r *http.Request) {
+	endpoint := startEndpoint(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet || r.URL.Path != "/health" {
 			t.Errorf("got health check %s %s, want GET /health", r.Method, r.URL.Path)
 		}
 		w.WriteHeader(int(health.Load()))
 	})
-	if got := Probe(e, testTimeout); got != balancer.StatusOK {
+	if got := Probe(endpoint, testTimeout); got != balancer.StatusOK {
 		t.Errorf("healthy endpoint: got %v, want %v", got, balancer.StatusOK)
 	}
 	health.Store(http.StatusServiceUnavailable)
-	if got := Probe(e, testTimeout); got != balancer.StatusError {
+	if got := Probe(endpoint, testTimeout); got != balancer.StatusError {
 		t.Errorf("unhealthy endpoint: got %v, want %v", got, balancer.StatusError)
 	}
 	unresponsive := startEndpoint(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
--- a/internal/network/http3/front.go
+++ b/internal/network/http3/front.go
@@ -114,7 +114,7 @@
 // Serve implements exchange.Front.
 func (f *Front) Serve() error {
 	if err := f.server.ServeListener(admittingListener{f.listener, f}); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("HTTP/3: %w", err)
+		return fmt.Errorf("serve callers over HTTP/3: %w", err)
 	}
 	return nil
 }
--- a/internal/network/http3/fuzz_test.go
+++ b/internal/network/http3/fuzz_test.go
@@ -152,16 +152,16 @@
 		settings.HandshakeTimeout = testTimeout
 		transport := NewTransport(socket, settings, ca.Pool(), 4, time.Minute)
 		defer transport.Close()
-		e := &exchange.Endpoint{Address: raw.listener.Addr().String()}
-		e.Open.Store(true)
+		endpoint := &exchange.Endpoint{Address: raw.listener.Addr().String()}
+		endpoint.Open.Store(true)
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		a := &exchange.Attempt{
 			Request:  &exchange.Inbound{Method: "POST", Target: "/", Host: "h", Body: []byte("trip")},
-			Endpoint: e, Sent: time.Now(), Context: ctx, Bodies: largeBudget(),
+			Endpoint: endpoint, Sent: time.Now(), Context: ctx, Bodies: largeBudget(),
 		}
 		raw.answer.Store([2][]byte{answer, control})
-		c, _ := transport.Acquire(e, time.Now())
+		c, _ := transport.Acquire(endpoint, time.Now())
 		res := transport.Run(a, c)
 		if res.Status.NeverRan() || res.Status == balancer.StatusTimeout || res.Unreachable {
 			t.Errorf("response %q: got status %v, unreachable %v; want a status of a request that may have been executed",
@@ -170,8 +170,8 @@
 		if res.Response != nil && len(res.Response.Body) > exchange.MaxBody {
 			t.Errorf("got a body of %d bytes, want at most %d", len(res.Response.Body), exchange.MaxBody)
 		}
-		transport.Release(e, c, res.Conn)
-		e.Open.Store(false)
-		transport.CloseIdle(e)
+		transport.Release(endpoint, c, res.Conn)
+		endpoint.Open.Store(false)
+		transport.CloseIdle(endpoint)
 	})
 }
