--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,5 +1,5 @@
-// Command balancer-sim runs instances of the load balancer on the simulator's protocol (package simadapter), from
-// standard input to standard output.
+// Command balancer-sim runs instances of the load balancer for the simulator. It reads the simulator's protocol (package simadapter) from
+// standard input and answers on standard output.
 package main
 
 import (
--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -1,5 +1,5 @@
-// Command consul-standin is a stand-in for a Consul agent, to try quincegap with Consul as its source without one. It serves the
-// instances of one service on loopback and reads commands from standard input.
+// Command consul-standin is a stand-in for a Consul agent, for trying quincegap with Consul as the source of its endpoints when no Consul
+// is available. It serves the instances of one service on loopback and reads commands from standard input.
 package main
 
 import (
@@ -16,8 +16,8 @@
 	"quincegap/internal/standin/consul"
 )
 
-// help lists the commands.
-const help = `orders, one a line:
+// help lists the commands that standard input takes.
+const help = `commands, one per line:
   add ID HOST:PORT       register an instance, passing
   remove ID              deregister it
   status ID STATUS       passing, warning or critical
@@ -25,34 +25,34 @@
   quit
 `
 
-// errNoSuchFault is the error for a command with an unknown fault.
-var errNoSuchFault = errors.New("no such fault")
+// errUnknownFault is the error for a fault command whose name is not in faults.
+var errUnknownFault = errors.New("unknown fault name")
 
 func main() {
 	listen := flag.String("listen", "127.0.0.1:8500", "loopback address to serve on")
 	flag.Parse()
 	if !strings.HasPrefix(*listen, "127.") && !strings.HasPrefix(*listen, "[::1]") {
-		fmt.Fprintln(os.Stderr, "consul-standin: it serves on loopback only")
+		fmt.Fprintln(os.Stderr, "consul-standin: -listen must be a loopback address")
 		os.Exit(2)
 	}
-	s, err := consul.Start(*listen)
+	server, err := consul.Start(*listen)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "consul-standin:", err)
 		os.Exit(1)
 	}
-	defer s.Close()
-	fmt.Printf("a stand-in for Consul serves on %s\n%s", s.Address(), help)
-	runCommands(s, bufio.NewScanner(os.Stdin))
+	defer server.Close()
+	fmt.Printf("Consul stand-in listening on %s\n%s", server.Address(), help)
+	runCommands(server, bufio.NewScanner(os.Stdin))
 }
 
 // runCommands runs the commands of the input until quit or the end of the input.
-func runCommands(s *consul.Server, lines *bufio.Scanner) {
+func runCommands(server *consul.Server, lines *bufio.Scanner) {
 	for lines.Scan() {
-		words := strings.Fields(lines.Text())
-		if len(words) == 1 && words[0] == "quit" {
+		fields := strings.Fields(lines.Text())
+		if len(fields) == 1 && fields[0] == "quit" {
 			return
 		}
-		if err := runCommand(s, words); err != nil {
+		if err := runCommand(server, fields); err != nil {
 			fmt.Println(err)
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// faults maps the names of faults in commands.
+// faults has the fault for each name that the fault command takes.
 var faults = map[string]consul.Fault{
 	"none":     {},
 	"hang":     {Hang: true},
@@ -77,28 +77,29 @@
 	"cut":      {Truncate: true},
 }
 
-// runCommand runs one command. An empty line is no command.
-func runCommand(server *consul.Server, words []string) error {
+// runCommand runs the command whose fields are given; an empty line has none and does nothing. It fails if the command or its fault is
+// unknown.
+func runCommand(server *consul.Server, fields []string) error {
 	switch {
-	case len(words) == 0:
-	case words[0] == "add" && len(words) == 3 && strings.Contains(words[2], ":"):
+	case len(fields) == 0:
+	case fields[0] == "add" && len(fields) == 3 && strings.Contains(fields[2], ":"):
 		server.Update(func(all []consul.Instance) []consul.Instance {
-			return append(all, consul.Instance{Node: "node", ID: words[1], PassingWeight: 1, WarningWeight: 1}.WithAddress(words[2]))
+			return append(all, consul.Instance{Node: "node", ID: fields[1], PassingWeight: 1, WarningWeight: 1}.WithAddress(fields[2]))
 		})
-	case words[0] == "remove" && len(words) == 2:
+	case fields[0] == "remove" && len(fields) == 2:
 		server.Update(func(all []consul.Instance) []consul.Instance {
-			return slices.DeleteFunc(all, func(i consul.Instance) bool { return i.ID == words[1] })
+			return slices.DeleteFunc(all, func(instance consul.Instance) bool { return instance.ID == fields[1] })
 		})
-	case words[0] == "status" && len(words) == 3:
-		server.SetStatus(words[1], words[2])
-	case words[0] == "fault" && len(words) == 2:
-		fault, ok := faults[words[1]]
+	case fields[0] == "status" && len(fields) == 3:
+		server.SetStatus(fields[1], fields[2])
+	case fields[0] == "fault" && len(fields) == 2:
+		fault, ok := faults[fields[1]]
 		if !ok {
-			return errNoSuchFault
+			return errUnknownFault
 		}
 		server.SetFault(fault)
 	default:
-		return fmt.Errorf("not understood at %s\n%s", time.Now().Format(time.TimeOnly), help)
+		return fmt.Errorf("unknown command at %s\n%s", time.Now().Format(time.TimeOnly), help)
 	}
 	return nil
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane is the mesh's process on a core machine: with its peers it replicates the operators' configuration on disk, and
-// distributes it to every process. Package assembly builds it.
+// Command controlplane is the mesh's process on a core machine. Together with its peers it replicates the operators' configuration, stores
+// it on disk and distributes it to every process of the mesh. Package assembly builds it.
 package main
 
 import (
@@ -13,13 +13,13 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// options are the command line.
+// options holds the parsed command line.
 var options struct {
 	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
 }
 
 func main() {
-	signals := lifecycle.Catch() // before anything else: a signal that comes earlier ends the process at once
+	signals := lifecycle.Catch() // comes first: a signal that arrives earlier ends the process at once
 	kong.Parse(&options, kong.Name("controlplane"), kong.Description("The mesh's core process, which keeps the configuration."),
 		kong.Vars{"variable": settings.EnvironmentVariable})
 	if err := assembly.RunControlPlane(options.Settings, signals); err != nil {
--- a/cmd/eventlog/main_test.go
+++ b/cmd/eventlog/main_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestMain runs the test binary as the program if the environment says so.
+// TestMain runs the program instead of the tests if EVENTLOG_TEST is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("EVENTLOG_TEST") == "" {
 		os.Exit(m.Run())
@@ -23,7 +23,7 @@
 	main()
 }
 
-// freeAddress returns an address on loopback that nobody listens on.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -32,24 +32,24 @@
 	return listener.Addr().String()
 }
 
-// startProgram starts the program with a listen address, and waits until it listens.
+// startProgram starts the program and waits until it listens on address.
 func startProgram(t *testing.T, address string) *exec.Cmd {
 	t.Helper()
 	program := exec.CommandContext(context.Background(), os.Args[0], "--core", "127.0.0.1:1", "--listen", address, "--folder", t.TempDir())
 	program.Env = append(os.Environ(), "EVENTLOG_TEST=1")
 	qt.Assert(t, program.Start(), qt.IsNil)
-	t.Cleanup(func() { _ = program.Process.Kill() }) // it may have ended already
+	t.Cleanup(func() { _ = program.Process.Kill() }) // an error means that it has ended already
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", address)
 		if err == nil {
 			_ = conn.Close()
 			return program
 		}
-		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("%v", err))
+		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("the program does not listen on %s: %v", address, err))
 	}
 }
 
-// follow reads a stream to its end. sent is closed when the request has been sent.
+// follow requests a stream of events and reads it to its end. It closes sent when the request has been sent.
 func follow(ctx context.Context, address string, sent chan<- struct{}) error {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { close(sent) }})
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/events?follow=1", http.NoBody)
@@ -66,8 +66,8 @@
 	return response.Body.Close()
 }
 
-// A reader follows the log while the process gets signals. SIGHUP is ignored; after SIGTERM, which comes twice and with other signals, the
-// stream ends completely and the process ends with status 0.
+// A client follows the log while the process gets signals. SIGHUP is ignored. After SIGTERM, which is sent twice and among other signals,
+// the stream ends without an error and the process exits with status 0.
 func TestSignals(t *testing.T) {
 	c := qt.New(t)
 	address := freeAddress(t)
@@ -76,9 +76,9 @@
 	sent, answered := make(chan struct{}), make(chan error, 1)
 	go func() { answered <- follow(t.Context(), address, sent) }()
 	<-sent
-	time.Sleep(500 * time.Millisecond) // until the request has been read, also on a busy machine
+	time.Sleep(500 * time.Millisecond) // enough for the program to read the request, also on a busy machine
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
-		_ = program.Process.Signal(s) // it may have ended already
+		_ = program.Process.Signal(s) // an error means that it has ended already
 	}
 	c.Assert(<-answered, qt.IsNil)
 	c.Assert(program.Wait(), qt.IsNil)
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Command sidecar is the mesh's sidecar on an access machine: it forwards requests of clients and of the endpoint there to endpoints
-// of the mesh, and admits others' requests to that endpoint. Package assembly builds it.
+// Command sidecar is the mesh's sidecar on an access machine. It forwards requests from clients and from the local endpoint to endpoints of
+// the mesh, and admits requests from other sidecars to the local endpoint. Package assembly builds it.
 package main
 
 import (
@@ -13,13 +13,13 @@
 	"quincegap/internal/mesh/operations/settings"
 )
 
-// options are the command line.
+// options holds the parsed command line.
 var options struct {
 	Settings string `help:"The settings file." env:"${variable}" required:"" type:"path"`
 }
 
 func main() {
-	signals := lifecycle.Catch() // before anything else: a signal that comes earlier ends the process at once
+	signals := lifecycle.Catch() // comes first: a signal that arrives earlier ends the process at once
 	kong.Parse(&options, kong.Name("sidecar"), kong.Description("The mesh's sidecar beside an endpoint."),
 		kong.Vars{"variable": settings.EnvironmentVariable})
 	if err := assembly.RunSidecar(options.Settings, signals); err != nil {
--- a/internal/golden/values.go
+++ b/internal/golden/values.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Values returns the content of a value as text: the values of its fields in order, without the names of types and fields, which may
-// change. Pointers are followed, maps are sorted by key, and functions, channels and interfaces are written as "-". Each element of a list
-// of structs is on a line of its own. The value must not refer to itself.
+// Values returns a value as text for a golden file: the values of its fields in order, without the names of types and fields, so that these
+// can be renamed. Pointers are followed, maps are sorted by the text of their entries, and functions, channels and interfaces are written as
+// "-". Each element of a list of structs starts a new line. The value must not contain a pointer to itself.
 func Values(v any) []byte {
 	var text strings.Builder
 	writeValue(&text, reflect.ValueOf(v))
@@ -18,7 +18,7 @@
 	return []byte(text.String())
 }
 
-// writeValue writes one value, of any kind.
+// writeValue writes a value of any kind; see Values.
 func writeValue(text *strings.Builder, value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Bool:
@@ -49,18 +49,18 @@
 }
 
 // writeFields writes the fields of a struct.
-func writeFields(text *strings.Builder, v reflect.Value) {
+func writeFields(text *strings.Builder, structure reflect.Value) {
 	text.WriteByte('{')
-	for i := range v.NumField() {
+	for i := range structure.NumField() {
 		if i > 0 {
 			text.WriteByte(' ')
 		}
-		writeValue(text, v.Field(i))
+		writeValue(text, structure.Field(i))
 	}
 	text.WriteByte('}')
 }
 
-// writeElements writes the elements of a list.
+// writeElements writes the elements of a slice or array: one per line if they are structs or pointers to structs.
 func writeElements(text *strings.Builder, list reflect.Value) {
 	element := list.Type().Elem()
 	if element.Kind() == reflect.Pointer {
@@ -81,13 +81,13 @@
 }
 
 // writeEntries writes the entries of a map, sorted by their text.
-func writeEntries(text *strings.Builder, v reflect.Value) {
+func writeEntries(text *strings.Builder, mapping reflect.Value) {
 	var entries []string
-	for _, key := range v.MapKeys() {
+	for _, key := range mapping.MapKeys() {
 		var entry strings.Builder
 		writeValue(&entry, key)
 		entry.WriteByte(':')
-		writeValue(&entry, v.MapIndex(key))
+		writeValue(&entry, mapping.MapIndex(key))
 		entries = append(entries, entry.String())
 	}
 	slices.Sort(entries)
--- a/internal/golden/values_test.go
+++ b/internal/golden/values_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Values writes values of each kind, and none of the names of types and fields.
 func TestValues(t *testing.T) {
 	type inner struct{ name string }
 	type outer struct {
@@ -20,6 +21,6 @@
 	}))
 	want := `{1.5 true {"a"} nil [{"b"}` + "\n" + `{"c"}] [1 2] map["y":2 "z":-1] -}` + "\n"
 	if got != want {
-		t.Errorf("got %s want %s", got, want)
+		t.Errorf("Values: got %s, want %s", got, want)
 	}
 }
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,8 +1,8 @@
-// Package lifecycle has helpers for the start and the end of a program: it catches the signals for as long as the process runs, and
-// cancels HTTP requests when the program shuts down.
+// Package lifecycle has helpers for starting and stopping a program: it catches signals for as long as the process runs, and cancels HTTP
+// requests when the program shuts down.
 //
-// A Go program gets the default action of a signal, which for SIGTERM, SIGINT, SIGQUIT and SIGHUP is the end of the process at once,
-// before it asks for the signal and after it has given it up with signal.Stop. A server that shuts down in order needs neither: a second
-// SIGTERM, or a SIGHUP meant for its settings, would end it amid the requests that it still has to answer. So a program calls Catch
-// before it does anything else, and no signal is ever given up.
+// The default action of SIGTERM, SIGINT, SIGQUIT and SIGHUP ends a Go program at once. It applies until the program calls signal.Notify,
+// and again after signal.Stop. Either would break a graceful shutdown: a second SIGTERM, or a SIGHUP that asks for a reload of the settings,
+// would end the server before it has answered its requests. A program therefore calls Catch before anything else, and Catch never calls
+// signal.Stop.
 package lifecycle
--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -5,8 +5,9 @@
 	"net/http"
 )
 
-// CancelRequestsOnDone serves by a handler whose requests' contexts also end when ending does. http.Server.Shutdown waits for requests
-// that are being served, and does not notify their handlers: one that streams until its client disconnects needs it.
+// CancelRequestsOnDone returns a handler that passes requests on to the given one, and cancels their contexts when ending is done.
+// http.Server.Shutdown waits for requests in progress and does not notify their handlers, so that a handler which streams until its client
+// disconnects would delay the shutdown.
 func CancelRequestsOnDone(ending context.Context, handler http.Handler) http.Handler {
 	//nolint:contextcheck // a request's context derives from the request; ending only cancels it
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/lifecycle/requests_test.go
+++ b/internal/lifecycle/requests_test.go
@@ -14,46 +14,46 @@
 	"quincegap/internal/lifecycle"
 )
 
-// stream answers until its request's context ends.
+// stream sends a status at once, and the reason in the body when the context of the request ends.
 func stream(w http.ResponseWriter, r *http.Request) {
 	w.WriteHeader(http.StatusOK)
 	if err := http.NewResponseController(w).Flush(); err != nil {
 		panic(err)
 	}
 	<-r.Context().Done()
-	_, _ = io.WriteString(w, "ended: "+r.Context().Err().Error()) // the client may have gone
+	_, _ = io.WriteString(w, "ended: "+r.Context().Err().Error()) // an error means that the client has disconnected
 }
 
-// A request's context ends when ending does, whether before the request or while it is served.
+// The context of a request ends when ending is done, whether that happens before the request or while it is served.
 func TestCancelRequestsOnDone(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
-		ended bool // before the request
+		ended bool // whether ending is done before the request
 	}{{"while the request is served", false}, {"before the request", true}} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			ending, end := context.WithCancel(t.Context())
 			defer end()
-			if x.ended {
+			if test.ended {
 				end()
 			}
 			server := httptest.NewServer(lifecycle.CancelRequestsOnDone(ending, http.HandlerFunc(stream)))
 			defer server.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			q, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL, nil)
+			request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL, nil)
 			qt.Assert(t, err, qt.IsNil)
-			r, err := server.Client().Do(q)
+			response, err := server.Client().Do(request)
 			qt.Assert(t, err, qt.IsNil)
-			end() // the answer has begun
-			body, err := io.ReadAll(r.Body)
+			end() // the handler has sent its status and waits
+			body, err := io.ReadAll(response.Body)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, r.Body.Close(), qt.IsNil)
+			qt.Assert(t, response.Body.Close(), qt.IsNil)
 			qt.Assert(t, string(body), qt.Equals, "ended: context canceled")
 		})
 	}
 }
 
-// A request ends with its client as well, and a handler that does not wait is not disturbed.
+// The context of a request still ends when its client disconnects, and a handler that does not wait for it can respond.
 func TestRequestsKeepTheirOwnContext(t *testing.T) {
 	handler := lifecycle.CancelRequestsOnDone(t.Context(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		qt.Check(t, r.Context().Err(), qt.ErrorIs, context.Canceled)
@@ -66,24 +66,24 @@
 	qt.Assert(t, w.Code, qt.Equals, http.StatusNoContent)
 }
 
-// A server shuts down while a stream has no end of its own.
+// A server that shuts down ends a stream that would go on until its client disconnects.
 func ExampleCancelRequestsOnDone() {
 	ending, end := context.WithCancel(context.Background())
 	defer end()
 	server := httptest.NewServer(lifecycle.CancelRequestsOnDone(ending, http.HandlerFunc(stream)))
 	defer server.Close()
-	q, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL, nil)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, server.URL, nil)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	r, err := server.Client().Do(q)
+	response, err := server.Client().Do(request)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	end()
-	body, err := io.ReadAll(r.Body)
-	fmt.Println(string(body), err, r.Body.Close())
+	body, err := io.ReadAll(response.Body)
+	fmt.Println(string(body), err, response.Body.Close())
 	// Output: ended: context canceled <nil> <nil>
 }
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,16 +6,16 @@
 	"syscall"
 )
 
-// Signals are the requests that reach a process as signals. Each channel holds one: signals of a kind that come while one is waiting
-// ask for the same, and are merged with it. Kinds never displace each other.
+// Signals has a channel for each request that a process gets as a signal. A channel holds one signal. Further signals of its kind that
+// arrive before it is read are dropped, as they ask for the same. Signals of other kinds don't affect it.
 type Signals struct {
-	Terminate <-chan os.Signal // SIGTERM, SIGINT or SIGQUIT: shut down in order. The first one counts; later ones change nothing
-	Reload    <-chan os.Signal // SIGHUP: the settings have changed
+	Terminate <-chan os.Signal // SIGTERM, SIGINT or SIGQUIT: shut down gracefully; only the first signal matters
+	Reload    <-chan os.Signal // SIGHUP: read the settings again
 	Dump      <-chan os.Signal // SIGUSR1: dump the log
 }
 
-// Catch catches the signals from now on, until the process exits. A broken pipe on standard output or error is an error of the
-// write from then on, not the end of the process. SIGABRT still ends it with the stacks of all goroutines.
+// Catch catches the signals from now on until the process exits. It also ignores SIGPIPE, so that a broken pipe on standard output or error
+// fails the write and does not end the process. SIGABRT still ends the process and prints the stacks of all goroutines.
 func Catch() Signals {
 	signal.Ignore(syscall.SIGPIPE)
 	return Signals{
@@ -25,7 +25,7 @@
 	}
 }
 
-// notify is a channel that gets signals of some kinds.
+// notify returns a channel that receives the signals of the given kinds, at most one at a time.
 func notify(kinds ...os.Signal) <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, kinds...)
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// raise sends signals to this process.
+// raise sends signals to the test process.
 func raise(t *testing.T, signals ...syscall.Signal) {
 	t.Helper()
 	for _, s := range signals {
@@ -17,14 +17,14 @@
 	}
 }
 
-// await is the next signal of a channel.
+// await returns the next signal of a channel. It fails the test if none arrives within 10 s.
 func await(t *testing.T, signals <-chan os.Signal) os.Signal {
 	t.Helper()
 	select {
 	case s := <-signals:
 		return s
 	case <-time.After(10 * time.Second):
-		t.Fatal("no signal came")
+		t.Fatal("no signal arrived within 10 s")
 		return nil
 	}
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// A channel that nobody reads keeps one signal, and keeps no other kind from its reader.
+// A channel that nobody reads holds one signal of its kind, and does not block signals of other kinds.
 func TestSignalsOfAKindAreMerged(t *testing.T) {
 	signals := Catch()
 	raise(t, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGUSR1)
