--- a/cmd/consul-standin/main.go
+++ b/cmd/consul-standin/main.go
@@ -77,8 +77,8 @@
 	"cut":      {Truncate: true},
 }
 
-// runCommand runs the command whose fields are given; an empty line has none and does nothing. It fails if the command or its fault is
-// unknown.
+// runCommand runs the command whose fields are given; an empty line has none and does nothing. It fails if the command or its fault
+// is unknown, or if its arguments are invalid.
 func runCommand(server *consul.Server, fields []string) error {
 	switch {
 	case len(fields) == 0:
@@ -99,7 +99,7 @@
 		}
 		server.SetFault(fault)
 	default:
-		return fmt.Errorf("unknown command at %s\n%s", time.Now().Format(time.TimeOnly), help)
+		return fmt.Errorf("unknown command or invalid arguments at %s\n%s", time.Now().Format(time.TimeOnly), help)
 	}
 	return nil
 }
--- a/cmd/quincegap/bench_helpers_test.go
+++ b/cmd/quincegap/bench_helpers_test.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	exchangeTime = 4 * time.Second
-	exchangeRate = 1500 // bookings a second by all callers together, well below what one core can do
+	exchangeTime = 4 * time.Second // length of a measurement
+	exchangeRate = 1500            // bookings per second by all callers together, well below the capacity of one core
 )
 
-// bench is a sidecar on one core, with endpoints that serve HTTP/1.1 and HTTP/3.
+// bench is a sidecar on one core under a benchmark, with endpoints that serve HTTP/1.1 and HTTP/3.
 type bench struct {
 	*process
 	tb            *testing.B
 	rig           *http3Rig
-	udpAddress    string
-	allowFailures bool // bookings may fail; their number is reported
+	udpAddress    string // the address on which the sidecar serves HTTP/3
+	allowFailures bool   // whether bookings may be answered with 502; their number is reported
 }
 
-// openBench starts the program that QUINCEGAP names; toEndpoints is the protocol that it uses to endpoints, more are further settings.
+// openBench starts the program that QUINCEGAP names; without that it skips the benchmark. toEndpoints is the protocol that the program uses
+// to endpoints: http1 or http3. more are further lines of its settings file.
 func openBench(b *testing.B, toEndpoints string, more ...string) *bench {
 	b.Helper()
 	program := os.Getenv("QUINCEGAP")
@@ -49,7 +50,7 @@
 		}
 		overHTTP3, err := h3.Start(endpoint.Target().Address, cert, h3.Options{MaxStreams: 1000}, answerOK)
 		if err != nil {
-			endpoint.Close() // its port is in use for UDP
+			endpoint.Close() // another program uses the port number for UDP
 			continue
 		}
 		b.Cleanup(endpoint.Close)
@@ -58,7 +59,7 @@
 	}
 	discovery := startDiscovery(b, targets...)
 	rig := &bench{tb: b, rig: clients, udpAddress: freePort(b)}
-	text := clients.text(discovery.Address(), rig.udpAddress) + "http3_connections = 1000\n"
+	text := clients.settingsFile(discovery.Address(), rig.udpAddress) + "http3_connections = 1000\n"
 	if toEndpoints == "http3" {
 		text += "[http3-endpoints]\nhttp3_to_endpoints = \"prefer\"\nhttp3_server_name = \"slot-keeper.example.org\"\n" +
 			fmt.Sprintf("http3_ca_file = %q\n", clients.put("ca.pem", string(clients.ca.PEM())))
@@ -67,7 +68,7 @@
 	return rig
 }
 
-// caller returns a caller with a connection of its own over a protocol, and how it is closed. The address is for HTTP/3.
+// caller returns a caller with a new connection over a protocol, and a function that closes the connection. HTTP/3 connects to the address.
 func (b *bench) caller(protocol, address string) (caller *process, done func()) {
 	if protocol == "http1" {
 		transport := &http.Transport{}
@@ -77,18 +78,18 @@
 	return b.over(transport, address), func() { closeNow(transport) }
 }
 
-// loadFigures are the outcomes of bookings at a rate.
+// loadFigures are the outcomes of the bookings of a measurement.
 type loadFigures struct {
 	bench                   *bench
-	rejected, failed, count atomic.Int64
+	rejected, failed, count atomic.Int64 // the numbers of rejected, failed and all bookings
 
-	mu   sync.Mutex
-	took []time.Duration // the latency of each that was served
+	mu        sync.Mutex
+	latencies []time.Duration // the latency of each booking that was served
 }
 
-// book books at a pace until a time, and records the outcomes.
+// book sends a booking per interval until end, and records the outcomes.
 func (f *loadFigures) book(caller *process, client *http.Client, interval time.Duration, end time.Time) {
-	var own []time.Duration
+	var latencies []time.Duration
 	pace := time.NewTicker(interval)
 	defer pace.Stop()
 	for time.Now().Before(end) {
@@ -100,20 +101,21 @@
 		case f.bench.allowFailures && err == nil && status == http.StatusBadGateway:
 			f.failed.Add(1)
 		case err != nil || status != http.StatusOK && status != http.StatusServiceUnavailable:
-			f.bench.tb.Errorf("a booking: status %d, %v", status, err)
+			f.bench.tb.Errorf("a booking: got status %d, error %v, want status 200 or 503", status, err)
 			return
 		case status == http.StatusOK:
-			own = append(own, time.Since(sent))
+			latencies = append(latencies, time.Since(sent))
 		default:
 			f.rejected.Add(1)
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.took = append(f.took, own...)
+	f.latencies = append(f.latencies, latencies...)
 }
 
-// load has callers book at a rate, in bookings a second, reports the metrics and returns the number of bookings.
+// load has callers book for exchangeTime at a rate, which is in bookings per second for all of them together. It reports the metrics and
+// returns the number of bookings.
 func (b *bench) load(protocol, address string, callers, rate int) (sent int64) {
 	figures := &loadFigures{bench: b}
 	var running sync.WaitGroup
@@ -125,7 +127,7 @@
 			caller, done := b.caller(protocol, address)
 			defer done()
 			client := &http.Client{}
-			_, _ = caller.book(client, "trip") // makes the connection, and is not measured
+			_, _ = caller.book(client, "trip") // opens the connection, and is not measured
 			ready <- true
 			<-begin
 			figures.book(caller, client, time.Duration(callers)*time.Second/time.Duration(rate), end)
@@ -139,9 +141,9 @@
 	close(begin)
 	running.Wait()
 	cpu = cpuSeconds(b.tb, b.cmd.Process.Pid) - cpu
-	took := figures.took
+	took := figures.latencies
 	if len(took) == 0 {
-		b.tb.Fatal("nothing was served")
+		b.tb.Fatal("no booking was served")
 	}
 	slices.Sort(took)
 	b.tb.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
--- a/cmd/quincegap/config_file_test.go
+++ b/cmd/quincegap/config_file_test.go
@@ -11,33 +11,34 @@
 	"testing"
 )
 
-// With a settings file alone, without a platform, the program serves and sends its token to discovery.
-func TestProductFileAlone(t *testing.T) {
+// With a settings file and without a platform's configuration, the program serves and sends its token to the discovery service. It does not
+// log the token.
+func TestSettingsFileAlone(t *testing.T) {
 	discovery := startSite(t, 2)
 	discovery.Token = "t0ken"
 	token := filepath.Join(t.TempDir(), "token")
 	writeFile(t, token, "t0ken\n")
 	text := fmt.Sprintf(sidecarFile, discovery.Address())
-	p := launch(t, strings.Replace(text, "[discovery]", fmt.Sprintf("[discovery]\ntoken_file = %q", token), 1))
-	if status, err := p.book(http.DefaultClient, "trip"); err != nil || status != http.StatusOK {
-		t.Errorf("status %d, %v", status, err)
+	sidecar := launch(t, strings.Replace(text, "[discovery]", fmt.Sprintf("[discovery]\ntoken_file = %q", token), 1))
+	if status, err := sidecar.book(http.DefaultClient, "trip"); err != nil || status != http.StatusOK {
+		t.Errorf("a booking: got status %d, error %v, want status 200", status, err)
 	}
-	p.signal(syscall.SIGTERM)
-	if log := p.awaitLog("stopping"); strings.Contains(log, "t0ken") {
-		t.Error("the token is in the log")
+	sidecar.signal(syscall.SIGTERM)
+	if log := sidecar.awaitLog("stopping"); strings.Contains(log, "t0ken") {
+		t.Error("the program logged its token")
 	}
-	for range p.log {
+	for range sidecar.log {
 	}
-	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+	if err := sidecar.cmd.Wait(); err != nil {
+		t.Errorf("after SIGTERM the program ended with %v, want status 0", err)
 	}
 }
 
-// A file that cannot be used ends the program with the messages of quincegapctl check, before it listens.
+// If the settings file cannot be used, the program prints the messages of quincegapctl check and exits with an error before it listens.
 func TestBadFileEndsTheProgram(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "sidecar.toml")
 	writeFile(t, file, "[sidecar]\nlisten = \"127.0.0.1\"\n[limts]\n")
-	for args, want := range map[string][]string{
+	for args, messages := range map[string][]string{
 		"-config " + file: {
 			file + `:2:10: sidecar.listen: "127.0.0.1" has no port`,
 			file + `:3:2: unknown table "limts"; did you mean "limits"?`,
@@ -49,18 +50,18 @@
 		cmd := ownProgram("", strings.Fields(args)...)
 		out, err := cmd.CombinedOutput()
 		if err == nil {
-			t.Errorf("%s: it started", args)
+			t.Errorf("arguments %s: the program ended without an error", args)
 		}
-		for _, w := range want {
-			if !strings.Contains(string(out), w) {
-				t.Errorf("%s: got\n%s\nwant %s", args, out, w)
+		for _, message := range messages {
+			if !strings.Contains(string(out), message) {
+				t.Errorf("arguments %s: got output\n%s\nwant it to contain %s", args, out, message)
 			}
 		}
 	}
 }
 
-// Beside a platform's configuration the settings file need not repeat what that has, and the platform takes precedence.
-func TestProductFileUnderAPlatform(t *testing.T) {
+// A settings file that is used with a platform's configuration need not repeat the settings there. The platform's settings have precedence.
+func TestSettingsFileWithAPlatform(t *testing.T) {
 	discovery := startSite(t, 1)
 	platform := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"a1",
@@ -69,27 +70,27 @@
 		"deadline":6000000,"effect":"idempotency_key","keyScope":"all","window":10000000,"gain":1}],
 		"tiers":["front"],"zones":["z"],"models":["m"]}}`, discovery.Address())
 	writeFile(t, platform, text)
-	p := launch(t, "[callers]\nmax_body = \"1KiB\"\n[limits]\nsockets = 99\n", "BALANCER_CONFIG="+platform)
-	if !strings.Contains(p.startLog, p.file+":4: limits.sockets is not used") {
-		t.Errorf("it logged\n%s", p.startLog)
+	sidecar := launch(t, "[callers]\nmax_body = \"1KiB\"\n[limits]\nsockets = 99\n", "BALANCER_CONFIG="+platform)
+	if !strings.Contains(sidecar.startLog, sidecar.file+":4: limits.sockets is not used") {
+		t.Errorf("the start logged\n%s\nwant a line that limits.sockets of the settings file is not used", sidecar.startLog)
 	}
-	p.writeFile("[callers]\nmax_body = \"1KiB\"\n[limits]\nsockets = 98\n") // a setting that is not used may change
-	p.signal(syscall.SIGHUP)
-	p.awaitLog("reload: discovery is " + discovery.Address())
-	if status, err := p.book(http.DefaultClient, strings.Repeat("x", 1025)); err != nil || status != http.StatusRequestEntityTooLarge {
-		t.Errorf("status %d, %v", status, err)
+	sidecar.writeFile("[callers]\nmax_body = \"1KiB\"\n[limits]\nsockets = 98\n") // a change of a setting that is not used is accepted
+	sidecar.signal(syscall.SIGHUP)
+	sidecar.awaitLog("reload: discovery is " + discovery.Address())
+	if status, err := sidecar.book(http.DefaultClient, strings.Repeat("x", 1025)); err != nil || status != http.StatusRequestEntityTooLarge {
+		t.Errorf("a body of 1,025 bytes: got status %d, error %v, want status 413", status, err)
 	}
-	if status, err := p.book(http.DefaultClient, "trip"); err != nil || status != http.StatusOK {
-		t.Errorf("status %d, %v", status, err)
+	if status, err := sidecar.book(http.DefaultClient, "trip"); err != nil || status != http.StatusOK {
+		t.Errorf("a booking: got status %d, error %v, want status 200", status, err)
 	}
 }
 
-// Under load, SIGHUP with each kind of broken file, and with files that change what must not change, loses no request and changes nothing.
-// A good file then takes effect at once.
+// Under load the program gets SIGHUP with each kind of broken settings file, and with files that change settings which must not change. It
+// loses no request and keeps its settings. A valid file then takes effect at once.
 func TestReloadUnderLoad(t *testing.T) {
 	broken, err := filepath.Glob(filepath.Join("..", "..", "internal", "tool", "testdata", "mistakes", "*.toml"))
 	if err != nil || len(broken) < 80 {
-		t.Fatalf("%d broken files, %v", len(broken), err)
+		t.Fatalf("broken settings files: found %d, error %v, want at least 80", len(broken), err)
 	}
 	discovery := startSite(t, 3)
 	good := fmt.Sprintf(sidecarFile, discovery.Address())
@@ -97,13 +98,13 @@
 
 	var served atomic.Int64
 	stop := sidecar.startCallers(4, &served)
-	checkRejected := func(what string, wants ...string) {
+	checkRejected := func(what string, messages ...string) {
 		t.Helper()
 		sidecar.signal(syscall.SIGHUP)
 		log := sidecar.awaitLog("the old configuration stays")
-		for _, want := range wants {
-			if !strings.Contains(log, want) {
-				t.Errorf("%s: logged\n%s\nwant %q", what, log, want)
+		for _, message := range messages {
+			if !strings.Contains(log, message) {
+				t.Errorf("reload of %s: logged\n%s\nwant it to contain %q", what, log, message)
 			}
 		}
 	}
@@ -124,27 +125,27 @@
 	sidecar.writeFile(strings.Replace(good, "[class.find-trip]\naim = \"2s\"\ndeadline = \"6s\"\neffect = \"safe\"\n", "", 1))
 	checkRejected("a class removed", "class.find-trip.aim has changed")
 
-	// None of these took effect: a body of 3 KiB is still accepted.
+	// No setting of these files was applied: a body of 3 KiB is still accepted.
 	if status, err := sidecar.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusOK {
-		t.Errorf("status %d, %v", status, err)
+		t.Errorf("a body of 3 KiB with the old settings: got status %d, error %v, want status 200", status, err)
 	}
-	// A good file takes effect completely: the bound, and another discovery.
+	// A valid file is applied completely: the limit of bodies, and another discovery service.
 	other := startSite(t, 2)
 	sidecar.writeFile(strings.Replace(good, discovery.Address(), other.Address(), 1) + "[callers]\nmax_body = \"2KiB\"\n")
 	sidecar.signal(syscall.SIGHUP)
 	sidecar.awaitLog("reload: discovery is " + other.Address())
 	if status, err := sidecar.book(http.DefaultClient, strings.Repeat("x", 3<<10)); err != nil || status != http.StatusRequestEntityTooLarge {
-		t.Errorf("status %d, %v", status, err)
+		t.Errorf("a body of 3 KiB with the new settings: got status %d, error %v, want status 413", status, err)
 	}
 	awaitMore(t, &served, 50)
 	stop()
 	if served.Load() == 0 {
-		t.Error("nothing was served")
+		t.Error("no booking was served")
 	}
 }
 
-// If the address to listen on is in use the program ends, and names it.
-func TestListenerTaken(t *testing.T) {
+// If the address on which to listen is in use, the program exits with an error that names the address.
+func TestListenAddressInUse(t *testing.T) {
 	taken, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -156,6 +157,6 @@
 	writeFile(t, file, text)
 	cmd := ownProgram("", "-config", file)
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), taken.Addr().String()) {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("listening on %s, which is in use: got error %v and output %s, want an error and the address", taken.Addr(), err, out)
 	}
 }
--- a/cmd/quincegap/consul_bench_test.go
+++ b/cmd/quincegap/consul_bench_test.go
@@ -14,9 +14,9 @@
 	"quincegap/internal/standin/consul"
 )
 
-// BenchmarkConsul runs a sidecar that follows Consul with 100, 1,000 and 10,000 instances, for 5 s without changes and for 5 s with
-// 10,000 changes, under load. It reports latencies, the sidecar's CPU and memory, and the number of queries to Consul. Run it with a
-// built program:
+// BenchmarkConsul runs a sidecar that follows Consul with 100, 1,000 and 10,000 instances under load, for 5 s without changes and for 5 s
+// with 10,000 changes. It reports latencies, the sidecar's CPU time and memory, and the number of queries to Consul. Run it with a built
+// program:
 //
 //	go build -o bin/ ./cmd/quincegap && QUINCEGAP=$PWD/bin/quincegap go test ./cmd/quincegap -run '^$' -bench Consul -benchtime 1x
 func BenchmarkConsul(b *testing.B) {
@@ -33,21 +33,21 @@
 	}
 }
 
-// The flood of changes: floodChanges in floodTime, in floodSteps equal steps.
+// The flood of changes: floodChanges changes of a check within floodTime, in floodSteps equal steps.
 const (
 	floodTime    = 5 * time.Second
 	floodChanges = 10000
 	floodSteps   = 100
 )
 
-// floodRun is a sidecar that follows a Consul with many instances.
+// floodRun is a run of a sidecar that follows a Consul with many instances.
 type floodRun struct {
 	b       *testing.B
 	consul  *consul.Server
 	sidecar *process
 }
 
-// measureFlood measures a sidecar with some instances, without changes and in a flood of them.
+// measureFlood measures a sidecar with some instances, without changes and during a flood of changes.
 func measureFlood(b *testing.B, program string, instances int) {
 	b.Helper()
 	// Each instance has a loopback address of its own; one server listens on all of them.
@@ -83,25 +83,25 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// floodInstances returns n instances of a server, each at an address of its own.
+// floodInstances returns n instances, each at its own address. The server listens on all of them.
 func floodInstances(b *testing.B, server *http.Server, n int) (all []consul.Instance) {
 	b.Helper()
 	for i := range n {
-		l, err := listen(fmt.Sprintf("127.77.%d.%d:0", i>>8, i&255))
+		listener, err := listen(fmt.Sprintf("127.77.%d.%d:0", i>>8, i&255))
 		if err != nil {
 			b.Fatal(err)
 		}
-		go func() { _ = server.Serve(l) }() // until the server is closed
+		go func() { _ = server.Serve(listener) }() // returns when the server is closed
 		all = append(all, consul.Instance{
 			Node: fmt.Sprintf("node-%d", i/10), ID: fmt.Sprintf("slot-keeper-%d", i), PassingWeight: 1, WarningWeight: 1,
 			Meta: map[string]string{"zone": "salt-lake", "cell": fmt.Sprint(i % 10), "model": "m"}, Tags: []string{"v2"},
 			Checks: []consul.Check{{CheckID: fmt.Sprintf("service:slot-keeper-%d", i), Name: "HTTP check", Status: "passing"}},
-		}.WithAddress(l.Addr().String()))
+		}.WithAddress(listener.Addr().String()))
 	}
 	return all
 }
 
-// measure has 8 callers book while a function runs, and reports metrics whose names begin with the given one.
+// measure has 8 callers book while a function runs, and reports metrics whose names begin with name.
 func (f *floodRun) measure(name string, during func()) {
 	b := f.b
 	b.Helper()
@@ -119,10 +119,10 @@
 	callers.Wait()
 	span := time.Since(began)
 	after, _ := f.consul.Queries()
-	took := figures.took
+	took := figures.latencies
 	slices.Sort(took)
 	if figures.failed > 0 {
-		b.Errorf("%s: %d of %d bookings were not served", name, figures.failed, len(took))
+		b.Errorf("%s: %d of %d bookings were not served, want 0", name, figures.failed, len(took))
 	}
 	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, name+"-p50-ms")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, name+"-p99-ms")
@@ -130,14 +130,14 @@
 	b.ReportMetric(float64(after-queries)*60/span.Seconds(), name+"-questions/min")
 }
 
-// floodFigures are what the callers measured.
+// floodFigures are the measurements of the callers.
 type floodFigures struct {
-	mu     sync.Mutex
-	took   []time.Duration // the latency of each booking
-	failed int             // bookings that were not served
+	mu        sync.Mutex
+	latencies []time.Duration // the latency of each booking
+	failed    int             // the number of bookings that were not served
 }
 
-// book books every 10 ms until done is closed.
+// book sends a booking every 10 ms until done is closed.
 func (f *floodFigures) book(p *process, done <-chan struct{}) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -152,7 +152,7 @@
 		sent := time.Now()
 		status, err := p.book(client, "trip")
 		f.mu.Lock()
-		f.took = append(f.took, time.Since(sent))
+		f.latencies = append(f.latencies, time.Since(sent))
 		if err != nil || status != http.StatusOK {
 			f.failed++
 		}
@@ -160,32 +160,32 @@
 	}
 }
 
-// change makes the checks of the n instances fail and pass in turn, one after the other.
+// change makes the checks of the n instances fail and pass by turns, one instance after the other.
 func (f *floodRun) change(n int) {
 	step := time.NewTicker(floodTime / floodSteps)
 	defer step.Stop()
-	for s := range floodSteps {
+	for i := range floodSteps {
 		<-step.C
 		f.consul.Update(func(all []consul.Instance) []consul.Instance {
 			for k := range floodChanges / floodSteps {
-				i := (s*floodChanges/floodSteps + k) % n
+				index := (i*floodChanges/floodSteps + k) % n
 				status := "critical"
-				if all[i].Checks[0].Status == "critical" {
+				if all[index].Checks[0].Status == "critical" {
 					status = "passing"
 				}
-				all[i].Checks = []consul.Check{{CheckID: all[i].Checks[0].CheckID, Name: "HTTP check", Status: status}}
+				all[index].Checks = []consul.Check{{CheckID: all[index].Checks[0].CheckID, Name: "HTTP check", Status: status}}
 			}
 			return all
 		})
 	}
 }
 
-// BenchmarkDrain measures, ten times a run, how long after Consul's answer with a failing check the last booking arrives at its
+// BenchmarkDrain measures, ten times per run, the time from Consul's answer with a failing check until the last booking arrives at the
 // endpoint, while callers book without pause.
 func BenchmarkDrain(b *testing.B) {
 	rig := startConsulRig(b, 4)
-	// No return is taken for flapping, which would delay it.
-	config := strings.Replace(rig.config("127.0.0.1:1", "consul"), "[membership]\n", "[membership]\nfree_returns = 100\n", 1)
+	// With this setting no return of the endpoint counts as flapping, which would delay the return.
+	config := strings.Replace(rig.settingsFile("127.0.0.1:1", "consul"), "[membership]\n", "[membership]\nfree_returns = 100\n", 1)
 	rig.startSidecar(config)
 	rig.awaitReady("box-0", "box-1", "box-2", "box-3")
 	var all []time.Duration
@@ -197,7 +197,7 @@
 		time.Sleep(200 * time.Millisecond)
 		before := rig.endpoints[1].count()
 		rig.consul.SetStatus("box-1", "passing")
-		rig.await("back", func() bool { return rig.endpoints[1].count() > before })
+		rig.await("box-1 gets bookings again", func() bool { return rig.endpoints[1].count() > before })
 	}
 	rig.stopCallers()
 	slices.Sort(all)
--- a/cmd/quincegap/consul_helpers_test.go
+++ b/cmd/quincegap/consul_helpers_test.go
@@ -15,19 +15,19 @@
 	"quincegap/internal/standin/consul"
 )
 
-// consulRig is a stand-in Consul with endpoints, a sidecar that follows it, and callers who book without pause.
+// consulRig is a stand-in for Consul, with the endpoints that it lists, a sidecar that follows it, and callers that book without pause.
 type consulRig struct {
 	tb          testing.TB
 	consul      *consul.Server
 	endpoints   []*countedEndpoint
 	sidecar     *process
 	admin       string       // the address of the sidecar's admin socket
-	served      atomic.Int64 // bookings
-	stopCallers func()       // stops the callers; each booking has to be served until then
-	stalls      *stalls
+	served      atomic.Int64 // the number of bookings that were served
+	stopCallers func()       // stops the callers; a booking that is not served before fails the test
+	stalls      *stalls      // the delays that the machine caused while callers were running
 }
 
-// consulFile is the settings file of a sidecar that follows Consul, without addresses and without the source of its endpoints.
+// consulFile is the settings file of a sidecar that follows Consul. The addresses and the source of its endpoints are filled in.
 const consulFile = sidecarFile + `
 [membership]
 source = %q
@@ -42,12 +42,12 @@
 admin_listen = %q
 `
 
-// newInstance returns an instance of the service at an endpoint.
+// newInstance returns an instance of the service with an id at the address of an endpoint.
 func newInstance(endpoint *booking.Endpoint, id string) consul.Instance {
 	return consul.Instance{Node: "n", ID: id, PassingWeight: 1, WarningWeight: 1}.WithAddress(endpoint.Target().Address)
 }
 
-// startConsulRig starts Consul with n instances. The sidecar is started by startSidecar.
+// startConsulRig starts Consul with n instances, each at an endpoint of its own. startSidecar starts the sidecar.
 func startConsulRig(tb testing.TB, n int) *consulRig {
 	tb.Helper()
 	rig := &consulRig{tb: tb, admin: "unix:" + filepath.Join(tb.TempDir(), "s"), stalls: &stalls{}}
@@ -65,12 +65,12 @@
 	return rig
 }
 
-// config returns a settings file with the address of a discovery and the source of endpoints.
-func (c *consulRig) config(discovery, source string) string {
+// settingsFile returns the text of a settings file with the address of a discovery service and the source of endpoints.
+func (c *consulRig) settingsFile(discovery, source string) string {
 	return fmt.Sprintf(consulFile, discovery, source, c.consul.Address(), c.admin)
 }
 
-// startSidecar starts the sidecar and three callers.
+// startSidecar starts the sidecar with the text of a settings file and further environment variables, and then three callers.
 func (c *consulRig) startSidecar(text string, env ...string) {
 	c.tb.Helper()
 	c.sidecar = launch(c.tb, text, env...)
@@ -94,23 +94,23 @@
 	awaitMore(c.tb, &c.served, n)
 }
 
-// await waits until a condition holds. It gives up when the test has failed elsewhere.
+// await waits until a condition holds. It stops the test after testTimeout, and at once if the test has failed already.
 func (c *consulRig) await(what string, done func() bool) {
 	c.tb.Helper()
 	for deadline := time.Now().Add(testTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if c.tb.Failed() || time.Now().After(deadline) {
-			c.tb.Fatalf("never: %s", what)
+			c.tb.Fatalf("waiting in vain until: %s", what)
 		}
 	}
 }
 
-// awaitReady waits until just these endpoints are ready as the sidecar sees it, in the order of their ids.
+// awaitReady waits until the sidecar reports just these endpoints as ready. Their ids have to be in order.
 func (c *consulRig) awaitReady(ids ...string) {
 	c.tb.Helper()
-	c.await(fmt.Sprint("ready ", ids), func() bool { return slices.Equal(c.ready(), ids) })
+	c.await(fmt.Sprint("the ready endpoints are ", ids), func() bool { return slices.Equal(c.ready(), ids) })
 }
 
-// ready returns the ids of the endpoints that are ready as the sidecar sees it; none if it does not answer.
+// ready returns the ids of the endpoints that the sidecar reports as ready; none if it does not answer.
 func (c *consulRig) ready() (ready []string) {
 	members, err := admin.AskMembers(c.tb.Context(), c.admin)
 	if err != nil {
@@ -124,22 +124,24 @@
 	return ready
 }
 
-// checkDrained checks that no booking arrived at an endpoint later than 250 ms after Consul's answer with an index.
+// checkDrained checks that no booking arrived at an endpoint more than 250 ms after Consul's answer with an index, to which the longest
+// stall of the machine is added.
 func (c *consulRig) checkDrained(endpoint *countedEndpoint, index uint64) {
 	c.tb.Helper()
 	answered := c.awaitAnswer(index)
-	// A booking that is sent too late arrives within this time.
+	// A booking that the sidecar sends too late arrives within this time.
 	time.Sleep(time.Until(answered.Add(400 * time.Millisecond)))
 	c.awaitServed(50)
 	if delay := endpoint.lastArrival().Sub(answered); delay > 250*time.Millisecond+c.stalls.longest() {
-		c.tb.Errorf("%s got a booking %v after Consul's answer (the machine stalled for %v)", endpoint.Name, delay, c.stalls.longest())
+		c.tb.Errorf("%s got a booking %v after Consul's answer, want at most 250ms plus the longest stall of the machine, %v",
+			endpoint.Name, delay, c.stalls.longest())
 	}
 }
 
-// awaitAnswer waits until Consul has answered with an index, and returns when it did.
+// awaitAnswer waits until Consul has answered with an index, and returns the time of the answer.
 func (c *consulRig) awaitAnswer(index uint64) (answered time.Time) {
 	c.tb.Helper()
-	c.await("the answer with the index", func() (ok bool) {
+	c.await("Consul answers with the index", func() (ok bool) {
 		answered, ok = c.consul.AnsweredAt(index)
 		return ok
 	})
@@ -156,13 +158,13 @@
 	return all
 }
 
-// stalls measures for how long the machine delays a goroutine that only sleeps: such delays are no fault of the sidecar's.
+// stalls measures for how long the machine delays a goroutine that only sleeps. Such delays are not the sidecar's fault.
 type stalls struct {
-	mu   sync.Mutex
-	most time.Duration
+	mu           sync.Mutex
+	longestSoFar time.Duration // the longest delay so far
 }
 
-// run measures until done is closed.
+// run measures delays until done is closed.
 func (s *stalls) run(done <-chan struct{}) {
 	const interval = 5 * time.Millisecond
 	for {
@@ -173,7 +175,7 @@
 		case <-time.After(interval):
 		}
 		s.mu.Lock()
-		s.most = max(s.most, time.Since(before)-interval)
+		s.longestSoFar = max(s.longestSoFar, time.Since(before)-interval)
 		s.mu.Unlock()
 	}
 }
@@ -182,5 +184,5 @@
 func (s *stalls) longest() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.longestSoFar
 }
--- a/cmd/quincegap/consul_restart_test.go
+++ b/cmd/quincegap/consul_restart_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/standin/consul"
 )
 
-// The sidecar is killed and starts again while Consul is faulty, and serves as soon as Consul recovers.
+// The sidecar is killed and starts again while Consul has a fault. It serves as soon as Consul recovers.
 func TestConsulRestartDuringFault(t *testing.T) {
 	for name, fault := range map[string]consul.Fault{
 		"500":       {Status: 500},
@@ -24,14 +24,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rig := startConsulRig(t, 4)
-			rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+			rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 			rig.awaitServed(50)
 			rig.stopCallers()
 			rig.sidecar.kill()
 			rig.consul.SetFault(fault)
 			recovery := time.AfterFunc(300*time.Millisecond, func() { rig.consul.SetFault(consul.Fault{}) })
 			defer recovery.Stop()
-			rig.startSidecar(rig.config("127.0.0.1:1", "consul")) // waits until it is ready
+			rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul")) // returns when the sidecar is ready
 			rig.awaitServed(50)
 			rig.awaitReady("box-0", "box-1", "box-2", "box-3")
 			rig.stopCallers()
@@ -42,12 +42,13 @@
 // restartCase is a state of Consul and the platform in which a sidecar starts.
 type restartCase struct {
 	name, source string
-	// change makes the state from the one in which each check passes.
+	// change returns Consul's instances in this state, from those of the state in which each check passes.
 	change   func(rig *consulRig, all []consul.Instance) []consul.Instance
-	platform []string // the ids that the platform lists; nil for no discovery
-	want     []string // the ids that are ready
+	platform []string // the ids that the platform lists; nil for no discovery service
+	want     []string // the ids of the endpoints that have to be ready
 }
 
+// restartCases are the cases of TestConsulRestartKeepsTheView.
 var restartCases = []restartCase{
 	{
 		name:   "two at one address",
@@ -96,37 +97,38 @@
 	},
 }
 
-// firstCritical makes the check of the first instance fail.
+// firstCritical makes the check of the first instance, box-0, fail.
 func firstCritical(_ *consulRig, all []consul.Instance) []consul.Instance {
 	return withStatus(all, "box-0", "critical")
 }
 
-// A sidecar that is killed and starts again comes to the same view as before, whatever Consul and the platform list.
-func TestConsulRestartAmidst(t *testing.T) {
-	for _, tc := range restartCases {
-		t.Run(tc.name, func(t *testing.T) {
+// A sidecar that is killed and starts again has the same view of the endpoints as before, whatever Consul and the platform list.
+func TestConsulRestartKeepsTheView(t *testing.T) {
+	for _, testCase := range restartCases {
+		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
 			rig := startConsulRig(t, 3)
-			discovery := tc.discovery(t, rig)
-			rig.startSidecar(rig.config(discovery, tc.source))
+			discovery := testCase.discovery(t, rig)
+			rig.startSidecar(rig.settingsFile(discovery, testCase.source))
 			rig.awaitServed(30)
-			rig.consul.Update(func(all []consul.Instance) []consul.Instance { return tc.change(rig, all) })
-			rig.awaitReady(tc.want...)
+			rig.consul.Update(func(all []consul.Instance) []consul.Instance { return testCase.change(rig, all) })
+			rig.awaitReady(testCase.want...)
 			rig.awaitServed(30)
 			for range 2 {
 				rig.stopCallers()
 				rig.sidecar.kill()
-				rig.startSidecar(rig.config(discovery, tc.source))
-				rig.awaitReady(tc.want...)
+				rig.startSidecar(rig.settingsFile(discovery, testCase.source))
+				rig.awaitReady(testCase.want...)
 				rig.awaitServed(30)
 			}
-			tc.checkIdle(t, rig)
+			testCase.checkUnreadyUnused(t, rig)
 			rig.stopCallers()
 		})
 	}
 }
 
-// discovery returns the address of a discovery that lists the endpoints of platform; one at which nothing listens if that is nil.
+// discovery returns the address of a discovery service that lists the endpoints of platform. If platform is nil it returns an address on
+// which nothing listens.
 func (c *restartCase) discovery(t *testing.T, rig *consulRig) (address string) {
 	t.Helper()
 	if c.platform == nil {
@@ -141,8 +143,8 @@
 	return startDiscovery(t, targets...).Address()
 }
 
-// checkIdle checks that the sidecar, though it has just started, sends nothing to endpoints that are not ready.
-func (c *restartCase) checkIdle(t *testing.T, rig *consulRig) {
+// checkUnreadyUnused checks that the sidecar, which has just started, sends no bookings to endpoints that are not ready.
+func (c *restartCase) checkUnreadyUnused(t *testing.T, rig *consulRig) {
 	t.Helper()
 	var before []int
 	for _, endpoint := range rig.endpoints {
@@ -150,18 +152,19 @@
 	}
 	rig.awaitServed(50)
 	for i, endpoint := range rig.endpoints {
-		ready := slices.Contains(c.want, endpoint.Name) || i == 0 && slices.Contains(c.want, "again") // which is at the first one's address
+		ready := slices.Contains(c.want, endpoint.Name) || i == 0 && slices.Contains(c.want, "again") // again is at the address of box-0
 		if got := endpoint.count() - before[i]; got > 0 && !ready {
-			t.Errorf("%s got %d bookings", endpoint.Name, got)
+			t.Errorf("%s, which is not ready, got %d bookings, want 0", endpoint.Name, got)
 		}
 	}
 }
 
-// The sidecar is killed and starts again while a check flaps and two instances swap their addresses.
+// The sidecar is killed and starts again while a check flaps and two instances swap their addresses. It loses no booking, and follows
+// Consul afterwards.
 func TestConsulRestartDuringChanges(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 4)
-	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -182,7 +185,7 @@
 		rig.awaitServed(50)
 		rig.stopCallers()
 		rig.sidecar.kill()
-		rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+		rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	}
 	rig.awaitServed(50)
 	close(stop)
--- a/cmd/quincegap/consul_sources_test.go
+++ b/cmd/quincegap/consul_sources_test.go
@@ -12,7 +12,8 @@
 	"quincegap/internal/standin/consul"
 )
 
-// Consul cannot be reached at the start: the sidecar uses the platform's last known list until Consul answers.
+// Consul cannot be reached when the sidecar starts. The sidecar uses the last known list from the platform's configuration
+// until Consul answers.
 func TestConsulUnreachableFromTheStart(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 3)
@@ -28,7 +29,7 @@
 		"aim":1000000,"deadline":6000000,"effect":"idempotency_key","keyScope":"all","window":10000000,"gain":1}],"tiers":["front"],
 		"zones":["z"],"models":["m"]}}`, target.Address)
 	writeFile(t, platform, text)
-	overlay := rig.config("127.0.0.1:1", "consul")
+	overlay := rig.settingsFile("127.0.0.1:1", "consul")
 	_, sources, _ := strings.Cut(overlay, "[membership]")
 	rig.startSidecar("[membership]"+sources, "BALANCER_CONFIG="+platform)
 	rig.awaitServed(100)
@@ -39,7 +40,7 @@
 	rig.stopCallers()
 }
 
-// With an overlay an endpoint is out of service if Consul or the platform says so.
+// With source "overlay" an endpoint is out of service if either Consul or the platform says so.
 func TestConsulOverlay(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 4)
@@ -48,7 +49,7 @@
 		targets = append(targets, endpoint.Target())
 	}
 	discovery := startDiscovery(t, targets...)
-	rig.startSidecar(rig.config(discovery.Address(), "overlay"))
+	rig.startSidecar(rig.settingsFile(discovery.Address(), "overlay"))
 	rig.awaitReady("box-0", "box-1", "box-2", "box-3")
 	rig.checkDrained(rig.endpoints[0], rig.consul.SetStatus("box-0", "critical"))
 	targets[1].State = "Terminating" // while its check passes in Consul
@@ -57,28 +58,28 @@
 	targets[2].State = "Gone"
 	discovery.Set(targets[2])
 	rig.awaitReady("box-3")
-	rig.consul.Update(func([]consul.Instance) []consul.Instance { return nil }) // an empty list changes nothing
+	rig.consul.Update(func([]consul.Instance) []consul.Instance { return nil }) // an empty list is ignored
 	rig.consul.SetFault(consul.Fault{Refuse: true})
 	rig.awaitServed(100)
 	rig.stopCallers()
 }
 
-// In a rehearsal the sidecar uses the platform's list and logs the differences to Consul's.
+// With source "rehearsal" the sidecar uses the platform's list, and logs where Consul's list differs from it.
 func TestConsulRehearsal(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 3)
 	discovery := startDiscovery(t, rig.endpoints[0].Target(), rig.endpoints[1].Target())
-	rig.startSidecar(rig.config(discovery.Address(), "rehearsal"))
+	rig.startSidecar(rig.settingsFile(discovery.Address(), "rehearsal"))
 	rig.awaitReady("box-0", "box-1")
 	rig.sidecar.awaitLog("rehearsal: box-2: only consul lists it")
 	rig.consul.SetStatus("box-0", "critical")
 	rig.sidecar.awaitLog("rehearsal: box-0: the platform has it ready, consul draining")
 	before := rig.endpoints[0].count()
-	rig.await("box-0 is still used", func() bool { return rig.endpoints[0].count() > before+20 })
+	rig.await("box-0 gets more bookings", func() bool { return rig.endpoints[0].count() > before+20 })
 	rig.stopCallers()
 }
 
-// SIGHUP changes the source, the service and the agents under load.
+// SIGHUP changes the source, the service and the agents while callers book. No booking is lost.
 func TestConsulReload(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 3)
@@ -88,7 +89,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(other.Close)
-	text := rig.config(discovery.Address(), "platform")
+	text := rig.settingsFile(discovery.Address(), "platform")
 	rig.startSidecar(text)
 	reload := func(before, after string) {
 		t.Helper()
@@ -114,7 +115,7 @@
 		return append(all, next)
 	})
 	reload(`service = "slot-keeper"`, `service = "slot-keeper-v2"`)
-	rig.awaitReady("third") // the old ones go at once: the catalogue does not list them either
+	rig.awaitReady("third") // the old endpoints are removed at once: the catalogue does not list them either
 	rig.awaitServed(50)
 	reload(`"consul"`, `"overlay"`)
 	rig.awaitReady("box-0", "box-1")
@@ -124,9 +125,9 @@
 	rig.awaitReady("box-0", "box-1")
 	health, _ := other.Queries()
 	rig.awaitServed(50)
-	time.Sleep(1500 * time.Millisecond) // longer than a query blocks
+	time.Sleep(1500 * time.Millisecond) // longer than a query blocks (wait = "1s")
 	if again, _ := other.Queries(); again > health+1 {
-		t.Error("consul is queried though its answers are not used")
+		t.Errorf("Consul got %d queries, %d before, though its answers are not used", again, health)
 	}
 	rig.stopCallers()
 }
--- a/cmd/quincegap/consul_test.go
+++ b/cmd/quincegap/consul_test.go
@@ -11,11 +11,12 @@
 	"quincegap/internal/standin/consul"
 )
 
-// Checks fail, an instance goes into maintenance, one is deregistered, and a check passes again.
+// A check fails, one instance goes into maintenance and another is deregistered: each endpoint is drained. It is used again when its check
+// passes.
 func TestConsulCheckFails(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 4)
-	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	rig.awaitReady("box-0", "box-1", "box-2", "box-3")
 	rig.awaitServed(100)
 	index := rig.consul.SetStatus("box-1", "critical")
@@ -36,8 +37,8 @@
 	rig.stopCallers()
 }
 
-// Consul fails for a while, in each way: the sidecar continues with the last good list, and follows Consul again afterwards.
-func TestConsulVanishes(t *testing.T) {
+// Consul has a fault of each kind for a while. The sidecar continues with the last valid list, and follows Consul again afterwards.
+func TestConsulFaults(t *testing.T) {
 	for name, fault := range map[string]consul.Fault{
 		"refuses":               {Refuse: true},
 		"hangs":                 {Hang: true},
@@ -56,7 +57,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rig := startConsulRig(t, 6)
-			rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+			rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 			all := []string{"box-0", "box-1", "box-2", "box-3", "box-4", "box-5"}
 			rig.awaitReady(all...)
 			rig.awaitServed(50)
@@ -66,7 +67,7 @@
 				rig.awaitServed(20)
 			}
 			if got := rig.ready(); !slices.Equal(got, all) {
-				t.Errorf("ready are %v", got)
+				t.Errorf("during the fault the ready endpoints are %v, want %v", got, all)
 			}
 			rig.consul.SetFault(consul.Fault{})
 			rig.awaitReady(all...)
@@ -77,14 +78,14 @@
 	}
 }
 
-// All checks fail at once, which the sidecar does not believe until one of them passes.
+// The checks of all instances fail at once. The sidecar does not accept this as valid until one of them passes.
 func TestConsulAllCritical(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 3)
-	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	rig.awaitReady("box-0", "box-1", "box-2")
 	rig.consul.Update(func(all []consul.Instance) []consul.Instance { return withStatus(all, "", "critical") })
-	rig.await("the admin view gives the reason", func() bool {
+	rig.await("the admin view gives the reason for the endpoint's state", func() bool {
 		members, err := admin.AskMembers(t.Context(), rig.admin)
 		return err == nil && len(members.Endpoints) == 3 && strings.Contains(members.Endpoints[0].Why, "not believed")
 	})
@@ -94,11 +95,11 @@
 	rig.stopCallers()
 }
 
-// A check flaps: its endpoint stays out of service for a while after it passes.
+// A check flaps. Its endpoint stays out of service for a while after the check passes.
 func TestConsulFlaps(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 3)
-	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	rig.awaitReady("box-0", "box-1", "box-2")
 	var index uint64
 	for i := range 15 {
@@ -109,17 +110,17 @@
 	rig.consul.SetStatus("box-1", "passing")
 	rig.awaitServed(50)
 	if got := rig.ready(); len(got) != 2 {
-		t.Errorf("a flapping check is believed at once: %v", got)
+		t.Errorf("right after a flapping check passes the ready endpoints are %v, want two", got)
 	}
 	rig.stopCallers()
 }
 
-// All instances restart: each is critical and then passes at another one's address, under its own id. The endpoints themselves never
-// stop, so that each booking has to be served.
+// All instances restart: each becomes critical, and then passes with its own id at the address of another one. The endpoints themselves
+// never stop, so that each booking has to be served.
 func TestConsulWholeFleetRestarts(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 6)
-	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	rig.awaitReady("box-0", "box-1", "box-2", "box-3", "box-4", "box-5")
 	for i := range 6 {
 		rig.consul.SetStatus(fmt.Sprintf("box-%d", i), "critical")
@@ -127,8 +128,8 @@
 	}
 	for i := range 6 {
 		rig.consul.Update(func(all []consul.Instance) []consul.Instance {
-			n := slices.IndexFunc(all, func(x consul.Instance) bool { return x.ID == fmt.Sprintf("box-%d", i) })
-			all[n] = newInstance(rig.endpoints[(i+1)%6].Endpoint, all[n].ID)
+			index := slices.IndexFunc(all, func(instance consul.Instance) bool { return instance.ID == fmt.Sprintf("box-%d", i) })
+			all[index] = newInstance(rig.endpoints[(i+1)%6].Endpoint, all[index].ID)
 			return all
 		})
 		time.Sleep(30 * time.Millisecond)
@@ -140,18 +141,18 @@
 	}
 	for i, endpoint := range members.Endpoints {
 		if endpoint.Address != rig.endpoints[(i+1)%6].Target().Address {
-			t.Errorf("%s is at %s", endpoint.UID, endpoint.Address)
+			t.Errorf("%s is at %s, want %s", endpoint.UID, endpoint.Address, rig.endpoints[(i+1)%6].Target().Address)
 		}
 	}
 	rig.awaitServed(100)
 	rig.stopCallers()
 }
 
-// Two instances have one address, and one moves to another address.
+// Two instances have the same address. Another instance moves to a new address, and its old address is drained.
 func TestConsulOneAddressTwice(t *testing.T) {
 	t.Parallel()
 	rig := startConsulRig(t, 2)
-	rig.startSidecar(rig.config("127.0.0.1:1", "consul"))
+	rig.startSidecar(rig.settingsFile("127.0.0.1:1", "consul"))
 	rig.awaitReady("box-0", "box-1")
 	rig.consul.Update(func(all []consul.Instance) []consul.Instance {
 		return append(all, newInstance(rig.endpoints[0].Endpoint, "again"))
@@ -159,14 +160,14 @@
 	rig.awaitReady("again", "box-1")
 	third := startCountedEndpoint(t, "third")
 	before := rig.endpoints[1].count()
-	index := rig.consul.Update(func(all []consul.Instance) []consul.Instance { // box-1 moves
+	index := rig.consul.Update(func(all []consul.Instance) []consul.Instance { // box-1 moves to a new address
 		all[1] = newInstance(third.Endpoint, "box-1")
 		return all
 	})
 	rig.checkDrained(rig.endpoints[1], index)
 	rig.await("the new address is used", func() bool { return third.count() > 0 })
 	if before == 0 {
-		t.Error("box-1 was never used")
+		t.Error("box-1 got no booking before it moved")
 	}
 	rig.stopCallers()
 }
--- a/cmd/quincegap/crowd_bench_test.go
+++ b/cmd/quincegap/crowd_bench_test.go
@@ -15,12 +15,12 @@
 	"quincegap/internal/standin/booking"
 )
 
-// crowdTime is the length of a run.
+// crowdTime is the length of a measurement.
 const crowdTime = 3 * time.Second
 
-// beProxy runs what BenchmarkCrowd compares quincegap with: net/http's reverse proxy over the endpoints that BE_PROXY names, round robin.
-// It prints its address in one line.
-func beProxy() {
+// runReverseProxy is the program with which BenchmarkCrowd compares quincegap: net/http's reverse proxy, which sends requests round robin
+// to the endpoints that BE_PROXY names, separated by commas. It prints its address in one line.
+func runReverseProxy() {
 	var next atomic.Uint64
 	hosts := strings.Split(os.Getenv("BE_PROXY"), ",")
 	transport := &http.Transport{MaxIdleConnsPerHost: 256}
@@ -46,9 +46,9 @@
 	os.Exit(1)
 }
 
-// BenchmarkCrowd has callers book in step: each sends its next booking when all have their responses. The endpoints respond at once. It
-// counts the bookings that are rejected, with the program that QUINCEGAP names and with net/http's reverse proxy, each on one core. A run
-// takes crowdTime whatever b.N is.
+// BenchmarkCrowd measures callers that book in step: each sends its next booking when all callers have their responses. The endpoints
+// respond at once. It counts the rejected bookings, with the program that QUINCEGAP names and with net/http's reverse proxy, each on one
+// core. A run takes crowdTime, whatever b.N is.
 func BenchmarkCrowd(b *testing.B) {
 	if os.Getenv("CROWD") == "" {
 		b.Skip("CROWD is not set")
@@ -71,7 +71,7 @@
 	}
 }
 
-// startProxy runs net/http's reverse proxy over endpoints, on one core; see beProxy.
+// startProxy runs net/http's reverse proxy over endpoints, on one core; see runReverseProxy.
 func startProxy(b *testing.B, targets []booking.Target) *process {
 	b.Helper()
 	var hosts []string
@@ -96,12 +96,12 @@
 	return proxy
 }
 
-// crowdFigures counts bookings by their outcome.
+// crowdFigures counts the bookings of a measurement by their outcome.
 type crowdFigures struct {
 	rejected, served, failed atomic.Int64
 }
 
-// book books once for each step, on a connection of its own, and reports each booking on done.
+// book sends a booking for each step, on its own connection, and reports each outcome on done.
 func (f *crowdFigures) book(b *testing.B, p *process, step <-chan struct{}, done chan<- struct{}) {
 	b.Helper()
 	transport := &http.Transport{}
@@ -116,40 +116,40 @@
 			f.rejected.Add(1)
 		default:
 			if f.failed.Add(1) == 1 {
-				b.Logf("failed: status %d, %v", status, err)
+				b.Logf("the first booking that failed: got status %d, error %v", status, err)
 			}
 		}
 		done <- struct{}{}
 	}
 }
 
-// measureCrowd has callers book in step for crowdTime, each on a connection of its own, and reports the metrics.
+// measureCrowd has callers book in step for crowdTime, each on its own connection, and reports the metrics.
 func measureCrowd(b *testing.B, target *process, callers int) {
 	b.Helper()
 	var figures crowdFigures
 	var running sync.WaitGroup
-	step := make([]chan struct{}, callers)
+	steps := make([]chan struct{}, callers)
 	done := make(chan struct{}, callers)
-	for i := range step {
-		step[i] = make(chan struct{}, 1)
-		running.Go(func() { figures.book(b, target, step[i], done) })
+	for i := range steps {
+		steps[i] = make(chan struct{}, 1)
+		running.Go(func() { figures.book(b, target, steps[i], done) })
 	}
 	before := cpuSeconds(b, target.cmd.Process.Pid)
 	for end := time.Now().Add(crowdTime); time.Now().Before(end); {
-		for _, s := range step {
-			s <- struct{}{}
+		for _, step := range steps {
+			step <- struct{}{}
 		}
-		for range step {
+		for range steps {
 			<-done
 		}
 	}
 	cpu := cpuSeconds(b, target.cmd.Process.Pid) - before
-	for _, s := range step {
-		close(s)
+	for _, step := range steps {
+		close(step)
 	}
 	running.Wait()
 	if figures.served.Load() == 0 {
-		b.Fatal("nothing was served")
+		b.Fatal("no booking was served")
 	}
 	b.ReportMetric(float64(figures.rejected.Load()), "refused")
 	b.ReportMetric(float64(figures.failed.Load()), "failed")
--- a/cmd/quincegap/endpoint_helpers_test.go
+++ b/cmd/quincegap/endpoint_helpers_test.go
@@ -11,13 +11,13 @@
 	"quincegap/internal/standin/booking"
 )
 
-// countedEndpoint is an endpoint that counts its bookings.
+// countedEndpoint is an endpoint that counts the bookings that it gets.
 type countedEndpoint struct {
 	*booking.Endpoint
 
 	mu       sync.Mutex
-	bookings int
-	last     time.Time // the arrival of the last booking
+	bookings int       // the number of bookings so far
+	last     time.Time // the time at which the last booking arrived
 }
 
 // startCountedEndpoint starts an endpoint that serves each booking.
@@ -40,14 +40,14 @@
 	return endpoint
 }
 
-// count returns the number of bookings so far.
+// count returns the number of bookings that have arrived so far.
 func (c *countedEndpoint) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bookings
 }
 
-// lastArrival returns when the last booking arrived.
+// lastArrival returns the time at which the last booking arrived.
 func (c *countedEndpoint) lastArrival() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	write(w, "ok")
 }
 
-// countingOK returns a handler that serves each request and counts them.
+// countingOK returns a handler that serves each request and counts them in n.
 func countingOK(n *atomic.Int64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n.Add(1)
@@ -68,7 +68,8 @@
 	}
 }
 
-// startTargets starts n endpoints with the handler that is given for each; a nil handler serves each request.
+// startTargets starts n endpoints, each with the handler that the function returns for its index. An endpoint with a nil handler serves
+// each request.
 func startTargets(tb testing.TB, n int, handler func(i int) http.HandlerFunc) (targets []booking.Target) {
 	tb.Helper()
 	for i := range n {
@@ -82,67 +83,70 @@
 	return targets
 }
 
-// defaultHandler is a handler for startTargets: the endpoint's own, which serves each request.
+// defaultHandler is an argument for startTargets with which endpoints use their default handler, which serves each request.
 func defaultHandler(int) http.HandlerFunc { return nil }
 
-// startSite starts n endpoints and a discovery that lists them.
+// startSite starts n endpoints, and a discovery service that lists them.
 func startSite(tb testing.TB, n int) *booking.Discovery {
 	tb.Helper()
 	return startDiscovery(tb, startTargets(tb, n, defaultHandler)...)
 }
 
-// startDiscovery starts a discovery that lists some endpoints.
+// startDiscovery starts a discovery service that lists the given endpoints.
 func startDiscovery(tb testing.TB, targets ...booking.Target) *booking.Discovery {
 	tb.Helper()
-	d, err := booking.StartDiscovery("", targets...)
+	discovery, err := booking.StartDiscovery("", targets...)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(d.Close)
-	return d
+	tb.Cleanup(discovery.Close)
+	return discovery
 }
 
-// ledger records which effects requests had at the endpoints of several cells. A cell executes a request with a key once, and answers
-// its repeats without executing them; a request without a key is executed each time that it arrives.
+// ledger records how often the endpoints of several cells executed each request. A cell executes a request with a key once, and answers
+// repeats of it without executing them. A request without a key is executed each time that it arrives.
 type ledger struct {
-	mu   sync.Mutex
-	seen map[string]bool // by cell and key
-	runs map[string]int  // executions, by key, or by the id of a request without one
+	mu           sync.Mutex
+	executedKeys map[string]bool // whether a request with a key has been executed, by cell and key
+	executions   map[string]int  // the number of executions, by key, or by the id of a request without a key
 }
 
-func newLedger() *ledger { return &ledger{seen: map[string]bool{}, runs: map[string]int{}} }
+// newLedger returns a ledger without executions.
+func newLedger() *ledger {
+	return &ledger{executedKeys: map[string]bool{}, executions: map[string]int{}}
+}
 
-// serve returns the handler of an endpoint in a cell.
+// serve returns the handler of an endpoint in a cell, which records in the ledger.
 func (l *ledger) serve(cell int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		drain(r.Body)
 		key := r.Header.Get("Idempotency-Key")
 		l.mu.Lock()
 		if key == "" {
-			l.runs[r.Header.Get("X-Txn")]++
-		} else if id := fmt.Sprint(cell, key); !l.seen[id] {
-			l.seen[id] = true
-			l.runs[key]++
+			l.executions[r.Header.Get("X-Txn")]++
+		} else if id := fmt.Sprint(cell, key); !l.executedKeys[id] {
+			l.executedKeys[id] = true
+			l.executions[key]++
 		}
 		l.mu.Unlock()
-		time.Sleep(5 * time.Millisecond) // the work, during which sidecars die
+		time.Sleep(5 * time.Millisecond) // the time of the work, during which tests kill sidecars
 		write(w, "ok")
 	}
 }
 
-// duplicates returns how many effects happened more than once, and how many happened at all.
+// duplicates returns the number of requests that were executed more than once, and of all that were executed.
 func (l *ledger) duplicates() (duplicates, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, n := range l.runs {
+	for _, n := range l.executions {
 		if n > 1 {
 			duplicates++
 		}
 	}
-	return duplicates, len(l.runs)
+	return duplicates, len(l.executions)
 }
 
-// startCells starts n cells of some endpoints each, which record in a ledger.
+// startCells starts n cells of size endpoints each, which record in a ledger.
 func startCells(tb testing.TB, l *ledger, n, size int) []booking.Target {
 	tb.Helper()
 	targets := startTargets(tb, n*size, func(i int) http.HandlerFunc { return l.serve(i / size) })
--- a/cmd/quincegap/exchange_bench_test.go
+++ b/cmd/quincegap/exchange_bench_test.go
@@ -17,8 +17,8 @@
 	"quincegap/internal/standin/udp"
 )
 
-// BenchmarkExchange measures the CPU time and latency of a booking on one core, by the protocols on both sides and by the number of callers
-// who share a fixed rate. A run takes exchangeTime whatever b.N is.
+// BenchmarkExchange measures the CPU time and latency of a booking on one core, by the protocols to callers and to endpoints and by the
+// number of callers that share a fixed rate. A run takes exchangeTime, whatever b.N is.
 func BenchmarkExchange(b *testing.B) {
 	for _, protocols := range [][2]string{{"http1", "http1"}, {"http3", "http1"}, {"http1", "http3"}, {"http3", "http3"}} {
 		for _, callers := range []int{32, 256} {
@@ -31,7 +31,7 @@
 }
 
 // BenchmarkRemembering measures how much longer a booking takes if it is stored before it is forwarded. STORE_DIR names a directory on the
-// disk to measure.
+// disk that is measured.
 func BenchmarkRemembering(b *testing.B) {
 	for _, callers := range []int{1, 32, 256} {
 		for _, how := range []string{"without", "with"} {
@@ -72,7 +72,7 @@
 	}
 }
 
-// sendSafe sends a safe request on a connection of its own.
+// sendSafe sends a safe request. It fails if the status is not 200 or the body of the response is incomplete.
 func sendSafe(rt http.RoundTripper, method, url string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -89,16 +89,16 @@
 	}
 	defer closeNow(response.Body)
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return fmt.Errorf("status %d: %w", response.StatusCode, err)
+		return fmt.Errorf("read response with status %d: %w", response.StatusCode, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", response.StatusCode)
+		return fmt.Errorf("%s request: got status %d, want 200", method, response.StatusCode)
 	}
 	return nil
 }
 
-// BenchmarkHandshake measures a new connection with one safe request, with a delay of 5 ms each way: the sidecar's CPU time, and the time
-// until the response.
+// BenchmarkHandshake measures the sidecar's CPU time and the time until the response for a new connection with one safe request, with a
+// delay of 5 ms each way.
 func BenchmarkHandshake(b *testing.B) {
 	for _, kind := range []string{"http1", "full", "resumed", "0-RTT"} {
 		b.Run(kind, func(b *testing.B) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// handshakes makes connections of a kind, one after the other, and reports the metrics.
+// handshakes makes 300 connections of a kind, one after the other, and reports the metrics.
 func (b *bench) handshakes(kind, address string) {
 	b.tb.Helper()
 	const n = 300
@@ -124,7 +124,7 @@
 		if err := sendSafe(first, http.MethodGet, "https://"+address); err != nil {
 			b.tb.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // until the ticket has arrived
+		time.Sleep(50 * time.Millisecond) // enough for the session ticket to arrive
 		closeNow(first)
 	}
 	var took []time.Duration
@@ -137,7 +137,7 @@
 		}
 		took = append(took, time.Since(sent))
 		if kind == "resumed" || kind == "0-RTT" {
-			time.Sleep(15 * time.Millisecond) // until the next ticket has arrived
+			time.Sleep(15 * time.Millisecond) // enough for the next session ticket to arrive
 		}
 		done()
 	}
@@ -148,7 +148,7 @@
 	b.tb.ReportMetric(0, "ns/op")
 }
 
-// handshake returns a caller of a kind that is not connected yet, how it is closed, and the method and the URL of its request.
+// handshake returns a caller of a kind that is not connected yet, a function that closes it, and the method and the URL of its request.
 func (b *bench) handshake(kind, address string, cache tls.ClientSessionCache) (rt http.RoundTripper, done func(), method, url string) {
 	if kind == "http1" {
 		transport := &http.Transport{}
@@ -165,7 +165,7 @@
 	return transport, func() { closeNow(transport) }, method, "https://" + address
 }
 
-// BenchmarkIdle measures the memory that an idle connection from a caller takes.
+// BenchmarkIdle measures the sidecar's memory for an idle connection from a caller.
 func BenchmarkIdle(b *testing.B) {
 	const n = 200
 	for _, front := range []string{"http1", "http3"} {
@@ -183,11 +183,11 @@
 						t.QUICConfig = &quic.Config{MaxIdleTimeout: time.Minute}
 					}
 					if status, err := caller.book(client, "trip"); err != nil || status != http.StatusOK {
-						b.Fatal(status, err)
+						b.Fatalf("a booking on a new connection: got status %d, error %v, want status 200", status, err)
 					}
 				}
 			}
-			connect(50) // allocates what all connections share
+			connect(50) // makes the sidecar allocate what all connections share
 			before := memory()
 			connect(n)
 			b.ReportMetric((memory()-before)/n, "KiB/connection")
--- a/cmd/quincegap/helpers_test.go
+++ b/cmd/quincegap/helpers_test.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// testTimeout bounds each wait for something that has to happen: far above what it takes, also on a busy machine.
+// testTimeout limits each wait for something that has to happen. It is far longer than such a wait takes, also on a busy machine.
 const testTimeout = 30 * time.Second
 
-// get requests a URL and returns the status and the headers of the response. Its body is ignored.
+// get requests a URL and returns the status and the headers of the response. It ignores the body.
 func get(client *http.Client, url string) (status int, header http.Header, err error) {
-	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	res, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer closeNow(res.Body)
-	return res.StatusCode, res.Header, nil
+	defer closeNow(response.Body)
+	return response.StatusCode, response.Header, nil
 }
 
-// awaitReady waits until a sidecar reports that it is ready. It polls the sidecar at the given interval.
+// awaitReady polls a sidecar at the given interval until it reports that it is ready. It fails the test after testTimeout.
 func awaitReady(tb testing.TB, client *http.Client, url string, interval time.Duration) {
 	tb.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(interval) {
@@ -36,18 +36,18 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			tb.Fatal("never ready")
+			tb.Fatalf("the sidecar at %s was not ready within %v", url, testTimeout)
 		}
 	}
 }
 
-// listen opens a TCP listener.
+// listen opens a TCP listener on an address.
 func listen(address string) (net.Listener, error) {
-	var open net.ListenConfig
-	return open.Listen(context.Background(), "tcp", address)
+	var config net.ListenConfig
+	return config.Listen(context.Background(), "tcp", address)
 }
 
-// freePort returns a loopback address that nobody listens on.
+// freePort returns a loopback address, with a port on which nothing listens.
 func freePort(tb testing.TB) string {
 	tb.Helper()
 	l, err := listen("127.0.0.1:0")
@@ -58,7 +58,7 @@
 	return l.Addr().String()
 }
 
-// writeFile writes a file.
+// writeFile creates or overwrites a file. It fails the test on an error.
 func writeFile(tb testing.TB, path, text string) {
 	tb.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// replaceFile replaces a file atomically, as an operator does while the program may read it.
+// replaceFile replaces a file atomically, so that a program that reads it at the same time gets either the old or the new text.
 func replaceFile(tb testing.TB, path, text string) {
 	tb.Helper()
 	writeFile(tb, path+".new", text)
@@ -75,10 +75,10 @@
 	}
 }
 
-// write writes a part of a response. An error means that the client has gone, and is ignored.
+// write writes a part of a response. It ignores errors, which mean that the client has disconnected.
 func write(w io.Writer, values ...any) { _, _ = fmt.Fprint(w, values...) }
 
-// drain reads the rest of a body. An error means that the sender has gone, and is ignored.
+// drain reads the rest of a body. It ignores errors, which mean that the sender has disconnected.
 func drain(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
 // closeNow closes what a test no longer needs, and ignores the error.
--- a/cmd/quincegap/http3_helpers_test.go
+++ b/cmd/quincegap/http3_helpers_test.go
@@ -21,7 +21,7 @@
 	"quincegap/internal/standin/udp"
 )
 
-// http3File has the settings of a sidecar that serves HTTP/3.
+// http3File is the part of a settings file with which a sidecar serves HTTP/3, without the address and the paths of files.
 const http3File = `
 [http3]
 http3_listen = %q
@@ -32,16 +32,17 @@
 alt_svc = "1h"
 `
 
-// http3Rig has what a sidecar needs to serve HTTP/3, and its callers.
+// http3Rig has the certificate authority and the files that a sidecar needs to serve HTTP/3, and makes its callers.
 type http3Rig struct {
 	tb        testing.TB
 	ca        *authority.Authority
 	dir       string
 	cert, key string   // the paths of the sidecar's certificate and key
-	secret    string   // the path of the secret for tickets
-	seen      sync.Map // the names in the certificates that callers have seen
+	secret    string   // the path of the file with the secret for session tickets
+	seenNames sync.Map // the common names in the certificates that the sidecar has presented to callers
 }
 
+// newHTTP3Rig returns a rig with a new authority, a certificate for front.example.org and a secret.
 func newHTTP3Rig(tb testing.TB) *http3Rig {
 	tb.Helper()
 	h := &http3Rig{tb: tb, ca: newAuthority(tb), dir: tb.TempDir()}
@@ -50,7 +51,7 @@
 	return h
 }
 
-// put replaces a file and returns its path.
+// put replaces a file of the rig's directory and returns its path.
 func (h *http3Rig) put(name, text string) string {
 	h.tb.Helper()
 	path := filepath.Join(h.dir, name)
@@ -58,31 +59,32 @@
 	return path
 }
 
-// renew replaces the sidecar's certificate and key.
+// renew replaces the sidecar's certificate and key by new ones with a name.
 func (h *http3Rig) renew(name string) {
 	cert, key := issue(h.tb, h.ca, name)
 	h.key = h.put("key.pem", string(key))
 	h.cert = h.put("cert.pem", string(cert))
 }
 
-// text returns a settings file with the address of a discovery and the UDP address to listen on.
-func (h *http3Rig) text(discovery, listen string) string {
+// settingsFile returns the settingsFile of a settings file with the address of a discovery and the UDP address on which to listen.
+func (h *http3Rig) settingsFile(discovery, listen string) string {
 	return fmt.Sprintf(sidecarFile, discovery) + fmt.Sprintf(http3File, listen, h.cert, h.key, h.secret)
 }
 
-// udpAddressOf returns the UDP address on which a sidecar has logged to listen.
+// udpAddressOf returns the UDP address on which a sidecar listens, from its log.
 func udpAddressOf(p *process) string {
 	return regexp.MustCompile(`HTTP/3 on (127\.0\.0\.1:\d+)`).FindStringSubmatch(p.startLog)[1]
 }
 
-// caller returns a client over HTTP/3. It accepts any name that the authority has signed, and keeps tickets in the cache, which may be nil.
+// caller returns an HTTP/3 client. It accepts certificates of the authority with any name. It stores session tickets in the cache, unless
+// that is nil.
 func (h *http3Rig) caller(cache tls.ClientSessionCache) *http3.Transport {
 	tlsConfig := &tls.Config{
 		InsecureSkipVerify: true,
 		ClientSessionCache: cache,
 		ServerName:         "front.example.org",
 		VerifyConnection: func(s tls.ConnectionState) error {
-			h.seen.Store(s.PeerCertificates[0].Subject.CommonName, true)
+			h.seenNames.Store(s.PeerCertificates[0].Subject.CommonName, true)
 			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: h.ca.Pool()})
 			return err
 		},
@@ -93,25 +95,25 @@
 	return transport
 }
 
-// shown reports whether a caller has seen a certificate with a name.
-func (h *http3Rig) shown(name string) bool {
-	_, ok := h.seen.Load(name)
+// certificateSeen reports whether the sidecar has presented a certificate with the given common name to a caller.
+func (h *http3Rig) certificateSeen(name string) bool {
+	_, ok := h.seenNames.Load(name)
 	return ok
 }
 
-// over returns the process as callers over HTTP/3 see it, at a UDP address.
+// over returns the process as seen by callers over HTTP/3: requests go to the UDP address through the transport.
 func (p *process) over(transport *http3.Transport, address string) *process {
 	return &process{tb: p.tb, cmd: p.cmd, file: p.file, log: p.log, url: "https://" + address, transport: transport}
 }
 
 // dualEndpoint is an endpoint that serves HTTP/1.1 and, through a relay on the same port, HTTP/3.
 type dualEndpoint struct {
-	http1Requests, http3Requests atomic.Int64
+	http1Requests, http3Requests atomic.Int64 // the numbers of requests so far
 	overHTTP1                    *booking.Endpoint
 	relay                        *udp.Relay
 }
 
-// startDualEndpoint starts an endpoint whose certificate the authority signs.
+// startDualEndpoint starts an endpoint with a certificate of the authority.
 func startDualEndpoint(t *testing.T, ca *authority.Authority) *dualEndpoint {
 	t.Helper()
 	cert, err := ca.Pair("slot-keeper.example.org")
@@ -120,16 +122,16 @@
 	}
 	dual := &dualEndpoint{}
 	// The relay listens on the endpoint's UDP port. The server behind it listens on another one.
-	e, err := h3.Start("", cert, h3.Options{}, countingOK(&dual.http3Requests))
+	overHTTP3, err := h3.Start("", cert, h3.Options{}, countingOK(&dual.http3Requests))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
+	t.Cleanup(overHTTP3.Close)
 	for dual.relay == nil {
 		if dual.overHTTP1, err = booking.StartEndpoint("box-0", countingOK(&dual.http1Requests)); err != nil {
 			t.Fatal(err)
 		}
-		if dual.relay, err = udp.StartAt(dual.overHTTP1.Target().Address, e.Address(), 1); err != nil {
+		if dual.relay, err = udp.StartAt(dual.overHTTP1.Target().Address, overHTTP3.Address(), 1); err != nil {
 			dual.overHTTP1.Close()
 		}
 	}
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -15,13 +15,13 @@
 	"quincegap/internal/standin/udp"
 )
 
-// Callers book over HTTP/3 and HTTP/1.1 while the certificate is replaced and SIGHUP comes, with a good and with a bad file. Each booking
-// is served.
-func TestHTTP3Day(t *testing.T) {
+// Callers book over HTTP/3 and HTTP/1.1 while the certificate is replaced, and while the sidecar gets SIGHUP with an acceptable and with an
+// unacceptable file. Each booking is served.
+func TestHTTP3DuringReloads(t *testing.T) {
 	t.Parallel()
 	rig := newHTTP3Rig(t)
 	site := startSite(t, 3)
-	sidecar := launch(t, rig.text(site.Address(), "127.0.0.1:0"))
+	sidecar := launch(t, rig.settingsFile(site.Address(), "127.0.0.1:0"))
 	address := udpAddressOf(sidecar)
 	var overHTTP3, overHTTP1 atomic.Int64
 	stop := sidecar.over(rig.caller(nil), address).startCallers(4, &overHTTP3)
@@ -34,23 +34,23 @@
 	}
 	_, port, _ := net.SplitHostPort(address)
 	if got, want := header.Get("Alt-Svc"), fmt.Sprintf(`h3=":%s"; ma=3600`, port); status == 400 && got != want && got != "" {
-		t.Errorf("Alt-Svc: %q, want %q", got, want)
+		t.Errorf("header Alt-Svc: got %q, want %q or none", got, want)
 	}
 	rig.renew("second.example.org")
-	time.Sleep(1100 * time.Millisecond) // the sidecar looks at the files once a second
-	for end := time.Now().Add(testTimeout); !rig.shown("second.example.org"); {
+	time.Sleep(1100 * time.Millisecond) // the sidecar checks its certificate files once a second
+	for end := time.Now().Add(testTimeout); !rig.certificateSeen("second.example.org"); {
 		if status, err := sidecar.over(rig.caller(nil), address).book(nil, "trip"); err != nil || status != 200 {
-			t.Fatalf("a new caller: %d, %v", status, err)
+			t.Fatalf("a booking of a new caller: got status %d, error %v, want status 200", status, err)
 		}
 		if time.Now().After(end) {
-			t.Fatal("the old certificate is still in use")
+			t.Fatalf("the new certificate was not used within %v", testTimeout)
 		}
 	}
 	sidecar.signal(syscall.SIGHUP)
 	sidecar.awaitLog("reload: discovery is")
 	awaitMore(t, &overHTTP3, 100)
 	// A change of a setting that takes effect only at a start is rejected.
-	sidecar.writeFile(strings.Replace(rig.text(site.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
+	sidecar.writeFile(strings.Replace(rig.settingsFile(site.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
 	sidecar.signal(syscall.SIGHUP)
 	sidecar.awaitLog("reload: refused")
 	awaitMore(t, &overHTTP3, 100)
@@ -58,36 +58,38 @@
 	stopHTTP1()
 }
 
-// The sidecar is killed and starts again at the same address: its callers' old connections end at once, and their tickets stay valid.
+// The sidecar is killed and starts again at the same address. Old connections of its callers end at once, and their session tickets stay
+// valid.
 func TestHTTP3Killed(t *testing.T) {
 	t.Parallel()
 	rig := newHTTP3Rig(t)
 	site := startSite(t, 2)
-	p := launch(t, rig.text(site.Address(), "127.0.0.1:0"))
-	address := udpAddressOf(p)
+	sidecar := launch(t, rig.settingsFile(site.Address(), "127.0.0.1:0"))
+	address := udpAddressOf(sidecar)
 	cache := tls.NewLRUClientSessionCache(4)
 	caller := rig.caller(cache)
-	if status, err := p.over(caller, address).book(nil, "trip"); err != nil || status != 200 {
-		t.Fatal(status, err)
+	if status, err := sidecar.over(caller, address).book(nil, "trip"); err != nil || status != 200 {
+		t.Fatalf("a booking before the kill: got status %d, error %v, want status 200", status, err)
 	}
-	p.kill()
-	p = launch(t, rig.text(site.Address(), address))
-	// A request on the old connection is answered with a reset and does not time out; then the caller connects again.
+	sidecar.kill()
+	sidecar = launch(t, rig.settingsFile(site.Address(), address))
+	// A request on the old connection is answered with a reset and does not time out. The caller then connects again.
 	began := time.Now()
 	for end := began.Add(testTimeout); ; {
-		if status, err := p.over(caller, address).book(nil, "trip"); err == nil && status == 200 {
+		if status, err := sidecar.over(caller, address).book(nil, "trip"); err == nil && status == 200 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("never served again")
+			t.Fatalf("no booking was served within %v after the restart", testTimeout)
 		}
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("a booking was served %v after the restart, want at most 5s", took)
 	}
 }
 
-// UDP to an endpoint is blocked: attempts go over HTTP/1.1, HTTP/3 is not tried again for a while, and what was sent over it never arrives.
+// UDP to an endpoint is blocked. Attempts then use HTTP/1.1, and HTTP/3 is not tried again for a while. What was sent over HTTP/3 while UDP
+// was blocked never arrives.
 func TestHTTP3BlockedToEndpoint(t *testing.T) {
 	t.Parallel()
 	ca := newAuthority(t)
@@ -107,22 +109,24 @@
 	book := func() {
 		t.Helper()
 		if status, err := sidecar.book(client, "trip"); err != nil || status != 200 {
-			t.Fatalf("%d %v", status, err)
+			t.Fatalf("a booking: got status %d, error %v, want status 200", status, err)
 		}
 	}
 	for range 20 {
 		book()
 	}
 	if endpoint.http3Requests.Load() != 20 || endpoint.http1Requests.Load() != 0 {
-		t.Fatalf("%d over HTTP/3, %d over HTTP/1.1", endpoint.http3Requests.Load(), endpoint.http1Requests.Load())
+		t.Fatalf("20 bookings: got %d over HTTP/3 and %d over HTTP/1.1, want 20 and 0",
+			endpoint.http3Requests.Load(), endpoint.http1Requests.Load())
 	}
 	endpoint.relay.SetFault(udp.Fault{Blackhole: true})
-	// Whether the next bookings were executed is unknown; their class allows a repeat with the key at the same endpoint.
+	// Whether the endpoint executes the next bookings is unknown to the sidecar. Their class allows it to repeat them with the key at the
+	// same endpoint.
 	before := endpoint.http1Requests.Load()
 	for end := time.Now().Add(testTimeout); endpoint.http1Requests.Load() == before; {
-		_, _ = sidecar.book(client, "trip") // it may fail, at first
+		_, _ = sidecar.book(client, "trip") // the first bookings may fail
 		if time.Now().After(end) {
-			t.Fatal("nothing comes over HTTP/1.1")
+			t.Fatalf("no booking arrived over HTTP/1.1 within %v", testTimeout)
 		}
 	}
 	sidecar.awaitLog("HTTP/1.1 for 1m0s")
@@ -131,10 +135,10 @@
 		book()
 	}
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("50 bookings took %v: HTTP/3 is tried again each time", took)
+		t.Errorf("50 bookings took %v, want at most 5s: HTTP/3 is tried again each time", took)
 	}
 	endpoint.relay.SetFault(udp.Fault{})
 	if n := endpoint.http3Requests.Load(); n != 20 {
-		t.Errorf("%d over HTTP/3", n)
+		t.Errorf("%d bookings arrived over HTTP/3, want the 20 from before UDP was blocked", n)
 	}
 }
--- a/cmd/quincegap/load_helpers_test.go
+++ b/cmd/quincegap/load_helpers_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// lastTxn numbers the requests of all tests.
+// lastTxn is the number of the last request of any test. Request ids and keys are made from it.
 var lastTxn atomic.Int64
 
-// book sends a booking under an id and a key of its own, and returns the status.
+// book sends a booking with a new id and a new key, and returns the status.
 func (p *process) book(client *http.Client, body string) (int, error) {
 	if p.transport != nil {
 		client = &http.Client{Transport: p.transport}
@@ -24,8 +24,8 @@
 	return post(client, p.url, "book-trip", fmt.Sprintf("t%d", n), fmt.Sprintf("k%d", n), body)
 }
 
-// post sends a request and returns the status of the response. If the body of the response breaks off there is both a status and an
-// error; without a response the status is 0.
+// post sends a request and returns the status of the response. If the body of the response is incomplete it returns a status and an error;
+// without a response it returns the status 0 and an error.
 func post(client *http.Client, url, class, txn, key, body string) (status int, err error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url+"/trips", strings.NewReader(body))
 	if err != nil {
@@ -46,7 +46,7 @@
 	return response.StatusCode, err
 }
 
-// send sends a request on a connection of its own. Whether the body of the response is complete does not matter.
+// send sends a request on a new connection. It returns no error if only the body of the response is incomplete.
 func send(url, class, txn, key string) (status int, err error) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	if status, err = post(client, url, class, txn, key, "trip"); status != 0 {
@@ -55,7 +55,8 @@
 	return status, err
 }
 
-// startCallers has n callers book without pause until stop is called, and counts the bookings that are served: each has to be.
+// startCallers has n callers book without pause until stop is called, and counts the bookings that are served. A booking that is not
+// served fails the test.
 func (p *process) startCallers(n int, served *atomic.Int64) (stop func()) {
 	done := make(chan struct{})
 	var callers sync.WaitGroup
@@ -70,7 +71,7 @@
 				default:
 				}
 				if status, err := p.book(client, "trip"); err != nil || status != http.StatusOK {
-					p.tb.Errorf("a booking: status %d, %v", status, err)
+					p.tb.Errorf("a booking of a caller: got status %d, error %v, want status 200", status, err)
 					return
 				}
 				served.Add(1)
@@ -85,27 +86,28 @@
 	return stop
 }
 
-// awaitMore waits until a count has grown by n. It gives up when the test has failed elsewhere.
+// awaitMore waits until a count of bookings has grown by n. It stops the test after testTimeout, and at once if the test has failed
+// already.
 func awaitMore(tb testing.TB, count *atomic.Int64, n int64) {
 	tb.Helper()
 	want := count.Load() + n
 	for deadline := time.Now().Add(testTimeout); count.Load() < want; time.Sleep(time.Millisecond) {
 		if tb.Failed() || time.Now().After(deadline) {
-			tb.Fatalf("%d of %d more bookings are missing", want-count.Load(), n)
+			tb.Fatalf("waiting for more bookings: %d of %d have not happened", want-count.Load(), n)
 		}
 	}
 }
 
-// maxOutstanding bounds the bookings of a stream that are in flight at once; 3 to 5 are usual. While the machine lets the sidecar
-// wait, further bookings would pile up in its sockets and then arrive at once: no even pace, and not the sidecar's fault.
+// maxOutstanding limits the bookings of a stream that are in flight at once; 3 to 5 are usual. While the machine does not run the sidecar,
+// more bookings would queue in its sockets and then arrive in a burst. That would be no even pace, and not the sidecar's fault.
 const maxOutstanding = 16
 
-// minMachineStall is how long the machine must have kept a goroutine waiting for a stream to leave bookings out.
+// minMachineStall is the shortest stall of the machine that excuses a stream for skipping bookings.
 const minMachineStall = 20 * time.Millisecond
 
-// startStream sends bookings at an even pace, with at most maxOutstanding in flight, until stop is called. That returns how many were
-// sent and how many of them were rejected. Each of the others has to be served. Bookings that are left out because too many are in
-// flight are an error, unless the machine has stalled: the sidecar is at fault then.
+// startStream sends bookings at an even pace, with at most maxOutstanding in flight, until stop is called. stop returns the number of
+// bookings that were sent and of those that were rejected. A booking that is neither served nor rejected fails the test. So does a booking
+// that is skipped because too many are in flight, unless the machine has stalled, as the sidecar is too slow otherwise.
 func (p *process) startStream(interval time.Duration) (stop func() (sent, rejected int64)) {
 	var sent, rejected atomic.Int64
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
@@ -117,11 +119,11 @@
 		defer func() { <-outstanding }()
 		switch status, err := p.book(client, "trip"); {
 		case err != nil:
-			p.tb.Errorf("a booking: %v", err)
+			p.tb.Errorf("a booking of the stream failed: %v", err)
 		case status == http.StatusServiceUnavailable:
 			rejected.Add(1)
 		case status != http.StatusOK:
-			p.tb.Errorf("a booking: status %d", status)
+			p.tb.Errorf("a booking of the stream: got status %d, want 200 or 503", status)
 		}
 	}
 	go func() {
@@ -151,7 +153,7 @@
 		<-ended
 		client.CloseIdleConnections()
 		if skipped > 0 && machine.longest() < minMachineStall {
-			p.tb.Errorf("%d bookings were in flight at once on a machine that stalled for %v at most", maxOutstanding, machine.longest())
+			p.tb.Errorf("%d bookings were in flight at once, though the machine stalled for %v at most", maxOutstanding, machine.longest())
 		}
 		return sent.Load(), rejected.Load()
 	}
--- a/cmd/quincegap/main_test.go
+++ b/cmd/quincegap/main_test.go
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// TestMain runs the test binary as the program, or as the proxy that benchmarks compare it with, if the environment says so.
+// TestMain runs the program instead of the tests if BE_QUINCEGAP is 1, and the proxy that benchmarks compare it with if BE_PROXY is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("BE_QUINCEGAP") == "1" {
 		main()
 		return
 	}
 	if os.Getenv("BE_PROXY") != "" {
-		beProxy()
+		runReverseProxy()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// A configuration that cannot be used is named in one line, and the program ends with an error.
+// A configuration that cannot be used is reported in one line, and the program exits with an error.
 func TestBadConfigurationEndsTheProgram(t *testing.T) {
 	for _, config := range []string{"", "/nowhere/config.json"} {
 		cmd := ownProgram(config)
@@ -39,16 +39,17 @@
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
-			t.Errorf("config %q: ended with %v", config, err)
+			t.Errorf("config %q: the program ended with %v, want an exit status above 0", config, err)
 		}
 		text := stderr.String()
 		if !strings.HasPrefix(text, "quincegap: BALANCER_CONFIG: ") || strings.Count(text, "\n") != 1 {
-			t.Errorf("config %q: stderr %q", config, text)
+			t.Errorf("config %q: standard error is %q, want one line that begins with \"quincegap: BALANCER_CONFIG: \"", config, text)
 		}
 	}
 }
 
-// signalledProgram is the program with a configuration of the platform, which names a discovery without endpoints.
+// signalledProgram is the program as a process that gets signals. Its configuration is the platform's and names a discovery that lists no
+// endpoints.
 type signalledProgram struct {
 	*testing.T
 	cmd    *exec.Cmd
@@ -56,7 +57,7 @@
 	lines  *bufio.Scanner
 }
 
-// startSignalled starts the program.
+// startSignalled starts the program, which is killed at the end of the test.
 func startSignalled(t *testing.T) *signalledProgram {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -82,11 +83,11 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended already
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // an error means that it has ended already
 	return &signalledProgram{T: t, cmd: cmd, stderr: stderr, lines: bufio.NewScanner(stderr)}
 }
 
-// awaitLog waits until the program has logged a line that contains a text.
+// awaitLog waits until the program logs a line that contains a text. It fails the test if the program ends before.
 func (s *signalledProgram) awaitLog(text string) {
 	s.Helper()
 	for s.lines.Scan() {
@@ -94,45 +95,45 @@
 			return
 		}
 	}
-	s.Fatalf("it ended before it logged %q", text)
+	s.Fatalf("the program ended before it logged %q", text)
 }
 
-// signal sends signals, one after the other.
+// signal sends signals to the program, one after the other.
 func (s *signalledProgram) signal(signals ...os.Signal) {
 	s.Helper()
-	for _, x := range signals {
-		if err := s.cmd.Process.Signal(x); err != nil {
+	for _, sig := range signals {
+		if err := s.cmd.Process.Signal(sig); err != nil {
 			s.Fatal(err)
 		}
 	}
 }
 
-// After SIGHUP, which ends a program that does not handle it, the program reads its file again. After SIGTERM it ends by itself.
+// The program reads its file again on each SIGHUP, which would end a program that does not handle it. After SIGTERM it exits by itself.
 func TestSignals(t *testing.T) {
-	s := startSignalled(t)
-	s.awaitLog("serving on")
-	s.signal(syscall.SIGHUP)
-	s.awaitLog("reload: discovery is")
-	s.signal(syscall.SIGHUP)
-	s.awaitLog("reload: discovery is")
-	s.signal(syscall.SIGTERM)
-	for s.lines.Scan() {
+	program := startSignalled(t)
+	program.awaitLog("serving on")
+	program.signal(syscall.SIGHUP)
+	program.awaitLog("reload: discovery is")
+	program.signal(syscall.SIGHUP)
+	program.awaitLog("reload: discovery is")
+	program.signal(syscall.SIGTERM)
+	for program.lines.Scan() {
 	}
-	if err := s.cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+	if err := program.cmd.Wait(); err != nil {
+		t.Errorf("after SIGTERM the program ended with %v, want status 0", err)
 	}
 }
 
-// The reader of the program's log has gone when the program logs that it reads its settings again. Then SIGTERM comes, and other signals
-// while the program ends: it ends by itself all the same.
+// Nobody reads the program's log any more when it logs that it reads its settings again. Then it gets SIGTERM, and other signals during the
+// shutdown. It still exits by itself.
 func TestSignalsWithoutAReaderOfTheLog(t *testing.T) {
-	s := startSignalled(t)
-	s.awaitLog("serving on")
-	closeNow(s.stderr)
-	s.signal(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
-	time.Sleep(300 * time.Millisecond) // until it has logged
-	s.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGQUIT, syscall.SIGINT)
-	if err := s.cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+	program := startSignalled(t)
+	program.awaitLog("serving on")
+	closeNow(program.stderr)
+	program.signal(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGPIPE)
+	time.Sleep(300 * time.Millisecond) // enough for the program to write to its log
+	program.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGQUIT, syscall.SIGINT)
+	if err := program.cmd.Wait(); err != nil {
+		t.Errorf("after SIGTERM the program ended with %v, want status 0", err)
 	}
 }
--- a/cmd/quincegap/peers_bench_test.go
+++ b/cmd/quincegap/peers_bench_test.go
@@ -16,9 +16,9 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// BenchmarkSevenInTenDie runs the rehearsal seven-in-ten-die with sidecar processes that find one another and with ones that do not, at
-// some rates. It reports the share of calls that were served, and the number of servers that got no call for 3 s or longer while the
-// seven were dead. Run it with a built program:
+// BenchmarkSevenInTenDie runs the rehearsal seven-in-ten-die at some rates, with sidecar processes that find one another and with ones that
+// do not. It reports the share of calls that were served, and the number of servers that got no call for 3 s or longer while the seven
+// sidecars were dead. Run it with a built program:
 //
 //	go build -o bin/ ./cmd/quincegap && QUINCEGAP=$PWD/bin/quincegap go test ./cmd/quincegap -run '^$' -bench SevenInTen -benchtime 1x
 func BenchmarkSevenInTenDie(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// rehearseDeaths runs a script, in which the sidecars find one another or not, and reports the metrics.
+// rehearseDeaths runs the script of a rehearsal and reports the metrics. found is whether the sidecars find one another in it.
 func rehearseDeaths(b *testing.B, program, script string, found bool) {
 	b.Helper()
 	var findings finding.List
@@ -77,17 +77,17 @@
 	b.ReportMetric(verdict.MaxLateness.Seconds()*1000, "emulator-late-ms")
 }
 
-// countUncalledServers counts the servers that got no call for 3 s or longer while the seven were dead, from the calls of each server by
-// second. It also returns the longest time without a call, in seconds.
+// countUncalledServers returns the number of servers that got no call for 3 s or longer while the seven sidecars were dead. loads has the
+// number of calls of each server in each second. It also returns the longest time without a call, in seconds.
 func countUncalledServers(loads [][]int) (uncalled, longest int) {
 	for _, seconds := range loads {
-		run, most := 0, 0
-		for s := 10; s < min(30, len(seconds)); s++ {
-			run++
-			if seconds[s] > 0 {
-				run = 0
+		current, most := 0, 0
+		for second := 10; second < min(30, len(seconds)); second++ {
+			current++
+			if seconds[second] > 0 {
+				current = 0
 			}
-			most = max(most, run)
+			most = max(most, current)
 		}
 		longest = max(longest, most)
 		if most >= 3 {
@@ -97,12 +97,13 @@
 	return uncalled, longest
 }
 
-// lastKnown returns when each of the surviving sidecars had noticed all seven deaths, by their logs.
+// lastKnown returns when the last of the surviving sidecars noticed the last of the seven deaths, by their logs, as the time since the
+// rehearsal began.
 func lastKnown(b *testing.B, dir string, begins time.Time) (known time.Duration) {
 	b.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(logs) == 0 {
-		b.Fatal("no logs", err)
+		b.Fatalf("found no logs of sidecars in %s, error %v", dir, err)
 	}
 	day := begins.Truncate(24 * time.Hour)
 	for _, path := range logs {
@@ -111,7 +112,7 @@
 			b.Fatal(err)
 		}
 		if strings.Count(string(text), ": serving on") > 1 {
-			continue // it was killed and started again
+			continue // the sidecar was killed and started again
 		}
 		for line := range strings.Lines(string(text)) {
 			at, err := time.Parse("15:04:05.000000", line[:min(len(line), 15)])
@@ -127,22 +128,23 @@
 	return known
 }
 
-// uncalledAfter returns the longest time that a server waited for a call after the given moment, until the end at most.
+// uncalledAfter returns the longest time from the given moment until a server got its next call. A server that got none until end counts
+// with the time until end.
 func uncalledAfter(events []audit.Event, servers int, from, end time.Duration) (longest time.Duration) {
 	first := make([]time.Duration, servers)
 	for i := range first {
 		first[i] = end
 	}
-	for _, e := range events {
-		if e.Kind == audit.AttemptReceived && e.Server >= 0 && e.Server < servers && e.At >= from {
-			first[e.Server] = min(first[e.Server], e.At)
+	for _, event := range events {
+		if event.Kind == audit.AttemptReceived && event.Server >= 0 && event.Server < servers && event.At >= from {
+			first[event.Server] = min(first[event.Server], event.At)
 		}
 	}
 	return slices.Max(first) - from
 }
 
-// BenchmarkPeers measures, with processes and default settings, how long it takes until all have settled after a start, a death, a join and
-// a partition into halves that ends, and the CPU and memory of a process while nothing changes.
+// BenchmarkPeers measures, with processes and default settings, the time until all members have settled after a start, a death, a join, and
+// the begin and the end of a partition into halves. It also measures the CPU time and memory of a process while nothing changes.
 //
 //	go test ./cmd/quincegap -run '^$' -bench Peers -benchtime 1x
 func BenchmarkPeers(b *testing.B) {
@@ -151,24 +153,24 @@
 			for range b.N {
 				rig := newPeersRig(b, members, 1, "")
 				all, names := firstMembers(members)
-				pause := func() { time.Sleep(25 * time.Second) } // longer than DampFor, so that nobody counts as flapping
-				measure := func(what string, confidence peers.Confidence, of, ask []int) {
+				pause := func() { time.Sleep(25 * time.Second) } // longer than DampFor, so that no member counts as flapping
+				measure := func(what string, confidence peers.Confidence, group, asked []int) {
 					began := time.Now()
-					rig.awaitViews(what, confidence, of, ask...)
+					rig.awaitViews(what, confidence, group, asked...)
 					b.ReportMetric(time.Since(began).Seconds(), what+"-s")
 				}
 				rig.start(all...)
 				measure("start", peers.Settled, all, all)
 				used := 0.0
-				for _, m := range rig.members {
-					used -= cpuSeconds(b, m.cmd.Process.Pid)
+				for _, member := range rig.members {
+					used -= cpuSeconds(b, member.cmd.Process.Pid)
 				}
 				const quiet = 10 * time.Second
 				time.Sleep(quiet)
 				resident := 0.0
-				for _, m := range rig.members {
-					used += cpuSeconds(b, m.cmd.Process.Pid)
-					resident = max(resident, kilobytes(processStatus(b, m.cmd.Process.Pid), "VmRSS:"))
+				for _, member := range rig.members {
+					used += cpuSeconds(b, member.cmd.Process.Pid)
+					resident = max(resident, kilobytes(processStatus(b, member.cmd.Process.Pid), "VmRSS:"))
 				}
 				b.ReportMetric(1000*used/float64(members)/quiet.Seconds(), "cpu-ms/s")
 				b.ReportMetric(resident/1024, "rss-MiB")
@@ -184,7 +186,7 @@
 					larger = peers.Partitioned
 				}
 				measure("cut", larger, all[members/2:], all[members/2:])
-				rig.awaitViews("the other side", peers.Partitioned, all[:members/2], all[:members/2]...)
+				rig.awaitViews("the other half notices the partition", peers.Partitioned, all[:members/2], all[:members/2]...)
 				pause()
 				rig.net.Heal()
 				measure("healed", peers.Settled, all, all)
--- a/cmd/quincegap/peers_helpers_test.go
+++ b/cmd/quincegap/peers_helpers_test.go
@@ -19,20 +19,21 @@
 	"quincegap/internal/standin/relay"
 )
 
-// peersRig is a group of sidecar processes that find one another through relays, with the endpoints of one application behind them.
+// peersRig is a group of sidecar processes, its members, which find one another through relays and send requests to the endpoints of one
+// application.
 type peersRig struct {
-	tb      testing.TB
-	dir     string
-	net     *relay.Network
-	texts   []string                 // the settings files of the members
-	members []*process               // nil for one that does not run
-	urls    []atomic.Pointer[string] // of the members; nil for one that does not run
-	ledger  *ledger
-	began   time.Time
-	events  []string // what happened so far, for the report of a failure
+	tb            testing.TB
+	dir           string                   // the directory of the members' stores and admin sockets
+	net           *relay.Network           // the network between the members, which can lose datagrams
+	settingsFiles []string                 // the texts of the members' settings files
+	members       []*process               // the members' processes; nil for a member that does not run
+	urls          []atomic.Pointer[string] // the members' URLs; nil for a member that does not run
+	ledger        *ledger                  // the executions at the endpoints
+	began         time.Time                // the time to which those of events are relative
+	events        []string                 // the events so far, for the report of a failure
 }
 
-// peersFile has the settings of a member that others do not need.
+// peersFile is the part of a member's settings file that sidecars outside of a group do not need.
 const peersFile = `
 [admin]
 admin_listen = "unix:%s"
@@ -48,17 +49,17 @@
 %s
 `
 
-// quickSettings are times that shorten a test. Benchmarks use the defaults.
+// quickSettings are settings of [peers] with short intervals, which shorten a test. Benchmarks use the defaults.
 const quickSettings = "peers_pace = \"200ms\"\nsettle_after = \"400ms\""
 
-// memberPort is the port of the first rig's members; each further rig has the next one.
+// memberPort is the port of the first rig's members. Each further rig of the process uses the next port.
 const memberPort = 7900
 
-// peersRigs counts the rigs of this test process.
+// peersRigs is the number of rigs that this test process has made.
 var peersRigs atomic.Int64
 
-// memberAddresses returns the gossip addresses of a rig's members. They are of this test process and this rig alone, so that no port has to
-// be looked for: one that was found and closed could be taken before the member listens on it.
+// memberAddresses returns the gossip addresses of a rig's members. No other rig or test process uses them, so that no free port has to be
+// found: another program could use a port that was found and closed before the member listens on it.
 func memberAddresses(size int) []string {
 	process := os.Getpid()
 	port := memberPort + int(peersRigs.Add(1)) - 1
@@ -69,8 +70,8 @@
 	return addresses
 }
 
-// newPeersRig prepares a group of sidecars, which start starts. The seed is that of the relays' faults; settings are further lines of
-// [peers].
+// newPeersRig prepares a group of size sidecars. Method start starts them. The seed is that of the random faults of the network; settings
+// are further lines of [peers].
 func newPeersRig(tb testing.TB, size int, seed uint64, settings string) *peersRig {
 	tb.Helper()
 	rig := &peersRig{
@@ -101,37 +102,37 @@
 		text := strings.Replace(fmt.Sprintf(sidecarFile, discovery.Address()), "[discovery]", identity, 1) + unsafeClass
 		memory := filepath.Join(rig.dir, fmt.Sprint("m", i))
 		text += fmt.Sprintf(peersFile, rig.admin(i), memory, own[i], fronts[i], strings.Join(join, ","), key, settings)
-		rig.texts = append(rig.texts, text)
+		rig.settingsFiles = append(rig.settingsFiles, text)
 	}
 	return rig
 }
 
-// memberName returns the name of a member.
+// memberName returns the name of the member with an index.
 func memberName(i int) string { return fmt.Sprintf("front-%02d", i) }
 
-// admin returns the path of the admin socket of a member.
+// admin returns the path of the admin socket of the member with an index.
 func (p *peersRig) admin(i int) string { return filepath.Join(p.dir, fmt.Sprint("s", i)) }
 
-// logEvent records an event, with the time since the start.
+// logEvent records an event with the time since the rig was made.
 func (p *peersRig) logEvent(format string, args ...any) {
 	p.events = append(p.events, fmt.Sprintf("%6.2fs ", time.Since(p.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// start starts members, and waits until they are ready.
+// start starts the members with some indexes one after the other, and waits until each is ready.
 func (p *peersRig) start(indexes ...int) {
 	p.tb.Helper()
 	for _, i := range indexes {
 		p.logEvent("%s starts", memberName(i))
-		p.members[i] = launch(p.tb, p.texts[i])
+		p.members[i] = launch(p.tb, p.settingsFiles[i])
 		p.urls[i].Store(&p.members[i].url)
-		go func(member *process) { // a program whose log nobody reads would block
+		go func(member *process) { // the program would block if nobody read its log
 			for range member.log {
 			}
 		}(p.members[i])
 	}
 }
 
-// kill kills members.
+// kill kills the members with some indexes, one after the other.
 func (p *peersRig) kill(indexes ...int) {
 	for _, i := range indexes {
 		p.logEvent("%s is killed", memberName(i))
@@ -141,19 +142,20 @@
 	}
 }
 
-// view returns a member's view of the group; false if the member does not answer.
+// view returns the group as the member with an index sees it; false if the member does not answer.
 func (p *peersRig) view(i int) (peers.Report, bool) {
 	members, err := admin.AskPeers(p.tb.Context(), "unix:"+p.admin(i), false)
 	return members.Own, err == nil
 }
 
-// awaitViews waits until each of the asked members has a view with just the given group and confidence.
+// awaitViews waits until each of the asked members has the given confidence and sees a group of just the given members. what is the name of
+// the event for a report.
 func (p *peersRig) awaitViews(what string, confidence peers.Confidence, group []int, asked ...int) {
 	p.tb.Helper()
 	agreed := func() bool {
 		for _, i := range asked {
-			r, ok := p.view(i)
-			if !ok || r.Confidence != confidence.String() || r.Instances != len(group) || !r.OwnsName || group[r.Ordinal] != i {
+			report, ok := p.view(i)
+			if !ok || report.Confidence != confidence.String() || report.Instances != len(group) || !report.OwnsName || group[report.Ordinal] != i {
 				return false
 			}
 		}
@@ -163,10 +165,10 @@
 		if time.Now().After(deadline) {
 			var views strings.Builder
 			for _, i := range asked {
-				r, ok := p.view(i)
-				fmt.Fprintf(&views, "%s: %v %+v\n", memberName(i), ok, r)
+				report, ok := p.view(i)
+				fmt.Fprintf(&views, "%s: %v %+v\n", memberName(i), ok, report)
 			}
-			p.tb.Fatalf("%s: never\n%s\n%s", what, strings.Join(p.events, "\n"), views.String())
+			p.tb.Fatalf("waiting in vain until: %s\nevents:\n%s\nviews:\n%s", what, strings.Join(p.events, "\n"), views.String())
 		}
 	}
 	p.logEvent("%s", what)
@@ -174,14 +176,14 @@
 
 // callCounts counts calls by their outcome.
 type callCounts struct {
-	served   atomic.Int64
-	rejected atomic.Int64
-	failed   atomic.Int64 // with another status
-	broken   atomic.Int64 // without a complete response
+	served   atomic.Int64 // calls with status 200
+	rejected atomic.Int64 // calls with status 503
+	failed   atomic.Int64 // calls with another status
+	broken   atomic.Int64 // calls without a complete response
 }
 
-// startCallers has n callers book through the members that run until stop is called; every second one sends unsafe calls. A rejection
-// promises that the call was not executed, so that an unsafe one is sent again as well, and must not have happened twice.
+// startCallers has n callers book through the members that run until stop is called. Every second caller sends unsafe calls. A rejection
+// promises that the call was not executed. Unsafe calls are therefore sent again after one too, and must still be executed only once.
 func (p *peersRig) startCallers(n int) (counts *callCounts, stop func()) {
 	counts = &callCounts{}
 	done := make(chan struct{})
@@ -210,8 +212,8 @@
 	}
 }
 
-// bookUntilAnswered sends a booking to a random member that runs, and again while it is rejected. Attempts of a booking with a key have
-// an id each; those of an unsafe one share the id, by which the ledger recognizes them.
+// bookUntilAnswered sends a booking to a random member that runs, and repeats it while it is rejected. Attempts of a booking with a key
+// have different ids. Those of an unsafe booking, which has no key, have the same id, by which the ledger recognizes them.
 func (p *peersRig) bookUntilAnswered(client *http.Client, rng *rand.Rand, counts *callCounts, class, id, key string) {
 	for attempt := range 50 {
 		url := p.urls[rng.IntN(len(p.urls))].Load()
@@ -232,11 +234,11 @@
 	}
 }
 
-// count counts a call.
+// count counts a call by its status and error.
 func (c *callCounts) count(status int, err error) {
 	switch {
 	case err != nil:
-		c.broken.Add(1) // its sidecar was killed: the call may have been executed or not
+		c.broken.Add(1) // the sidecar was killed; whether the call was executed is unknown
 	case status == http.StatusOK:
 		c.served.Add(1)
 	case status == http.StatusServiceUnavailable:
@@ -246,7 +248,7 @@
 	}
 }
 
-// firstMembers returns the numbers and the names of the first n members.
+// firstMembers returns the indexes and the names of the first n members.
 func firstMembers(n int) (indexes []int, names []string) {
 	for i := range n {
 		indexes = append(indexes, i)
--- a/cmd/quincegap/process_helpers_test.go
+++ b/cmd/quincegap/process_helpers_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// sidecarFile is the settings file of a sidecar, without the address of discovery. It listens on a port of the system's choice.
+// sidecarFile is the settings file of a sidecar that listens on a free port. The address of the discovery service is filled in.
 const sidecarFile = `[sidecar]
 application = "booking-front.example.org"
 listen = "127.0.0.1:0"
@@ -36,27 +36,26 @@
 effect = "safe"
 `
 
-// process is a running sidecar.
+// process is a sidecar that runs, or another program that takes bookings, as its callers use it.
 type process struct {
 	tb        testing.TB
 	cmd       *exec.Cmd
-	file      string // the path of its settings file
-	url       string
-	startLog  string            // what it logged until it served
-	log       chan string       // the lines that it logs; closed when it has ended
-	logEnded  chan struct{}     // closed when it has ended
-	transport http.RoundTripper // what its callers use; nil for one of their own
+	file      string            // the path of its settings file
+	url       string            // the URL for callers, without a path
+	startLog  string            // the lines that it logged until it served
+	log       chan string       // the lines that it logged later; closed at the end of the log
+	logEnded  chan struct{}     // closed at the end of the log
+	transport http.RoundTripper // the transport that callers have to use; nil if each uses its own client
 }
 
-// kill ends the program at once and waits until it has ended: until then its sockets are open, and another process cannot
-// listen on their ports.
+// kill kills the program and waits until it has ended. Until then its sockets are open, and no other process can listen on their ports.
 func (p *process) kill() {
-	_ = p.cmd.Process.Kill() // it may have ended already
+	_ = p.cmd.Process.Kill() // an error means that it has ended already
 	<-p.logEnded
-	_ = p.cmd.Wait() // it ends with an error
+	_ = p.cmd.Wait() // always returns an error after a kill
 }
 
-// launch starts the program with a settings file of the given text, and waits until it is ready.
+// launch starts the program with a settings file of the given text and further environment variables, and waits until it is ready.
 func launch(tb testing.TB, text string, env ...string) *process {
 	tb.Helper()
 	sidecar := &process{
@@ -89,32 +88,34 @@
 	return sidecar
 }
 
-// writeFile replaces the program's settings file atomically.
+// writeFile replaces the program's settings file atomically by one of the given text.
 func (p *process) writeFile(text string) {
 	p.tb.Helper()
 	replaceFile(p.tb, p.file, text)
 }
 
-// awaitLog waits for a line of the log that contains a text, and returns the lines up to it.
-func (p *process) awaitLog(word string) string {
+// awaitLog waits for a line of the log that contains a text, and returns the lines up to it. It fails the test if the program ends before,
+// or after testTimeout.
+func (p *process) awaitLog(text string) string {
 	p.tb.Helper()
 	timeout := time.After(testTimeout)
 	var lines []string
 	for {
 		select {
 		case line, ok := <-p.log:
-			if lines = append(lines, line); strings.Contains(line, word) {
+			if lines = append(lines, line); strings.Contains(line, text) {
 				return strings.Join(lines, "\n")
 			}
 			if !ok {
-				p.tb.Fatalf("it ended before it logged %q:\n%s", word, strings.Join(lines, "\n"))
+				p.tb.Fatalf("the program ended before it logged %q; it logged:\n%s", text, strings.Join(lines, "\n"))
 			}
 		case <-timeout:
-			p.tb.Fatalf("it never logged %q:\n%s", word, strings.Join(lines, "\n"))
+			p.tb.Fatalf("the program did not log %q in time; it logged:\n%s", text, strings.Join(lines, "\n"))
 		}
 	}
 }
 
+// signal sends a signal to the program. It fails the test if the program has ended.
 func (p *process) signal(s syscall.Signal) {
 	p.tb.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -122,22 +123,22 @@
 	}
 }
 
-// crash kills the program and waits until it has ended. It fails if the program has ended before.
+// crash kills the program and waits until it has ended. It fails the test if the program has ended before.
 func (p *process) crash() {
 	p.tb.Helper()
 	p.signal(syscall.SIGKILL)
-	_ = p.cmd.Wait() // it ends with an error
+	_ = p.cmd.Wait() // always returns an error after a kill
 }
 
-// reload replaces the settings file, has the program read it, and returns what it logs up to a line that contains a text.
-func (p *process) reload(text, word string) string {
+// reload replaces the settings file, has the program read it, and returns the lines that it logs up to one that contains logText.
+func (p *process) reload(text, logText string) string {
 	p.tb.Helper()
 	p.writeFile(text)
 	p.signal(syscall.SIGHUP)
-	return p.awaitLog(word)
+	return p.awaitLog(logText)
 }
 
-// checkEnds checks that the program ends by itself, with status 0, within a time.
+// checkEnds checks that the program exits by itself, with status 0, within a time.
 func (p *process) checkEnds(within time.Duration) {
 	p.tb.Helper()
 	ended := make(chan error, 1)
@@ -146,36 +147,37 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			p.tb.Errorf("it ended with %v", err)
+			p.tb.Errorf("the program ended with %v, want status 0", err)
 		}
 	case <-time.After(testTimeout):
-		p.tb.Fatal("it does not end")
+		p.tb.Fatalf("the program did not end within %v", testTimeout)
 	}
 	if took := time.Since(began); took > within {
-		p.tb.Errorf("it took %v to end", took)
+		p.tb.Errorf("the program took %v to end, want at most %v", took, within)
 	}
 }
 
-// command returns a program that is not bound to the test's context, which ends before the callers do: they book until their
-// cleanup. The program ends by itself, or its test kills it.
+// command returns a program that is not bound to the test's context. That context ends before the cleanup of the test stops the callers,
+// which need the program until then. The program ends by itself, or the test kills it.
 func command(program string, args ...string) *exec.Cmd {
 	return exec.CommandContext(context.Background(), program, args...)
 }
 
-// ownProgram returns this test binary as the program, with the path of the platform's configuration, or "" for none.
+// ownProgram returns the test binary as the program, with the path of the platform's configuration, or "" for none.
 func ownProgram(platform string, args ...string) *exec.Cmd {
 	cmd := command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "BE_QUINCEGAP=1", "BALANCER_CONFIG="+platform)
 	return cmd
 }
 
-// killNow kills a program and waits until it has ended. That it was killed is reported as an error, which is ignored.
+// killNow kills a program and waits until it has ended. It ignores the error that reports the kill.
 func killNow(cmd *exec.Cmd) {
-	_ = cmd.Process.Kill() // it may have ended already
+	_ = cmd.Process.Kill() // an error means that it has ended already
 	_ = cmd.Wait()
 }
 
-// runUntilEnd runs the program with a settings file until it ends by itself, and returns what it printed.
+// runUntilEnd runs the program with a settings file of the given text until it exits by itself. It returns what the program printed, and an
+// error if its status was not 0.
 func runUntilEnd(t *testing.T, text string) (string, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "sidecar.toml")
@@ -184,21 +186,21 @@
 	return string(out), err
 }
 
-// runProgram starts a program on one core with a settings file, and waits until it is ready.
+// runProgram starts a program on one core with a settings file of the given text, and waits until it is ready.
 func runProgram(b *testing.B, program, text string) *process {
 	b.Helper()
 	address := freePort(b)
 	file := filepath.Join(b.TempDir(), "sidecar.toml")
 	writeFile(b, file, strings.Replace(text, "127.0.0.1:0", address, 1))
-	p := &process{tb: b, url: "http://" + address}
-	p.cmd = command(program, "-config", file)
-	p.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=", "GOMAXPROCS=1")
-	if err := p.cmd.Start(); err != nil {
+	sidecar := &process{tb: b, url: "http://" + address}
+	sidecar.cmd = command(program, "-config", file)
+	sidecar.cmd.Env = append(os.Environ(), "BALANCER_CONFIG=", "GOMAXPROCS=1")
+	if err := sidecar.cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { killNow(p.cmd) })
-	awaitReady(b, http.DefaultClient, p.url, 5*time.Millisecond)
-	return p
+	b.Cleanup(func() { killNow(sidecar.cmd) })
+	awaitReady(b, http.DefaultClient, sidecar.url, 5*time.Millisecond)
+	return sidecar
 }
 
 // processStatus returns the status of a process as the kernel reports it; see proc_pid_status(5).
@@ -211,15 +213,15 @@
 	return string(status)
 }
 
-// kilobytes returns a field of a process's status, in KiB; 0 if it is missing.
+// kilobytes returns a field of a process's status, in KiB; 0 if the field is missing.
 func kilobytes(status, name string) (kb float64) {
 	if _, rest, ok := strings.Cut(status, name); ok {
-		_, _ = fmt.Sscan(rest, &kb) // 0 if it is no number
+		_, _ = fmt.Sscan(rest, &kb) // leaves 0 if the field is not a number
 	}
 	return kb
 }
 
-// cpuSeconds returns the CPU time that a process has used, in seconds.
+// cpuSeconds returns the CPU time that a process has used, in seconds; see proc_pid_stat(5).
 func cpuSeconds(tb testing.TB, pid int) float64 {
 	tb.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/cmd/quincegap/route_bench_test.go
+++ b/cmd/quincegap/route_bench_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// openRoutedBench starts the program that QUINCEGAP names with four endpoints in one cell that share a handler; more are further settings.
+// openRoutedBench starts the program that QUINCEGAP names, with four endpoints of one cell that have the same handler. Without QUINCEGAP it
+// skips the benchmark. more are further lines of the settings file.
 func openRoutedBench(b *testing.B, more string, serve http.HandlerFunc) *bench {
 	b.Helper()
 	program := os.Getenv("QUINCEGAP")
@@ -23,15 +24,15 @@
 	return &bench{tb: b, process: runProgram(b, program, text)}
 }
 
-// BenchmarkRoutes measures the cost of routes, and the effect of hedged requests and of a retry budget: with calls of which one in twenty
-// takes 200 ms and the others 5 ms, and with endpoints that fail half of all calls.
+// BenchmarkRoutes measures the cost of routes, the effect of hedged requests on calls of which one in twenty takes 200 ms and the others
+// 5 ms, and the effect of a retry budget with endpoints that fail half of all calls.
 func BenchmarkRoutes(b *testing.B) {
-	var many strings.Builder
+	var hundredRoutes strings.Builder
 	for i := range 99 {
-		fmt.Fprintf(&many, "[route.r%d]\nmatch_path = \"/svc%d/{rest...}\"\nwhole_time = \"1s\"\n", i, i)
+		fmt.Fprintf(&hundredRoutes, "[route.r%d]\nmatch_path = \"/svc%d/{rest...}\"\nwhole_time = \"1s\"\n", i, i)
 	}
-	many.WriteString("[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"2s\"\nmost_open = 500\n")
-	const copies = "[attempts]\nsecond_copies = true\n[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\ncopy_share = 0.1\n"
+	hundredRoutes.WriteString("[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"2s\"\nmost_open = 500\n")
+	const hedging = "[attempts]\nsecond_copies = true\n[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\ncopy_share = 0.1\n"
 	measure := func(name, more string, rate int, serve func(w http.ResponseWriter)) {
 		b.Run(name, func(b *testing.B) {
 			var attempts atomic.Int64
@@ -47,17 +48,17 @@
 	}
 	ok := func(w http.ResponseWriter) { write(w, "ok") }
 	measure("cost/without", "", exchangeRate, ok)
-	measure("cost/100-routes", many.String(), exchangeRate, ok)
+	measure("cost/100-routes", hundredRoutes.String(), exchangeRate, ok)
 	slow := func(w http.ResponseWriter) {
-		d := 5 * time.Millisecond
+		delay := 5 * time.Millisecond
 		if rand.IntN(20) == 0 {
-			d = 200 * time.Millisecond
+			delay = 200 * time.Millisecond
 		}
-		time.Sleep(d)
+		time.Sleep(delay)
 		write(w, "ok")
 	}
 	measure("tail/without", "", 400, slow)
-	measure("tail/copies", copies, 400, slow)
+	measure("tail/copies", hedging, 400, slow)
 	fails := func(w http.ResponseWriter) {
 		if rand.IntN(2) == 0 {
 			w.WriteHeader(http.StatusInternalServerError)
--- a/cmd/quincegap/route_test.go
+++ b/cmd/quincegap/route_test.go
@@ -9,47 +9,47 @@
 	"testing"
 )
 
-// tripsOff is a route that rejects its requests.
+// tripsOff is the part of a settings file with a route that rejects its requests.
 const tripsOff = "[route.trips]\nmatch_path = \"/trips/{rest...}\"\nserve = false\n"
 
 // routedCallers book without pause, and count the outcomes.
 type routedCallers struct {
 	t        *testing.T
-	p        *process
+	sidecar  *process
 	running  sync.WaitGroup
-	done     atomic.Bool // they stop
+	done     atomic.Bool // whether the callers have to stop
 	served   atomic.Int64
 	rejected atomic.Int64
 }
 
-// book books until done is set. Each booking has to be served or rejected.
+// book sends bookings until done is set. A booking that is neither served nor rejected fails the test.
 func (c *routedCallers) book() {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for !c.done.Load() {
-		switch status, err := c.p.book(client, "trip"); {
+		switch status, err := c.sidecar.book(client, "trip"); {
 		case err != nil:
-			c.t.Error(err)
+			c.t.Errorf("a booking of a caller failed: %v", err)
 			return
 		case status == http.StatusOK:
 			c.served.Add(1)
 		case status == http.StatusServiceUnavailable:
 			c.rejected.Add(1)
 		default:
-			c.t.Errorf("status %d", status)
+			c.t.Errorf("a booking of a caller: got status %d, want 200 or 503", status)
 		}
 	}
 }
 
-// SIGHUP adds and removes routes while callers book without pause: each booking is served or, by a route that is off, rejected. A file
-// whose routes are ambiguous changes nothing.
+// SIGHUP adds and removes routes while callers book without pause. Each booking is either served, or rejected by a route that is switched
+// off. A file whose routes overlap ambiguously changes nothing.
 func TestRoutesBySIGHUP(t *testing.T) {
 	good := fmt.Sprintf(sidecarFile, startSite(t, 3).Address())
 	sidecar := launch(t, good)
 	book := func(want int) {
 		t.Helper()
 		if status, err := sidecar.book(http.DefaultClient, "trip"); err != nil || status != want {
-			t.Errorf("%d, %v, wanted %d", status, err, want)
+			t.Errorf("a booking: got status %d, error %v, want status %d", status, err, want)
 		}
 	}
 	book(http.StatusOK)
@@ -57,13 +57,13 @@
 	book(http.StatusServiceUnavailable)
 	log := sidecar.reload(good+tripsOff+"[route.books]\nmatch_classes = \"book-trip\"\n", "the old configuration stays")
 	if !strings.Contains(log, "overlaps with [route.trips]") {
-		t.Errorf("logged %s", log)
+		t.Errorf("the reload with ambiguous routes logged %s\nwant it to say that the route overlaps with [route.trips]", log)
 	}
 	book(http.StatusServiceUnavailable)
 	sidecar.reload(good+"[route.trips]\nmatch_path = \"/trips/{rest...}\"\nwhole_time = \"3s\"\nmost_open = 100\n", "reload: discovery is")
 	book(http.StatusOK)
 
-	callers := &routedCallers{t: t, p: sidecar}
+	callers := &routedCallers{t: t, sidecar: sidecar}
 	for range 4 {
 		callers.running.Go(callers.book)
 	}
--- a/cmd/quincegap/start_bench_test.go
+++ b/cmd/quincegap/start_bench_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// BenchmarkStart starts the program with a platform's configuration, with a settings file and with both, and reports the time until it is
-// ready and the memory that it then uses. Run it with a built program:
+// BenchmarkStart starts the program with a platform's configuration, with a settings file, and with both. It reports the time until the
+// program is ready and the memory that it then uses. Run it with a built program:
 //
 //	go build -o bin/ ./cmd/quincegap && QUINCEGAP=$PWD/bin/quincegap go test ./cmd/quincegap -run '^$' -bench Start -benchtime 20x
 func BenchmarkStart(b *testing.B) {
@@ -32,7 +32,7 @@
 		"tiers":["front"],"zones":["z"],"models":["m"]}}`, address, discovery.Address()))
 	writeFile(b, file, strings.Replace(fmt.Sprintf(sidecarFile, discovery.Address()), "127.0.0.1:0", address, 1))
 	writeFile(b, overlay, "[callers]\nmax_body = \"32KiB\"\n")
-	for _, tc := range []struct {
+	for _, testCase := range []struct {
 		name string
 		args []string
 		env  string
@@ -41,11 +41,11 @@
 		{"platform+file", []string{"-config", overlay}, "BALANCER_CONFIG=" + platform},
 		{"file", []string{"-config", file}, "BALANCER_CONFIG="},
 	} {
-		b.Run(tc.name, func(b *testing.B) {
+		b.Run(testCase.name, func(b *testing.B) {
 			var rss, peak float64
 			for range b.N {
-				cmd := command(program, tc.args...)
-				cmd.Env = append(os.Environ(), tc.env)
+				cmd := command(program, testCase.args...)
+				cmd.Env = append(os.Environ(), testCase.env)
 				if err := cmd.Start(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/golden/values.go
+++ b/internal/golden/values.go
@@ -9,8 +9,8 @@
 )
 
 // Values returns a value as text for a golden file: the values of its fields in order, without the names of types and fields, so that these
-// can be renamed. Pointers are followed, maps are sorted by the text of their entries, and functions, channels and interfaces are written as
-// "-". Each element of a list of structs starts a new line. The value must not contain a pointer to itself.
+// can be renamed. Pointers are followed, maps are sorted by the text of their entries, and functions, channels and interfaces are written
+// as "-". Each element of a list of structs starts a new line. The value must not contain a pointer to itself.
 func Values(v any) []byte {
 	var text strings.Builder
 	writeValue(&text, reflect.ValueOf(v))
