--- a/cmd/quincegap/http3_helpers_test.go
+++ b/cmd/quincegap/http3_helpers_test.go
@@ -66,7 +66,7 @@
 	h.cert = h.put("cert.pem", string(cert))
 }
 
-// settingsFile returns the settingsFile of a settings file with the address of a discovery and the UDP address on which to listen.
+// settingsFile returns the text of a settings file with the address of a discovery service and the UDP address on which to listen.
 func (h *http3Rig) settingsFile(discovery, listen string) string {
 	return fmt.Sprintf(sidecarFile, discovery) + fmt.Sprintf(http3File, listen, h.cert, h.key, h.secret)
 }
--- a/cmd/quincegap/main_test.go
+++ b/cmd/quincegap/main_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// signalledProgram is the program as a process that gets signals. Its configuration is the platform's and names a discovery that lists no
-// endpoints.
+// signalledProgram is the program as a process that gets signals. Its configuration is the platform's and names a discovery service that lists
+// no endpoints.
 type signalledProgram struct {
 	*testing.T
 	cmd    *exec.Cmd
--- a/cmd/quincegap/memory_test.go
+++ b/cmd/quincegap/memory_test.go
@@ -91,7 +91,7 @@
 
 // A sidecar that stores bookings and is killed repeatedly never has one executed twice. Without the store it does, which shows that the
 // test can fail.
-func TestKillsExecuteNoBookingTwice(t *testing.T) {
+func TestKilledWithMemory(t *testing.T) {
 	kills := 6
 	if n, err := strconv.Atoi(os.Getenv("KILLS")); err == nil {
 		kills = n
