--- a/internal/files/atomicfile/atomicfile.go
+++ b/internal/files/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces files atomically: whatever fails, each file is complete, either the old one or the new one. It does
-// not replace several files in one step: see Write. Lock coordinates writers of one directory.
+// Package atomicfile replaces files atomically: after any failure, each file has either its complete old content or its complete
+// new content. Several files are not replaced in one step: see Write. Lock coordinates the writers of one directory.
 package atomicfile
 
 import (
@@ -10,23 +10,23 @@
 	"path/filepath"
 )
 
-// File is a file to write.
+// File is a file to write, with its new content.
 type File struct {
 	Path    string
 	Content []byte
 	Mode    fs.FileMode // permissions of a new file; an existing file keeps its own
 }
 
-// replacement is a temporary file that is to replace another.
+// replacement is a temporary file that will be renamed to the file that it replaces.
 type replacement struct {
 	file   File
 	temp   string // path of the temporary file
-	target string // path that it is renamed to
+	target string // path that the temporary file is renamed to
 }
 
 // Write replaces files. All temporary files are complete and synced before the first one is renamed, so that a full disk, the most
 // likely failure, changes no file. If a rename fails nevertheless, the files before it are replaced, and the error says how many.
-// A path that is a symlink stays one, and the file that it refers to is replaced. Errors name the file.
+// If a path is a symlink, the file that it refers to is replaced, and the symlink remains. Errors name the file.
 func Write(disk FS, files ...File) (err error) {
 	replacements, err := prepare(disk, files)
 	renamed := 0
@@ -34,7 +34,7 @@
 		renamed, err = rename(disk, replacements)
 	}
 	for _, r := range replacements[renamed:] {
-		_ = disk.Remove(r.temp) // the error of the write is more important, and the suffix marks the file as temporary
+		_ = disk.Remove(r.temp) // the write error is returned instead; a file that remains is recognizable by its suffix
 	}
 	if err != nil {
 		return err
@@ -42,7 +42,8 @@
 	return syncDirs(disk, replacements)
 }
 
-// prepare writes the temporary files. If it fails, it returns those that were created, complete or not, for removal.
+// prepare writes the temporary files. If it fails, it returns those that were created, complete or not, so that the caller can
+// remove them.
 func prepare(disk FS, files []File) (prepared []replacement, err error) {
 	for _, f := range files {
 		target, mode, err := resolveTarget(f)
@@ -55,13 +56,14 @@
 		}
 		prepared = append(prepared, replacement{file: f, temp: temp.Name(), target: target})
 		if err := writeTemp(temp, f.Content, mode); err != nil {
-			return prepared, fmt.Errorf("%s: cannot be written, and is as it was: %w", f.Path, withoutPath(err))
+			return prepared, fmt.Errorf("%s: cannot be written, and is unchanged: %w", f.Path, withoutPath(err))
 		}
 	}
 	return prepared, nil
 }
 
-// rename renames the temporary files to their targets, and returns how many it has renamed.
+// rename renames the temporary files to their targets. It stops at the first error, and returns the number of files that were
+// renamed before it.
 func rename(disk FS, replacements []replacement) (renamed int, err error) {
 	for i, r := range replacements {
 		err := disk.Rename(r.temp, r.target)
@@ -69,14 +71,14 @@
 			continue
 		}
 		if i > 0 {
-			return i, fmt.Errorf("%s: cannot be written: %w; the %d files before it are new", r.file.Path, withoutPath(err), i)
+			return i, fmt.Errorf("%s: cannot be written: %w; %d files were already replaced", r.file.Path, withoutPath(err), i)
 		}
-		return i, fmt.Errorf("%s: cannot be written, and is as it was: %w", r.file.Path, withoutPath(err))
+		return i, fmt.Errorf("%s: cannot be written, and is unchanged: %w", r.file.Path, withoutPath(err))
 	}
 	return len(replacements), nil
 }
 
-// syncDirs makes the renames durable.
+// syncDirs makes the renames durable. It returns an error that names the directory that could not be synced.
 func syncDirs(disk FS, replacements []replacement) error {
 	dirs := map[string]bool{}
 	for _, r := range replacements {
@@ -84,19 +86,20 @@
 	}
 	for dir := range dirs {
 		if err := disk.SyncDir(dir); err != nil {
-			return fmt.Errorf("%s: the new files may not survive a loss of power: %w", dir, withoutPath(err))
+			return fmt.Errorf("%s: cannot be synced, so the new files may not survive a loss of power: %w", dir, withoutPath(err))
 		}
 	}
 	return nil
 }
 
-// resolveTarget returns the path of the file to replace, with symlinks resolved, and the permissions of the new one.
+// resolveTarget returns the path of the file to replace, with symlinks resolved, and the permissions of the new file. It fails if
+// the path is a dangling symlink or not a regular file.
 func resolveTarget(file File) (target string, mode fs.FileMode, err error) {
 	info, err := os.Stat(file.Path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		if _, err := os.Lstat(file.Path); err == nil {
-			return "", 0, fmt.Errorf("%s: is a symlink to a file that is not there", file.Path)
+			return "", 0, fmt.Errorf("%s: is a symlink to a file that does not exist", file.Path)
 		}
 		return file.Path, file.Mode, nil
 	case err != nil:
@@ -122,8 +125,8 @@
 	return errors.Join(err, temp.Close())
 }
 
-// withoutPath removes the path from an error of package os. It may be that of a temporary file, which would mislead the reader; the
-// callers name the target.
+// withoutPath removes the path from an error of package os. The path may be that of a temporary file, which operators do not know.
+// Callers add the path of the target instead.
 func withoutPath(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/files/atomicfile/atomicfile_test.go
+++ b/internal/files/atomicfile/atomicfile_test.go
@@ -11,17 +11,17 @@
 	"testing"
 )
 
-// faultyFS is the real file system with one call that fails. A write that fails has written half of its data.
+// faultyFS is the real file system, except that one call fails. A failed write writes half of its data.
 type faultyFS struct {
 	Disk
-	callsLeft int // until the call that fails, with that one
-	err       error
-	calls     []string // so far
-	failed    string   // the call that failed
+	callsLeft int      // number of calls up to and including the one that fails; negative if none does
+	err       error    // error that the failing call returns
+	calls     []string // names of the calls that were made
+	failed    string   // name of the call that failed; empty if none did
 }
 
-// fail counts a call, and returns the error of the one that has to fail.
-func (f *faultyFS) fail(call string) error {
+// recordCall records a call, and returns an error if it is the one that has to fail.
+func (f *faultyFS) recordCall(call string) error {
 	f.calls = append(f.calls, call)
 	if f.callsLeft--; f.callsLeft == 0 {
 		f.failed = call
@@ -31,7 +31,7 @@
 }
 
 func (f *faultyFS) CreateTemp(dir, pattern string) (TempFile, error) {
-	if err := f.fail("create"); err != nil {
+	if err := f.recordCall("create"); err != nil {
 		return nil, &fs.PathError{Op: "open", Path: dir, Err: err}
 	}
 	file, err := f.Disk.CreateTemp(dir, pattern)
@@ -39,14 +39,14 @@
 }
 
 func (f *faultyFS) Rename(from, to string) error {
-	if err := f.fail("rename"); err != nil {
+	if err := f.recordCall("rename"); err != nil {
 		return &os.LinkError{Op: "rename", Old: from, New: to, Err: err}
 	}
 	return f.Disk.Rename(from, to)
 }
 
 func (f *faultyFS) SyncDir(dir string) error {
-	if err := f.fail("sync dir"); err != nil {
+	if err := f.recordCall("sync dir"); err != nil {
 		return err
 	}
 	return f.Disk.SyncDir(dir)
@@ -59,7 +59,7 @@
 }
 
 func (f *faultyTempFile) Write(b []byte) (int, error) {
-	if err := f.fs.fail("write"); err != nil {
+	if err := f.fs.recordCall("write"); err != nil {
 		n, _ := f.TempFile.Write(b[:len(b)/2])
 		return n, &fs.PathError{Op: "write", Path: f.Name(), Err: err}
 	}
@@ -67,14 +67,14 @@
 }
 
 func (f *faultyTempFile) Chmod(mode fs.FileMode) error {
-	if err := f.fs.fail("chmod"); err != nil {
+	if err := f.fs.recordCall("chmod"); err != nil {
 		return err
 	}
 	return f.TempFile.Chmod(mode)
 }
 
 func (f *faultyTempFile) Sync() error {
-	if err := f.fs.fail("sync"); err != nil {
+	if err := f.fs.recordCall("sync"); err != nil {
 		return err
 	}
 	return f.TempFile.Sync()
@@ -82,7 +82,7 @@
 
 func (f *faultyTempFile) Close() error {
 	err := f.TempFile.Close()
-	if failure := f.fs.fail("close"); failure != nil {
+	if failure := f.fs.recordCall("close"); failure != nil {
 		return failure
 	}
 	return err
@@ -98,14 +98,14 @@
 	return string(content)
 }
 
-// At whichever call the disk fails, each file is complete, old or new; before the first rename all are old; no temporary file
-// remains; and the error names a file or its directory.
-func TestAFullDiskLeavesWholeFiles(t *testing.T) {
+// If the disk is full at any one call, each file has either its complete old content or its complete new content. Before the first
+// rename, no file is changed. No temporary file remains, and the error names a file or its directory.
+func TestFullDiskLeavesCompleteFiles(t *testing.T) {
 	for call := 1; ; call++ {
 		disk := &faultyFS{callsLeft: call, err: syscall.ENOSPC}
 		if done := checkFailingWrite(t, disk); done {
 			if call < 15 {
-				t.Errorf("only %d calls can fail", call)
+				t.Errorf("Write made fewer than %d calls that can fail, want at least 15", call)
 			}
 			return
 		}
@@ -119,7 +119,7 @@
 	const oldContent, newContent = "old", "a new text that is longer"
 	dir := t.TempDir()
 	paths := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b"), filepath.Join(dir, "c")}
-	for _, path := range paths[:2] { // the third one is new
+	for _, path := range paths[:2] { // the third file does not exist yet
 		if err := os.WriteFile(path, []byte(oldContent), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -131,12 +131,12 @@
 	err := Write(disk, files...)
 	if disk.callsLeft > 0 {
 		if err != nil {
-			t.Errorf("nothing failed, and the error is %v", err)
+			t.Errorf("no call failed, but Write returns the error %v", err)
 		}
 		return true
 	}
 	if !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), dir) || strings.Contains(err.Error(), ".tmp") {
-		t.Errorf("%s fails: %v", disk.failed, err)
+		t.Errorf("failing %s: got error %v, want ENOSPC with a path in %s and no temporary file", disk.failed, err, dir)
 	}
 	renamed := 0
 	for i, path := range paths {
@@ -145,11 +145,11 @@
 		if got == newContent {
 			renamed++
 		} else if !isOld {
-			t.Errorf("%s fails: %s contains %q", disk.failed, path, got)
+			t.Errorf("failing %s: %s contains %q, want its old or its new content", disk.failed, path, got)
 		}
 	}
 	if disk.failed != "rename" && disk.failed != "sync dir" && renamed > 0 {
-		t.Errorf("%s fails: %d files are new", disk.failed, renamed)
+		t.Errorf("failing %s: %d files were replaced, want none before the first rename", disk.failed, renamed)
 	}
 	checkNoTemporaryFile(t, dir, disk.failed)
 	return false
@@ -164,13 +164,13 @@
 	}
 	for _, e := range entries {
 		if strings.Contains(e.Name(), "tmp") {
-			t.Errorf("%s fails: %s is left", failed, e.Name())
+			t.Errorf("failing %s: the temporary file %s remains", failed, e.Name())
 		}
 	}
 }
 
-// Each file is synced before the first rename, and the directory after the last one. In any other order a loss of power could leave
-// an empty file in the place of a complete one.
+// Each file is synced before the first rename, and the directory after the last rename. In any other order, a loss of power could
+// replace a complete file by an empty one.
 func TestOrderOfCalls(t *testing.T) {
 	dir := t.TempDir()
 	disk := &faultyFS{callsLeft: -1}
@@ -180,11 +180,13 @@
 	}
 	const want = "create write chmod sync close create write chmod sync close rename rename sync dir"
 	if got := strings.Join(disk.calls, " "); got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("calls of the file system: got %s, want %s", got, want)
 	}
 }
 
-func TestRightsAndLinks(t *testing.T) {
+// An existing file keeps its permissions, and a new one gets those in File. A symlink is followed. Paths that cannot be replaced are
+// rejected with an error that names the reason.
+func TestPermissionsAndSymlinks(t *testing.T) {
 	dir := t.TempDir()
 	target, link := filepath.Join(dir, "target"), filepath.Join(dir, "link")
 	if err := os.WriteFile(target, nil, 0o640); err != nil {
@@ -198,32 +200,33 @@
 	}
 	info, err := os.Lstat(link)
 	if err != nil || info.Mode()&fs.ModeSymlink == 0 || readFile(t, target) != "x" {
-		t.Error("the symlink was replaced, not its target")
+		t.Error("the symlink was replaced instead of its target")
 	}
 	if info, _ := os.Stat(target); info.Mode().Perm() != 0o640 {
-		t.Errorf("the permissions became %v", info.Mode())
+		t.Errorf("the permissions of the replaced file changed to %v, want 0640", info.Mode())
 	}
 	if err := Write(Disk{}, File{filepath.Join(dir, "new"), []byte("x"), 0o604}); err != nil {
 		t.Fatal(err)
 	}
 	if info, _ := os.Stat(filepath.Join(dir, "new")); info.Mode().Perm() != 0o604 {
-		t.Errorf("the permissions of a new file are %v", info.Mode())
+		t.Errorf("the permissions of the new file are %v, want 0604", info.Mode())
 	}
 	if err := os.Remove(target); err != nil {
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{
-		link:                            "a symlink to a file that is not there",
+		link:                            "a symlink to a file that does not exist",
 		dir:                             "no regular file",
 		filepath.Join(dir, "none", "x"): "cannot be written",
 	} {
 		if err := Write(Disk{}, File{path, []byte("x"), 0o600}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("write %s: got error %v, want one with %q", path, err, want)
 		}
 	}
 }
 
-func TestReadOnlyFolder(t *testing.T) {
+// Write fails with fs.ErrPermission in a directory without write permission.
+func TestReadOnlyDirectory(t *testing.T) {
 	if os.Getuid() == 0 {
 		t.Skip("root may write to any directory")
 	}
@@ -237,11 +240,11 @@
 		}
 	}()
 	if err := Write(Disk{}, File{filepath.Join(dir, "x"), nil, 0o600}); !errors.Is(err, fs.ErrPermission) {
-		t.Error(err)
+		t.Errorf("write to a read-only directory: got error %v, want fs.ErrPermission", err)
 	}
 }
 
-// Concurrent writers take turns, so that each sees the complete result of the one before.
+// Concurrent writers run one at a time under the lock, so that each reads the complete result of the previous one.
 func TestLock(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n")
@@ -261,7 +264,7 @@
 	}
 	writers.Wait()
 	if got := readFile(t, path); got != "xxxxxxxx" {
-		t.Errorf("got %q", got)
+		t.Errorf("content after 8 concurrent appends: got %q, want %q", got, "xxxxxxxx")
 	}
 	if _, err := Lock(filepath.Join(dir, "none")); err == nil {
 		t.Error("a directory that does not exist was locked")
--- a/internal/files/atomicfile/disk.go
+++ b/internal/files/atomicfile/disk.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// FS is the part of a file system that Write needs. Disk implements it; tests use one that fails.
+// FS has the file system operations that Write needs. Disk implements it on the real file system; tests inject faults.
 type FS interface {
-	// CreateTemp creates a file whose name is the pattern with its star replaced by a random string, as os.CreateTemp does.
+	// CreateTemp creates a file whose name is the pattern with the asterisk replaced by a random string, as os.CreateTemp does.
 	CreateTemp(dir, pattern string) (TempFile, error)
 	// Rename renames a file, and replaces an existing one.
 	Rename(from, to string) error
@@ -19,7 +19,7 @@
 	SyncDir(dir string) error
 }
 
-// TempFile is a temporary file that is open for writing. *os.File is one.
+// TempFile is a temporary file that is open for writing. *os.File implements it.
 type TempFile interface {
 	Name() string
 	Write([]byte) (int, error)
@@ -28,7 +28,7 @@
 	Close() error
 }
 
-// Disk is the real file system.
+// Disk is the real file system. It implements FS.
 type Disk struct{}
 
 // CreateTemp calls os.CreateTemp.
--- a/internal/files/certfile/certfile.go
+++ b/internal/files/certfile/certfile.go
@@ -1,6 +1,6 @@
 // Package certfile loads certificates with their private keys, and pools of certificate authorities, from PEM files. A Reloader
-// loads a certificate again when its files are replaced while the program runs. The package issues no certificates, and checks
-// neither names nor chains.
+// reloads a certificate when its files are replaced while the program runs. The package does not issue certificates, and verifies
+// neither host names nor certificate chains.
 package certfile
 
 import (
@@ -13,13 +13,13 @@
 	"quincegap/internal/files/secretfile"
 )
 
-// maxBytes is the largest size of a file with certificates.
+// maxBytes is the maximum size of a certificate file.
 const maxBytes = 1 << 20
 
-// validityFormat formats the start and the end of a certificate's validity in error messages.
+// validityFormat is the time layout of the start and the end of a certificate's validity in error messages.
 const validityFormat = "2006-01-02 15:04 MST"
 
-// LoadValid loads a certificate as Load does, and fails if it is not valid at the given time.
+// LoadValid loads a certificate as Load does, and also fails if the certificate has expired at the given time or is not valid yet.
 func LoadValid(certPath, keyPath string, now time.Time) (*tls.Certificate, error) {
 	pair, err := Load(certPath, keyPath)
 	if err != nil {
@@ -27,15 +27,15 @@
 	}
 	switch {
 	case now.After(pair.Leaf.NotAfter):
-		return nil, fmt.Errorf("%s: holds until %s only", certPath, pair.Leaf.NotAfter.UTC().Format(validityFormat))
+		return nil, fmt.Errorf("%s: the certificate expired at %s", certPath, pair.Leaf.NotAfter.UTC().Format(validityFormat))
 	case now.Before(pair.Leaf.NotBefore):
-		return nil, fmt.Errorf("%s: holds from %s only", certPath, pair.Leaf.NotBefore.UTC().Format(validityFormat))
+		return nil, fmt.Errorf("%s: the certificate is not valid before %s", certPath, pair.Leaf.NotBefore.UTC().Format(validityFormat))
 	}
 	return pair, nil
 }
 
 // Load loads a certificate and its key, and sets Leaf. It fails if a file cannot be read, if everybody may read the key file (see
-// package secretfile), or if the key does not match the certificate. It does not check the period of validity.
+// package secretfile), or if the key does not match the certificate. It does not check the validity period.
 func Load(certPath, keyPath string) (*tls.Certificate, error) {
 	key, err := secretfile.ReadPrivateKey(keyPath)
 	if err != nil {
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s with %s: %w", certPath, keyPath, err)
 	}
-	if pair.Leaf == nil { // only with GODEBUG=x509keypairleaf=0
+	if pair.Leaf == nil { // X509KeyPair leaves it unset only with GODEBUG=x509keypairleaf=0
 		if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
 			return nil, fmt.Errorf("%s: %w", certPath, err)
 		}
@@ -57,7 +57,7 @@
 	return &pair, nil
 }
 
-// LoadPool loads the certificates of certificate authorities from a file that has one or more of them.
+// LoadPool loads a pool of certificate authorities from a PEM file. It fails if the file contains no certificate that can be parsed.
 func LoadPool(path string) (*x509.CertPool, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -65,19 +65,19 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, fmt.Errorf("%s: holds no certificate", path)
+		return nil, fmt.Errorf("%s: contains no valid certificate", path)
 	}
 	return pool, nil
 }
 
-// readFile reads a regular file of at most maxBytes.
+// readFile reads a file. It fails if the file is not a regular one or has more than maxBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.Mode().IsRegular() || info.Size() > maxBytes {
-		return nil, fmt.Errorf("%s: is no file of at most %d bytes", path, maxBytes)
+		return nil, fmt.Errorf("%s: is not a regular file of at most %d bytes", path, maxBytes)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/files/secretfile/secretfile.go
+++ b/internal/files/secretfile/secretfile.go
@@ -1,5 +1,5 @@
 // Package secretfile reads tokens and private keys from files. It rejects files that everybody may read or write, and files whose
-// content is not a secret of the expected form. No error contains any of the content of a file.
+// content is not a secret in the expected format. Error messages never contain any content of a file.
 package secretfile
 
 import (
@@ -12,20 +12,20 @@
 	"strings"
 )
 
-// MaxBytes is the largest size of a file with a secret.
+// MaxBytes is the maximum size of a file with a secret.
 const MaxBytes = 16 << 10
 
-// Permissions that a file with a secret must not have. Those of the group are the operator's choice, as some programs run with a
-// group of their own for this purpose.
+// Permissions that a file with a secret must not have. Group permissions are allowed, as some programs run with a dedicated group
+// to read such files.
 const (
 	worldWritable fs.FileMode = 0o002
 	worldReadable fs.FileMode = 0o004
 )
 
-// pemTypeEncryptedKey is the type of the PEM block of a key with a password (RFC 7468, section 11).
+// pemTypeEncryptedKey is the type of the PEM block of a password-protected key (RFC 7468, section 11).
 const pemTypeEncryptedKey = "ENCRYPTED PRIVATE KEY"
 
-// ReadToken reads a token from a file, without the white space around it. A token is one word of printable ASCII characters.
+// ReadToken reads a token from a file, and trims the white space around it. A token is one word of printable ASCII characters.
 func ReadToken(path string) (string, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -36,16 +36,16 @@
 		return "", fmt.Errorf("%s: is empty, so it holds no secret", path)
 	}
 	if strings.ContainsFunc(token, notPrintable) {
-		return "", fmt.Errorf("%s: holds more than one word of plain characters, so it is no token", path)
+		return "", fmt.Errorf("%s: is not one word of printable ASCII characters, so it is no token", path)
 	}
 	return token, nil
 }
 
-// notPrintable reports whether a character is not a printable ASCII character other than a space.
+// notPrintable reports whether a character is a space or not a printable ASCII character.
 func notPrintable(r rune) bool { return r <= ' ' || r >= 0x7f }
 
 // ReadPrivateKey reads a file with a private key in PEM (RFC 7468, section 10). It returns the complete content, other PEM blocks
-// included. A key with a password is an error, as the programs have nobody to ask for it.
+// included. A password-protected key is an error, as the programs run unattended and cannot ask for the password.
 func ReadPrivateKey(path string) ([]byte, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -58,7 +58,7 @@
 			return nil, fmt.Errorf("%s: holds no private key in PEM", path)
 		}
 		if block.Type == pemTypeEncryptedKey {
-			return nil, fmt.Errorf("%s: its key is encrypted, and nobody is here to be asked for the password", path)
+			return nil, fmt.Errorf("%s: its key is encrypted, and a password cannot be entered", path)
 		}
 		if block.Type == "PRIVATE KEY" || strings.HasSuffix(block.Type, " PRIVATE KEY") {
 			return content, nil
@@ -66,7 +66,7 @@
 	}
 }
 
-// readFile reads a file, if its permissions and its size are acceptable for a secret.
+// readFile reads a file. It fails if its permissions or its size are not acceptable for a secret.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -90,14 +90,14 @@
 	return content, nil
 }
 
-// checkMode returns an error if everybody may read the secret, or may replace it.
+// checkMode returns an error if the file is not a regular one, or if everybody may read or write it.
 func checkMode(info fs.FileInfo) error {
 	mode := info.Mode()
 	switch {
 	case !mode.IsRegular():
 		return errors.New("is no regular file, so it is no secret")
 	case mode.Perm()&worldWritable != 0:
-		return fmt.Errorf("the file can be written by everybody (mode %04o), so the secret is not to be trusted; chmod o-w", mode.Perm())
+		return fmt.Errorf("the file can be written by everybody (mode %04o), so the secret cannot be trusted; chmod o-w", mode.Perm())
 	case mode.Perm()&worldReadable != 0:
 		return fmt.Errorf("the file can be read by everybody (mode %04o), so it is no secret; chmod o-r", mode.Perm())
 	}
--- a/internal/files/secretfile/secretfile_test.go
+++ b/internal/files/secretfile/secretfile_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// secretMark is part of the content of each file, and must not be part of any error.
+// secretMark is part of the content of each file, and must not appear in any error.
 const secretMark = "s3cret"
 
-// writeFile writes a file with the given permissions, whatever the umask is.
+// writeFile writes a file with the given permissions, independently of the umask.
 func writeFile(t *testing.T, path, content string, mode os.FileMode) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// checkError checks that an error contains a text and no secret. It expects no error if the text is empty.
+// checkError checks that an error contains a text and not the secret. It expects no error if the text is empty.
 func checkError(t *testing.T, err error, want string) {
 	t.Helper()
 	if want == "" {
@@ -32,46 +32,47 @@
 		return
 	}
 	if err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("error %v, want %q", err, want)
+		t.Errorf("got error %v, want %q", err, want)
 	}
 	if err != nil && strings.Contains(err.Error(), secretMark) {
 		t.Errorf("the error contains the secret: %v", err)
 	}
 }
 
-func TestRead(t *testing.T) {
+// ReadToken trims white space, and rejects files with world permissions and content that is not one word.
+func TestReadToken(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "token")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		content string
 		mode    os.FileMode
-		want    string // of the error; empty for none
+		want    string // part of the expected error; empty if none is expected
 	}{
 		{"line", "s3cret\n", 0o600, ""},
 		{"white space, group may read", " s3cret ", 0o640, ""},
 		{"everybody may write", "s3cret", 0o602, "written by everybody"},
 		{"everybody may read", "s3cret", 0o604, "read by everybody"},
 		{"empty", "", 0o600, "is empty"},
-		{"two words", "s3cret word", 0o600, "more than one word"},
+		{"two words", "s3cret word", 0o600, "not one word of printable"},
 		{"too large", strings.Repeat("s3cret", 5000), 0o600, "more than"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			writeFile(t, path, c.content, c.mode)
+		t.Run(test.name, func(t *testing.T) {
+			writeFile(t, path, test.content, test.mode)
 			got, err := ReadToken(path)
-			checkError(t, err, c.want)
+			checkError(t, err, test.want)
 			want := secretMark
-			if c.want != "" {
+			if test.want != "" {
 				want = ""
 			}
 			if got != want {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("token: got %q, want %q", got, want)
 			}
 		})
 	}
 	for _, path := range []string{dir, filepath.Join(dir, "none")} {
 		if _, err := ReadToken(path); err == nil {
-			t.Errorf("%s was read", path)
+			t.Errorf("reading a token from %s succeeded, want an error", path)
 		}
 	}
 }
@@ -81,13 +82,14 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: []byte(secretMark)}))
 }
 
-func TestKey(t *testing.T) {
+// ReadPrivateKey returns the complete file, and rejects files without a usable private key.
+func TestReadPrivateKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		content string
 		mode    os.FileMode
-		want    string // of the error; empty for none
+		want    string // part of the expected error; empty if none is expected
 	}{
 		{"PKCS 8", pemBlock("PRIVATE KEY"), 0o600, ""},
 		{"after parameters, group may read", pemBlock("EC PARAMETERS") + pemBlock("EC PRIVATE KEY"), 0o640, ""},
@@ -97,12 +99,12 @@
 		{"encrypted", pemBlock("ENCRYPTED PRIVATE KEY"), 0o600, "is encrypted"},
 		{"too large", strings.Repeat(pemBlock("CERTIFICATE"), 500), 0o600, "more than"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			writeFile(t, path, c.content, c.mode)
+		t.Run(test.name, func(t *testing.T) {
+			writeFile(t, path, test.content, test.mode)
 			got, err := ReadPrivateKey(path)
-			checkError(t, err, c.want)
-			if c.want == "" && string(got) != c.content {
-				t.Errorf("got %q, want the whole file", got)
+			checkError(t, err, test.want)
+			if test.want == "" && string(got) != test.content {
+				t.Errorf("got %q, want the complete file %q", got, test.content)
 			}
 		})
 	}
