--- a/internal/files/store/batch.go
+++ b/internal/files/store/batch.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Batch is a set of changes that become durable as a whole or not at all. The zero value is an empty batch.
+// Batch is an atomic set of changes: either all of them become durable or none. The zero value is an empty batch.
 type Batch struct {
-	records  []frame // expiresAt holds the retention until the committer encodes the batch
-	size     int64   // bytes of the records on the disk
-	maxDelay time.Duration
+	records  []frame       // changes in order; expiresAt is the retention in ms until the committer encodes the batch
+	size     int64         // encoded size of the records in bytes
+	maxDelay time.Duration // see SetMaxDelay
 }
 
-// SetMaxDelay allows the store to delay the batch, to save a sync: it is written together with the next batch without a delay, and
-// by itself only after d. Until then, a crash or a loss of power loses it. The default of 0 is no delay.
+// SetMaxDelay allows the store to delay the batch by up to d, to save a sync: the batch is written together with the next batch that
+// has no delay, or by itself after d. Until it is written, a crash or a loss of power loses it. The default of 0 means no delay.
 func (b *Batch) SetMaxDelay(d time.Duration) { b.maxDelay = d }
 
-// Put adds a record that expires after retention, or never if that is 0. Key and value must not change until the batch has been
-// applied.
+// Put adds a record that expires after retention, or never if retention is 0. The caller must not modify key and value until the
+// batch has been applied.
 func (b *Batch) Put(key, value []byte, retention time.Duration) {
 	b.add(frame{kind: kindPut, key: key, value: value, expiresAt: retention.Milliseconds()}, minPutBytes)
 }
 
-// Delete adds the deletion of a record. It is no error if there is none.
+// Delete adds the deletion of the record of a key. It is no error if the key has no record.
 func (b *Batch) Delete(key []byte) { b.add(frame{kind: kindDelete, key: key}, minDeleteBytes) }
 
-// add adds a record. fixedBytes is its size on the disk without key and value.
+// add adds a record. fixedBytes is its encoded size without key and value.
 func (b *Batch) add(f frame, fixedBytes int) {
 	b.records = append(b.records, f)
 	b.size += int64(fixedBytes + len(f.key) + len(f.value))
 }
 
-// checkSizes returns ErrRecordSize if the size of a key or value is out of bounds.
+// checkSizes returns ErrRecordSize if a key is empty, or if a key or value is too long.
 func (b *Batch) checkSizes() error {
 	for i := range b.records {
 		record := &b.records[i]
@@ -39,12 +39,13 @@
 	return nil
 }
 
-// growth returns how many records and bytes a batch adds to an index, minus those of the records that it supersedes.
+// growth returns how many records and bytes a batch adds to an index, minus those of the records that it supersedes. Deletions count
+// as no change.
 func (b *Batch) growth(x *index) (records int, bytes int64) {
 	for i := range b.records {
 		f := &b.records[i]
 		if f.kind != kindPut {
-			continue // a deletion frees its record only once it is durable
+			continue // a deletion frees space only once it is durable
 		}
 		records++
 		bytes += int64(minPutBytes + len(f.key) + len(f.value))
--- a/internal/files/store/clock.go
+++ b/internal/files/store/clock.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Timestamp is a reading of the clocks of a machine.
+// Timestamp is a simultaneous reading of the wall clock and the uptime of a machine.
 type Timestamp struct {
-	WallMillis   int64  // Unix time in ms, which may be set forward or back
-	BootID       uint64 // identifies the boot of the machine; 0 if unknown
-	UptimeMillis int64  // time since the boot in ms, which cannot be set
+	WallMillis   int64  // Unix time in ms; the wall clock may be set forward or back
+	BootID       uint64 // identifier of the current boot of the machine; 0 if unknown
+	UptimeMillis int64  // time since the boot in ms; unlike the wall clock, it cannot be set
 }
 
-// Clock returns the current time.
+// Clock returns the current reading of the machine's clocks.
 type Clock func() Timestamp
 
-// SystemClock returns the clock of this machine. It reads the boot ID and the uptime of Linux once. If they are not available, the
-// uptime counts from the call of SystemClock.
+// SystemClock returns the clock of this machine. It reads the boot ID and the uptime from Linux once. If these are not available,
+// the uptime starts at 0 when SystemClock is called.
 func SystemClock() Clock {
 	bootID, uptime, ok := readUptime()
 	if !ok {
@@ -56,8 +56,8 @@
 	return bootID, int64(seconds * 1000), true
 }
 
-// storeTimeAt returns the store time at a timestamp, given that it was storeTime at the earlier timestamp last. It advances with the
-// uptime within one boot of the machine, and with the wall clock across boots, unless that was set back.
+// storeTimeAt returns the store time in ms at a timestamp, given that it was storeTime at the earlier timestamp last. The store time
+// advances with the uptime within one boot of the machine. Across boots it is set to the wall clock, unless that is behind it.
 func storeTimeAt(storeTime int64, last, at Timestamp) int64 {
 	if last.BootID != 0 && last.BootID == at.BootID && at.UptimeMillis >= last.UptimeMillis {
 		return storeTime + at.UptimeMillis - last.UptimeMillis
@@ -65,17 +65,17 @@
 	return max(storeTime, at.WallMillis)
 }
 
-// storeClock is the clock of a store. It never goes back, whatever the clock of the machine is set to.
+// storeClock is the clock of a store. The store time never decreases, even if the wall clock of the machine is set back.
 type storeClock struct {
-	machine    Clock
+	machine    Clock // clock of the machine
 	baseTime   int64 // store time in ms when the uptime was baseUptime
-	baseUptime int64 // in ms
+	baseUptime int64 // uptime in ms when the store time was baseTime
 }
 
 // now returns the store time in ms.
 func (c *storeClock) now() int64 { return c.baseTime + c.machine().UptimeMillis - c.baseUptime }
 
-// advanceTo sets the store time to the given one, unless it is later already.
+// advanceTo sets the store time in ms, unless it is already later.
 func (c *storeClock) advanceTo(storeTime int64) {
 	if behind := storeTime - c.now(); behind > 0 {
 		c.baseTime += behind
--- a/internal/files/store/committer.go
+++ b/internal/files/store/committer.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// maxKeptBuffer is the largest buffer in bytes that is kept for the next group.
-const maxKeptBuffer = 1 << 20
+// maxRetainedBufferBytes is the capacity above which the buffer is discarded instead of being reused for the next group.
+const maxRetainedBufferBytes = 1 << 20
 
-// committer makes queued batches durable, in a goroutine that ends after the queue was closed. Only that goroutine uses the fields,
-// except that recovery sets some before it starts, and close uses them after it has ended.
+// committer makes queued batches durable, in a goroutine that ends after the queue has been closed. Only that goroutine accesses the
+// fields, except that recovery sets some before the goroutine starts, and close uses them after it has ended.
 type committer struct {
 	store *Store
 	done  chan struct{} // closed when the goroutine has ended
 
-	segment    *segment // the last one
-	file       File     // of segment; nil if segment is sealed or abandoned
-	nextSeq    uint64   // sequence number of the next record
-	durableSeq uint64   // all records up to this one are durable
-	failedSeqs seqRange // records whose write has failed since the last segment was created
-	retryAt    int64    // uptime in ms from which on a segment is created after a failure
-	backoff    time.Duration
-	buffer     []byte
-	offsets    []uint32 // in buffer: the start of each record, and the end of the last
+	segment    *segment      // last segment of the log
+	file       File          // file of segment, open for appending; nil if segment is sealed or abandoned
+	nextSeq    uint64        // sequence number of the next record
+	durableSeq uint64        // sequence number up to which all records are durable
+	failedSeqs seqRange      // sequence numbers whose write has failed since the last segment was created
+	retryAt    int64         // uptime in ms before which no segment is created after a failure
+	backoff    time.Duration // time to wait after the next failure
+	buffer     []byte        // encoded frames of the last group, reused for the next one
+	offsets    []uint32      // offsets in buffer of the start of each record and of the end of the last record
 }
 
 func newCommitter(s *Store) *committer {
 	return &committer{store: s, done: make(chan struct{}), backoff: s.options.MinBackoff}
 }
 
-// run writes the queued batches, with one sync for all batches that are in the queue at a time.
+// run writes the queued batches until the queue is closed, with one sync for all batches that are in the queue at the same time.
 func (c *committer) run() {
 	defer close(c.done)
 	queue := c.store.queue
@@ -45,7 +45,7 @@
 	}
 }
 
-// commit writes a group of batches, and calls done of each with its result.
+// commit writes a group of batches, and calls the done function of each batch with its result.
 func (c *committer) commit(group []pendingBatch) {
 	c.store.dropExpired()
 	errs := make([]error, len(group))
@@ -62,7 +62,7 @@
 	c.store.compactor.maintain()
 }
 
-// write makes the batches of a group without an error durable, and adds their records to the index.
+// write makes those batches of a group durable that have no error in errs, and adds their records to the index.
 func (c *committer) write(group []pendingBatch, errs []error) error {
 	if err := c.ensureSegment(); err != nil {
 		return err
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// ensureSegment creates a segment if there is no active one. During the backoff after a failure it returns the last error instead.
+// ensureSegment creates a segment if there is no active one. During the backoff after a failure it returns the last disk error
+// instead.
 func (c *committer) ensureSegment() error {
 	if c.file != nil {
 		return nil
@@ -91,15 +92,15 @@
 	if c.store.options.Clock().UptimeMillis < c.retryAt {
 		return c.store.Health().Err
 	}
-	if err := c.roll(); err != nil {
+	if err := c.createSegment(); err != nil {
 		c.recordFailure(err)
 		return err
 	}
 	return nil
 }
 
-// encode sets the sequence numbers and the expiry of the records in a group, and returns the frames to write. It sets c.offsets. The
-// result is valid until the next call.
+// encode sets the sequence number and the expiry of each record in a group, and returns the frames to write. It also sets c.offsets.
+// The result is valid until the next call.
 func (c *committer) encode(group []pendingBatch, errs []error) []byte {
 	now := c.store.clock.now()
 	b := appendFrame(c.buffer[:0], &frame{kind: kindGroup, seq: c.nextSeq, durableSeq: c.durableSeq, storeTime: now})
@@ -123,13 +124,14 @@
 	}
 	c.offsets = append(c.offsets, uint32(len(b)))
 	c.buffer = b
-	if cap(b) > maxKeptBuffer {
+	if cap(b) > maxRetainedBufferBytes {
 		c.buffer = nil
 	}
 	return b
 }
 
-// expiryTime returns the store time at which a record with the given retention expires, all in ms. A retention of 0 has no end.
+// expiryTime returns the store time at which a record with the given retention expires, all in ms. A record with retention 0 never
+// expires.
 func expiryTime(now, retention int64) int64 {
 	if retention == 0 {
 		return never
@@ -137,7 +139,8 @@
 	return now + retention
 }
 
-// publish adds the records of a group to the index after they have become durable. written is the size of the group in bytes.
+// publish adds the records of a group to the index after they have become durable. written is the encoded size of the group in
+// bytes.
 func (c *committer) publish(group []pendingBatch, errs []error, written int) {
 	store := c.store
 	store.mu.Lock()
@@ -160,9 +163,9 @@
 	store.health.Err = nil
 }
 
-// abandonSegment stops writing to the active segment after a write or sync has failed. The kernel may have dropped the pages that
-// the sync failed for, and report success for the next sync. Durable records of the segment are read as before. firstSeq is the
-// first record of the failed group, written the number of bytes that were written.
+// abandonSegment stops writing to the active segment after a write or sync error. After a failed sync, the kernel may have dropped
+// the pages, and may report success for the next sync. The durable records of the segment can still be read. firstSeq is the sequence
+// number of the first record in the failed group, and written is the number of bytes of the group that were written.
 func (c *committer) abandonSegment(firstSeq uint64, written int, err error) {
 	c.failedSeqs.end = c.nextSeq
 	if c.failedSeqs.first == 0 {
@@ -175,7 +178,7 @@
 	c.recordFailure(err)
 }
 
-// recordFailure adds a failure of the disk to Health, and starts the backoff.
+// recordFailure adds a disk error to Health, and starts the backoff.
 func (c *committer) recordFailure(err error) {
 	options := &c.store.options
 	c.store.recordFailure(err)
@@ -183,11 +186,12 @@
 	c.backoff = min(2*c.backoff, options.MaxBackoff)
 }
 
-// rotate seals the active segment and creates the next one. An error loses nothing: the next group creates a segment again.
+// rotate seals the active segment and creates the next one. An error loses no data: the next group creates a segment if there is no
+// active one.
 func (c *committer) rotate() {
 	err := c.seal()
 	if err == nil {
-		err = c.roll()
+		err = c.createSegment()
 	}
 	if err != nil {
 		c.recordFailure(err)
@@ -202,16 +206,16 @@
 	return c.seal()
 }
 
-// seal ends the active segment with a seal frame.
+// seal appends a seal to the active segment, after which there is no active segment, even after an error.
 func (c *committer) seal() error {
 	seg, file := c.segment, c.file
 	c.file = nil
 	n, err := writeAndSync(file, appendFrame(nil, &frame{
-		kind:          kindSeal,
-		seq:           c.nextSeq - 1,
-		expiresAt:     seg.expiresAt,
-		shadowedUntil: seg.shadowedUntil,
-		records:       seg.records,
+		kind:                kindSeal,
+		seq:                 c.nextSeq - 1,
+		expiresAt:           seg.expiresAt,
+		supersededExpiresAt: seg.supersededExpiresAt,
+		records:             seg.records,
 	}))
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
@@ -222,8 +226,8 @@
 	return err
 }
 
-// roll creates a segment, and makes it the active one.
-func (c *committer) roll() error {
+// createSegment creates a segment file with a header, makes it durable, and makes it the active segment.
+func (c *committer) createSegment() error {
 	store := c.store
 	store.mu.Lock()
 	id := store.allocateID()
@@ -251,7 +255,7 @@
 	}
 	if err != nil {
 		_ = file.Close()
-		_ = store.fs.Remove(name) // if the file remains, it is a segment without a record
+		_ = store.fs.Remove(name) // a file that remains is a segment without records
 		return err
 	}
 	c.file = file
--- a/internal/files/store/compactor.go
+++ b/internal/files/store/compactor.go
@@ -8,27 +8,27 @@
 	"sync"
 )
 
-// compactionBuffer is the number of bytes after which a compaction writes its buffer.
-const compactionBuffer = 1 << 18
+// compactionBufferBytes is the buffer size above which a compaction writes its buffer to the file.
+const compactionBufferBytes = 1 << 18
 
-// compactor removes segments without live records, and compacts others: it writes the live records of several into a new one.
+// compactor removes segments without live records, and compacts others: it copies the live records of several segments to a new one.
 type compactor struct {
 	store     *Store
-	running   sync.WaitGroup // counts the compaction that maintain has started
-	threshold int64          // size of the store from which on maintain starts a compaction; used by the committer only
+	running   sync.WaitGroup // waits for the compaction that maintain has started
+	threshold int64          // minimum size of the store for the next compaction by maintain; used only by the committer
 
-	mu       sync.Mutex // held while segments are removed; guards the field below
-	obsolete []*segment // no longer in the store's list; their files are to be removed
+	mu       sync.Mutex // held while segments are compacted or removed; guards the field below
+	obsolete []*segment // segments that are no longer in the store's list, and whose files are to be removed
 }
 
-// liveRecord is a record for a compaction to copy.
+// liveRecord is a record that a compaction copies.
 type liveRecord struct {
 	location
 	key string
 }
 
-// maintain removes dead segments, and starts a compaction if the store is large enough compared with its live records. The committer
-// calls it after each group.
+// maintain removes the oldest segments without live records. It also starts a compaction if the store is at least as large as twice
+// the sum of its live records and one segment. The committer calls maintain after each group.
 func (c *compactor) maintain() {
 	c.dropDeadSegments()
 	store := c.store
@@ -42,7 +42,7 @@
 	if !c.mu.TryLock() {
 		return // a compaction is running
 	}
-	c.threshold = total + store.options.SegmentBytes/4 // so that one that fails or frees little is not repeated at once
+	c.threshold = total + store.options.SegmentBytes/4 // so that a compaction that fails or frees little is not repeated immediately
 	c.running.Go(func() {
 		defer c.mu.Unlock()
 		if err := c.compact(false); err != nil {
@@ -51,9 +51,9 @@
 	})
 }
 
-// dropDeadSegments removes the oldest segments as long as they have no live record. As no segment is before them, their deletions
-// are not needed any more. The removal of each is durable before the next one is removed, so that a segment is never missing while
-// an older one is present.
+// dropDeadSegments removes the oldest segments until it reaches one with a live record. As no older segment exists, the deletions in
+// the removed ones are no longer needed. Each removal is durable before the next segment is removed, so that a segment is never
+// missing while an older one exists. dropDeadSegments does nothing while a compaction is running.
 func (c *compactor) dropDeadSegments() {
 	if !c.mu.TryLock() {
 		return
@@ -68,8 +68,8 @@
 	}
 }
 
-// takeDeadSegment removes the oldest segment from the list and returns it, if it has no live record. It returns nil otherwise, and
-// if there is only one segment, as the committer may write to the last one.
+// takeDeadSegment removes the oldest segment from the list and returns it, if it has no live record. Otherwise it returns nil. It also
+// returns nil if there is only one segment, as the committer may be writing to that.
 func (s *Store) takeDeadSegment() *segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,24 +81,25 @@
 	return dead
 }
 
-// removeObsolete removes the files of obsolete segments. After an error the next change tries again, and until it succeeds no other
-// segment may be removed: records that are deleted there could return. The caller holds c.mu.
+// removeObsolete removes the files of obsolete segments, or renames those of damaged ones. After an error, the next compaction or
+// removal retries it. Until it succeeds, no other segment may be removed: a deleted record in an obsolete segment could reappear if
+// the segment with its deletion were removed first. The caller holds c.mu.
 func (c *compactor) removeObsolete() error {
 	if len(c.obsolete) == 0 {
 		return nil
 	}
 	dir := c.store.fs
-	if err := dir.SyncDir(); err != nil { // makes the segment that replaces them durable
+	if err := dir.SyncDir(); err != nil { // makes the rename of the segment that replaces them durable
 		return err
 	}
 	for _, seg := range c.obsolete {
 		if seg.file != nil {
-			_ = seg.file.Close() // it is not read again
+			_ = seg.file.Close() // the segment is not read again
 			seg.file = nil
 		}
 		var err error
 		if seg.damaged {
-			err = dir.Rename(seg.name, seg.name+damagedSuffix) // operators may be able to recover more of it
+			err = dir.Rename(seg.name, seg.name+damagedSuffix) // operators may be able to recover more of the data
 		} else {
 			err = dir.Remove(seg.name)
 		}
@@ -113,16 +114,17 @@
 	return nil
 }
 
-// compactAll compacts all segments but the active one.
+// compactAll compacts all segments except the active one.
 func (c *compactor) compactAll() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.compact(true)
 }
 
-// compact writes the live records of the oldest segments into a new segment that replaces them. Only the oldest can be replaced, as
-// the deletions that they contain are dropped, and must not apply to records in earlier segments. If all is false, it replaces the
-// most segments of which at least half of the bytes belong to dead records. The caller holds c.mu.
+// compact copies the live records of the oldest segments to a new segment that replaces them. Only the oldest segments can be
+// replaced, as the deletions in them are discarded, and no older segment may have a record that these delete. If all is false,
+// compact replaces as many segments as possible, provided that in total at least half of their bytes belong to dead records. The
+// caller holds c.mu.
 func (c *compactor) compact(all bool) error {
 	if err := c.removeObsolete(); err != nil {
 		return err
@@ -132,16 +134,16 @@
 		return nil
 	}
 	slices.SortFunc(records, func(a, b liveRecord) int { return cmp.Compare(a.seq, b.seq) })
-	out := &segment{header: c.store.replacementHeader(replaced), sealed: true}
-	out.name = segmentName(out.id)
-	out.lastSeq = out.durableSeq
-	locations, err := c.writeReplacement(out, records)
+	replacement := &segment{header: c.store.replacementHeader(replaced), sealed: true}
+	replacement.name = segmentName(replacement.id)
+	replacement.lastSeq = replacement.durableSeq
+	locations, err := c.writeReplacement(replacement, records)
 	if err != nil {
 		return err
 	}
-	// A loss of power may still undo the rename. That loses nothing, as the replaced segments have the same records and are only
-	// removed after the directory has been synced.
-	c.store.replaceSegments(out, len(replaced), records, locations)
+	// A loss of power may still undo the rename. No data is lost then, as the replaced segments have the same records, and are
+	// removed only after the directory has been synced.
+	c.store.replaceSegments(replacement, len(replaced), records, locations)
 	c.obsolete = replaced
 	return c.removeObsolete()
 }
@@ -152,7 +154,7 @@
 	defer s.mu.RUnlock()
 	total, live := int64(0), int64(0)
 	count := 0
-	candidates := s.segments[:max(0, len(s.segments)-1)] // the committer may write to the last one
+	candidates := s.segments[:max(0, len(s.segments)-1)] // the committer may be writing to the last one
 	candidates = candidates[:min(len(candidates), maxReplaced-1)]
 	for i, seg := range candidates {
 		total += seg.size
@@ -178,53 +180,53 @@
 	return chosen, records
 }
 
-// replacementHeader returns the header of a new segment that replaces others.
+// replacementHeader allocates an ID for a segment that replaces others, and returns its header.
 func (s *Store) replacementHeader(replaced []*segment) header {
-	h := header{storeID: s.id, firstSeq: replaced[0].firstSeq, timestamp: s.options.Clock()}
+	newHeader := header{storeID: s.id, firstSeq: replaced[0].firstSeq, timestamp: s.options.Clock()}
 	for _, seg := range replaced {
-		h.replaces = append(h.replaces, seg.id)
-		h.durableSeq = max(h.durableSeq, seg.lastSeq, seg.firstSeq-1) // lastSeq of an empty segment is 0
+		newHeader.replaces = append(newHeader.replaces, seg.id)
+		newHeader.durableSeq = max(newHeader.durableSeq, seg.lastSeq, seg.firstSeq-1) // lastSeq of an empty segment is 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.id = s.allocateID()
-	h.storeTime = s.clock.now()
-	return h
+	newHeader.id = s.allocateID()
+	newHeader.storeTime = s.clock.now()
+	return newHeader
 }
 
-// writeReplacement writes a segment with the given records to a temporary file, syncs it and renames it. It sets the remaining
-// fields of out, and returns the locations of the records in it.
-func (c *compactor) writeReplacement(out *segment, records []liveRecord) ([]location, error) {
+// writeReplacement writes a segment with the given records to a temporary file, syncs the file and renames it. It sets the remaining
+// fields of replacement, and returns the new locations of the records.
+func (c *compactor) writeReplacement(replacement *segment, records []liveRecord) ([]location, error) {
 	dir := c.store.fs
-	temporary := temporaryName(out.id)
+	temporary := temporaryName(replacement.id)
 	file, err := dir.Create(temporary)
 	if err != nil {
 		return nil, err
 	}
-	locations, err := c.copyRecords(file, out, records)
+	locations, err := c.copyRecords(file, replacement, records)
 	if err == nil {
 		err = file.Sync()
 	}
 	if err == nil {
-		err = dir.Rename(temporary, out.name)
+		err = dir.Rename(temporary, replacement.name)
 	}
 	if err != nil {
 		_ = file.Close()
 		_ = dir.Remove(temporary) // if this fails, the next Open removes the file
 		return nil, err
 	}
-	out.file = file
+	replacement.file = file
 	return locations, nil
 }
 
-// copyRecords writes the header, the records and the seal of a segment. It fails if a record cannot be read: the record then stays
-// in its segment, and Get reports the error.
-func (c *compactor) copyRecords(file File, out *segment, records []liveRecord) ([]location, error) {
+// copyRecords writes the header, the records and the seal of a segment. It fails if a record cannot be read: the record then remains
+// in its segment, and Get returns the error.
+func (c *compactor) copyRecords(file File, replacement *segment, records []liveRecord) ([]location, error) {
 	store := c.store
-	buffer := out.encode()
+	buffer := replacement.encode()
 	flush := func() error {
 		n, err := writeFull(file, buffer)
-		out.size += int64(n)
+		replacement.size += int64(n)
 		buffer = buffer[:0]
 		return err
 	}
@@ -239,30 +241,33 @@
 		start := len(buffer)
 		buffer = appendFrame(buffer, &record)
 		locations[i] = location{
-			segment:   out,
+			segment:   replacement,
 			seq:       record.seq,
 			expiresAt: record.expiresAt,
-			offset:    uint32(out.size + int64(start)),
+			offset:    uint32(replacement.size + int64(start)),
 			size:      uint32(len(buffer) - start),
 		}
-		out.records++
-		out.expiresAt = max(out.expiresAt, record.expiresAt)
-		if len(buffer) > compactionBuffer {
+		replacement.records++
+		replacement.expiresAt = max(replacement.expiresAt, record.expiresAt)
+		if len(buffer) > compactionBufferBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
 		}
 	}
-	buffer = appendFrame(buffer, &frame{kind: kindSeal, seq: out.lastSeq, expiresAt: out.expiresAt, records: out.records})
+	buffer = appendFrame(buffer, &frame{
+		kind: kindSeal, seq: replacement.lastSeq, expiresAt: replacement.expiresAt, records: replacement.records,
+	})
 	return locations, flush()
 }
 
-// replaceSegments replaces the count oldest segments by out in the store's list, and the locations of the records in the index.
-func (s *Store) replaceSegments(out *segment, count int, records []liveRecord, locations []location) {
+// replaceSegments puts replacement in the place of the count oldest segments in the store's list, and updates the locations of the
+// records in the index.
+func (s *Store) replaceSegments(replacement *segment, count int, records []liveRecord, locations []location) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range records {
 		s.index.relocate(records[i].key, locations[i])
 	}
-	s.segments = slices.Replace(s.segments, 0, count, out)
+	s.segments = slices.Replace(s.segments, 0, count, replacement)
 }
--- a/internal/files/store/dir.go
+++ b/internal/files/store/dir.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/files/atomicfile"
 )
 
-// Dir is the path of a directory of the real file system, which has to exist. It implements FS.
+// Dir is the path of an existing directory in the real file system. It implements FS.
 type Dir string
 
 // diskFile is a file of the real file system.
@@ -26,6 +26,7 @@
 	return info.Size(), nil
 }
 
+// path returns the path of a file in the directory.
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
 // Create implements FS.
@@ -66,26 +67,27 @@
 // SyncDir implements FS.
 func (d Dir) SyncDir() error { return atomicfile.Disk{}.SyncDir(string(d)) }
 
-// Commands of fcntl(2) for locks of an open file description. The kernel releases such a lock when the process ends, in whichever
-// way, and a lock can be queried without acquiring it.
+// Commands of fcntl(2) for open file description locks. The kernel releases such a lock whenever the process ends, even by a crash,
+// and the lock can be queried without acquiring it.
 const (
 	ofdGetLock = 36
 	ofdSetLock = 37
 )
 
+// exclusiveLock returns the argument of fcntl for an exclusive lock of the whole file.
 func exclusiveLock() *syscall.Flock_t { return &syscall.Flock_t{Type: syscall.F_WRLCK} }
 
 // Lock implements FS.
 func (d Dir) Lock() (io.Closer, error) {
-	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	err = syscall.FcntlFlock(f.Fd(), ofdSetLock, exclusiveLock())
+	err = syscall.FcntlFlock(file.Fd(), ofdSetLock, exclusiveLock())
 	if err == nil {
-		return f, nil
+		return file, nil
 	}
-	_ = f.Close() // nothing was written to it
+	_ = file.Close() // nothing was written to it
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EACCES) {
 		return nil, ErrLocked
 	}
@@ -94,15 +96,15 @@
 
 // Locked implements FS.
 func (d Dir) Locked() (bool, error) {
-	f, err := os.OpenFile(d.path(lockName), os.O_RDWR, 0)
+	file, err := os.OpenFile(d.path(lockName), os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = f.Close() }() // nothing was written to it
+	defer func() { _ = file.Close() }() // nothing was written to it
 	lock := exclusiveLock()
-	err = syscall.FcntlFlock(f.Fd(), ofdGetLock, lock)
+	err = syscall.FcntlFlock(file.Fd(), ofdGetLock, lock)
 	return lock.Type != syscall.F_UNLCK, err
 }
--- a/internal/files/store/disklog.go
+++ b/internal/files/store/disklog.go
@@ -8,22 +8,23 @@
 	"slices"
 )
 
-// diskLog is the log in a directory, as the headers of its segments describe it.
+// diskLog describes the log in a directory, as read from the headers of its segments.
 type diskLog struct {
-	segments      []*segment // the oldest first
-	leftovers     []string   // files that are not needed: incomplete or replaced ones
-	tornBytes     int64      // bytes of segments whose header is incomplete
-	damage        []Damage
-	failedRanges  []seqRange // records whose write was reported as failed
-	durableSeq    uint64     // all records up to this one were durable at some time
-	storeID       uint64     // 0 if no header could be read
-	lastID        uint64     // the highest ID of a segment
-	timestamp     Timestamp  // of the newest header
-	storeTime     int64      // in ms at timestamp
-	headerDamaged bool       // a header is damaged, so that it is not known which segments it replaces or follows
+	segments      []*segment // segments with the oldest first
+	leftovers     []string   // names of files that are not needed: incomplete or replaced ones
+	tornBytes     int64      // total size in bytes of the segments with an incomplete header
+	damage        []Damage   // damage that the headers show
+	failedRanges  []seqRange // sequence numbers of records whose write was reported as failed
+	durableSeq    uint64     // sequence number up to which all records were durable at some time
+	storeID       uint64     // ID of the store; 0 if no header could be read
+	lastID        uint64     // highest ID of a segment
+	timestamp     Timestamp  // clock reading in the newest header
+	storeTime     int64      // store time in ms at timestamp
+	headerDamaged bool       // whether a header is damaged, so that it is unknown which segments that one replaces or follows
 }
 
-// readLog opens the segments in a directory and reads their headers. The caller has to call close. After an error no file is open.
+// readLog opens the segments in a directory and reads their headers. The caller must call close. If readLog fails, it has closed all
+// files.
 func readLog(dir FS) (*diskLog, error) {
 	ids, unfinished, err := listSegments(dir)
 	if err != nil {
@@ -49,14 +50,15 @@
 	return log, nil
 }
 
-// close closes the files of the segments.
+// close closes the files of all segments.
 func (l *diskLog) close() {
 	for _, seg := range l.segments {
 		_ = seg.file.Close() // nothing was written to it
 	}
 }
 
-// dropReplaced moves replaced segments to the leftovers, and returns the IDs of all segments that are replaced.
+// dropReplaced moves the segments that a compaction has replaced to the leftovers. It returns the IDs of all replaced segments,
+// including those whose files are already removed.
 func (l *diskLog) dropReplaced() map[uint64]bool {
 	replaced := map[uint64]bool{}
 	for _, seg := range l.segments {
@@ -75,7 +77,7 @@
 	return replaced
 }
 
-// openSegment opens the file of a segment and reads its header. It returns nil if the file has no complete header and no record.
+// openSegment opens a segment file and reads its header. It returns nil if the file has no complete header and no record.
 func (l *diskLog) openSegment(dir FS, id uint64) (*segment, error) {
 	name := segmentName(id)
 	file, err := dir.Open(name)
@@ -89,14 +91,14 @@
 	return seg, err
 }
 
-// readHeader reads the header of a segment, and returns nil as openSegment does.
+// readHeader reads the header of a segment. Like openSegment, it returns nil if the file has no complete header and no record.
 func (l *diskLog) readHeader(file Reader, name string, id uint64) (*segment, error) {
 	size, err := file.Size()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if size > math.MaxUint32 {
-		return nil, fmt.Errorf("%s: has %d bytes, and no segment has so many", name, size)
+		return nil, fmt.Errorf("%s: has %d bytes, more than a segment can have", name, size)
 	}
 	start, err := readUpTo(file, min(size, minHeaderBytes+8*maxReplaced))
 	if err != nil {
@@ -115,13 +117,13 @@
 	return &segment{header: segmentHeader, name: name, file: file, size: size}, nil
 }
 
-// addHeader updates the log from the header of a segment. It fails if the segment belongs to another store.
+// addHeader updates the fields of the log from the header of a segment. It fails if the segment belongs to another store.
 func (l *diskLog) addHeader(segmentHeader *header, name string, id uint64) error {
 	if l.storeID == 0 {
 		l.storeID = segmentHeader.storeID
 	}
 	if segmentHeader.storeID != l.storeID || segmentHeader.id != id {
-		return fmt.Errorf("%s: is a segment of another store, or was renamed; move it away", name)
+		return fmt.Errorf("%s: belongs to another store or was renamed; move it out of the directory", name)
 	}
 	if segmentHeader.storeTime >= l.storeTime {
 		l.storeTime = segmentHeader.storeTime
@@ -134,8 +136,9 @@
 	return nil
 }
 
-// readWithoutHeader reads a segment whose header cannot be read. If frames follow, the header is damaged, and the segment is used
-// without it. Otherwise the header was never complete; readWithoutHeader then adds the file to the leftovers and returns nil.
+// readWithoutHeader reads a segment whose header cannot be decoded. If the file contains frames, the header is damaged, and the
+// segment is read without it. Otherwise the header was never complete: readWithoutHeader adds the file to the leftovers and returns
+// nil.
 func (l *diskLog) readWithoutHeader(file Reader, name string, id uint64, size int64) (*segment, error) {
 	data, err := readUpTo(file, size)
 	if err != nil {
@@ -158,7 +161,7 @@
 	return &segment{header: h, name: name, file: file, size: size, damaged: true}, nil
 }
 
-// checkChain reports missing segments: the header of each segment but the oldest has the ID of the one before it.
+// checkChain reports missing segments as damage. It finds them by the headers, each of which has the ID of the preceding segment.
 func (l *diskLog) checkChain(replaced map[uint64]bool) {
 	if l.headerDamaged {
 		return
@@ -174,7 +177,8 @@
 	}
 }
 
-// seqLimit returns the sequence number that is above those of all acknowledged records in segment i, or 0 for the last segment.
+// seqLimit returns a sequence number that is higher than those of all acknowledged records in segment i, or 0 for the last segment,
+// which has no known limit.
 func (l *diskLog) seqLimit(i int) uint64 {
 	if i+1 >= len(l.segments) {
 		return 0
@@ -187,7 +191,7 @@
 	return next.firstSeq
 }
 
-// scanSegment reads segment i into memory, and calls emit for its records with their offsets.
+// scanSegment reads segment i into memory, and calls emit for each valid record with its offset in the file.
 func (l *diskLog) scanSegment(i int, emit func(f frame, offset int)) (scanResult, error) {
 	seg := l.segments[i]
 	data, err := readUpTo(seg.file, seg.size)
@@ -199,7 +203,7 @@
 		data:       data,
 		header:     seg.header,
 		durableSeq: l.durableSeq,
-		nextSeq:    l.seqLimit(i),
+		seqLimit:   l.seqLimit(i),
 		failed:     l.failedRanges,
 		emit:       emit,
 	}
--- a/internal/files/store/expiry.go
+++ b/internal/files/store/expiry.go
@@ -1,15 +1,15 @@
 package store
 
-// expiryQueue is a binary heap of keys, the earliest expiry of a record first. A key has an entry for each record that was written
-// for it.
+// expiryQueue is a binary heap of keys with the earliest expiry first. A key has one entry for each of its records that was written.
 type expiryQueue []expiry
 
-// expiry is the store time in ms at which a record expires, with its key.
+// expiry is an entry of the queue.
 type expiry struct {
-	expiresAt int64
-	key       string
+	expiresAt int64  // store time in ms at which the record expires
+	key       string // key of the record
 }
 
+// push adds an entry.
 func (e *expiryQueue) push(expiresAt int64, key string) {
 	*e = append(*e, expiry{expiresAt, key})
 	heap := *e
@@ -23,7 +23,7 @@
 	}
 }
 
-// pop removes the first entry and returns its key, if the entry has expired. It returns false otherwise.
+// pop removes the first entry and returns its key, if it has expired at the store time now in ms. Otherwise it returns false.
 func (e *expiryQueue) pop(now int64) (key string, ok bool) {
 	heap := *e
 	if len(heap) == 0 || heap[0].expiresAt > now {
@@ -32,14 +32,14 @@
 	key = heap[0].key
 	last := len(heap) - 1
 	heap[0] = heap[last]
-	heap[last] = expiry{} // allows the key to be collected
+	heap[last] = expiry{} // allows the garbage collector to free the key
 	heap = heap[:last]
 	heap.siftDown()
 	*e = heap
 	return key, true
 }
 
-// siftDown moves the first entry towards the leaves until the heap is in order.
+// siftDown moves the first entry towards the leaves until the heap is ordered again.
 func (e expiryQueue) siftDown() {
 	for i := 0; ; {
 		child := 2*i + 1
--- a/internal/files/store/frame.go
+++ b/internal/files/store/frame.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// MaxKeyBytes is the largest size of a key.
+	// MaxKeyBytes is the maximum size of a key.
 	MaxKeyBytes = 1 << 10
-	// MaxValueBytes is the largest size of a value.
+	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes = 1 << 20
 )
 
-// Offsets in frames, and sizes of frames, in bytes. A minimum size is without key and value.
+// Offsets in frames, and sizes of frames, in bytes. The minimum sizes are those of frames with an empty key and value.
 const (
-	framePrefixBytes = 8 // length and checksum
+	framePrefixBytes = 8 // size of the length and the checksum
 	kindOffset       = framePrefixBytes
 	seqOffset        = kindOffset + 1
 	bodyOffset       = seqOffset + 8
@@ -26,46 +26,46 @@
 	maxFrameBytes    = minPutBytes + MaxKeyBytes + MaxValueBytes
 )
 
-// kind is the kind of a frame.
+// kind is the type of a frame.
 type kind uint8
 
 const (
 	kindPut    kind = 1
 	kindDelete kind = 2
-	kindGroup  kind = 3 // starts the frames of one write and sync
-	kindSeal   kind = 4 // ends a segment that is complete
+	kindGroup  kind = 3 // first frame of each group commit
+	kindSeal   kind = 4 // last frame of a complete segment
 
-	// moreFlag is set on each record of a batch but the last.
+	// moreFlag is set in the kind of each record of a batch except the last one.
 	moreFlag kind = 0x80
 )
 
-// never is the expiry of a record that does not expire.
+// never is the expiry time of a record that does not expire.
 const never = math.MaxInt64
 
 // frame is one entry of a segment after the header: a record (put or delete), the start of a group, or a seal. Key and value of a
-// decoded frame are parts of the slice that it was decoded from.
+// decoded frame are subslices of the buffer that it was decoded from.
 type frame struct {
 	kind        kind
-	moreInBatch bool // the next record belongs to the same batch
-	// seq is the sequence number of a record. That of a group is the one of the next record, that of a seal the one of the last.
-	seq           uint64
-	expiresAt     int64  // of a put, in ms of store time; of a seal: the latest expiry in the segment
-	key           []byte // of a put or delete
-	value         []byte // of a put
-	durableSeq    uint64 // of a group: all records up to this one were durable before it was written
-	storeTime     int64  // of a group, in ms
-	shadowedUntil int64  // of a seal: see segment
-	records       uint64 // of a seal: the number of records in the segment
-	size          int    // in bytes; set by decodeFrame
+	moreInBatch bool // whether the next record belongs to the same batch
+	// seq is the sequence number of a record. A group has that of the next record, and a seal that of the last record.
+	seq                 uint64
+	expiresAt           int64  // store time in ms at which a put expires; in a seal, the latest expiry in the segment
+	key                 []byte // key of a put or a delete
+	value               []byte // value of a put
+	durableSeq          uint64 // sequence number up to which all records were durable before a group was written
+	storeTime           int64  // store time in ms at which a group was written
+	supersededExpiresAt int64  // in a seal, the field of the segment with the same name
+	records             uint64 // in a seal, the number of records in the segment
+	size                int    // size of the encoded frame in bytes; set by decodeFrame
 }
 
-// isRecord reports whether a frame is a record, and not the start of a group or a seal.
+// isRecord reports whether a frame is a record rather than a group or a seal.
 func (f *frame) isRecord() bool { return f.kind == kindPut || f.kind == kindDelete }
 
 // appendFrame appends the encoded frame to b.
 func appendFrame(b []byte, added *frame) []byte {
 	start := len(b)
-	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // length and checksum are set below
+	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // placeholder for the length and the checksum, which are set below
 	kindByte := added.kind
 	if added.moreInBatch {
 		kindByte |= moreFlag
@@ -83,7 +83,7 @@
 		b = binary.LittleEndian.AppendUint64(b, uint64(added.storeTime))
 	case kindSeal:
 		b = binary.LittleEndian.AppendUint64(b, uint64(added.expiresAt))
-		b = binary.LittleEndian.AppendUint64(b, uint64(added.shadowedUntil))
+		b = binary.LittleEndian.AppendUint64(b, uint64(added.supersededExpiresAt))
 		b = binary.LittleEndian.AppendUint64(b, added.records)
 	}
 	binary.LittleEndian.PutUint32(b[start:], uint32(len(b)-start-framePrefixBytes))
@@ -91,20 +91,21 @@
 	return b
 }
 
-// appendKeyAndValue appends the length of the key, the key and the value, which extends to the end of the frame.
+// appendKeyAndValue appends the length of the key, the key and the value. The value has no length, as it extends to the end of the
+// frame.
 func appendKeyAndValue(b []byte, f *frame) []byte {
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(f.key)))
 	b = append(b, f.key...)
 	return append(b, f.value...)
 }
 
-// frameChecksum returns the checksum of a frame, which covers all of it but the checksum itself.
+// frameChecksum returns the checksum of a frame, which covers all bytes except the checksum itself.
 func frameChecksum(b []byte) uint32 {
 	return crc32.Update(crc32.Checksum(b[:4], castagnoli), castagnoli, b[framePrefixBytes:])
 }
 
-// decodeFrame decodes the frame at the start of b. ok is false if there is no complete and undamaged one. It makes the cheap checks
-// first, since the search for frames after damage calls it for each byte.
+// decodeFrame decodes the frame at the start of b. ok is false if there is no complete and undamaged frame. decodeFrame makes the
+// cheap checks first, since the search for frames after damage calls it at each byte offset.
 func decodeFrame(b []byte) (decoded frame, ok bool) {
 	if len(b) < minDeleteBytes {
 		return decoded, false
@@ -142,7 +143,7 @@
 	return false
 }
 
-// decodeBody decodes the part of a frame after the sequence number, and reports whether it is valid.
+// decodeBody decodes the part of a frame after the sequence number. It returns false if that part is not valid.
 func (f *frame) decodeBody(body []byte) bool {
 	numbers := numberReader{body}
 	switch f.kind {
@@ -156,12 +157,13 @@
 		f.storeTime = numbers.int64()
 	case kindSeal:
 		f.expiresAt = numbers.int64()
-		f.shadowedUntil = numbers.int64()
+		f.supersededExpiresAt = numbers.int64()
 		f.records = numbers.uint64()
 	}
 	return true
 }
 
+// decodeKeyAndValue decodes what appendKeyAndValue has encoded. It returns false if the length of the key is not valid.
 func (f *frame) decodeKeyAndValue(body []byte) bool {
 	keyLength := int(binary.LittleEndian.Uint16(body))
 	body = body[2:]
--- a/internal/files/store/framerun.go
+++ b/internal/files/store/framerun.go
@@ -1,14 +1,14 @@
 package store
 
-// maxLostRecords is the largest gap in the sequence numbers after damage that findFrameRuns accepts.
+// maxLostRecords is the largest gap in the sequence numbers that findFrameRuns accepts after damage.
 const maxLostRecords = 1 << 32
 
-// frameRun is a run of consecutive undamaged frames in a segment.
+// frameRun is a range of consecutive undamaged frames in a segment.
 type frameRun struct {
-	from, to   int    // offsets of its first byte and of the one after its last
-	firstSeq   uint64 // of its first record; 0 if it has none
-	lastSeq    uint64 // of its last record; 0 if it has none
-	durableSeq uint64 // the highest of its groups
+	from, to   int    // start offset and exclusive end offset
+	firstSeq   uint64 // sequence number of the first record; 0 for none
+	lastSeq    uint64 // sequence number of the last record; 0 for none
+	durableSeq uint64 // highest durableSeq of the groups in the run
 }
 
 // add appends the next frame to the run.
@@ -26,9 +26,9 @@
 }
 
 // findFrameRuns finds the runs of undamaged frames in a segment. start is the offset after the header. firstSeq is the lowest
-// sequence number that the segment can have, 0 if it is unknown. After damage, each byte is tried as the start of a frame, since a
-// damaged length does not show where the next frame is. A frame counts only if its sequence number can follow those before it.
-// Otherwise frames within a value, such as a copy of a segment, could be mistaken for frames of this one.
+// sequence number that the segment can have, or 0 if that is unknown. After damage, findFrameRuns tries each byte as the start of a
+// frame, since a damaged length does not show where the next frame is. It accepts a frame only if its sequence number can follow the
+// preceding ones. Otherwise frames within a value, such as a copy of a segment, could be mistaken for frames of this segment.
 func findFrameRuns(data []byte, start int, firstSeq uint64) (runs []frameRun) {
 	lastSeq := firstSeq - 1
 	run := frameRun{from: start, to: start}
@@ -54,8 +54,8 @@
 	return runs
 }
 
-// canFollow reports whether a frame can come after the record lastSeq, in a segment that begins with firstSeq. A group has the
-// number of the next record, and a seal that of the last one, so that both may have the same number as a record.
+// canFollow reports whether a frame can follow the record lastSeq in a segment whose lowest sequence number is firstSeq. A group has
+// the number of the next record, and a seal that of the last record, so that either can have the same number as a record.
 func canFollow(f *frame, firstSeq, lastSeq uint64) bool {
 	if f.isRecord() && f.seq <= lastSeq {
 		return false
--- a/internal/files/store/golden_format_test.go
+++ b/internal/files/store/golden_format_test.go
@@ -69,7 +69,7 @@
 		{"delete", frame{kind: kindDelete, seq: 1004, key: []byte("key"), value: []byte{}}},
 		{"delete-more", frame{kind: kindDelete, moreInBatch: true, seq: 1005, key: []byte("key"), value: []byte{}}},
 		{"group", frame{kind: kindGroup, seq: 1006, durableSeq: 1005, storeTime: 1_800_000_000_456}},
-		{"seal", frame{kind: kindSeal, seq: 1006, expiresAt: 1_800_000_060_000, shadowedUntil: 1_800_000_070_000, records: 6}},
+		{"seal", frame{kind: kindSeal, seq: 1006, expiresAt: 1_800_000_060_000, supersededExpiresAt: 1_800_000_070_000, records: 6}},
 	} {
 		t.Run(c.name, func(t *testing.T) { checkGoldenFrame(t, "frame-"+c.name+".hex", c.frame) })
 	}
--- a/internal/files/store/golden_recorded_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -40,7 +40,7 @@
 		{"put-batch", frame{kind: kindPut, moreInBatch: true, seq: 43, expiresAt: never, key: []byte("key"), value: []byte("v")}},
 		{"delete", frame{kind: kindDelete, seq: 44, key: []byte("key"), value: []byte{}}},
 		{"group", frame{kind: kindGroup, seq: 45, durableSeq: 44, storeTime: 1_800_000_123_500}},
-		{"seal", frame{kind: kindSeal, seq: 46, expiresAt: 1_800_000_999_001, shadowedUntil: 1_800_000_999_002, records: 5}},
+		{"seal", frame{kind: kindSeal, seq: 46, expiresAt: 1_800_000_999_001, supersededExpiresAt: 1_800_000_999_002, records: 5}},
 	} {
 		t.Run(c.name, func(t *testing.T) { checkGoldenFrame(t, "recorded/frame-"+c.name+".hex", c.frame) })
 	}
--- a/internal/files/store/header.go
+++ b/internal/files/store/header.go
@@ -6,57 +6,61 @@
 	"slices"
 )
 
-// The format on the disk is described in docs/design/store-format.md. All numbers are little endian.
+// The on-disk format is described in docs/design/store-format.md. All numbers are little-endian.
 
 // Version is the version of the format that this package writes. It reads this version and earlier ones.
 const Version = 1
 
 const (
 	magic          = "QGSTORE\n"
-	minHeaderBytes = 100 // size of the header of a segment that replaces no other
+	minHeaderBytes = 100 // size of the header of a segment that replaces no others
 	checksumBytes  = 4
-	maxReplaced    = 1 << 16 // segments that one can replace; the header has two bytes for the number
+	maxReplaced    = 1 << 16 // exclusive limit of the segments that one can replace, as the header has two bytes for their number
 )
 
-// Offsets of the fields of a header that must be the same in each version.
+// Offsets of header fields that must be the same in each version of the format.
 const (
-	versionOffset  = len(magic)
-	replacedOffset = versionOffset + 2
-	numbersOffset  = replacedOffset + 2 + 4 // after four reserved bytes
+	versionOffset       = len(magic)
+	replacedCountOffset = versionOffset + 2
+	numbersOffset       = replacedCountOffset + 2 + 4 // the numbers follow four reserved bytes
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header is the start of a segment.
+// header is the data at the start of a segment file.
 type header struct {
-	version    uint16
-	storeID    uint64    // random ID of the store, which identifies segments of another store
+	version    uint16    // version of the format
+	storeID    uint64    // random ID of the store, by which segments of another store are detected
 	id         uint64    // ID of the segment; also its file name
-	firstSeq   uint64    // sequence number of its first record, or of the first one in the segments that it replaces
-	durableSeq uint64    // all records up to this one were durable when the segment was created
-	failedSeqs seqRange  // records before this segment whose write was reported as failed
-	previousID uint64    // ID of the segment before it; 0 for none
-	timestamp  Timestamp // when the segment was created; WallMillis is not on the disk
-	storeTime  int64     // in ms at timestamp
-	replaces   []uint64  // IDs of segments that this one replaces: it has their live records, and they are not read
+	firstSeq   uint64    // sequence number of the segment's first record, or of the first one in the segments that it replaces
+	durableSeq uint64    // sequence number up to which all records were durable when the segment was created
+	failedSeqs seqRange  // sequence numbers before this segment whose write was reported as failed
+	previousID uint64    // ID of the preceding segment; 0 for none
+	timestamp  Timestamp // clock reading when the segment was created; WallMillis is not encoded
+	storeTime  int64     // store time in ms at timestamp
+	replaces   []uint64  // IDs of the segments whose live records a compaction has copied to this one, so that they are no longer read
 }
 
-// seqRange is a range of sequence numbers of records whose write was reported as failed. They may be in a file nevertheless.
+// seqRange is a range of sequence numbers of records whose write was reported as failed. Some of these records may be in a file
+// nevertheless.
 type seqRange struct {
 	first uint64
-	end   uint64 // one above the last; a range with end 0 is empty
+	end   uint64 // exclusive end of the range; 0 for an empty range
 }
 
 func (r seqRange) empty() bool { return r.end <= r.first }
 
 func (r seqRange) contains(seq uint64) bool { return r.first <= seq && seq < r.end }
 
+// inAnyRange reports whether one of the ranges contains a sequence number.
 func inAnyRange(ranges []seqRange, seq uint64) bool {
 	return slices.ContainsFunc(ranges, func(r seqRange) bool { return r.contains(seq) })
 }
 
+// size returns the size of the encoded header in bytes.
 func (h *header) size() int { return minHeaderBytes + 8*len(h.replaces) }
 
+// encode returns the header in the current version of the format, with its checksum.
 func (h *header) encode() []byte {
 	b := make([]byte, 0, h.size())
 	b = append(b, magic...)
@@ -75,15 +79,16 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader decodes the header at the start of a segment. It returns errHeaderUnreadable or a NewerVersionError. It verifies the
-// checksum before the version, as otherwise one flipped bit could make the store look like that of a newer program. Therefore the
-// size of a header must be in the same place in each version, and the checksum at its end.
+// decodeHeader decodes the header at the start of a segment. It returns errHeaderUnreadable for a damaged or incomplete header, and a
+// NewerVersionError for a later version of the format. It verifies the checksum before the version, as otherwise one flipped bit
+// could make the store look as if a later version had written it. Therefore each version of the format must have the number of
+// replaced segments at the same offset, and the checksum at the end of the header.
 func decodeHeader(file string, b []byte) (decoded header, err error) {
 	if len(b) < minHeaderBytes || string(b[:len(magic)]) != magic {
 		return decoded, errHeaderUnreadable
 	}
-	replaced := int(binary.LittleEndian.Uint16(b[replacedOffset:]))
-	size := minHeaderBytes + 8*replaced
+	replacedCount := int(binary.LittleEndian.Uint16(b[replacedCountOffset:]))
+	size := minHeaderBytes + 8*replacedCount
 	if len(b) < size {
 		return decoded, errHeaderUnreadable
 	}
@@ -105,13 +110,13 @@
 	decoded.timestamp.BootID = numbers.uint64()
 	decoded.timestamp.UptimeMillis = numbers.int64()
 	decoded.storeTime = numbers.int64()
-	for range replaced {
+	for range replacedCount {
 		decoded.replaces = append(decoded.replaces, numbers.uint64())
 	}
 	return decoded, nil
 }
 
-// numberReader reads numbers of eight bytes one after another. The caller checks that there are enough bytes.
+// numberReader reads consecutive eight-byte numbers. It panics if there are not enough bytes, which the caller must check.
 type numberReader struct{ rest []byte }
 
 func (n *numberReader) uint64() uint64 {
--- a/internal/files/store/index.go
+++ b/internal/files/store/index.go
@@ -1,27 +1,28 @@
 package store
 
-// index has the location of the latest record of each key. The store's mutex guards it.
+// index maps each key to the location of its latest record. The store's mutex guards it.
 type index struct {
-	locations   map[string]location // by key
-	liveBytes   int64               // bytes on the disk of all records in locations
-	expirations expiryQueue
+	locations   map[string]location // location of the latest record by key
+	liveBytes   int64               // encoded size in bytes of all records in locations
+	expirations expiryQueue         // expiry times of the records that expire; may include superseded records
 }
 
-// location is the location of a record on the disk.
+// location describes where a record is on the disk.
 type location struct {
-	segment   *segment
-	seq       uint64
-	expiresAt int64  // in ms of store time
-	offset    uint32 // in the segment, in bytes
-	size      uint32 // of the frame, in bytes
+	segment   *segment // segment that contains the record
+	seq       uint64   // sequence number of the record
+	expiresAt int64    // store time in ms at which the record expires
+	offset    uint32   // offset of the frame in the segment, in bytes
+	size      uint32   // size of the frame in bytes
 }
 
-// newIndex returns an empty index with memory for a number of records.
+// newIndex returns an empty index with preallocated memory for a number of records.
 func newIndex(capacity uint64) index {
 	return index{locations: make(map[string]location, capacity)}
 }
 
-// add adds a record of a segment, unless a later one of its key is known. It updates what the segment counts.
+// add adds a record of a segment, unless a later record of its key is known. It updates the record count, the live bytes and the
+// expiry times of the segments.
 func (x *index) add(seg *segment, record *frame, offset, size uint32) {
 	seg.records++
 	key := string(record.key)
@@ -30,9 +31,9 @@
 		return
 	}
 	if superseded {
-		x.forget(old)
+		x.subtractLiveBytes(old)
 		if old.segment != seg {
-			seg.shadowedUntil = max(seg.shadowedUntil, old.expiresAt)
+			seg.supersededExpiresAt = max(seg.supersededExpiresAt, old.expiresAt)
 		}
 	}
 	if record.kind == kindDelete {
@@ -50,14 +51,14 @@
 	}
 }
 
-// forget subtracts the bytes of a record that is not live any more.
-func (x *index) forget(old location) {
+// subtractLiveBytes subtracts the size of a record that is no longer live.
+func (x *index) subtractLiveBytes(old location) {
 	old.segment.liveBytes -= int64(old.size)
 	x.liveBytes -= int64(old.size)
 }
 
-// scheduleExpiry adds the expiry of a key's latest record. The entries of superseded records stay in the queue, which is rebuilt once
-// they are most of it.
+// scheduleExpiry adds the expiry of a key's latest record to the queue. The entries of superseded records remain in the queue, which
+// is rebuilt without them once it has more than 1000 entries above twice the number of live records.
 func (x *index) scheduleExpiry(key string, at int64) {
 	if len(x.expirations) <= 2*len(x.locations)+1000 {
 		x.expirations.push(at, key)
@@ -69,7 +70,7 @@
 	}
 }
 
-// dropExpired removes the records that have expired at a store time in ms.
+// dropExpired removes the records that have expired at the store time now in ms.
 func (x *index) dropExpired(now int64) {
 	for {
 		key, ok := x.expirations.pop(now)
@@ -77,13 +78,13 @@
 			return
 		}
 		if l, ok := x.locations[key]; ok && l.expiresAt <= now {
-			x.forget(l)
+			x.subtractLiveBytes(l)
 			delete(x.locations, key)
 		}
 	}
 }
 
-// relocate sets the location of a record that was copied to another segment, unless a later one of its key is known meanwhile.
+// relocate sets the location of a record that was copied to another segment, unless the record was superseded or removed meanwhile.
 func (x *index) relocate(key string, to location) {
 	old, ok := x.locations[key]
 	if !ok || old.seq != to.seq {
--- a/internal/files/store/inspect.go
+++ b/internal/files/store/inspect.go
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// inspectAttempts is how often Inspect tries to read a store while compactions of another process remove files.
+// inspectAttempts is the maximum number of times that Inspect reads a store if another process removes files by compaction meanwhile.
 const inspectAttempts = 11
 
-// Segment describes a file of a store.
+// Segment describes a segment of a store.
 type Segment struct {
 	File     string `json:"File"`
 	Bytes    int64  `json:"Bytes"`
-	FirstSeq uint64 `json:"First"` // the lowest sequence number that it can have
-	LastSeq  uint64 `json:"Last"`  // of its last record; 0 for none
-	Records  uint64 `json:"Records"`
-	Replaces int    `json:"Stands"` // number of segments that it replaces
-	Sealed   bool   `json:"Ended"`  // it is complete
+	FirstSeq uint64 `json:"First"`   // lowest sequence number that the segment can have
+	LastSeq  uint64 `json:"Last"`    // sequence number of the last record; 0 for none
+	Records  uint64 `json:"Records"` // number of records, both puts and deletions
+	Replaces int    `json:"Stands"`  // number of segments that this one replaces
+	Sealed   bool   `json:"Ended"`   // whether the segment is complete
 }
 
 // Report is the result of an inspection.
 type Report struct {
 	Segments    []Segment `json:"Segments"`
-	LiveRecords int       `json:"Live"` // records that are the latest of their key and have not expired
-	TornBytes   int64     `json:"Torn"` // bytes of appends that are incomplete, or being written at the moment
+	LiveRecords int       `json:"Live"` // number of records that are the latest of their key and have not expired
+	TornBytes   int64     `json:"Torn"` // bytes of appends that are incomplete or in progress
 	Damage      []Damage  `json:"Damage"`
-	Leftovers   []string  `json:"Leftover"` // files that the next Open removes
-	InUse       bool      `json:"InUse"`    // some process has the store open
+	Leftovers   []string  `json:"Leftover"` // names of files that the next Open removes
+	InUse       bool      `json:"InUse"`    // whether a process has the store open
 }
 
-// Record is a live record that an inspection has found.
+// Record is a live record that Inspect has found.
 type Record struct {
 	Key, Value []byte
-	Seq        uint64
-	File       string        // the segment that it is in
-	TimeLeft   time.Duration // until it expires; negative for a record that never does
+	Seq        uint64        // sequence number
+	File       string        // name of the segment that contains the record
+	TimeLeft   time.Duration // time until the record expires; negative if it never does
 }
 
-// Inspect reads a store without changing or locking it, also while another process has it open. It calls visit, unless that is nil,
-// for the live records in the order of the log; an error of visit ends the inspection and is returned. A nil clock is SystemClock.
+// Inspect reads a store without changing or locking it, even while another process has it open. It calls visit for each live record
+// in log order, unless visit is nil. If visit returns an error, Inspect stops and returns that error. A nil clock means SystemClock.
+// Inspect fails if the directory contains no store, or if a segment cannot be read.
 func Inspect(dir FS, clock Clock, visit func(Record) error) (*Report, error) {
 	if clock == nil {
 		clock = SystemClock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// inspectOnce is one attempt of Inspect.
+// inspectOnce makes one attempt for Inspect.
 func inspectOnce(dir FS, clock Clock, visit func(Record) error) (*Report, error) {
 	log, err := readLog(dir)
 	if err != nil {
@@ -91,23 +92,23 @@
 	return pass.report, nil
 }
 
-// inspection is one pass over a log.
+// inspection is the state of one inspection of a log.
 type inspection struct {
 	log    *diskLog
 	report *Report
-	latest map[string]latestRecord // by key
-	now    int64                   // store time in ms
+	latest map[string]latestRecord // latest record of each key
+	now    int64                   // store time in ms, at which the live records are determined
 }
 
-// latestRecord is the latest record of a key.
+// latestRecord describes the latest record of a key.
 type latestRecord struct {
-	seq       uint64
-	expiresAt int64 // in ms of store time
-	segment   int   // index in the log
-	offset    int   // in the segment
+	seq       uint64 // sequence number
+	expiresAt int64  // store time in ms at which the record expires
+	segment   int    // index of the segment in the log
+	offset    int    // offset of the record in the segment
 }
 
-// scan adds a segment of the log to the report, and its records to the latest ones.
+// scan adds a segment of the log to the report, and updates the latest records from those in the segment.
 func (i *inspection) scan(segmentIndex int) error {
 	result, err := i.log.scanSegment(segmentIndex, func(f frame, offset int) {
 		key := string(f.key)
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// dropExpired removes expired records from the latest ones.
+// dropExpired removes the expired records from the latest ones.
 func (i *inspection) dropExpired() {
 	for key, l := range i.latest {
 		if l.expiresAt <= i.now {
@@ -181,7 +182,7 @@
 	return ok && l.segment == segment && l.offset == offset
 }
 
-// timeLeft returns the time until an expiry, and -1 for never.
+// timeLeft returns the time until a record expires, or -1 if it never does.
 func (i *inspection) timeLeft(expiresAt int64) time.Duration {
 	if expiresAt == never {
 		return -1
--- a/internal/files/store/names.go
+++ b/internal/files/store/names.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// Names of files in the directory of a store. They are data.
+// File names in the directory of a store. They are part of the on-disk format.
 const (
 	lockName        = "lock"
 	segmentSuffix   = ".seg"
-	temporarySuffix = ".tmp"     // in the place of segmentSuffix while a compaction writes the file
-	damagedSuffix   = ".damaged" // after segmentSuffix
-	segmentDigits   = 16
+	temporarySuffix = ".tmp"     // used instead of segmentSuffix while a compaction writes the file
+	damagedSuffix   = ".damaged" // appended after segmentSuffix
+	segmentDigits   = 16         // number of hexadecimal digits of the ID
 )
 
-// segmentName returns the file name of a segment: its ID in hexadecimal, with leading zeros so that names sort as IDs do.
+// segmentName returns the file name of a segment: its ID in hexadecimal, with leading zeros so that names sort in the order of IDs.
 func segmentName(id uint64) string {
 	digits := strconv.FormatUint(id, 16)
 	return strings.Repeat("0", segmentDigits-len(digits)) + digits + segmentSuffix
 }
 
-// temporaryName returns the file name of a segment until it is complete.
+// temporaryName returns the file name that a compaction uses until the segment is complete.
 func temporaryName(id uint64) string {
 	return strings.TrimSuffix(segmentName(id), segmentSuffix) + temporarySuffix
 }
 
-// parseSegmentName returns the ID in the file name of a segment. It returns false for other files.
+// parseSegmentName returns the ID in the file name of a segment. It returns false for the names of other files.
 func parseSegmentName(name string) (uint64, bool) {
 	digits, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok || len(digits) != segmentDigits {
--- a/internal/files/store/queue.go
+++ b/internal/files/store/queue.go
@@ -8,26 +8,27 @@
 // pendingBatch is a batch that is not durable yet.
 type pendingBatch struct {
 	Batch
-	done func(error)
+	done func(error) // receives the result of the write
 }
 
-// batchQueue holds the batches for the committer. It is safe for concurrent use.
+// batchQueue is the queue of batches for the committer. It is safe for concurrent use.
 type batchQueue struct {
-	maxBytes int64
+	maxBytes int64         // limit of pendingBytes
 	wake     chan struct{} // wakes the committer to take the batches; buffers one signal
 
-	mu           sync.Mutex // guards the fields below
-	batches      []pendingBatch
-	pendingBytes int64 // of the queued batches and of those that are being written
-	closing      bool
-	timerSet     bool // a timer will signal wake, for batches that may be delayed
+	mu           sync.Mutex     // guards the fields below
+	batches      []pendingBatch // queued batches, in the order in which they were added
+	pendingBytes int64          // encoded size of the batches that are queued or being written
+	closing      bool           // whether close was called
+	timerSet     bool           // whether a timer will signal wake for delayed batches
 }
 
 func newBatchQueue(maxBytes int64) *batchQueue {
 	return &batchQueue{maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// add queues a batch, or returns ErrClosed or ErrBusy. A batch that is larger than the queue is accepted if nothing is pending.
+// add queues a batch. It returns ErrClosed after close, and ErrBusy if the batch would exceed maxBytes. A batch of any size is
+// accepted if no other is pending.
 func (q *batchQueue) add(b Batch, done func(error)) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// take removes and returns all batches. If closing is true, no batch is added any more.
+// take removes and returns all queued batches. If closing is true, no more batches will be added.
 func (q *batchQueue) take() (group []pendingBatch, closing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,7 +68,7 @@
 	return group, q.closing
 }
 
-// release subtracts the bytes of batches that were taken, once they are durable or have failed.
+// release subtracts the size of batches that were taken, after they have become durable or have failed.
 func (q *batchQueue) release(group []pendingBatch) {
 	size := int64(0)
 	for i := range group {
@@ -78,7 +79,7 @@
 	q.pendingBytes -= size
 }
 
-// close makes the committer end after the batches that are queued. It returns ErrClosed if it was called before.
+// close makes the committer end after it has written the queued batches. It returns ErrClosed if the queue was already closed.
 func (q *batchQueue) close() error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/files/store/recover.go
+++ b/internal/files/store/recover.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// recoverLog reads the log in the directory into the index, and prepares the committer to continue it. The caller closes the
-// segments, also after an error.
+// recoverLog builds the index from the log in the directory, and prepares the committer to continue the log. The caller closes the
+// segments, even after an error.
 func (s *Store) recoverLog() error {
 	log, err := readLog(s.fs)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// countUnexpired returns the number of records in sealed segments that may be live. An index with memory for them does not have to
-// be copied while it grows.
+// countUnexpired returns the number of records in sealed segments that may be live. Open uses it as the initial capacity of the
+// index, which then does not have to be copied while it grows.
 func (l *diskLog) countUnexpired(now int64) (records uint64) {
 	for _, seg := range l.segments {
 		if seal, ok := readSeal(seg); ok && seal.expiresAt > now {
@@ -51,29 +51,29 @@
 	return records
 }
 
-// skipExpired reports whether a segment need not be read, because it is sealed and all its records and all that they superseded have
-// expired. It sets the fields of such a segment from the seal.
+// skipExpired reports whether a segment does not have to be read, because it is sealed, and all of its records and all records that
+// they superseded have expired. It sets the fields of such a segment from the seal.
 func (s *segment) skipExpired(now int64) bool {
 	seal, ok := readSeal(s)
-	if !ok || max(seal.expiresAt, seal.shadowedUntil) > now {
+	if !ok || max(seal.expiresAt, seal.supersededExpiresAt) > now {
 		return false
 	}
 	s.sealed = true
 	s.records = seal.records
 	s.lastSeq = seal.seq
 	s.expiresAt = seal.expiresAt
-	s.shadowedUntil = seal.shadowedUntil
+	s.supersededExpiresAt = seal.supersededExpiresAt
 	return true
 }
 
-// recoverSegment reads the records of segment i into the index.
+// recoverSegment adds the records of segment i to the index, and its damage to Health.
 func (s *Store) recoverSegment(log *diskLog, i int) error {
 	seg := log.segments[i]
 	result, err := log.scanSegment(i, func(f frame, offset int) { s.index.add(seg, &f, uint32(offset), uint32(f.size)) })
 	if err != nil {
 		return err
 	}
-	// The store time of a group is later than that of the header, and matters if the wall clock was set back across a reboot.
+	// The store time of a group is later than that of the header. It is needed if the wall clock was set back across a reboot.
 	s.clock.advanceTo(result.storeTime)
 	seg.lastSeq = result.lastSeq
 	seg.sealed = result.sealed
@@ -84,14 +84,15 @@
 	if result.sealed {
 		return nil
 	}
-	// The records that were just read may never have been synced. As the store now serves them, they must survive a loss of power.
+	// The records that were just read may never have been synced. They must be durable before the store returns them to readers.
 	if err := seg.file.Sync(); err != nil {
 		return fmt.Errorf("%s: %w", seg.name, err)
 	}
 	return nil
 }
 
-// resume prepares the committer to continue a log. Its next sequence number is above all that were used, also by failed writes.
+// resume prepares the committer to continue a log. The next sequence number is higher than all that were used, including those of
+// failed writes.
 func (c *committer) resume(log *diskLog) {
 	for _, failed := range log.failedRanges {
 		c.durableSeq = max(c.durableSeq, failed.end-1)
@@ -103,7 +104,7 @@
 	}
 }
 
-// removeLeftovers removes files that are not needed.
+// removeLeftovers removes files that are not needed, and makes the removal durable.
 func (s *Store) removeLeftovers(names []string) error {
 	if len(names) == 0 {
 		return nil
--- a/internal/files/store/scan.go
+++ b/internal/files/store/scan.go
@@ -2,37 +2,38 @@
 
 // scanResult is the result of scanning a segment.
 type scanResult struct {
-	lastSeq   uint64 // of its last record; 0 for none
-	records   uint64 // number of records that were emitted
-	sealed    bool
-	seal      frame // if sealed
-	storeTime int64 // in ms, the latest of its groups; 0 for none
-	tornBytes int64 // bytes at the end that belong to an incomplete append, or to damage of the last append
-	damage    []Damage
+	lastSeq   uint64   // sequence number of the last record; 0 for none
+	records   uint64   // number of records that were emitted
+	sealed    bool     // whether the segment ends with a seal
+	seal      frame    // the seal, if sealed is set
+	storeTime int64    // latest store time of the groups in ms; 0 for none
+	tornBytes int64    // bytes at the end that belong to an incomplete or damaged last append
+	damage    []Damage // ranges of bytes that cannot be read and were durable
 }
 
 // segmentScan reads the records of one segment, and decides which of them are valid:
 //
-//   - A record that is missing and was durable is lost, and reported as damage. The log shows up to which sequence number records
-//     were durable.
-//   - A record that is missing and is not known to have been durable was never acknowledged. All records after it are dropped, as
-//     writes without a sync may reach the disk in any order.
-//   - The records of a batch are emitted as a whole or not at all.
+//   - A missing record that was durable is lost, and is reported as damage. The log shows up to which sequence number records were
+//     durable.
+//   - A missing record that is not known to have been durable was never acknowledged. All records after it are discarded, as
+//     unsynced writes may reach the disk in any order.
+//   - A batch is atomic: either all of its records are emitted or none.
 //   - Records whose write was reported as failed are not emitted.
 type segmentScan struct {
-	file   string
-	data   []byte // of the complete segment
-	header header
-	// durableSeq is the highest sequence number that is known to have been durable, from this segment or others.
+	file   string // name of the segment file
+	data   []byte // content of the complete segment
+	header header // decoded header of the segment
+	// durableSeq is the highest sequence number that this or another segment shows to have been durable.
 	durableSeq uint64
-	// nextSeq is above the sequence numbers of this segment; 0 for the last segment. See diskLog.seqLimit.
-	nextSeq uint64
-	failed  []seqRange
-	emit    func(f frame, offset int) // called for each valid record
+	// seqLimit is higher than the sequence numbers of all acknowledged records in this segment, or 0 for the last segment. See
+	// diskLog.seqLimit.
+	seqLimit uint64
+	failed   []seqRange                // sequence numbers of records whose write was reported as failed
+	emit     func(f frame, offset int) // called for each valid record
 
-	result scanResult
-	end    int            // offset up to which the bytes are accounted for as header, frames or damage
-	batch  []scannedFrame // records of a batch whose last record was not read yet
+	result scanResult     // result so far
+	end    int            // offset up to which all bytes are classified as header, frames or damage
+	batch  []scannedFrame // records of a batch whose last record has not been read yet
 }
 
 // scannedFrame is a record with its offset in the segment.
@@ -41,14 +42,14 @@
 	offset int
 }
 
-// run scans the segment. The caller has set the fields above result.
+// run scans the segment. The caller must have set the fields above result.
 func (s *segmentScan) run() scanResult {
 	runs := findFrameRuns(s.data, s.header.size(), s.header.firstSeq)
 	for _, run := range runs {
 		s.durableSeq = max(s.durableSeq, run.durableSeq)
 	}
-	if s.nextSeq > 0 {
-		s.durableSeq = min(s.durableSeq, s.nextSeq-1)
+	if s.seqLimit > 0 {
+		s.durableSeq = min(s.durableSeq, s.seqLimit-1)
 	}
 	s.end = s.header.size()
 	seqBefore := max(s.header.firstSeq, 1) - 1
@@ -69,14 +70,16 @@
 	return s.result
 }
 
-// isRewritten reports whether a compaction has written the segment. Such a segment lacks the sequence numbers of the records that
-// were not live, and it is always sealed, as it was complete before it got its name.
-func (s *segmentScan) isRewritten() bool { return len(s.header.replaces) > 0 }
+// isCompacted reports whether a compaction has written the segment. Such a segment lacks the sequence numbers of the records that
+// were not live. It is always sealed, as it was complete before it was renamed to its final name.
+func (s *segmentScan) isCompacted() bool { return len(s.header.replaces) > 0 }
 
-// lacksDurable reports whether durable records may be missing after the last one that was read.
-func (s *segmentScan) lacksDurable() bool { return s.isRewritten() || s.durableSeq > s.result.lastSeq }
+// mayLackDurable reports whether durable records may be missing after the last one that was read.
+func (s *segmentScan) mayLackDurable() bool {
+	return s.isCompacted() || s.durableSeq > s.result.lastSeq
+}
 
-// scanRun reads the frames of a run.
+// scanRun reads the frames of a run, and emits the records of complete batches.
 func (s *segmentScan) scanRun(run frameRun) {
 	for offset := run.from; offset < run.to; {
 		found, _ := decodeFrame(s.data[offset:])
@@ -98,7 +101,7 @@
 	s.end = run.to
 }
 
-// emitBatch emits the records of a complete batch.
+// emitBatch emits the records of a complete batch, except those whose write was reported as failed.
 func (s *segmentScan) emitBatch() {
 	for _, record := range s.batch {
 		if inAnyRange(s.failed, record.seq) {
@@ -110,36 +113,37 @@
 	s.batch = s.batch[:0]
 }
 
-// finish accounts for the bytes after the last run, and for durable records that are missing at the end.
+// finish classifies the bytes after the last run as damage or as a torn append, and reports durable records that are missing at the
+// end.
 func (s *segmentScan) finish() {
 	switch {
 	case s.end < len(s.data):
-		if !s.reportLoss(len(s.data), s.nextSeq) {
+		if !s.reportLoss(len(s.data), s.seqLimit) {
 			s.result.tornBytes = int64(len(s.data) - s.end)
 		}
-	case s.end == len(s.data) && !s.result.sealed && s.lacksDurable():
-		s.reportLoss(s.end, s.nextSeq)
+	case s.end == len(s.data) && !s.result.sealed && s.mayLackDurable():
+		s.reportLoss(s.end, s.seqLimit)
 	}
 }
 
-// reportLoss reports the bytes from s.end to an offset as damage, if durable records may be missing there. It returns false
-// otherwise. nextSeq is the number of the first record after the damage, 0 if it is unknown.
+// reportLoss reports the bytes from s.end up to the offset to as damage, if durable records may be missing there. Otherwise it
+// returns false. nextSeq is the sequence number of the first record after the damage, or 0 if that is unknown.
 func (s *segmentScan) reportLoss(to int, nextSeq uint64) bool {
-	if !s.lacksDurable() {
+	if !s.mayLackDurable() {
 		return false
 	}
-	d := Damage{File: s.file, From: int64(s.end), To: int64(to), Reason: "unreadable, and was durable"}
-	if !s.isRewritten() {
-		d.FirstSeq = s.result.lastSeq + 1
-		d.LastSeq = s.durableSeq
+	damage := Damage{File: s.file, From: int64(s.end), To: int64(to), Reason: "unreadable, and was durable"}
+	if !s.isCompacted() {
+		damage.FirstSeq = s.result.lastSeq + 1
+		damage.LastSeq = s.durableSeq
 		if nextSeq > 0 {
-			d.LastSeq = min(s.durableSeq, nextSeq-1)
+			damage.LastSeq = min(s.durableSeq, nextSeq-1)
 		}
-		if d.LastSeq < d.FirstSeq { // the damage hit only the start of a group, or a part of a batch
-			d.FirstSeq = 0
-			d.LastSeq = 0
+		if damage.LastSeq < damage.FirstSeq { // the damage affects only the start of a group, or a part of a batch
+			damage.FirstSeq = 0
+			damage.LastSeq = 0
 		}
 	}
-	s.result.damage = append(s.result.damage, d)
+	s.result.damage = append(s.result.damage, damage)
 	return true
 }
--- a/internal/files/store/segment.go
+++ b/internal/files/store/segment.go
@@ -5,24 +5,24 @@
 	"io"
 )
 
-// segment is a file of the log. Once its store is open, the store's mutex guards the fields that change.
+// segment is one file of the log. Once its store is open, the store's mutex guards the fields that change.
 type segment struct {
 	header
-	name    string // of the file
-	file    Reader // nil once it is closed
-	size    int64  // in bytes
-	records uint64
-	lastSeq uint64 // of its last record; 0 for none
-	// expiresAt is the latest expiry of the records in the segment, and shadowedUntil that of the records in other segments that
-	// they superseded, both in ms of store time. After both, the segment is not needed: see skipExpired.
-	expiresAt     int64
-	shadowedUntil int64
-	liveBytes     int64 // bytes of the records that are the latest of their key
-	sealed        bool
-	damaged       bool // a part of it could not be read when the store was opened
+	name    string // name of the file
+	file    Reader // open file; nil once it is closed
+	size    int64  // size of the file in bytes
+	records uint64 // number of records, both puts and deletions
+	lastSeq uint64 // sequence number of the last record; 0 for none
+	// expiresAt is the latest expiry of the records in the segment. supersededExpiresAt is the latest expiry of the records in other
+	// segments that they superseded. Both are store times in ms. After both, the segment is not needed: see skipExpired.
+	expiresAt           int64
+	supersededExpiresAt int64
+	liveBytes           int64 // bytes of the records that are the latest of their key
+	sealed              bool  // whether the segment ends with a seal
+	damaged             bool  // whether a part of the segment could not be read when the store was opened
 }
 
-// readSeal reads the last frame of a segment. ok is false if that is not a seal.
+// readSeal reads the seal at the end of a segment. ok is false if the segment does not end with a seal or cannot be read.
 func readSeal(seg *segment) (seal frame, ok bool) {
 	if seg.size < int64(seg.header.size()+sealBytes) {
 		return seal, false
@@ -35,15 +35,16 @@
 	return seal, ok && seal.kind == kindSeal
 }
 
-// readRecord reads the record at a location. The caller holds the store's mutex, which keeps the file open.
+// readRecord reads the put at a location. It fails if the disk returns an error, or if another or a damaged frame is at the location.
+// The caller holds the store's mutex, which prevents the file from being closed.
 func readRecord(l location) (record frame, err error) {
 	b := make([]byte, l.size)
 	if _, err := io.ReadFull(io.NewSectionReader(l.segment.file, int64(l.offset), int64(l.size)), b); err != nil {
-		return record, fmt.Errorf("%s at %d: %w", l.segment.name, l.offset, err)
+		return record, fmt.Errorf("%s at byte %d: %w", l.segment.name, l.offset, err)
 	}
 	record, ok := decodeFrame(b)
 	if !ok || record.kind != kindPut || record.seq != l.seq {
-		return record, fmt.Errorf("%s at %d: record %d is damaged", l.segment.name, l.offset, l.seq)
+		return record, fmt.Errorf("%s at byte %d: record %d is damaged", l.segment.name, l.offset, l.seq)
 	}
 	return record, nil
 }
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -17,8 +17,8 @@
 	fs      FS
 	options Options
 	lock    io.Closer
-	clock   storeClock // set when the store is opened
-	id      uint64     // random, set when the store is opened
+	clock   storeClock // set by Open
+	id      uint64     // random ID of the store; Open reads it from the log, or creates it
 
 	queue     *batchQueue
 	committer *committer
@@ -26,22 +26,22 @@
 
 	mu       sync.RWMutex // guards the fields below; never held during a write or sync of the committer
 	index    index
-	segments []*segment // the oldest first; the committer may write to the last one
+	segments []*segment // segments with the oldest first; the committer may be writing to the last one
 	health   Health
-	nextID   uint64 // of the next segment
+	nextID   uint64 // ID of the next segment to create
 }
 
-// Health is the state of a store's disk.
+// Health describes the errors of a store's disk and the damage to its files.
 type Health struct {
-	Err       error    // of the last write; nil if it succeeded
-	Failures  int      // errors of the disk since the store was opened
-	TornBytes int64    // bytes of incomplete appends, found when the store was opened
-	Damage    []Damage // found when the store was opened
+	Err       error    // last disk error; nil after a later write has succeeded
+	Failures  int      // number of disk errors since the store was opened
+	TornBytes int64    // bytes of incomplete appends that Open found
+	Damage    []Damage // damage that Open found
 }
 
-// Open opens the store in a directory, or creates one if the directory has no segment. Data that cannot be read is reported by
-// Health, and the rest is served. Open returns a NewerVersionError for a store that a later version has written, without changing
-// it, and ErrLocked if another process has the store open. The caller has to call Close.
+// Open opens the store in a directory, or creates one if the directory has no segment. It reports damaged data in Health, and makes
+// the remaining records available. Open returns ErrLocked if another process has the store open, and a NewerVersionError for a store
+// that a later version has written, which it does not change. The caller must call Close.
 func Open(dir FS, options Options) (*Store, error) {
 	options = options.withDefaults()
 	lock, err := dir.Lock()
@@ -59,8 +59,8 @@
 	store.compactor = &compactor{store: store}
 	err = store.recoverLog()
 	if err == nil {
-		if err = store.committer.roll(); err != nil {
-			err = fmt.Errorf("no segment can be made: %w", err)
+		if err = store.committer.createSegment(); err != nil {
+			err = fmt.Errorf("create the first segment: %w", err)
 		}
 	}
 	if err != nil {
@@ -81,9 +81,9 @@
 	return errors.Join(errs...)
 }
 
-// Apply queues a batch, and calls done once the batch is durable or has failed: from another goroutine, or before Apply returns. It
-// does not wait for the disk. A batch that failed with an error of the disk is not visible, but may be visible as a whole after the
-// store is opened again.
+// Apply queues a batch without waiting for the disk, and calls done once the batch is durable or has failed. It may call done from
+// another goroutine, or before it returns. A batch that has failed with a disk error is not visible to readers, but all of its
+// records may become visible when the store is reopened.
 func (s *Store) Apply(b Batch, done func(error)) {
 	err := b.checkSizes()
 	if err == nil {
@@ -108,15 +108,15 @@
 	return s.ApplyAndWait(b)
 }
 
-// Delete deletes the record of a key and waits until that is durable. It is no error if there is none.
+// Delete deletes the record of a key and waits until the deletion is durable. It is no error if the key has no record.
 func (s *Store) Delete(key []byte) error {
 	var b Batch
 	b.Delete(key)
 	return s.ApplyAndWait(b)
 }
 
-// Get returns the latest durable value of a key, and the time until it expires, which is undefined for a record that never does. ok
-// is false if there is no record. An error means that there is one that cannot be read.
+// Get returns the latest durable value of a key, and the time until it expires. timeLeft is undefined for a record that never
+// expires. ok is false if the key has no record. Get returns an error if the record cannot be read.
 func (s *Store) Get(key []byte) (value []byte, timeLeft time.Duration, ok bool, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -132,8 +132,8 @@
 	return record.value, time.Duration(l.expiresAt-now) * time.Millisecond, true, nil
 }
 
-// Range calls visit for each record, in no particular order, until it returns false. Records that are written during the call may
-// be visited or not. Range skips records that cannot be read, and returns the error of the first one. timeLeft is as in Get.
+// Range calls visit for each record, in no particular order, until visit returns false. It may or may not visit records that are
+// written during the call. Range skips records that cannot be read, and returns the first read error. timeLeft is as in Get.
 func (s *Store) Range(visit func(key, value []byte, timeLeft time.Duration) bool) error {
 	s.mu.RLock()
 	keys := slices.Collect(maps.Keys(s.index.locations))
@@ -152,7 +152,7 @@
 	return firstErr
 }
 
-// Len returns the number of records in the index. It may count records that have just expired.
+// Len returns the number of records in the index, which may include records that have just expired.
 func (s *Store) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -174,7 +174,7 @@
 	return sum
 }
 
-// Health returns the state of the disk.
+// Health returns a copy of the current disk errors and damage.
 func (s *Store) Health() Health {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -183,7 +183,7 @@
 	return h
 }
 
-// recordFailure adds an error of the disk to Health.
+// recordFailure adds a disk error to Health.
 func (s *Store) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,12 +191,12 @@
 	s.health.Failures++
 }
 
-// Compact writes the live records of all segments but the active one into a new segment, and removes the old ones. Damaged segments
-// are not removed: they are renamed to end in .damaged, and not read again.
+// Compact copies the live records of all segments except the active one to a new segment, and removes the old segments. Damaged
+// segments are not removed but renamed, with the suffix .damaged, and not read again.
 func (s *Store) Compact() error { return s.compactor.compactAll() }
 
-// Close writes the queued batches, seals the active segment and unlocks the directory. It returns ErrClosed if the store was closed
-// before.
+// Close writes the queued batches, seals the active segment and unlocks the directory. It returns ErrClosed if the store was already
+// closed.
 func (s *Store) Close() error {
 	if err := s.queue.close(); err != nil {
 		return err
@@ -212,15 +212,15 @@
 	return err
 }
 
-// dropExpired removes expired records from the index.
+// dropExpired removes the expired records from the index.
 func (s *Store) dropExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index.dropExpired(s.clock.now())
 }
 
-// admit sets the error of each batch in a group that would exceed MaxRecords or MaxBytes to ErrFull, and returns the number of the
-// other batches.
+// admit rejects the batches of a group that would exceed MaxRecords or MaxBytes: it sets their entries in errs to ErrFull. It
+// returns the number of the other batches.
 func (s *Store) admit(group []pendingBatch, errs []error) (admitted int) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -241,12 +241,12 @@
 	return admitted
 }
 
-// allocateID returns an ID for a new segment. An ID is never used twice, even if the segment could not be created: after a failure
-// the state of the disk is unknown. The caller holds s.mu.
+// allocateID returns an ID for a new segment. An ID is never reused, even if its segment could not be created, since a file may exist
+// on the disk after a failed creation. The caller holds s.mu.
 func (s *Store) allocateID() uint64 {
 	s.nextID++
 	return s.nextID - 1
 }
 
-// newStoreID returns a random ID other than 0.
+// newStoreID returns a random ID that is not 0.
 func newStoreID() uint64 { return rand.Uint64() | 1 }
