--- a/internal/files/store/bench_test.go
+++ b/internal/files/store/bench_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/files/store"
 )
 
-// writtenBytes returns how many bytes this process has had written to disks.
+// writtenBytes returns the number of bytes that this process has caused to be written to disks.
 func writtenBytes(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile("/proc/self/io")
@@ -30,7 +30,7 @@
 	return 0
 }
 
-// heapBytes returns the size of the heap after a garbage collection.
+// heapBytes runs a garbage collection, and returns the size of the heap in bytes.
 func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -38,23 +38,24 @@
 	return float64(stats.HeapAlloc)
 }
 
+// Sizes of each record, and the duration of a write benchmark.
 const (
-	benchKey   = 17
-	benchValue = 60
-	benchTime  = 2 * time.Second
+	benchKeyBytes   = 17
+	benchValueBytes = 60
+	benchDuration   = 2 * time.Second
 )
 
-// writeConcurrently writes records for benchTime, by a number of writers that each wait until their record is durable.
+// writeConcurrently writes records for benchDuration. Each writer waits until its record is durable before it writes the next one.
 func writeConcurrently(b *testing.B, writers int, put func(key, value []byte) error) {
 	b.Helper()
 	var running sync.WaitGroup
 	var writes atomic.Int64
-	before, end := writtenBytes(b), time.Now().Add(benchTime)
+	before, end := writtenBytes(b), time.Now().Add(benchDuration)
 	for w := range writers {
 		running.Go(func() {
-			value := make([]byte, benchValue)
+			value := make([]byte, benchValueBytes)
 			for i := 0; time.Now().Before(end); i++ {
-				if err := put(fmt.Appendf(nil, "%0*d", benchKey, i*writers+w), value); err != nil {
+				if err := put(fmt.Appendf(nil, "%0*d", benchKeyBytes, i*writers+w), value); err != nil {
 					b.Error(err)
 					return
 				}
@@ -63,13 +64,13 @@
 		})
 	}
 	running.Wait()
-	b.ReportMetric(float64(writes.Load())/benchTime.Seconds(), "writes/s")
-	b.ReportMetric((writtenBytes(b)-before)/float64(writes.Load()*(benchKey+benchValue)), "bytes/byte")
+	b.ReportMetric(float64(writes.Load())/benchDuration.Seconds(), "writes/s")
+	b.ReportMetric((writtenBytes(b)-before)/float64(writes.Load()*(benchKeyBytes+benchValueBytes)), "bytes/byte")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkDurable writes records by writers that wait until they are durable, with group commit and with one record a sync.
-// STORE_DIR is a directory on the disk to measure.
+// BenchmarkDurable measures concurrent durable writes, with group commit and with one record per sync. STORE_DIR is a directory on the
+// disk to measure.
 func BenchmarkDurable(b *testing.B) {
 	for _, writers := range []int{1, 32, 256} {
 		b.Run(fmt.Sprintf("store/%d", writers), func(b *testing.B) {
@@ -77,7 +78,7 @@
 			defer closeStore(b, kv)
 			writeConcurrently(b, writers, func(key, value []byte) error { return kv.Put(key, value, 16*time.Second) })
 		})
-		// The baseline is a store without group commit: the writers take turns, with one record a sync.
+		// The baseline has no group commit: a mutex makes the writers take turns, with one record per sync.
 		b.Run(fmt.Sprintf("one a sync/%d", writers), func(b *testing.B) {
 			kv := openBench(b)
 			defer closeStore(b, kv)
@@ -91,6 +92,7 @@
 	}
 }
 
+// benchDir returns a temporary directory on the disk to measure.
 func benchDir(b *testing.B) string {
 	b.Helper()
 	dir, err := os.MkdirTemp(os.Getenv("STORE_DIR"), "store-bench") //nolint:usetesting // b.TempDir can't be on a given disk
@@ -107,12 +109,13 @@
 	return kv
 }
 
-// BenchmarkOpen opens stores with many records, live or expired. It runs only if STORE_OPEN is set.
+// BenchmarkOpen measures the time and the memory for opening stores with many live or expired records. It runs only if STORE_OPEN is
+// set.
 func BenchmarkOpen(b *testing.B) {
 	if os.Getenv("STORE_OPEN") == "" {
 		b.Skip("STORE_OPEN is not set")
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		records   int
 		retention time.Duration
@@ -121,19 +124,20 @@
 		{"live/10000000", 10_000_000, 0},
 		{"expired/10000000", 10_000_000, time.Second},
 	} {
-		b.Run(c.name, func(b *testing.B) { benchmarkOpen(b, c.records, c.retention) })
+		b.Run(test.name, func(b *testing.B) { benchmarkOpen(b, test.records, test.retention) })
 	}
 }
 
+// benchmarkOpen measures opening a store with the given number of records.
 func benchmarkOpen(b *testing.B, records int, retention time.Duration) {
 	b.Helper()
 	dir := store.Dir(benchDir(b))
-	c := newClock()
-	options := store.Options{MaxBytes: 4 << 30, MaxRecords: 1 << 24, MaxPendingBytes: 64 << 20, Clock: c.now}
+	clock := newClock()
+	options := store.Options{MaxBytes: 4 << 30, MaxRecords: 1 << 24, MaxPendingBytes: 64 << 20, Clock: clock.now}
 	kv := open(b, dir, options)
 	fillBench(b, kv, records, retention)
 	closeStore(b, kv)
-	c.advance(time.Minute)
+	clock.advance(time.Minute)
 	before := heapBytes()
 	began := time.Now()
 	kv = open(b, dir, options)
@@ -142,20 +146,20 @@
 	b.ReportMetric((heapBytes()-before)/float64(records), "bytes/record")
 	b.ReportMetric(0, "ns/op")
 	if n := kv.Len(); (retention == 0) != (n == records) {
-		b.Errorf("%d records", n)
+		b.Errorf("the opened store has %d of %d records with retention %v, want all only with retention 0", n, records, retention)
 	}
 	closeStore(b, kv)
 }
 
-// fillBench writes records in batches of perBatch, and waits until they are durable after each perWait records.
+// fillBench writes records in batches of perBatch. After each maxPending records, it waits until they are durable.
 func fillBench(b *testing.B, kv *store.Store, records int, retention time.Duration) {
 	b.Helper()
-	const perBatch, perWait = 1000, 20_000
+	const perBatch, maxPending = 1000, 20_000
 	var pending sync.WaitGroup
 	for i := 0; i < records; i += perBatch {
 		var batch store.Batch
 		for j := i; j < i+perBatch; j++ {
-			batch.Put(fmt.Appendf(nil, "%0*d", benchKey, j), make([]byte, benchValue), retention)
+			batch.Put(fmt.Appendf(nil, "%0*d", benchKeyBytes, j), make([]byte, benchValueBytes), retention)
 		}
 		pending.Add(1)
 		kv.Apply(batch, func(err error) {
@@ -164,7 +168,7 @@
 				b.Error(err)
 			}
 		})
-		if i%perWait == 0 {
+		if i%maxPending == 0 {
 			pending.Wait()
 		}
 	}
--- a/internal/files/store/course_test.go
+++ b/internal/files/store/course_test.go
@@ -12,11 +12,11 @@
 	"quincegap/internal/standin/disk"
 )
 
-// model knows which records a store may have.
+// model tracks which records a store may have.
 type model struct {
 	mu           sync.Mutex
-	acknowledged map[string]string          // value by key; "" for a deletion
-	uncertain    map[string]map[string]bool // by key, the values of writes that failed: each may be there or not; "" for a deletion
+	acknowledged map[string]string          // last acknowledged value of each key; "" for a deletion
+	uncertain    map[string]map[string]bool // values of failed writes by key, each of which may be stored or not; "" for a deletion
 }
 
 func newModel(content map[string]string) *model {
@@ -38,33 +38,33 @@
 	m.uncertain[key][value] = true
 }
 
-// checkReopened checks the records of a store that was opened again: failed writes may have taken effect.
-func (m *model) checkReopened(t *testing.T, got map[string]string, when string) {
+// checkAfterReopening checks the records of a store that was reopened: failed writes may have taken effect.
+func (m *model) checkAfterReopening(t *testing.T, got map[string]string, when string) {
 	t.Helper()
 	for key := range m.acknowledged {
 		if got[key] != m.acknowledged[key] && !m.uncertain[key][got[key]] {
-			t.Fatalf("%s: %s is %q, and not %q", when, key, got[key], m.acknowledged[key])
+			t.Fatalf("%s: %s is %q after reopening, want the acknowledged %q", when, key, got[key], m.acknowledged[key])
 		}
 	}
 	for key := range got {
 		if m.acknowledged[key] == "" && !m.uncertain[key][got[key]] {
-			t.Fatalf("%s: %s=%q was never acknowledged, or was deleted", when, key, got[key])
+			t.Fatalf("%s: %s is %q after reopening, but that value was never acknowledged or was deleted", when, key, got[key])
 		}
 	}
 }
 
-// checkRunning checks the records of a store that was not opened again: failed writes are not visible.
-func (m *model) checkRunning(t *testing.T, got map[string]string, when string) {
+// checkWhileOpen checks the records of a store that has remained open: failed writes are not visible.
+func (m *model) checkWhileOpen(t *testing.T, got map[string]string, when string) {
 	t.Helper()
 	for key, value := range m.acknowledged {
 		if got[key] != value {
-			t.Fatalf("%s: reads %s as %q, and not %q", when, key, got[key], value)
+			t.Fatalf("%s: %s is %q while the store is open, want the acknowledged %q", when, key, got[key], value)
 		}
 	}
 }
 
-// course is a random sequence of writes, disk faults and restarts.
-type course struct {
+// randomFaults runs a random sequence of writes, disk faults and restarts.
+type randomFaults struct {
 	rng     *rand.Rand
 	clock   *testClock
 	options store.Options
@@ -72,12 +72,12 @@
 	model   *model
 }
 
-// With many writers, a disk that fails, fills up and loses power, and crashes of the process, in any order, acknowledged writes are
-// always there, and each failed write has taken effect as a whole or not at all.
-func TestAnyFate(t *testing.T) {
+// Concurrent writers use a disk that fails, fills up and loses power, and the process crashes, all in random order. Acknowledged
+// writes are never lost, and each failed write has taken effect either completely or not at all.
+func TestRandomFaultsLoseNoAcknowledgedWrite(t *testing.T) {
 	for seed := range uint64(seeds()) {
 		clock := newClock()
-		c := &course{
+		faults := &randomFaults{
 			rng:   rand.New(rand.NewPCG(seed, 9)),
 			clock: clock,
 			disk:  disk.New(),
@@ -87,59 +87,59 @@
 			},
 		}
 		for run := range 12 {
-			c.play(t, fmt.Sprintf("seed %d, run %d", seed, run))
+			faults.runProcess(t, fmt.Sprintf("seed %d, run %d", seed, run))
 		}
 	}
 }
 
-// play plays one run of the process, from opening the store until the process ends in some way.
-func (c *course) play(t *testing.T, when string) {
+// runProcess simulates one run of the process, from opening the store until the process ends in a random way.
+func (r *randomFaults) runProcess(t *testing.T, when string) {
 	t.Helper()
-	kv, err := store.Open(c.disk, c.options)
+	kv, err := store.Open(r.disk, r.options)
 	if err != nil {
-		t.Fatalf("%s: %v", when, err)
+		t.Fatalf("%s: open the store: %v", when, err)
 	}
 	got := content(t, kv)
-	c.model.checkReopened(t, got, when)
+	r.model.checkAfterReopening(t, got, when)
 	if h := kv.Health(); len(h.Damage) > 0 {
-		t.Fatalf("%s: reported as damaged: %v", when, h.Damage)
+		t.Fatalf("%s: Health reports damage %v, want none", when, h.Damage)
 	}
-	c.model = newModel(got) // records that were read once stay
+	r.model = newModel(got) // records that were read must not change any more
 	for range 20 {
-		c.disturb()
-		c.write(kv)
-		c.clock.advance(10 * time.Millisecond)
-		if records, err := readAll(kv); err == nil { // it fails after a loss of power
-			c.model.checkRunning(t, records, when)
+		r.injectFault()
+		r.write(kv)
+		r.clock.advance(10 * time.Millisecond)
+		if records, err := readAll(kv); err == nil { // reads fail after a loss of power
+			r.model.checkWhileOpen(t, records, when)
 		}
 	}
-	c.disk.SetCapacity(-1)
-	c.disk.Fail(nil)
-	c.end(kv)
+	r.disk.SetCapacity(-1)
+	r.disk.Fail(nil)
+	r.endProcess(kv)
 }
 
-// disturb makes the disk fail in some way, or work again.
-func (c *course) disturb() {
-	switch c.rng.IntN(12) {
+// injectFault makes the disk fail in a random way, or work again.
+func (r *randomFaults) injectFault() {
+	switch r.rng.IntN(12) {
 	case 0:
-		c.disk.FailSyncs(1)
+		r.disk.FailSyncs(1)
 	case 1:
-		c.disk.SetCapacity(c.rng.IntN(600))
+		r.disk.SetCapacity(r.rng.IntN(600))
 	case 2:
-		c.disk.Fail(syscall.EIO)
+		r.disk.Fail(syscall.EIO)
 	case 3:
-		c.disk.LosePowerAt(1+c.rng.IntN(30), c.rng.Uint64())
+		r.disk.LosePowerAt(1+r.rng.IntN(30), r.rng.Uint64())
 	default:
-		c.disk.SetCapacity(-1)
-		c.disk.Fail(nil)
+		r.disk.SetCapacity(-1)
+		r.disk.Fail(nil)
 	}
 }
 
 // write changes records with four concurrent writers, each with its own keys.
-func (c *course) write(kv *store.Store) {
+func (r *randomFaults) write(kv *store.Store) {
 	var writers sync.WaitGroup
 	for w := range 4 {
-		rng := rand.New(rand.NewPCG(c.rng.Uint64(), uint64(w)))
+		rng := rand.New(rand.NewPCG(r.rng.Uint64(), uint64(w)))
 		writers.Go(func() {
 			for range 6 {
 				key := fmt.Sprintf("w%d-%d", w, rng.IntN(5))
@@ -151,33 +151,33 @@
 				} else {
 					err = kv.Put([]byte(key), []byte(value), 0)
 				}
-				c.model.record(key, value, err)
+				r.model.record(key, value, err)
 			}
 		})
 	}
 	writers.Wait()
 }
 
-// end ends the process in some way, and leaves the disk as the next one finds it.
-func (c *course) end(kv *store.Store) {
-	switch c.rng.IntN(3) {
+// endProcess ends the process in a random way, and sets the disk to the state that the next process finds.
+func (r *randomFaults) endProcess(kv *store.Store) {
+	switch r.rng.IntN(3) {
 	case 0:
 		if kv.Close() == nil {
-			c.disk = c.disk.AfterCrash()
+			r.disk = r.disk.AfterCrash()
 		} else {
-			c.disk = c.disk.AfterPowerLoss(c.rng)
+			r.disk = r.disk.AfterPowerLoss(r.rng)
 		}
 	case 1:
-		crash(kv, c.disk)
-		c.disk = c.disk.AfterCrash()
+		crash(kv, r.disk)
+		r.disk = r.disk.AfterCrash()
 	case 2:
-		next := c.disk.AfterPowerLoss(c.rng)
+		next := r.disk.AfterPowerLoss(r.rng)
 		closeIgnoringError(kv)
-		c.disk = next
+		r.disk = next
 	}
 }
 
-// crash ends a store as a crash of the process does: nothing that it does afterwards reaches the disk.
+// crash simulates a process crash: nothing that the store does afterwards reaches the disk.
 func crash(kv *store.Store, testDisk *disk.Disk) {
 	testDisk.Fail(disk.ErrPowerLost)
 	closeIgnoringError(kv)
--- a/internal/files/store/crash_test.go
+++ b/internal/files/store/crash_test.go
@@ -15,23 +15,24 @@
 	"quincegap/internal/standin/disk"
 )
 
-// workload is a sequence of changes that is the same at each play: it rotates segments, causes a compaction, and deletes records. It
-// remembers the changes that were acknowledged.
+// workload is a sequence of changes that is the same in each run. The changes rotate segments, cause a compaction and delete records.
+// A workload records which changes were acknowledged.
 type workload struct {
 	acknowledged []change
 }
 
 // change is an acknowledged change.
 type change struct {
-	units int // of the disk until the change was acknowledged: see disk.Disk.Units
+	units int // disk.Disk.Units when the change was acknowledged
 	key   string
-	value string // "" for a deletion
+	value string // written value; "" for a deletion
 }
 
+// smallSegments has segments that are small enough for several rotations and a compaction in a workload.
 var smallSegments = store.Options{SegmentBytes: 700, MaxBytes: 1 << 20}
 
-// play makes n changes, or fewer if one fails.
-func (w *workload) play(testDisk *disk.Disk, options store.Options, n int) error {
+// run makes n changes. It stops at the first one that fails, and returns its error.
+func (w *workload) run(testDisk *disk.Disk, options store.Options, n int) error {
 	kv, err := store.Open(testDisk, options)
 	if err != nil {
 		return err
@@ -53,12 +54,12 @@
 	return errors.Join(err, kv.Close())
 }
 
-// checkContent checks that a store has the first n changes, and of the others at most the next one.
+// checkContent checks that a store has the first n acknowledged changes, and of the others at most the next one.
 func (w *workload) checkContent(tb testing.TB, kv *store.Store, n int, when string) {
 	tb.Helper()
 	want := map[string]string{}
-	for _, c := range w.acknowledged[:n] {
-		want[c.key] = c.value
+	for _, acknowledged := range w.acknowledged[:n] {
+		want[acknowledged.key] = acknowledged.value
 	}
 	withNext := maps.Clone(want)
 	if n < len(w.acknowledged) {
@@ -68,41 +69,41 @@
 		maps.DeleteFunc(m, func(_, value string) bool { return value == "" })
 	}
 	if got := content(tb, kv); !maps.Equal(got, want) && !maps.Equal(got, withNext) {
-		tb.Fatalf("%s: it has %v, of %v", when, got, want)
+		tb.Fatalf("%s: the store has %v, want %v with or without the next change", when, got, want)
 	}
 	if h := kv.Health(); len(h.Damage) > 0 {
-		tb.Fatalf("%s: reported as damaged: %v", when, h.Damage)
+		tb.Fatalf("%s: Health reports damage %v, want none", when, h.Damage)
 	}
 }
 
-// A crash after any byte that is written, and after any creation, rename or removal of a file, loses no acknowledged change.
+// A crash after any written byte, and after any creation, rename or removal of a file, loses no acknowledged change.
 func TestCutAtEveryByte(t *testing.T) {
 	options := smallSegments
 	options.Clock = newClock().now
-	testDisk, played := disk.New(), &workload{}
-	check(t, played.play(testDisk, options, 120))
+	testDisk, written := disk.New(), &workload{}
+	check(t, written.run(testDisk, options, 120))
 	if n := len(testDisk.Files()); n > 12 {
-		t.Fatalf("%d files: there was no compaction, so that none is tested", n)
+		t.Fatalf("%d files remain, want at most 12: there was no compaction to test", n)
 	}
 	acknowledged := 0
 	for units := range testDisk.Units() + 1 {
-		for acknowledged < len(played.acknowledged) && played.acknowledged[acknowledged].units <= units {
+		for acknowledged < len(written.acknowledged) && written.acknowledged[acknowledged].units <= units {
 			acknowledged++
 		}
 		truncated := testDisk.CutAt(units)
 		kv := open(t, truncated, options)
-		played.checkContent(t, kv, acknowledged, fmt.Sprintf("crash after %d", units))
-		put(t, kv, "after", "it") // the store is writable
+		written.checkContent(t, kv, acknowledged, fmt.Sprintf("crash after %d units", units))
+		put(t, kv, "after", "it") // the recovered store must accept writes
 		closeStore(t, kv)
 		kv = open(t, truncated, options)
 		if got := content(t, kv); got["after"] != "it" {
-			t.Fatalf("crash after %d: the next write is not there", units)
+			t.Fatalf("crash after %d units: the write after the recovery is lost", units)
 		}
 		closeStore(t, kv)
 	}
 }
 
-// After a crash at any byte of a sequence of batches, each batch is there as a whole or not at all.
+// After a crash at any byte of a sequence of batches, the store has either all records of a batch or none.
 func TestBatchCutAtEveryByte(t *testing.T) {
 	const batches, perBatch = 5, 3
 	options := store.Options{Clock: newClock().now}
@@ -128,14 +129,14 @@
 				}
 			}
 			if found != 0 && found != perBatch {
-				t.Fatalf("crash after %d: %d of the %d records of batch %d", units, found, perBatch, i)
+				t.Fatalf("crash after %d units: the store has %d of the %d records of batch %d", units, found, perBatch, i)
 			}
 		}
 	}
 }
 
-// A record whose write was reported as failed is ignored, although it is complete in the file when the process restarts.
-func TestFailedWriteIsNotBelieved(t *testing.T) {
+// A record whose write was reported as failed is ignored after a crash, although it is complete in the file.
+func TestFailedWriteIsIgnoredAfterCrash(t *testing.T) {
 	clock := newClock()
 	options := store.Options{Clock: clock.now, MinBackoff: time.Millisecond}
 	testDisk := disk.New()
@@ -143,35 +144,35 @@
 	put(t, kv, "a", "1")
 	testDisk.FailSyncs(1)
 	if err := kv.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("the sync failed, and the error is %v", err)
+		t.Fatalf("write with a failing sync: got error %v, want EIO", err)
 	}
 	clock.advance(time.Second)
 	put(t, kv, "c", "3")
 	crash(kv, testDisk)
 	kv = open(t, testDisk.AfterCrash(), options)
 	if got := content(t, kv); !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
-		t.Errorf("%v", got)
+		t.Errorf("content after a crash: got %v, want only the acknowledged a=1 and c=3", got)
 	}
 	closeStore(t, kv)
 }
 
-// A loss of power at any call that changes the disk loses no acknowledged change, whichever unsynced data survives, even if the power
-// is lost again during recovery.
+// A loss of power at any call that changes the disk loses no acknowledged change, whichever unsynced data survives, even if power is
+// lost again during the recovery.
 func TestPowerLostAtEveryOperation(t *testing.T) {
 	options := smallSegments
 	options.Clock = newClock().now
 	complete := &workload{}
 	testDisk := disk.New()
-	check(t, complete.play(testDisk, options, 120))
+	check(t, complete.run(testDisk, options, 120))
 	calls := testDisk.Operations()
 	for call := 1; call <= calls; call++ {
 		for seed := range uint64(min(4, seeds()/10)) {
 			rng := rand.New(rand.NewPCG(seed, uint64(call)))
 			testDisk, interrupted := disk.New(), &workload{}
 			testDisk.LosePowerAt(call, seed)
-			_ = interrupted.play(testDisk, options, 120) // fails when the power is lost
+			_ = interrupted.run(testDisk, options, 120) // the run fails when power is lost
 			survived := testDisk.AfterPowerLoss(rng)
-			survived.LosePowerAt(1+rng.IntN(8), seed) // while the store is opened, or soon after
+			survived.LosePowerAt(1+rng.IntN(8), seed) // power is lost again while the store is opened, or soon after
 			tryOpen(survived, options)
 			kv := open(t, survived.AfterPowerLoss(rng), options)
 			when := fmt.Sprintf("power lost at call %d, seed %d", call, seed)
@@ -181,7 +182,7 @@
 	}
 }
 
-// After a failed sync, no write to the same file is acknowledged any more, although the next sync of it would succeed.
+// After a failed sync, no further write to the same file is acknowledged, although the next sync of the file would succeed.
 func TestFailedSync(t *testing.T) {
 	clock := newClock()
 	options := store.Options{Clock: clock.now, MinBackoff: time.Millisecond}
@@ -191,43 +192,43 @@
 	before := slices.Sorted(maps.Keys(testDisk.Files()))
 	testDisk.FailSyncs(1)
 	if err := kv.Put([]byte("b"), []byte("2"), 0); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("the sync failed, and the error of the write is %v", err)
+		t.Fatalf("write with a failing sync: got error %v, want EIO", err)
 	}
 	if h := kv.Health(); !errors.Is(h.Err, syscall.EIO) || h.Failures != 1 {
-		t.Errorf("%+v", h)
+		t.Errorf("Health after a failed sync: got %+v, want EIO and 1 failure", h)
 	}
 	if _, _, ok, _ := kv.Get([]byte("b")); ok {
-		t.Error("a record that was not acknowledged is visible")
+		t.Error("a record whose write failed is visible")
 	}
 	clock.advance(time.Second)
 	put(t, kv, "c", "3")
 	if h := kv.Health(); h.Err != nil {
-		t.Errorf("the disk works again, and Health has %v", h.Err)
+		t.Errorf("Health after the disk has recovered: got error %v, want none", h.Err)
 	}
 	if after := slices.Sorted(maps.Keys(testDisk.Files())); len(after) != len(before)+1 {
-		t.Errorf("the same file is still in use: %v, %v", before, after)
+		t.Errorf("files: %v before and %v after the failed sync, want one new file", before, after)
 	}
 	for seed := range uint64(20) {
 		kv := open(t, testDisk.AfterPowerLoss(rand.New(rand.NewPCG(seed, 0))), options)
 		got := content(t, kv)
 		if !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
-			t.Errorf("%v", got)
+			t.Errorf("content after a loss of power: got %v, want only the acknowledged a=1 and c=3", got)
 		}
 		if h := kv.Health(); len(h.Damage) > 0 {
-			t.Errorf("%v", h.Damage)
+			t.Errorf("Health after a loss of power: got damage %v, want none", h.Damage)
 		}
 		closeStore(t, kv)
 	}
 }
 
-// overwriter writes five records again and again.
+// overwriter overwrites five records in turn.
 type overwriter struct {
 	store *store.Store
 	clock *testClock
-	want  map[string]string // acknowledged records
+	want  map[string]string // acknowledged value of each key
 }
 
-// write makes the ith write.
+// write makes write number i.
 func (o *overwriter) write(i int) error {
 	key, value := fmt.Sprintf("k%d", i%5), fmt.Sprintf("%d-%s", i, strings.Repeat("y", 50))
 	err := o.store.Put([]byte(key), []byte(value), 0)
@@ -237,7 +238,7 @@
 	return err
 }
 
-// writeSlowly makes n writes with 10 ms after each, and returns their errors.
+// writeSlowly makes n writes, advances the clock by 10 ms after each, and returns their errors.
 func (o *overwriter) writeSlowly(n int) []error {
 	errs := make([]error, n)
 	for i := range n {
@@ -247,7 +248,7 @@
 	return errs
 }
 
-// A disk that fills up, during a compaction too, and has space again later, loses no acknowledged write.
+// A disk that fills up, possibly during a compaction, and has space again later, loses no acknowledged write.
 func TestFullDisk(t *testing.T) {
 	for capacity := 0; capacity < 1500; capacity += 50 {
 		t.Run(fmt.Sprint(capacity), func(t *testing.T) { testFullDisk(t, capacity) })
@@ -268,29 +269,29 @@
 	}
 	testDisk.SetCapacity(capacity)
 	if errs := writer.writeSlowly(60); errors.Join(errs...) == nil {
-		t.Fatal("no write failed, so that nothing is tested")
+		t.Fatal("no write failed on the full disk, so that nothing is tested")
 	}
 	if got := content(t, kv); !maps.Equal(got, writer.want) {
-		t.Fatalf("full: %v, want %v", got, writer.want)
+		t.Fatalf("content on the full disk: got %v, want %v", got, writer.want)
 	}
 	testDisk.SetCapacity(-1)
 	errs := writer.writeSlowly(60)
-	if err := errors.Join(errs[1:]...); err != nil { // the first may come during the backoff
-		t.Fatalf("with space again: %v", err)
+	if err := errors.Join(errs[1:]...); err != nil { // the first write may come during the backoff
+		t.Fatalf("writes after the disk has space again: %v", err)
 	}
 	closeStore(t, kv)
 	kv = open(t, testDisk.AfterPowerLoss(rand.New(rand.NewPCG(uint64(capacity), 0))), options)
 	if got := content(t, kv); !maps.Equal(got, writer.want) {
-		t.Fatalf("after a loss of power: %v, want %v", got, writer.want)
+		t.Fatalf("content after a loss of power: got %v, want %v", got, writer.want)
 	}
 	if size := kv.Size(); size > 5000 {
-		t.Errorf("%d bytes for five records", size)
+		t.Errorf("the store has %d bytes for five records, want at most 5000", size)
 	}
 	closeStore(t, kv)
 }
 
-// damagedDisk returns a disk with a store of 20 records, and with a bit flipped in each of the first two segments, so that a repair
-// meets damage a second time.
+// damagedDisk returns a disk with a store of 20 records, and with one flipped bit in each of the first two segments, so that a repair
+// has to handle damage twice.
 func damagedDisk(t *testing.T, options store.Options) *disk.Disk {
 	t.Helper()
 	testDisk := disk.New()
@@ -309,7 +310,7 @@
 	return testDisk
 }
 
-// repair compacts all of a store, as quincegapctl store repair does.
+// repair compacts a complete store, as quincegapctl store repair does.
 func repair(testDisk *disk.Disk, options store.Options) error {
 	kv, err := store.Open(testDisk, options)
 	if err != nil {
@@ -318,15 +319,15 @@
 	return errors.Join(kv.Compact(), kv.Close())
 }
 
-// A loss of power at any call of a repair, and again during the recovery after it, loses no record that could be read before, and
-// returns no lost one. The repair can be repeated.
+// A loss of power at any call of a repair, and again during the recovery, loses no record that was readable before, and does not make
+// a lost record reappear. The repair can be repeated.
 func TestPowerLostInRepair(t *testing.T) {
 	options := store.Options{Clock: newClock().now, SegmentBytes: 500, MaxBytes: 1 << 20}
 	kv := open(t, damagedDisk(t, options), options)
 	want, damages := content(t, kv), len(kv.Health().Damage)
 	closeStore(t, kv)
 	if damages != 2 || len(want) >= 20 || len(want) < 16 {
-		t.Fatalf("damage in %d places, %d records left", damages, len(want))
+		t.Fatalf("the damaged store has damage in %d places and %d records, want 2 places and 16 to 19 records", damages, len(want))
 	}
 	for call, lost := 1, true; lost; call++ {
 		for seed := range uint64(min(8, seeds())) {
@@ -335,7 +336,7 @@
 	}
 }
 
-// testRepair repairs a damaged store on a disk that loses power at a call. It returns false if the repair took fewer calls.
+// testRepair repairs a damaged store on a disk that loses power at the given call. It returns false if the repair made fewer calls.
 func testRepair(t *testing.T, options store.Options, want map[string]string, call int, seed uint64) (powerLost bool) {
 	t.Helper()
 	when := fmt.Sprintf("power lost at call %d, seed %d", call, seed)
@@ -349,15 +350,16 @@
 	survived = survived.AfterPowerLoss(rng)
 	kv := open(t, survived, options)
 	if got := content(t, kv); !maps.Equal(got, want) {
-		t.Fatalf("%s: %d records, %d before", when, len(got), len(want))
+		t.Fatalf("%s: %d records after the recovery, want the same %d as before the repair", when, len(got), len(want))
 	}
 	closeStore(t, kv)
 	if err := repair(survived, options); err != nil {
-		t.Fatalf("%s: repeated: %v", when, err)
+		t.Fatalf("%s: repeat the repair: %v", when, err)
 	}
 	kv = open(t, survived, options)
 	if got := content(t, kv); !maps.Equal(got, want) || len(kv.Health().Damage) > 0 {
-		t.Fatalf("%s: repaired: %d records, damage %v", when, len(got), kv.Health().Damage)
+		t.Fatalf("%s: after the repeated repair: %d records, damage %v; want the %d records from before and no damage",
+			when, len(got), kv.Health().Damage, len(want))
 	}
 	closeStore(t, kv)
 	return powerLost
--- a/internal/files/store/damage_test.go
+++ b/internal/files/store/damage_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/standin/disk"
 )
 
-// bitStep returns the distance to the next bit to flip: each bit of a header's version is flipped, and every third of the others.
+// bitStep returns the distance to the next bit to flip. Each bit of a header's version is flipped, and every third of the other bits.
 func bitStep(bit int) int {
 	if bit >= 8*8-3 && bit < 8*10 {
 		return 1
@@ -23,7 +23,7 @@
 	return 3
 }
 
-// One flipped bit loses at most one record, which is reported, and no record that was never written is read.
+// With one flipped bit, at most one record is lost, the loss is reported, and no record is read that was never written.
 func TestAnyBitFlipped(t *testing.T) {
 	options := store.Options{Clock: newClock().now, SegmentBytes: 900, MaxBytes: 1 << 20}
 	testDisk := disk.New()
@@ -34,7 +34,7 @@
 		put(t, kv, key, value)
 		want[key] = value
 	}
-	testDisk = testDisk.AfterCrash() // so that the last segment is not sealed
+	testDisk = testDisk.AfterCrash() // after a crash, the last segment is not sealed
 	for name, size := range testDisk.Files() {
 		if !strings.HasSuffix(name, ".seg") {
 			continue
@@ -47,12 +47,13 @@
 	}
 }
 
-// checkOneLost opens a damaged store. One record may be missing if damage is reported, and there may be no others than want.
+// checkOneLost opens a damaged store. At most one record of want may be missing, only if damage is reported, and no other records may
+// exist.
 func checkOneLost(t *testing.T, testDisk *disk.Disk, options store.Options, want map[string]string, when string) {
 	t.Helper()
 	kv, err := store.Open(testDisk, options)
 	if err != nil {
-		t.Fatalf("%s: %v", when, err)
+		t.Fatalf("%s: open the store: %v", when, err)
 	}
 	got := content(t, kv)
 	missing := 0
@@ -63,18 +64,19 @@
 	}
 	for key := range got {
 		if want[key] == "" {
-			t.Fatalf("%s: reads %q, which was never written", when, key)
+			t.Fatalf("%s: the store has a record %q, which was never written", when, key)
 		}
 	}
 	h := kv.Health()
 	reported := len(h.Damage) > 0 || h.TornBytes > 0
 	if missing > 1 || missing > 0 && !reported {
-		t.Fatalf("%s: %d records are missing, damage %v, torn %d", when, missing, h.Damage, h.TornBytes)
+		t.Fatalf("%s: %d records are missing with damage %v and %d torn bytes, want at most one if any is reported",
+			when, missing, h.Damage, h.TornBytes)
 	}
 	closeStore(t, kv)
 }
 
-// A value that contains frames of the store itself is not read as records if the frame around it is damaged.
+// A value may contain encoded frames of the same store. These are not read as records if the frame of the value is damaged.
 func TestFramesInAValue(t *testing.T) {
 	const segment = "0000000000000001.seg"
 	options := store.Options{Clock: newClock().now}
@@ -85,18 +87,18 @@
 	check(t, kv.Delete([]byte("deleted")))
 	before := testDisk.Files()[segment]
 	put(t, kv, "copy", string(copied))
-	put(t, kv, "after", "2") // shows that the record before it was durable
-	const groupFrame = 33    // bytes before the frame of the record
+	put(t, kv, "after", "2") // the group of this record shows that the record before it was durable
+	const groupFrame = 33    // bytes of the group frame before the record
 	testDisk = testDisk.AfterCrash()
-	testDisk.FlipBit(segment, 8*(before+groupFrame+4)) // in its checksum
+	testDisk.FlipBit(segment, 8*(before+groupFrame+4)) // the bit is in the checksum of the record
 	kv = open(t, testDisk, options)
 	if got := content(t, kv); len(got) != 1 || got["after"] != "2" {
-		t.Errorf("reads %v", got)
+		t.Errorf("content after damage: got %v, want only after=2", got)
 	}
 	closeStore(t, kv)
 }
 
-// fillDir writes records to a new store with several segments, and returns the paths of these.
+// fillDir writes records to a new store with several segments, and returns the paths of the segments.
 func fillDir(t *testing.T, dir string, options store.Options, records int) []string {
 	t.Helper()
 	kv := open(t, store.Dir(dir), options)
@@ -125,7 +127,7 @@
 		check(t, os.Remove(files[1]))
 		kv := open(t, store.Dir(dir), options)
 		if h := kv.Health(); len(h.Damage) != 1 || !strings.Contains(h.Damage[0].String(), filepath.Base(files[1])) {
-			t.Errorf("a file is missing: %v", h.Damage)
+			t.Errorf("missing segment: got damage %v, want one that names %s", h.Damage, filepath.Base(files[1]))
 		}
 		closeStore(t, kv)
 	})
@@ -136,10 +138,10 @@
 		kv := open(t, store.Dir(dir), options)
 		h := kv.Health()
 		if len(h.Damage) != 1 || h.Damage[0].FirstSeq == 0 || h.Damage[0].File != filepath.Base(files[1]) {
-			t.Fatalf("a file is truncated: %v", h.Damage)
+			t.Fatalf("truncated segment: got damage %v, want one with sequence numbers that names %s", h.Damage, filepath.Base(files[1]))
 		}
 		if n := kv.Len(); n != 20-int(h.Damage[0].LastSeq-h.Damage[0].FirstSeq+1) {
-			t.Errorf("%d are left, beside %v", n, h.Damage)
+			t.Errorf("%d of 20 records are left, which does not match the reported damage %v", n, h.Damage)
 		}
 		closeStore(t, kv)
 	})
@@ -150,12 +152,12 @@
 		check(t, err)
 		check(t, os.WriteFile(filepath.Join(dir, "00000000000000ff.seg"), data, 0o600))
 		if _, err := store.Open(store.Dir(dir), options); err == nil || !strings.Contains(err.Error(), "00000000000000ff.seg") {
-			t.Errorf("a file of another store: %v", err)
+			t.Errorf("open a directory with a segment of another store: got error %v, want one that names the segment", err)
 		}
 	})
 }
 
-// A store that a later version has written is rejected and not changed.
+// Open rejects a store that a later version has written, and does not change it.
 func TestNewerVersion(t *testing.T) {
 	dir := t.TempDir()
 	kv := open(t, store.Dir(dir), store.Options{})
@@ -171,21 +173,21 @@
 	check(t, os.WriteFile(files[0], data, 0o600))
 	var newer *store.NewerVersionError
 	if _, err := store.Open(store.Dir(dir), store.Options{}); !errors.As(err, &newer) || newer.Version != store.Version+1 {
-		t.Errorf("%v", err)
+		t.Errorf("open a store of a later version: got error %v, want a NewerVersionError for version %d", err, store.Version+1)
 	}
 	if again := segmentFiles(t, dir); !slices.Equal(again, files) {
-		t.Errorf("files changed: %v", again)
+		t.Errorf("segments after the rejected open: got %v, want %v", again, files)
 	}
 }
 
-// Reads that return less than requested lose nothing.
+// Reads that return fewer bytes than requested lose no records.
 func TestShortReads(t *testing.T) {
 	options := smallSegments
 	options.Clock = newClock().now
-	testDisk, played := disk.New(), &workload{}
-	check(t, played.play(testDisk, options, 60))
+	testDisk, written := disk.New(), &workload{}
+	check(t, written.run(testDisk, options, 60))
 	testDisk.SetShortReads(true)
 	kv := open(t, testDisk, options)
-	played.checkContent(t, kv, len(played.acknowledged), "short reads")
+	written.checkContent(t, kv, len(written.acknowledged), "short reads")
 	closeStore(t, kv)
 }
--- a/internal/files/store/example_test.go
+++ b/internal/files/store/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/files/store"
 )
 
-// A batch is written durably, and the closed store is inspected.
+// A batch is made durable, and the closed store is inspected.
 func Example() {
 	dir, err := os.MkdirTemp("", "store")
 	if err != nil {
@@ -23,7 +23,7 @@
 	var b store.Batch
 	b.Put([]byte("session"), []byte("42"), time.Hour)
 	b.Delete([]byte("old session"))
-	fmt.Println(s.ApplyAndWait(b), s.Close()) // durable, and closed
+	fmt.Println(s.ApplyAndWait(b), s.Close()) // the batch is durable, and the store is closed
 
 	report, err := store.Inspect(store.Dir(dir), nil, func(r store.Record) error {
 		fmt.Printf("%s = %s\n", r.Key, r.Value)
--- a/internal/files/store/frame.go
+++ b/internal/files/store/frame.go
@@ -54,8 +54,8 @@
 	value               []byte // value of a put
 	durableSeq          uint64 // sequence number up to which all records were durable before a group was written
 	storeTime           int64  // store time in ms at which a group was written
-	supersededExpiresAt int64  // in a seal, the field of the segment with the same name
-	records             uint64 // in a seal, the number of records in the segment
+	supersededExpiresAt int64  // latest expiry of the records that those before a seal superseded in other segments, as in segment
+	records             uint64 // number of records in a segment that a seal ends
 	size                int    // size of the encoded frame in bytes; set by decodeFrame
 }
 
--- a/internal/files/store/fuzz_test.go
+++ b/internal/files/store/fuzz_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/standin/disk"
 )
 
-// writeRaw creates a file on a disk, and makes it durable.
+// writeRaw creates a file with the given content on a disk, and makes it durable.
 func writeRaw(tb testing.TB, testDisk *disk.Disk, name string, data []byte) {
 	tb.Helper()
 	file, err := testDisk.Create(name)
@@ -19,7 +19,7 @@
 	check(tb, testDisk.SyncDir())
 }
 
-// readRaw returns the first bytes of a file on a disk.
+// readRaw returns the first size bytes of a file on a disk.
 func readRaw(tb testing.TB, testDisk *disk.Disk, name string, size int) []byte {
 	tb.Helper()
 	file, err := testDisk.Open(name)
@@ -30,8 +30,8 @@
 	return data
 }
 
-// Whatever the content of a segment is, Open returns, the records that it reads are the same when the store is opened again, and so
-// is a record that is written in between.
+// Open returns for any content of a segment. The records that it reads are the same when the store is reopened, and so is a record
+// that was written in between.
 func FuzzRecovery(f *testing.F) {
 	options := store.Options{Clock: newClock().now}
 	testDisk := disk.New()
@@ -53,7 +53,7 @@
 		writeRaw(t, testDisk, "0000000000000001.seg", data)
 		kv, err := store.Open(testDisk, options)
 		if err != nil {
-			return // a later version, or another store
+			return // the segment is from a later version or another store
 		}
 		before := content(t, kv)
 		sum := crc32.ChecksumIEEE(data)
@@ -62,13 +62,13 @@
 		kv = open(t, testDisk, options)
 		got := content(t, kv)
 		if got["after"] != string([]byte{byte(sum)}) {
-			t.Error("the record that was written is not there")
+			t.Error("the record that was written before reopening is missing")
 		}
 		delete(got, "after")
 		delete(before, "after")
 		for key, value := range before {
 			if got[key] != value {
-				t.Errorf("%q is %q at one open and %q at the next", key, value, got[key])
+				t.Errorf("record %q changed from %q to %q when the store was reopened", key, value, got[key])
 			}
 		}
 		closeStore(t, kv)
--- a/internal/files/store/golden_format_test.go
+++ b/internal/files/store/golden_format_test.go
@@ -15,12 +15,12 @@
 	"quincegap/internal/golden"
 )
 
-// goldenTimestamp is the time of the machine in golden files.
+// goldenTimestamp is the clock reading with which the golden files were written.
 var goldenTimestamp = Timestamp{WallMillis: 1_800_000_000_000, BootID: 0x1122334455667788, UptimeMillis: 1_000_000}
 
 func goldenClock() Timestamp { return goldenTimestamp }
 
-// checkGoldenHeader compares the encoded header with a golden file, and the decoded file with the header.
+// checkGoldenHeader checks that a header is encoded to the content of a golden file, and that the file is decoded to the header.
 func checkGoldenHeader(t *testing.T, file string, want *header) {
 	t.Helper()
 	golden.Hex(t, file, want.encode())
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkGoldenFrame compares the encoded frame with a golden file, and the decoded file with the frame.
+// checkGoldenFrame checks that a frame is encoded to the content of a golden file, and that the file is decoded to the frame.
 func checkGoldenFrame(t *testing.T, file string, want frame) {
 	t.Helper()
 	golden.Hex(t, file, appendFrame(nil, &want))
@@ -41,7 +41,7 @@
 	}
 }
 
-// A header with each field set.
+// A header with all fields set has the recorded encoding.
 func TestGoldenHeader(t *testing.T) {
 	checkGoldenHeader(t, "header.hex", &header{
 		version:    1,
@@ -57,9 +57,9 @@
 	})
 }
 
-// A frame of each kind, with each field set.
+// A frame of each kind, with all of its fields set, has the recorded encoding.
 func TestGoldenFrames(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		frame
 	}{
@@ -71,13 +71,13 @@
 		{"group", frame{kind: kindGroup, seq: 1006, durableSeq: 1005, storeTime: 1_800_000_000_456}},
 		{"seal", frame{kind: kindSeal, seq: 1006, expiresAt: 1_800_000_060_000, supersededExpiresAt: 1_800_000_070_000, records: 6}},
 	} {
-		t.Run(c.name, func(t *testing.T) { checkGoldenFrame(t, "frame-"+c.name+".hex", c.frame) })
+		t.Run(test.name, func(t *testing.T) { checkGoldenFrame(t, "frame-"+test.name+".hex", test.frame) })
 	}
 }
 
-// Names and numbers that are part of the format.
+// The names and numbers in the on-disk format do not change.
 func TestGoldenNames(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		got, want any
 	}{
@@ -96,15 +96,15 @@
 		{"value bytes", MaxValueBytes, 1048576},
 		{"segments replaced", maxReplaced, 65536},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if c.got != c.want {
-				t.Errorf("%v, want %v", c.got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if test.got != test.want {
+				t.Errorf("%s: got %v, want %v", test.name, test.got, test.want)
 			}
 		})
 	}
 }
 
-// The texts of errors and of damage, which operators see.
+// The messages of errors and of damage, which operators see, do not change.
 func TestGoldenTexts(t *testing.T) {
 	var text bytes.Buffer
 	for _, line := range []fmt.Stringer{
@@ -120,7 +120,7 @@
 	golden.Text(t, "texts.txt", text.Bytes())
 }
 
-// A report as `quincegapctl store verify --json` prints it. Programs read it by the names of its fields.
+// A report has the JSON encoding that `quincegapctl store verify --json` prints. Programs read it by the names of its fields.
 func TestGoldenReport(t *testing.T) {
 	want := Report{
 		Segments: []Segment{{
@@ -148,11 +148,11 @@
 	}
 }
 
-// goldenFolder makes some changes to a store with a fixed ID, and returns its directory.
-func goldenFolder(t *testing.T, compact bool) string {
+// newGoldenStore makes some changes to a store with a fixed ID, optionally compacts it, and returns its directory.
+func newGoldenStore(t *testing.T, compact bool) string {
 	t.Helper()
 	dir := t.TempDir()
-	// The ID of a new store is random. A store with a segment keeps the ID in its header.
+	// The ID of a new store is random, but a store with a segment uses the ID in the header of that segment.
 	first := header{storeID: 0x0102030405060709, id: 1, firstSeq: 1, timestamp: goldenTimestamp, storeTime: 1_800_000_000_000}
 	if err := os.WriteFile(filepath.Join(dir, segmentName(1)), first.encode(), 0o600); err != nil {
 		t.Fatal(err)
@@ -192,14 +192,14 @@
 	return dir
 }
 
-// The files of a store, as written and after a compaction. Open and Inspect read the golden files.
+// The files of a store have the recorded content, both as written and after a compaction. Open and Inspect read the golden files.
 func TestGoldenFolder(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		compact bool
 	}{{"written", false}, {"compacted", true}} {
-		t.Run(c.name, func(t *testing.T) {
-			dir := goldenFolder(t, c.compact)
+		t.Run(test.name, func(t *testing.T) {
+			dir := newGoldenStore(t, test.compact)
 			paths, err := filepath.Glob(filepath.Join(dir, "*"))
 			if err != nil {
 				t.Fatal(err)
@@ -213,13 +213,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				golden.Hex(t, c.name+"/"+name+".hex", data)
-				if err := os.WriteFile(filepath.Join(copied, name), golden.Read(t, c.name+"/"+name+".hex"), 0o600); err != nil {
+				golden.Hex(t, test.name+"/"+name+".hex", data)
+				if err := os.WriteFile(filepath.Join(copied, name), golden.Read(t, test.name+"/"+name+".hex"), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
-			golden.Text(t, c.name+"/files.txt", names.Bytes())
-			checkInspection(t, c.name, Dir(copied))
+			golden.Text(t, test.name+"/files.txt", names.Bytes())
+			checkInspection(t, test.name, Dir(copied))
 			checkContent(t, Dir(copied))
 		})
 	}
@@ -257,14 +257,14 @@
 	if err := kv.Range(func(key, value []byte, left time.Duration) bool {
 		got[string(key)] = string(value)
 		if string(key) == "a" && left != time.Hour {
-			t.Errorf("a expires after %v", left)
+			t.Errorf("a expires after %v, want 1h0m0s", left)
 		}
 		return true
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if want := map[string]string{"a": "3", "c": "4"}; !maps.Equal(got, want) {
-		t.Errorf("%v has %v, want %v", slices.Sorted(maps.Keys(got)), got, want)
+		t.Errorf("keys %v: got records %v, want %v", slices.Sorted(maps.Keys(got)), got, want)
 	}
 	if err := kv.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/files/store/golden_recorded_test.go
+++ b/internal/files/store/golden_recorded_test.go
@@ -13,9 +13,9 @@
 	"quincegap/internal/golden"
 )
 
-// The files below testdata/golden/recorded were written by the version before the packages were renamed.
+// The files below testdata/golden/recorded were written by the version of the program before the packages were renamed.
 
-// The header and each kind of frame have the encoding of the earlier version.
+// The header and each kind of frame have the same encoding as in the earlier version.
 func TestGoldenRecordedFormat(t *testing.T) {
 	t.Run("header", func(t *testing.T) {
 		checkGoldenHeader(t, "recorded/header.hex", &header{
@@ -31,7 +31,7 @@
 			replaces:   []uint64{3, 5, 7},
 		})
 	})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		frame
 	}{
@@ -42,11 +42,11 @@
 		{"group", frame{kind: kindGroup, seq: 45, durableSeq: 44, storeTime: 1_800_000_123_500}},
 		{"seal", frame{kind: kindSeal, seq: 46, expiresAt: 1_800_000_999_001, supersededExpiresAt: 1_800_000_999_002, records: 5}},
 	} {
-		t.Run(c.name, func(t *testing.T) { checkGoldenFrame(t, "recorded/frame-"+c.name+".hex", c.frame) })
+		t.Run(test.name, func(t *testing.T) { checkGoldenFrame(t, "recorded/frame-"+test.name+".hex", test.frame) })
 	}
 }
 
-// The names of files and the limits are those of the earlier version.
+// The file names and the limits are the same as in the earlier version.
 func TestGoldenRecordedNames(t *testing.T) {
 	for got, want := range map[string]string{
 		magic:             "QGSTORE\n",
@@ -57,22 +57,24 @@
 		damagedSuffix:     ".damaged",
 	} {
 		if got != want {
-			t.Errorf("%q, and was %q", got, want)
+			t.Errorf("name in the format: got %q, want %q as in the earlier version", got, want)
 		}
 	}
 	if Version != 1 || MaxKeyBytes != 1024 || MaxValueBytes != 1<<20 {
-		t.Errorf("format %d, keys of %d bytes, values of %d", Version, MaxKeyBytes, MaxValueBytes)
+		t.Errorf("format version %d, keys of up to %d bytes, values of up to %d; want 1, 1024 and 1048576", Version, MaxKeyBytes, MaxValueBytes)
 	}
 }
 
-// recordedFolder has the segments of a store that was closed, each in hexadecimal.
-const recordedFolder = "recorded/folder"
+// recordedDir is the golden directory with the segments of a closed store, each encoded in hexadecimal.
+const recordedDir = "recorded/folder"
 
+// recordedClock is the clock with which the recorded store was written.
 func recordedClock() Timestamp {
 	return Timestamp{WallMillis: 1_800_000_000_000, BootID: 7, UptimeMillis: 1_000_000}
 }
 
-// recordedValues are the records in the folder: by key, the value and the time left, which is negative for no expiry.
+// recordedValues has the value and the time left of each record in the recorded store by key. The time left is negative for a record
+// that never expires.
 var recordedValues = map[string]string{
 	"a":     "third, -1ns",
 	"c":     "of a batch, 1m0s",
@@ -81,8 +83,8 @@
 	"short": "for an hour, 1h0m0s",
 }
 
-// writeRecordedFolder writes the golden files of the folder.
-func writeRecordedFolder(t *testing.T) {
+// writeRecordedDir writes the golden files of the recorded store.
+func writeRecordedDir(t *testing.T) {
 	t.Helper()
 	dir := Dir(t.TempDir())
 	kv, err := Open(dir, Options{SegmentBytes: 400, Clock: recordedClock})
@@ -110,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(filepath.Join("testdata", "golden", recordedFolder)); err != nil {
+	if err := os.RemoveAll(filepath.Join("testdata", "golden", recordedDir)); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
@@ -119,24 +121,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden.Hex(t, recordedFolder+"/"+name+".hex", data)
+			golden.Hex(t, recordedDir+"/"+name+".hex", data)
 		}
 	}
 }
 
-// A store that the earlier version has written is read completely, and its frames are encoded to the same bytes.
+// A store that the earlier version has written can be read completely, and encoding its frames again gives the same bytes.
 func TestGoldenRecordedFolder(t *testing.T) {
 	if flag.Lookup("update-golden").Value.String() == "true" {
-		writeRecordedFolder(t) // the store's ID is random, so that each time other bytes are written
+		writeRecordedDir(t) // the store ID is random, so that each update writes different bytes
 	}
-	files, err := filepath.Glob(filepath.Join("testdata", "golden", recordedFolder, "*.hex"))
+	files, err := filepath.Glob(filepath.Join("testdata", "golden", recordedDir, "*.hex"))
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("golden files of the recorded store: got %d files and error %v, want at least 2 files", len(files), err)
 	}
 	dir := Dir(t.TempDir())
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".hex")
-		data := golden.Read(t, recordedFolder+"/"+filepath.Base(file))
+		data := golden.Read(t, recordedDir+"/"+filepath.Base(file))
 		if err := os.WriteFile(dir.path(name), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +148,7 @@
 	checkRecordedContent(t, dir)
 }
 
-// checkRecordedEncoding decodes the header and the frames of a segment, and checks that they are encoded to the same bytes.
+// checkRecordedEncoding decodes the header and the frames of a segment, encodes them again and checks that the bytes are the same.
 func checkRecordedEncoding(t *testing.T, name string, data []byte) {
 	t.Helper()
 	h, err := decodeHeader(name, data)
@@ -157,13 +159,13 @@
 	for rest := data[h.size():]; len(rest) > 0; {
 		f, ok := decodeFrame(rest)
 		if !ok {
-			t.Fatalf("%s: no frame at byte %d", name, len(data)-len(rest))
+			t.Fatalf("%s: no valid frame at byte %d", name, len(data)-len(rest))
 		}
 		encoded = appendFrame(encoded, &f)
 		rest = rest[f.size:]
 	}
 	if !bytes.Equal(encoded, data) {
-		t.Errorf("%s: encoded as %x", name, encoded)
+		t.Errorf("%s: encoded again as %x, want the same bytes as in the golden file", name, encoded)
 	}
 }
 
@@ -176,10 +178,10 @@
 		return nil
 	})
 	if err != nil || !maps.Equal(inspected, recordedValues) {
-		t.Fatalf("Inspect: %v, %v", inspected, err)
+		t.Fatalf("Inspect: got records %v and error %v, want records %v", inspected, err, recordedValues)
 	}
 	if report.LiveRecords != len(recordedValues) || report.TornBytes != 0 || len(report.Damage) != 0 || len(report.Segments) != segments {
-		t.Errorf("Inspect: %+v", report)
+		t.Errorf("Inspect: got report %+v, want %d live records in %d segments without damage", report, len(recordedValues), segments)
 	}
 }
 
@@ -193,15 +195,15 @@
 	opened := map[string]string{}
 	if err := kv.Range(func(key, value []byte, left time.Duration) bool {
 		if left < 0 {
-			left = -1 // no expiry, for which Inspect has -1 and Range an undefined time
+			left = -1 // the record never expires, for which Inspect returns -1 and Range an undefined time
 		}
 		opened[string(key)] = string(value) + ", " + left.String()
 		return true
 	}); err != nil || !maps.Equal(opened, recordedValues) {
-		t.Errorf("Open: %v, %v", opened, err)
+		t.Errorf("Open: got records %v and error %v, want records %v", opened, err, recordedValues)
 	}
 	if h := kv.Health(); h.Err != nil || h.TornBytes != 0 || len(h.Damage) != 0 {
-		t.Errorf("Open: %+v", h)
+		t.Errorf("Open: got Health %+v, want no error and no damage", h)
 	}
 	if err := kv.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/files/store/helpers_test.go
+++ b/internal/files/store/helpers_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/standin/disk"
 )
 
-// testClock is the clock of a machine. It advances only when a test says so.
+// testClock is the clock of a machine. It advances only when a test calls advance or sets its fields.
 type testClock struct{ wallMillis, uptimeMillis, bootID atomic.Int64 }
 
 func newClock() *testClock {
@@ -29,13 +29,13 @@
 	}
 }
 
-// advance lets time pass within one boot of the machine.
+// advance advances both clocks within one boot of the machine.
 func (c *testClock) advance(elapsed time.Duration) {
 	c.wallMillis.Add(elapsed.Milliseconds())
 	c.uptimeMillis.Add(elapsed.Milliseconds())
 }
 
-// open opens a store, with a clock that does not advance unless the options have another one.
+// open opens a store. Unless the options have a clock, it uses one that does not advance.
 func open(tb testing.TB, dir store.FS, options store.Options) *store.Store {
 	tb.Helper()
 	if options.Clock == nil {
@@ -48,7 +48,7 @@
 	return kv
 }
 
-// closeStore closes a store whose disk works.
+// closeStore closes a store on a disk that must not fail.
 func closeStore(tb testing.TB, kv *store.Store) {
 	tb.Helper()
 	if err := kv.Close(); err != nil {
@@ -56,10 +56,10 @@
 	}
 }
 
-// closeIgnoringError closes a store on a disk that may fail. Only writes that were acknowledged before matter.
+// closeIgnoringError closes a store on a disk that may fail. It ignores the error, as tests check only acknowledged writes.
 func closeIgnoringError(kv *store.Store) { _ = kv.Close() }
 
-// tryOpen opens and closes a store on a disk that may lose power during that.
+// tryOpen opens and closes a store on a disk that may lose power meanwhile.
 func tryOpen(testDisk *disk.Disk, options store.Options) {
 	if kv, err := store.Open(testDisk, options); err == nil {
 		closeIgnoringError(kv)
@@ -76,7 +76,7 @@
 	return records, err
 }
 
-// content returns all records of a store whose disk works.
+// content returns all records of a store, and fails the test if one cannot be read.
 func content(tb testing.TB, kv *store.Store) map[string]string {
 	tb.Helper()
 	records, err := readAll(kv)
@@ -94,7 +94,7 @@
 	}
 }
 
-// check ends a test if a step of it fails that has to succeed.
+// check ends the test if a required step has failed.
 func check(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// seeds returns how many random seeds a test plays: a few in make test, many in make soak.
+// seeds returns the number of random seeds for a test: a few in make test, many in make soak.
 func seeds() int {
 	if os.Getenv("SOAK") != "" {
 		return 300
--- a/internal/files/store/index.go
+++ b/internal/files/store/index.go
@@ -4,7 +4,7 @@
 type index struct {
 	locations   map[string]location // location of the latest record by key
 	liveBytes   int64               // encoded size in bytes of all records in locations
-	expirations expiryQueue         // expiry times of the records that expire; may include superseded records
+	expirations expiryQueue         // expiry times of records, including some superseded ones
 }
 
 // location describes where a record is on the disk.
--- a/internal/files/store/store.go
+++ b/internal/files/store/store.go
@@ -60,7 +60,7 @@
 	err = store.recoverLog()
 	if err == nil {
 		if err = store.committer.createSegment(); err != nil {
-			err = fmt.Errorf("create the first segment: %w", err)
+			err = fmt.Errorf("create a segment: %w", err)
 		}
 	}
 	if err != nil {
--- a/internal/files/store/store_test.go
+++ b/internal/files/store/store_test.go
@@ -13,6 +13,8 @@
 	"quincegap/internal/standin/disk"
 )
 
+// Records are written, read, deleted and expired, and are the same after the store is reopened. Invalid records, a second Open and
+// writes after Close are rejected.
 func TestStore(t *testing.T) {
 	dir := store.Dir(t.TempDir())
 	clock := newClock()
@@ -27,30 +29,30 @@
 	b.Put([]byte("empty"), nil, 0)
 	check(t, kv.ApplyAndWait(b))
 	if _, left, ok, err := kv.Get([]byte("c")); !ok || left != time.Minute || err != nil {
-		t.Errorf("c: %v %v %v", left, ok, err)
+		t.Errorf("Get of c: %v left, ok %v, error %v; want 1m0s left", left, ok, err)
 	}
 	want := map[string]string{"a": "3", "short": "x", "c": "4", "empty": ""}
 	if got := content(t, kv); !maps.Equal(got, want) {
-		t.Errorf("%v", got)
+		t.Errorf("content: got %v, want %v", got, want)
 	}
 	if _, err := store.Open(dir, store.Options{}); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("open the store a second time: got error %v, want ErrLocked", err)
 	}
 	check(t, kv.Close())
 	if err := kv.Put([]byte("a"), nil, 0); !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("write after Close: got error %v, want ErrClosed", err)
 	}
 	clock.advance(1000 * time.Millisecond)
 	delete(want, "short")
 	kv = open(t, dir, store.Options{Clock: clock.now})
 	defer closeStore(t, kv)
 	if got := content(t, kv); !maps.Equal(got, want) || kv.Len() != len(want) {
-		t.Errorf("opened again: %v", got)
+		t.Errorf("content after reopening: got %v, want %v", got, want)
 	}
 	if h := kv.Health(); h.Err != nil || h.TornBytes > 0 || len(h.Damage) > 0 {
-		t.Errorf("%+v", h)
+		t.Errorf("Health after reopening: got %+v, want no error and no damage", h)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		err  error
 	}{
@@ -58,15 +60,15 @@
 		{"long key", kv.Put(make([]byte, store.MaxKeyBytes+1), nil, 0)},
 		{"long value", kv.Put([]byte("k"), make([]byte, store.MaxValueBytes+1), 0)},
 	} {
-		if !errors.Is(c.err, store.ErrRecordSize) {
-			t.Errorf("%s: %v", c.name, c.err)
+		if !errors.Is(test.err, store.ErrRecordSize) {
+			t.Errorf("write with %s: got error %v, want ErrRecordSize", test.name, test.err)
 		}
 	}
 }
 
-// A batch with a delay is written in one sync with the next batch without one, or by itself after its delay, or when the store is
+// A delayed batch is written in one sync with the next batch without a delay, or by itself after its delay, or when the store is
 // closed.
-func TestIdleBatches(t *testing.T) {
+func TestDelayedBatches(t *testing.T) {
 	testDisk := disk.New()
 	options := store.Options{Clock: newClock().now}
 	kv := open(t, testDisk, options)
@@ -80,15 +82,15 @@
 	put(t, kv, "first", "v")
 	before := testDisk.Operations()
 	put(t, kv, "alone", "v")
-	perGroup := testDisk.Operations() - before // calls of the disk for one group
+	perGroup := testDisk.Operations() - before // number of disk operations for one group
 	before = testDisk.Operations()
 	apply("idle", time.Hour)
 	if _, _, ok, _ := kv.Get([]byte("idle")); ok || testDisk.Operations() != before {
-		t.Error("the batch was written without its delay")
+		t.Error("the batch was written before the end of its delay")
 	}
 	put(t, kv, "urgent", "v")
 	if err := <-done; err != nil || testDisk.Operations() != before+perGroup {
-		t.Errorf("%v; %d calls of the disk for both, %d for one", err, testDisk.Operations()-before, perGroup)
+		t.Errorf("delayed batch: error %v; %d disk operations for both batches, want %d", err, testDisk.Operations()-before, perGroup)
 	}
 	apply("timed", time.Millisecond)
 	if err := <-done; err != nil {
@@ -101,12 +103,12 @@
 	}
 	kv = open(t, testDisk.AfterCrash(), options)
 	if got := content(t, kv); len(got) != 6 {
-		t.Errorf("%v", got)
+		t.Errorf("content after a crash: got %v, want 6 records", got)
 	}
 	closeStore(t, kv)
 }
 
-// A write that exceeds the limits is rejected, and changes nothing.
+// A write that would exceed MaxRecords or MaxBytes is rejected, and changes nothing.
 func TestBounds(t *testing.T) {
 	options := store.Options{Clock: newClock().now, SegmentBytes: 1000, MaxBytes: 3000, MaxRecords: 20}
 	kv := open(t, disk.New(), options)
@@ -119,20 +121,20 @@
 		}
 	}
 	if full != 80 || kv.Len() != 20 {
-		t.Errorf("%d were rejected, %d are there", full, kv.Len())
+		t.Errorf("%d writes were rejected and %d records are stored, want 80 and 20", full, kv.Len())
 	}
 	if err := kv.Put([]byte("k0"), make([]byte, 2900), 0); !errors.Is(err, store.ErrFull) {
-		t.Errorf("too many bytes: %v", err)
+		t.Errorf("write above MaxBytes: got error %v, want ErrFull", err)
 	}
 	put(t, kv, "k0", "shorter")
 	if err := kv.Delete([]byte("k1")); err != nil {
-		t.Errorf("a deletion from a full store: %v", err)
+		t.Errorf("delete from a full store: %v", err)
 	}
 	put(t, kv, "new", "in its place")
 	closeStore(t, kv)
 }
 
-// While the disk hangs, Apply does not block, and rejects batches beyond the limit of pending ones.
+// While the disk hangs, Apply does not block, and rejects batches above MaxPendingBytes.
 func TestBusy(t *testing.T) {
 	testDisk := &hangingFS{FS: disk.New(), release: make(chan struct{})}
 	kv := open(t, testDisk, store.Options{MaxPendingBytes: 1000})
@@ -152,17 +154,17 @@
 		})
 	}
 	if n := rejected.Load(); n < 50 || done.Load() != n {
-		t.Errorf("%d of 100 were rejected, %d are done", n, done.Load())
+		t.Errorf("%d of 100 batches were rejected and %d are done, want at least 50 rejected and no others done", n, done.Load())
 	}
 	close(testDisk.release)
 	pending.Wait()
 	if n := kv.Len() + int(rejected.Load()); n != 100 {
-		t.Errorf("%d were acknowledged or rejected", n)
+		t.Errorf("%d batches were acknowledged or rejected, want 100", n)
 	}
 	closeStore(t, kv)
 }
 
-// hangingFS is a directory in which syncs of files block while hang is set, until release is closed.
+// hangingFS is a directory in which file syncs that begin while hang is set block until release is closed.
 type hangingFS struct {
 	store.FS
 	hang    atomic.Bool
