--- a/internal/standalone/attempt.go
+++ b/internal/standalone/attempt.go
@@ -13,16 +13,17 @@
 type attempt struct {
 	exchange.Attempt
 	request     *request
-	number      int // from 0, within its request
+	number      int // index of the attempt within its request, from 0
 	cancel      context.CancelFunc
 	transport   exchange.Transport
-	conn        exchange.Conn   // nil also where the transport has its own connections
-	holdsConn   bool            // conn was acquired and has to be released
-	gate        *durabilityGate // the record that has to be on the disk before the attempt is sent; nil for none
-	notRecorded bool            // it was not sent because it could not be recorded
+	conn        exchange.Conn   // connection of the attempt; nil also if the transport manages its own connections
+	holdsConn   bool            // a connection was acquired and has to be released
+	gate        *durabilityGate // delays the attempt until its record is on the disk; nil if it needs no record
+	notRecorded bool            // the attempt was not sent because it could not be recorded
 }
 
-// newAttempt prepares the next attempt of a request. A timeout of 0 means the deadline of the request.
+// newAttempt prepares the next attempt of a request. Its deadline is that of the request, or the end of the timeout if that is earlier.
+// A timeout of 0 means no timeout of the attempt.
 func newAttempt(r *request, e *exchange.Endpoint, timeout time.Duration, bodies *exchange.Budget) *attempt {
 	a := &attempt{request: r, number: r.attempts}
 	a.Request = &r.Inbound
@@ -37,7 +38,7 @@
 	return a
 }
 
-// dispatch sends an attempt by a transport, or by the fallback if the transport has no connection available.
+// dispatch sends an attempt through a transport, or through the fallback transport if the first one has no connection available.
 func (l *loop) dispatch(a *attempt, transport exchange.Transport) {
 	conn, ok := transport.Acquire(a.Endpoint, a.Sent)
 	if !ok && transport != l.transports.fallback {
@@ -70,7 +71,7 @@
 }
 
 // handleAttemptEnd handles the result of an attempt: it releases the connection, delivers a response to the caller and reports the
-// outcome to the Balancer, or sends the attempt again by the fallback transport.
+// outcome to the Balancer, or sends the attempt again through the fallback transport.
 func (l *loop) handleAttemptEnd(ended *attempt, result exchange.Result) {
 	req := ended.request
 	if ended.holdsConn {
@@ -110,8 +111,8 @@
 	}
 }
 
-// recordOutcome records the outcome of an attempt, and reports whether that is final for its request: an attempt whose record could
-// not be written was not sent, and the caller is answered at once.
+// recordOutcome records the outcome of an attempt. It reports whether the outcome is final for the request: an attempt whose record
+// could not be written was not sent, and its caller is answered immediately.
 func (l *loop) recordOutcome(a *attempt, status balancer.Status) (final bool) {
 	r := a.request
 	mayRun := l.memory.endAttempt(l.now(), a, status, status == balancer.StatusOK && !r.answered)
@@ -122,7 +123,8 @@
 	return true
 }
 
-// planRetry decides by the request's route whether it may be retried after an attempt with a status, and after which backoff.
+// planRetry returns whether the request's route forbids a retry after an attempt that ended with a status, and the backoff before a
+// retry. A permitted retry is taken out of the route's budget.
 func (r *request) planRetry(status balancer.Status) (noRetry bool, backoff time.Duration) {
 	if r.route.Settings.AllowsRetry(status) {
 		r.retryReserved = r.retryReserved || r.route.TakeRetry()
--- a/internal/standalone/backlog.go
+++ b/internal/standalone/backlog.go
@@ -3,26 +3,27 @@
 import "log"
 
 const (
-	// maxChunkEntries is how many entries of a list the loop applies at once, which takes about a millisecond. Without chunks a
-	// complete list of 10,000 new endpoints delayed every request by 40 ms.
+	// maxChunkEntries is the maximum number of list entries that the loop applies in one event, which takes about a millisecond.
+	// Without chunks a complete list of 10,000 new endpoints delayed every request by 40 ms.
 	maxChunkEntries = 500
-	// maxBacklogSteps bounds the chunks that wait. Beyond it all of them are applied before other events, which slows discovery down.
+	// maxBacklogSteps is the maximum number of waiting steps. When it is exceeded, all of them run before other events, which slows
+	// discovery down.
 	maxBacklogSteps = 200
 )
 
 // backlog is a queue of steps that the loop runs one by one, with other events in between. The loop owns it.
 type backlog struct {
-	steps []func() // the oldest first
+	steps []func() // waiting steps, oldest first
 }
 
-// closedChannel is always ready to receive from.
+// closedChannel is closed, so a receive from it never blocks.
 var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// ready returns a channel that can be received from while a step waits; nil, which blocks, while none does.
+// ready returns a channel from which a receive succeeds immediately if a step is waiting; otherwise nil, from which a receive blocks.
 func (b *backlog) ready() <-chan struct{} {
 	if len(b.steps) == 0 {
 		return nil
@@ -41,7 +42,7 @@
 	first()
 }
 
-// add appends steps. A single step runs at once if none waits.
+// add appends steps. If no step is waiting, a single new step runs immediately.
 func (b *backlog) add(steps ...func()) {
 	if len(b.steps) == 0 && len(steps) == 1 {
 		steps[0]()
@@ -51,7 +52,7 @@
 	if len(b.steps) <= maxBacklogSteps {
 		return
 	}
-	log.Printf("discovery: %d parts of its lists wait; they are taken in before anything else", len(b.steps))
+	log.Printf("discovery: %d chunks of lists are waiting; applying all of them before other events", len(b.steps))
 	for len(b.steps) > 0 {
 		b.next()
 	}
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -14,43 +14,43 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Config is the configuration of a sidecar, as LoadConfig and LoadWith read it.
+// Config is the configuration of a sidecar. LoadConfig and LoadWith return it.
 type Config struct {
-	Name      string       // of this sidecar, in logs and among its peers
-	Listen    string       // host:port of the front for HTTP/1.1
+	Name      string       // name of this sidecar, in logs and among its peers
+	Listen    string       // host:port on which the HTTP/1.1 front listens
 	Discovery string       // host:port of the discovery server; empty if Consul is the only source
-	Seed      uint64       // of the Balancer's random draws
-	Limits    Limits       // of the machine
-	Known     endpointList // the last known endpoints, by the platform; may be out of date
+	Seed      uint64       // seed of the Balancer's random draws
+	Limits    Limits       // resources of the machine that the sidecar may use
+	Known     endpointList // last endpoints that the platform knew; may be out of date
 	Settings  settings.Settings
 
-	tuning *tuning      // the settings of the product's file, or their defaults
-	token  string       // for discovery; never logged
-	file   *schema.File // the product's file; nil without one
+	tuning *tuning      // settings of the product's file, or their defaults
+	token  string       // bearer token for discovery, or empty; never logged
+	file   *schema.File // product's file; nil if there is none
 
-	consulOnly  bool // there is no discovery: Consul has all endpoints
-	hasPlatform bool // a platform's file has the settings of appfile.PlatformTables
+	consulOnly  bool // Consul is the only source of endpoints; there is no discovery server
+	hasPlatform bool // the settings of appfile.PlatformTables come from a platform's file
 
-	follower  Follower    // follows a source of endpoints beside discovery; nil for none
+	follower  Follower    // follows a source of endpoints other than discovery; nil for none
 	admin     Admin       // serves the admin pages; nil for none
 	openPeers PeersOpener // nil if this sidecar joins no group
 
-	peerAddresses []string // of the sidecars that a platform names
+	peerAddresses []string // addresses of other sidecars, from the platform
 
-	storeFS store.FS // the disk of the memory in tests; nil for memory.memory_dir
+	storeFS store.FS // file system of the store, set by tests; nil to use memory.memory_dir
 
-	// The sources that a reload reads again.
+	// Sources of the configuration, which a reload reads again.
 	getenv  func(string) string
 	product Product
 }
 
-// Product is how the product's file is read, and what is built from it. Without such a file all fields are nil.
+// Product has the functions that read the product's file and build components from it. All fields are nil if there is no such file.
 type Product struct {
 	// Load reads and checks the file.
 	Load func() (*schema.File, error)
-	// Resolve returns the path of a file that the settings name, relative to the file.
+	// Resolve resolves a path in the settings, which is relative to the directory of the product's file.
 	Resolve func(path string) string
-	// Follow returns the follower that the file configures; nil for none.
+	// Follow returns the Follower that the file configures; nil for none.
 	Follow func(*schema.File) (Follower, error)
 	// Admin returns the admin server that the file configures; nil for none.
 	Admin func(f *schema.File, name string) Admin
@@ -58,24 +58,24 @@
 	OpenPeers func(f *schema.File) (PeersOpener, error)
 }
 
-// Admin serves the admin pages, which show the endpoints and the group of sidecars, until stop is called.
+// Admin starts to serve the admin pages, which show the endpoints and the group of sidecars. They are served until stop is called.
 type Admin func(endpoints EndpointView, fleet FleetView) (stop func(), err error)
 
-// EndpointView returns the mode of the endpoint sources and all endpoints; false if they are not available in time.
+// EndpointView returns the mode of the endpoint sources and one row for each endpoint; ok is false if they are not available in time.
 type EndpointView = func() (source string, rows []endpointsource.Row, ok bool)
 
-// FleetView returns what this sidecar knows of its group and, if all is set, what all sidecars of the group report; false if there
-// is no group.
+// FleetView returns this sidecar's report on its group or, if all is set, the reports of all sidecars of the group; false if there is no
+// group.
 type FleetView = func(all bool) (peers.FleetReport, bool)
 
 // Limits are the resources of the machine that the sidecar may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"` // in MiB
+	MemoryMB int64   `json:"memory_mb"` // memory in MiB
 	Sockets  int     `json:"sockets"`
 }
 
-// check returns an error that names the first value that a sidecar cannot run with.
+// check returns an error that names the first invalid value, or nil if the sidecar can run with the configuration.
 func (c *Config) check() error {
 	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if name == "discovery" && c.consulOnly {
@@ -100,14 +100,15 @@
 	return nil
 }
 
-// Idle connections to endpoints are closed after idleTimeoutShare of the endpoint's own timeout, which the platform configures, or
-// after defaultIdleTimeout. A request that is written while the endpoint closes the connection would end in a reset.
+// An idle connection to an endpoint is closed after idleTimeoutShare of the endpoint's own idle timeout, which the platform configures,
+// or after defaultIdleTimeout. It must be closed before the endpoint does so: a request that is written while the endpoint closes the
+// connection ends in a reset.
 const (
 	idleTimeoutShare   = 0.5
 	defaultIdleTimeout = 10 * time.Second
 )
 
-// idleTimeout is how long an idle connection to an endpoint is kept open.
+// idleTimeout returns how long an idle connection to an endpoint stays open.
 func (c *Config) idleTimeout(t *tuning) time.Duration {
 	switch idle := c.Settings.ConnIdle; {
 	case t.endpoints.KeepIdle > 0:
--- a/internal/standalone/config_platform.go
+++ b/internal/standalone/config_platform.go
@@ -11,7 +11,8 @@
 	"quincegap/internal/config/settings"
 )
 
-// loadPlatform reads the platform's configuration file. Its errors name the variable or the file.
+// loadPlatform reads the platform's configuration file, whose path is in BALANCER_CONFIG. With useEnvDiscovery, BALANCER_DISCOVERY
+// overrides the file. Its errors name the variable or the file.
 func loadPlatform(getenv func(string) string, useEnvDiscovery bool) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -28,7 +29,7 @@
 	return c, nil
 }
 
-// CheckPlatform returns the first fault of a platform's configuration, with which a sidecar would not start; nil for none.
+// CheckPlatform returns an error for the first fault in a platform's configuration that prevents a sidecar from starting; nil for none.
 func CheckPlatform(text []byte) error {
 	c, err := parsePlatform(text, func(string) string { return "" }, false)
 	if err == nil {
@@ -42,13 +43,14 @@
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // 64 bits in hexadecimal
+	Seed      string          `json:"seed"` // hexadecimal number of 64 bits
 	Limits    Limits          `json:"limits"`
 	Known     *endpointList   `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// parsePlatform parses the platform's file and applies the environment variables that override it. Its errors name the field.
+// parsePlatform parses the platform's file and applies the environment variables that override it: BALANCER_NAME, BALANCER_LISTEN and,
+// with useEnvDiscovery, BALANCER_DISCOVERY. Its errors name the field.
 func parsePlatform(text []byte, getenv func(string) string, useEnvDiscovery bool) (*Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/standalone/config_product.go
+++ b/internal/standalone/config_product.go
@@ -12,17 +12,17 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The values, without a platform, of settings that only a platform's file has.
+// Values of settings that only a platform's file has, for a sidecar that runs without one.
 const (
-	// standaloneGrace is how long after the client's deadline an answer still counts.
+	// standaloneGrace is how long after the caller's deadline an answer is still in time.
 	standaloneGrace = 20 * time.Millisecond
-	// standaloneQuantum is the smallest time between two runs of the Balancer's decisions.
+	// standaloneQuantum is the minimum time between two runs of the Balancer's decisions.
 	standaloneQuantum = 5 * time.Millisecond
-	// standaloneTotalValueWeight is the weight of the total value served, against that of the worst-served class.
+	// standaloneTotalValueWeight is the weight of the total value served relative to that of the worst-served class.
 	standaloneTotalValueWeight = 0.9
 )
 
-// fromProductFile returns the configuration that the product's file has, without a platform.
+// fromProductFile returns the configuration of a sidecar without a platform: all settings come from the product's file.
 func fromProductFile(file *schema.File) (*Config, error) {
 	sidecar := appfile.SidecarTable.In(file)
 	limits := appfile.LimitsTable.In(file)
@@ -36,14 +36,14 @@
 		consulOnly: discovery.Address == "" && endpointsource.SettingsTable.In(file).Mode == endpointsource.ModeConsul,
 	}
 	if sidecar.Seed != "" {
-		config.Seed, _ = strconv.ParseUint(sidecar.Seed, 16, 64) // its form was checked
+		config.Seed, _ = strconv.ParseUint(sidecar.Seed, 16, 64) // the file's schema has checked its format
 	}
 	config.Settings.GraceToAnswer = standaloneGrace
 	config.Settings.Settings = balancerSettings(file)
 	return config, config.check()
 }
 
-// balancerSettings returns the Balancer's settings that the product's file has.
+// balancerSettings returns the Balancer's settings from the product's file.
 func balancerSettings(file *schema.File) balancer.Settings {
 	sidecar := appfile.SidecarTable.In(file)
 	discovery := appfile.DiscoveryTable.In(file)
@@ -70,7 +70,7 @@
 		OverloadDuration:    warmup.OverloadDuration,
 	}
 	if len(appfile.CallsTable.All(file)) > 0 {
-		settings.Tiers = 2 // a call may also wait in the queues of the applications behind this one
+		settings.Tiers = 2 // a request may also wait in the queues of the applications that this one calls
 	}
 	for _, v := range appfile.ClassTable.All(file) {
 		settings.Classes = append(settings.Classes, balancer.Class{
--- a/internal/standalone/discovery.go
+++ b/internal/standalone/discovery.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// maxListBytes bounds one list.
+	// maxListBytes is the maximum size of one list.
 	maxListBytes = 4 << 20
-	// fetchTimeout bounds the fetch of a complete list.
+	// fetchTimeout is the maximum duration of a fetch of the complete list.
 	fetchTimeout = 5 * time.Second
-	// watchTimeout ends a watch without a line. Discovery sends an empty line every 2 s, and assumes that a sidecar knows a change
-	// after 6 s: by then another watch must have received it.
+	// watchTimeout ends a watch on which no line has arrived for that long. Discovery sends an empty line every 2 s, and assumes that a
+	// sidecar knows a change after 6 s: by then another watch must have received it.
 	watchTimeout = 4500 * time.Millisecond
 	// A watch that has ended is resumed after a backoff with jitter, which doubles until a list arrives.
 	minWatchBackoff = 50 * time.Millisecond
@@ -35,29 +35,29 @@
 // The HTTP interface of discovery.
 const (
 	listPath    = "/v1/endpoints"
-	followQuery = "?follow=1" // an answer without an end: one list on each line, and empty lines in between
-	sinceQuery  = "&since="   // only changes after this version
+	followQuery = "?follow=1" // requests a stream with one list per line, and empty lines as heartbeats
+	sinceQuery  = "&since="   // requests only the changes after this version
 )
 
 var (
 	errWatchEnded  = errors.New("watch ended")
-	errNotComplete = errors.New("fetch: not the whole list")
+	errNotComplete = errors.New("fetch: the answer is not a complete list")
 )
 
 // watcher is the client of the discovery server at one address. The loop owns it. Its goroutines post lists to the loop, which
-// ignores those of a watcher that was stopped or replaced.
+// ignores the lists of a watcher that was stopped or replaced.
 type watcher struct {
 	url         string
-	token       string // for discovery, or empty; never logged
+	token       string // bearer token for discovery, or empty; never logged
 	loop        *loop
 	client      *http.Client
-	reconnects  bool // it resumes a watch that has ended; otherwise the Balancer starts the next one
+	reconnects  bool // the watcher resumes a watch that has ended; otherwise the Balancer starts the next watch
 	cancel      context.CancelFunc
-	fetching    bool
-	lastHeardAt atomic.Int64 // when discovery last sent anything, on the event clock
+	fetching    bool         // a fetch of the complete list is in progress
+	lastHeardAt atomic.Int64 // time on the event clock at which discovery last sent anything
 }
 
-// newWatcher returns a watcher that is not started.
+// newWatcher returns a watcher that has not been started.
 func newWatcher(address, token string, l *loop) *watcher {
 	dialer := &net.Dialer{Timeout: l.config.Settings.ConnectTimeout}
 	return &watcher{
@@ -69,20 +69,20 @@
 	}
 }
 
-// isCurrent reports whether discovery was heard within watchTimeout, so that the list is up to date.
+// isCurrent reports whether discovery has sent anything within watchTimeout, so that the list is up to date.
 func (w *watcher) isCurrent(now time.Duration) bool {
 	at := time.Duration(w.lastHeardAt.Load())
 	return at > 0 && now-at < watchTimeout
 }
 
-// start begins to watch for changes after a version; nil requests the complete list first. Like stop it does not block.
+// start begins to watch for changes after a version; nil requests the complete list first. Neither start nor stop blocks.
 func (w *watcher) start(since *uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
 	go w.run(ctx, since)
 }
 
-// stop ends the watch. Lists of it that the loop has not handled yet are dropped.
+// stop ends the watch. Lists that it has posted and that the loop has not handled yet are discarded.
 func (w *watcher) stop() {
 	if w.cancel != nil {
 		w.cancel()
@@ -98,7 +98,7 @@
 	})
 }
 
-// run watches until it is stopped. Unless it reconnects, it ends with the first watch.
+// run watches until the watcher is stopped, resuming watches that end. If the watcher does not reconnect, run returns after one watch.
 func (w *watcher) run(ctx context.Context, since *uint64) {
 	backoff := minWatchBackoff
 	lastLogged := ""
@@ -129,7 +129,7 @@
 	}
 }
 
-// watch follows the list until the connection ends. It returns the version that it reached, from which the next watch continues, and
+// watch receives lists until the connection ends. It returns the version of the last list, from which the next watch continues, and
 // whether a list arrived. Its error is never nil.
 func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, heard bool, err error) {
 	watchCtx, cancel := context.WithCancel(ctx)
@@ -171,8 +171,8 @@
 	return since, heard, errWatchEnded
 }
 
-// fetch requests the complete list once, unless a fetch is in progress. The result is ignored if another discovery is followed by
-// then.
+// fetch requests the complete list once, unless a fetch is in progress. The result is ignored if the loop has switched to another
+// discovery server by then.
 func (w *watcher) fetch() {
 	if w.fetching {
 		return
@@ -195,7 +195,7 @@
 	}()
 }
 
-// fetchFull requests the complete list.
+// fetchFull requests the complete list and waits for it, for at most fetchTimeout.
 func (w *watcher) fetchFull() (list endpointList, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -213,22 +213,22 @@
 	return list, nil
 }
 
-// get sends a request to discovery and returns the body of a 200.
+// get sends a request to discovery and returns the body of the answer, which the caller must close. A status other than 200 is an error.
 func (w *watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	if w.token != "" {
-		r.Header.Set("Authorization", "Bearer "+w.token)
+		req.Header.Set("Authorization", "Bearer "+w.token)
 	}
-	res, err := w.client.Do(r)
+	res, err := w.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
 		closeBody(res.Body)
-		return nil, fmt.Errorf("answered %s", res.Status)
+		return nil, fmt.Errorf("unexpected status %s", res.Status)
 	}
 	return res.Body, nil
 }
--- a/internal/standalone/doc.go
+++ b/internal/standalone/doc.go
@@ -2,10 +2,11 @@
 // plane. Callers connect over HTTP/1.1 or HTTP/3, attempts are sent to endpoints, and discovery or Consul lists the endpoints. The
 // Balancer makes all decisions: which endpoint gets a request, whether it is retried, and when it is rejected.
 //
-// # Goroutines and who owns what
+// # Goroutines and ownership
 //
 // One goroutine, the loop, owns the Balancer and all state that goes with it: the requests in flight, the table of endpoints, the
-// transports, the watch on discovery, and the memory on the disk. All others post events to it and never access that state:
+// transports, the watch on discovery, and the records on disk (memory). All other goroutines post events to it and never access that
+// state:
 //
 //	caller ──▶ front ──▶ server.ServeHTTP ──post──▶ loop ──▶ Balancer
 //	                         ▲                       │  ▲        │
@@ -14,17 +15,18 @@
 //	discovery, Consul ──▶ watcher, Follower ──post──────┤                      │
 //	                                                    └──────── post ────────┘
 //
-// A handler waits for its answer; the loop never blocks. The goroutine of an attempt ends with the attempt, that of the watcher when
-// it is stopped or replaced. The loop itself ends with the process: Run returns when all fronts have stopped.
+// A handler waits for its answer; the loop never blocks. The goroutine of an attempt ends with the attempt, and the goroutine of the
+// watcher when the watcher is stopped or replaced. The loop runs until the process ends: Run returns when all fronts have stopped.
 //
 // # The states of a request
 //
 //	arrived ─┬─▶ rejected (id taken, too many, route full, disk failing)
-//	         └─▶ with the Balancer ──▶ attempt in flight ─┬─▶ answered ──▶ forgotten, its id kept for recentIDRetention
+//	         └─▶ with the Balancer ──▶ attempt in flight ─┬─▶ answered ──▶ deleted; its id is stored for recentIDRetention
 //	                   ▲                                  │
 //	                   └────────── retry ─────────────────┘
 //
-// A hedged request (hedging.go) is two requests to the Balancer, which are tied together here: the caller gets the first answer.
+// The Balancer handles a hedged request (hedging.go) as two separate requests. This package links them: the caller gets the first
+// answer.
 //
 // # Units
 //
@@ -33,6 +35,6 @@
 //
 // # What it does not do
 //
-// It makes no decisions, does not parse the product's file (package product does, by Product) and does not communicate with other
-// sidecars itself (Peers does).
+// The package makes no balancing decisions. It does not parse the product's file, which package product does through Product, and
+// does not communicate with other sidecars, which the implementation of Peers does.
 package standalone
--- a/internal/standalone/durability_gate.go
+++ b/internal/standalone/durability_gate.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// errDiskSlow means that a record was not durable within memory_wait.
+// errDiskSlow is reported if a record was not durable within memory_wait.
 var errDiskSlow = errors.New("the disk takes longer than memory_wait")
 
-// durabilityGate delays an attempt until its record is on the disk. A nil gate is open.
+// durabilityGate delays an attempt until its record is on the disk. A nil gate does not delay anything.
 type durabilityGate struct {
-	written          chan error // buffered: gets the result of the write
-	err              error      // the record could not be made
-	timeout          time.Duration
-	reportTimeout    func(error) // is called with errDiskSlow
-	servesUnrecorded bool        // the attempt may be sent without a record
-	passed           bool        // pass has been called
-	durable          bool        // the record is on the disk
+	written          chan error    // receives the result of the write; buffered, so that the writer does not block
+	err              error         // error that prevented the record from being created
+	timeout          time.Duration // maximum time to wait for the write
+	reportTimeout    func(error)   // called with errDiskSlow after the timeout
+	servesUnrecorded bool          // the attempt may be sent without a record
+	passed           bool          // pass has been called
+	durable          bool          // the record is on the disk
 }
 
 // pass waits until the record is durable, and reports whether the attempt may be sent.
--- a/internal/standalone/endpoint_list.go
+++ b/internal/standalone/endpoint_list.go
@@ -7,7 +7,7 @@
 
 // endpointList is a list of endpoints from discovery, complete or a delta. Discovery defines its keys.
 type endpointList struct {
-	Rev     uint64           `json:"rev"` // its version
+	Rev     uint64           `json:"rev"` // version of the list
 	All     bool             `json:"all"` // the list is complete; otherwise it is a delta
 	Targets []listedEndpoint `json:"targets"`
 }
@@ -17,21 +17,21 @@
 	UID     string  `json:"uid"`
 	Address string  `json:"endpoint"` // host:port
 	Zone    string  `json:"az"`
-	Model   string  `json:"model"` // of its machine
+	Model   string  `json:"model"` // model of the machine it runs on
 	Cell    int     `json:"pod_group"`
 	State   string  `json:"state"` // see endpointStates
 	Weight  float64 `json:"capacity_hint"`
-	BootMS  int64   `json:"boot_ms"` // its latest start, Unix time in milliseconds; 0 if that is not known
+	BootMS  int64   `json:"boot_ms"` // Unix time in milliseconds of the latest start; 0 if unknown
 }
 
-// endpointStates are the states by their names in lists of discovery.
+// endpointStates maps the names of states in discovery's lists to the states.
 var endpointStates = map[string]balancer.EndpointState{
 	"Ready":       balancer.EndpointReady,
 	"Terminating": balancer.EndpointDraining,
 	"Gone":        balancer.EndpointRemoved,
 }
 
-// sourceList converts a list for the merger.
+// sourceList converts the list to the form that the merger accepts.
 func (e endpointList) sourceList(from endpointsource.ListOrigin) endpointsource.List {
 	list := endpointsource.List{Kind: balancer.ListDelta, Version: e.Rev}
 	switch {
@@ -55,14 +55,14 @@
 	return list
 }
 
-// preparedList is a list that was sorted by the goroutine that read it, so that the loop has less to do.
+// preparedList is a list that the goroutine that received it has already sorted into chunks, which saves the loop time.
 type preparedList struct {
 	endpointsource.PreparedList
 	rev uint64
 	all bool
 }
 
-// prepare sorts a list for the loop.
+// prepare converts the list and sorts it into chunks for the loop.
 func (e endpointList) prepare(from endpointsource.ListOrigin) preparedList {
 	return preparedList{
 		PreparedList: endpointsource.PrepareList(e.sourceList(from), maxChunkEntries),
--- a/internal/standalone/endpoint_table.go
+++ b/internal/standalone/endpoint_table.go
@@ -12,21 +12,21 @@
 	"quincegap/internal/network/exchange"
 )
 
-// endpointTable is the table of the listed endpoints. An endpoint that is removed is deleted at once: an attempt that is still in
-// flight keeps its pointer to it, and it is closed to new attempts. The loop owns the table.
+// endpointTable is the table of the listed endpoints. A removed endpoint is deleted immediately and closed to new attempts; an attempt
+// that is still in flight keeps its pointer to it. The loop owns the table.
 type endpointTable struct {
 	origin time.Time // zero of the event clock
 	byID   map[balancer.EndpointID]*exchange.Endpoint
-	ids    map[string]balancer.EndpointID // by uid
+	ids    map[string]balancer.EndpointID // numbers of endpoints by uid
 	zones  nameIndex
 	models nameIndex
 }
 
-// nameIndex maps names to numbers: first the names of the settings in their order, then others as they appear. The merger bounds how
-// many there are.
+// nameIndex numbers names: first those in the settings, in their order, then others as they appear. The merger limits how many there
+// are.
 type nameIndex map[string]int
 
-// index returns the number of a name, which gets the next one if it is new.
+// index returns the number of a name. A new name gets the next number.
 func (n nameIndex) index(name string) int {
 	i, ok := n[name]
 	if !ok {
@@ -51,8 +51,8 @@
 	return t
 }
 
-// endpointID returns the number of a uid. A uid of discovery ends in a hexadecimal number of 32 bits, which is the same at every
-// sidecar and unique. Other uids are hashed; if the number is taken, the next free one is used.
+// endpointID returns the endpoint's number for a uid. A uid from discovery ends in a unique hexadecimal number of 32 bits, which is used
+// so that all sidecars use the same number. Other uids are hashed; if the number is taken, the next free one is used.
 func (e *endpointTable) endpointID(uid string) balancer.EndpointID {
 	if id, ok := e.ids[uid]; ok {
 		return id
@@ -70,7 +70,7 @@
 	return id
 }
 
-// insert adds an endpoint to the table, in place of the one with its number.
+// insert adds an endpoint to the table, replacing any endpoint with the same number.
 func (e *endpointTable) insert(endpoint *exchange.Endpoint) {
 	e.byID[endpoint.ID] = endpoint
 	e.ids[endpoint.UID] = endpoint.ID
@@ -83,14 +83,14 @@
 	delete(e.ids, endpoint.UID)
 }
 
-// apply updates the table by a list. It returns the list as the Balancer needs it, and the endpoints whose idle connections are to be
-// closed.
+// apply updates the table from a list. It returns the entries of the list for the Balancer, and the endpoints whose idle connections
+// must be closed.
 func (e *endpointTable) apply(list endpointsource.List) (entries []balancer.ListEntry, retired []*exchange.Endpoint) {
 	listed := map[balancer.EndpointID]bool{}
 	for _, reported := range list.Endpoints {
 		id := e.endpointID(reported.UID)
 		listed[id] = true
-		endpoint, replaced := e.current(id, &reported)
+		endpoint, replaced := e.findOrReplace(id, &reported)
 		if replaced != nil {
 			retired = append(retired, replaced)
 		}
@@ -125,9 +125,9 @@
 	return entries, retired
 }
 
-// current returns the endpoint of a number as it is listed. If it is new, has restarted or has another address, that is a new one, and
-// replaced is the one before, now closed to new attempts.
-func (e *endpointTable) current(id balancer.EndpointID, listed *endpointsource.Endpoint) (endpoint, replaced *exchange.Endpoint) {
+// findOrReplace returns the endpoint with a number. If the endpoint is new, has restarted or has another address, it is created; replaced
+// is then the previous endpoint with that number, if any, which is closed to new attempts.
+func (e *endpointTable) findOrReplace(id balancer.EndpointID, listed *endpointsource.Endpoint) (endpoint, replaced *exchange.Endpoint) {
 	known := e.byID[id]
 	if known != nil && !hasChanged(known, listed) {
 		return known, nil
@@ -140,13 +140,13 @@
 	return endpoint, known
 }
 
-// hasChanged reports whether an endpoint is listed as ready at another address or with another start.
+// hasChanged reports whether an endpoint is listed as ready with another address or another start time.
 func hasChanged(known *exchange.Endpoint, listed *endpointsource.Endpoint) bool {
 	return listed.State == balancer.EndpointReady && (known.Address != listed.Address || known.BootMS != listed.StartedMS)
 }
 
-// startTime converts a start, in milliseconds of Unix time, to the event clock. The result is always the same for the same start,
-// because a later one means a restart to the Balancer. 0 means long ago, before and after.
+// startTime converts a start time, in milliseconds of Unix time, to the event clock. The result is always the same for the same start,
+// because the Balancer takes a later one for a restart. 0 means long ago, both in the argument and in the result.
 func (e *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
--- a/internal/standalone/golden_format_test.go
+++ b/internal/standalone/golden_format_test.go
@@ -69,7 +69,7 @@
 	server := &server{loop: l, config: l.config, classes: map[string]int{"read": 0, "book": 1}, tenants: map[string]int{"org": 0}}
 	headers := map[string]string{"X-Txn": "a", "X-Lane": "book", "X-Org": "org", "X-Remaining": "900m", "Idempotency-Key": "k"}
 	tuning := *l.config.tuning
-	tuning.callers.TooEarly = true
+	tuning.callers.RejectEarlyData = true
 	server.tuning.Store(&tuning)
 	var text strings.Builder
 	for _, test := range []struct {
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -20,26 +20,26 @@
 	Reload() error
 	// Close ends the membership without an announcement.
 	Close()
-	// Report returns this sidecar's view of the group.
+	// Report returns this sidecar's report on the group.
 	Report() peers.Report
-	// Fleet returns the views of all sidecars of the group. It waits for their answers.
+	// Fleet returns the reports of all sidecars of the group. It waits for their answers.
 	Fleet() peers.FleetReport
 }
 
 // PeersOpener joins the group that the product's file configures.
 type PeersOpener func(p PeersConfig) (Peers, error)
 
-// PeersConfig is what Peers need of this sidecar. Its functions may be called by any goroutine.
+// PeersConfig is what a PeersOpener needs from this sidecar. Its functions may be called from any goroutine.
 type PeersConfig struct {
-	Name      string   // of this sidecar, unique in its group
-	Instances int      // how many sidecars of the application the configuration counts
-	Names     []string // of the group that an earlier process of this sidecar saved; nil for none
-	Addresses []string // of sidecars: those that a platform names, and the saved ones
+	Name      string   // name of this sidecar, unique in its group
+	Instances int      // number of sidecars of the application according to the configuration
+	Names     []string // names of the group's members, as an earlier process of this sidecar saved them; nil for none
+	Addresses []string // addresses of sidecars: those from the platform, then the saved ones
 	// Ready reports whether this sidecar has a list of endpoints.
 	Ready func() bool
-	// Changed is called with this sidecar's share of the group whenever it changes.
+	// Changed must be called with this sidecar's share of the group whenever the share changes.
 	Changed func(peers.Share)
-	// Save stores the group for the next process; nil without a memory.
+	// Save stores the group for the next process; nil if nothing is stored on disk.
 	Save func(names, addresses []string)
 }
 
@@ -48,7 +48,7 @@
 	peers Peers // nil if the file configures no group
 }
 
-// joinGroup joins the group, if the file configures one. The loop must not run yet.
+// joinGroup joins the group, if the file configures one. It must be called before the loop runs, because it reads the loop's state.
 func (s *server) joinGroup() error {
 	s.instances.Store(int64(s.config.Settings.Instances))
 	if s.config.openPeers == nil {
@@ -74,8 +74,8 @@
 	return err
 }
 
-// updateGroup applies a new share of the group. A sidecar that is shutting down keeps its share: the others no longer count it, and
-// requests of its last callers should not move to endpoints that are new to it.
+// updateGroup applies a new share of the group. A sidecar that is shutting down keeps its share: the others no longer count it, and the
+// requests of its last callers should not move to endpoints that this sidecar has not used before.
 func (s *server) updateGroup(share peers.Share) {
 	if s.shutdownAt.Load() != nil {
 		return
@@ -84,12 +84,12 @@
 	g := groupOf(&share)
 	s.loop.post(func() {
 		if err := s.loop.balancer.UpdateGroup(s.loop.now(), g); err != nil {
-			log.Printf("peers: %v; the numbers before stay", err)
+			log.Printf("peers: %v; the previous group stays in use", err)
 		}
 	})
 }
 
-// groupOf converts a share for the Balancer. Members are numbers, the hashes of their names, so that all sidecars have the same ones.
+// groupOf converts a share for the Balancer. A member's number is the hash of its name, so that all sidecars use the same numbers.
 func groupOf(share *peers.Share) balancer.InstanceGroup {
 	g := balancer.InstanceGroup{Instances: share.Instances, Ordinal: share.Ordinal, MaxInstances: share.MaxInstances}
 	for _, name := range share.Names {
@@ -108,24 +108,24 @@
 	}
 }
 
-// close ends the membership.
+// close ends the membership without an announcement.
 func (g *group) close() {
 	if g.peers != nil {
 		g.peers.Close()
 	}
 }
 
-// reload reads the key of the group again. The other settings of the group take effect at a start only.
-func (g *group) reload() {
+// reloadKeys reads the key of the group again. Changes of the group's other settings take effect only at a start.
+func (g *group) reloadKeys() {
 	if g.peers == nil {
 		return
 	}
 	if err := g.peers.Reload(); err != nil {
-		log.Printf("reload: %v; the keys before stay", err)
+		log.Printf("reload: %v; the previous keys stay in use", err)
 	}
 }
 
-// fleet returns this sidecar's view of the group or, if all is set, the views of all sidecars; false if there is no group.
+// fleet returns this sidecar's report on the group or, if all is set, the reports of all sidecars; ok is false if there is no group.
 func (g *group) fleet(all bool) (f peers.FleetReport, ok bool) {
 	switch {
 	case g.peers == nil:
@@ -136,20 +136,20 @@
 	return peers.FleetReport{Own: g.peers.Report()}, true
 }
 
-// groupRetention is how long a saved group is kept for the next process.
+// groupRetention is the time after which a saved group expires.
 const groupRetention = 24 * time.Hour
 
-// savedGroup is the record of the group that was settled last. Its keys are data on the disk.
+// savedGroup is the record of the group that its members last agreed on. Its keys are part of the format on disk.
 type savedGroup struct {
 	Names     []string `json:"names"`
 	Addresses []string `json:"addresses"`
 }
 
-// savedGroup returns the group that an earlier process saved; nil for none.
+// savedGroup returns the group that an earlier process saved; nil if there is none or it cannot be read.
 func (m *memory) savedGroup() (names, addresses []string) {
 	text, _, ok, err := m.store.Get([]byte{groupKey})
 	if err != nil {
-		log.Printf("memory: %v", err)
+		log.Printf("memory: read saved group: %v", err)
 	}
 	var saved savedGroup
 	if !ok || json.Unmarshal(text, &saved) != nil {
@@ -158,7 +158,7 @@
 	return saved.Names, saved.Addresses
 }
 
-// saveGroup saves the group that is settled now.
+// saveGroup saves the group that its members have agreed on.
 func (m *memory) saveGroup(names, addresses []string) {
 	text, err := json.Marshal(savedGroup{names, addresses})
 	if err != nil {
--- a/internal/standalone/headers.go
+++ b/internal/standalone/headers.go
@@ -1,25 +1,25 @@
 package standalone
 
-// The names in requests of callers, which are data. The headers are in the canonical form of net/http.
+// The names that requests of callers use, which are part of the protocol. The headers are in the canonical form of net/http.
 const (
 	headerRequestID      = "X-Txn"
 	headerClass          = "X-Lane"
 	headerTenant         = "X-Org"
-	headerTimeLeft       = "X-Remaining" // a number and m for milliseconds or u for microseconds
-	headerWorkHint       = "X-Estimate"  // in microseconds
+	headerTimeLeft       = "X-Remaining" // remaining time: a number followed by m for milliseconds or u for microseconds
+	headerWorkHint       = "X-Estimate"  // estimated work in microseconds
 	headerResent         = "X-Resent"    // "1" for a request that the caller repeats
 	headerIdempotencyKey = "Idempotency-Key"
 	headerEarlyData      = "Early-Data" // "1" as in RFC 8470, section 5.1
 	headerRetryAfter     = "Retry-After"
 
-	// affinityCookie has the key of requests that should go to the same endpoint.
+	// affinityCookie is the cookie whose value is the affinity key: requests with the same key should go to the same endpoint.
 	affinityCookie = "obj"
-	// readyPath is the path of readiness requests, which have no id.
+	// readyPath is the path of readiness requests, which have no request id.
 	readyPath = "/ready"
 )
 
-// headerSet is the value of headers that are flags.
+// headerSet is the value of a flag header that is set.
 const headerSet = "1"
 
-// uniqueHeaders must not be repeated: an endpoint might read another value than the sidecar.
+// uniqueHeaders are the headers that a request must not repeat: an endpoint might use another of the values than the sidecar.
 var uniqueHeaders = []string{headerRequestID, headerClass, headerTenant, headerTimeLeft, headerIdempotencyKey}
--- a/internal/standalone/hedging.go
+++ b/internal/standalone/hedging.go
@@ -7,23 +7,25 @@
 	"quincegap/internal/network/exchange"
 )
 
-// A hedged request is two requests to the Balancer: the primary, which the caller sent, and the secondary, a copy of it that goes to
-// another endpoint and counts towards all limits like any other. This file ties them together: the caller gets the first response of
-// either, and the other one is cancelled. Without a response the caller gets the answer of the primary, once both have ended.
+// The Balancer handles a hedged request as two requests: the primary, which the caller sent, and the secondary, a copy of it that goes
+// to another endpoint and counts towards all limits like any other request. This file links them: the caller gets the first response,
+// and the other request is cancelled. If neither has a response, the caller gets the answer of the primary once both have ended.
 
-// secondaryIDSuffix is the end of the id of a secondary. It has a byte that cannot be in an id of a caller, which is a header value.
+// secondaryIDSuffix is appended to the id of a primary to form that of its secondary. It contains a byte that cannot occur in an id from
+// a caller, which is a header value.
 const secondaryIDSuffix = "\x00copy"
 
-// hedge ties a primary to its secondary. Each request has one; the fields that do not apply to it are zero.
+// hedge links a primary and its secondary. Each request has one; fields that do not apply to the request are zero.
 type hedge struct {
-	primary       *request  // of a secondary
-	secondary     *request  // of a primary, until the secondary has ended
-	pendingAnswer *answer   // of a primary that has ended without a response, while its secondary may have one
-	secondarySent bool      // of a primary: an attempt of its secondary was sent
-	firstSentAt   time.Time // of a primary: when its first attempt was sent
+	primary       *request  // for a secondary: its primary
+	secondary     *request  // for a primary: its secondary, until that has ended
+	pendingAnswer *answer   // for a primary that ended without a response: its answer, withheld while the secondary may get a response
+	secondarySent bool      // for a primary: an attempt of its secondary was sent
+	firstSentAt   time.Time // for a primary: time at which its first attempt was sent
 }
 
-// mayHedge reports whether a request may be hedged. A request of a class that is not idempotent may not: each attempt has an effect.
+// mayHedge reports whether a request may be hedged. A request of a class that is not idempotent may not, because each attempt has an
+// effect.
 func (c *Config) mayHedge(r *request) bool {
 	if !c.Settings.HedgedRequests || r.route == nil || r.route.Settings.HedgeQuantile <= 0 {
 		return false
@@ -32,7 +34,7 @@
 		tighterLimit(r.route.Settings.MaxAttempts, c.Settings.MaxAttempts) != 1
 }
 
-// tighterLimit returns the lower of two limits, of which 0 is none.
+// tighterLimit returns the lower of two limits, where 0 means no limit.
 func tighterLimit(a, b int) int {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -40,7 +42,7 @@
 	return a
 }
 
-// scheduleHedge schedules the secondary of a request, for when its first attempt has been in flight for the delay of its route.
+// scheduleHedge schedules the secondary of a request to be sent once its first attempt has been in flight for its route's hedge delay.
 func (l *loop) scheduleHedge(a *attempt) {
 	r := a.request
 	if a.number > 0 || r.hedge.primary != nil || !l.config.mayHedge(r) {
@@ -52,7 +54,7 @@
 	}
 }
 
-// sendHedge hedges the request of an attempt, if that is still in flight and the budget of the route covers it.
+// sendHedge hedges the request of an attempt if the attempt is still in flight and the hedging budget of the route is not used up.
 func (l *loop) sendHedge(inFlight *attempt) {
 	primary := inFlight.request
 	if primary.answered || primary.inFlight != inFlight || primary.hedge.secondary != nil || !primary.route.TakeHedge() {
@@ -81,15 +83,15 @@
 	l.balancer.HandleRequest(l.now(), secondary.Request)
 }
 
-// idempotency returns whether a request may run more than once, by its class.
+// idempotency returns the idempotency of a request's class: whether the request may run more than once.
 func (l *loop) idempotency(r *request) balancer.Idempotency {
 	return l.config.Settings.Classes[r.Class].Idempotency
 }
 
-// awaitHedge is called with the final answer of a request. It reports whether the answer must not be delivered, because it is that
-// of a secondary, which endSecondary handles, or because the secondary may still have a response. It changes a rejection into a
-// failure if the secondary may have run. The Balancer may be the caller, so it must not be called here.
-func (l *loop) awaitHedge(req *request, final *answer) bool {
+// withholdAnswer is called with the final answer of a request. It reports whether the answer must not be delivered, either because it
+// is the answer of a secondary, which endSecondary handles, or because the secondary may still get a response. It changes a rejection
+// into a failure if the secondary may have run. The Balancer may be the caller, so this method must not call the Balancer.
+func (l *loop) withholdAnswer(req *request, final *answer) bool {
 	if req.hedge.primary != nil {
 		l.endSecondary(req, final)
 		return true
@@ -108,15 +110,15 @@
 	return false
 }
 
-// endSecondary handles the final answer of a secondary: a response is delivered to the caller, as is the answer of a primary that
-// has ended before.
-func (l *loop) endSecondary(r *request, a *answer) {
-	primary := r.hedge.primary
-	r.answered = true
+// endSecondary handles the final answer of a secondary. A response is delivered to the caller. Without one, the answer of the primary
+// is delivered if the primary has already ended.
+func (l *loop) endSecondary(secondary *request, final *answer) {
+	primary := secondary.hedge.primary
+	secondary.answered = true
 	primary.hedge.secondary = nil
-	primary.hedge.secondarySent = r.attempts > 0
-	if a.response != nil {
-		l.deliver(primary, *a)
+	primary.hedge.secondarySent = secondary.attempts > 0
+	if final.response != nil {
+		l.deliver(primary, *final)
 		return
 	}
 	if primary.hedge.pendingAnswer != nil {
@@ -125,8 +127,8 @@
 	}
 }
 
-// mergedAnswer returns the answer to a hedged request without a response: that of the primary, unless the secondary may have run.
-// Then it is a failure, because a rejection would promise that the request has not run, except where that makes no difference.
+// mergedAnswer returns the answer to a hedged request that got no response. That is the answer of the primary, or a failure if the
+// secondary may have run: a rejection would promise that the request has not run. For an idempotent request this does not matter.
 func (h *hedge) mergedAnswer(idempotency balancer.Idempotency) answer {
 	if h.secondarySent && idempotency != balancer.Idempotent {
 		return answer{}
@@ -134,8 +136,8 @@
 	return *h.pendingAnswer
 }
 
-// cancelOther cancels the secondary of a primary that has a response, or the other way round. It calls the Balancer, so the Balancer
-// must not be the caller.
+// cancelOther cancels the secondary of a primary that has a response, or the primary of such a secondary. It calls the Balancer, so the
+// Balancer must not be the caller.
 func (l *loop) cancelOther(r *request) {
 	if primary := r.hedge.primary; primary != nil {
 		if primary.inFlight != nil {
@@ -151,7 +153,7 @@
 	}
 }
 
-// recordLatency records the latency of a response, which determines the delay after which later requests are hedged.
+// recordLatency records the latency of a response. The recorded latencies determine the delay after which later requests are hedged.
 func (l *loop) recordLatency(a *attempt, result exchange.Result) {
 	r := a.request
 	if r.route == nil || r.hedge.primary != nil || r.answered || result.Status != balancer.StatusOK {
--- a/internal/standalone/host.go
+++ b/internal/standalone/host.go
@@ -10,7 +10,7 @@
 
 // The methods in this file implement balancer.Host. They never block and never call the Balancer.
 
-// Send sends the next attempt of a request. A timeout of 0 means the deadline of the request.
+// Send sends the next attempt of a request. With a timeout of 0 only the deadline of the request limits it.
 func (l *loop) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	r := l.requests[id]
 	a := newAttempt(r, l.endpoints.byID[to], timeout, &l.bodyBudget)
@@ -32,7 +32,7 @@
 // Fail answers a request that may have run with a failure.
 func (l *loop) Fail(id balancer.RequestID) { l.endRequest(id, answer{}) }
 
-// Cancel cancels an attempt that is still in flight; its outcome follows.
+// Cancel cancels an attempt that is still in flight. Its outcome is reported to the Balancer later.
 func (l *loop) Cancel(id balancer.RequestID, number int) {
 	if r := l.requests[id]; r != nil && r.inFlight != nil && r.inFlight.number == number {
 		r.inFlight.cancel()
@@ -46,7 +46,7 @@
 	})
 }
 
-// HealthCheck sends a health check to an endpoint; the result follows.
+// HealthCheck sends a health check to an endpoint. Its result is reported to the Balancer later.
 func (l *loop) HealthCheck(to balancer.EndpointID) {
 	e := l.endpoints.byID[to]
 	if e == nil {
@@ -65,7 +65,7 @@
 // SendToPeer does nothing: the Balancer of a standalone sidecar sends no messages to peers.
 func (l *loop) SendToPeer(int, []byte) {}
 
-// WatchEndpoints starts or stops the watch on discovery, where the Balancer decides when to watch.
+// WatchEndpoints starts or stops the watch on discovery. The Balancer calls it if the settings have it decide when to watch.
 func (l *loop) WatchEndpoints(on bool) {
 	l.watcher.stop()
 	if on {
@@ -75,7 +75,7 @@
 
 // FetchEndpoints requests the complete list from discovery once.
 func (l *loop) FetchEndpoints() {
-	if l.config.Discovery != "" { // else Consul is the only source
+	if l.config.Discovery != "" { // otherwise Consul is the only source
 		l.watcher.fetch()
 	}
 }
--- a/internal/standalone/http3.go
+++ b/internal/standalone/http3.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/network/http3"
 )
 
-// openHTTP3Front opens the front for HTTP/3; nil if http3_listen is not set. Its errors name the file or http3_listen.
+// openHTTP3Front opens the front for HTTP/3; it returns nil if http3_listen is not set. Its errors name the file or http3_listen.
 func openHTTP3Front(config *Config, handler http.Handler, bounds http1.Bounds) (*http3.Front, error) {
 	settings := config.tuning.http3Callers
 	if settings.Listen == "" {
@@ -40,9 +40,9 @@
 	return front, nil
 }
 
-// loadSecurity reads the certificate and the secret that the settings name.
-func loadSecurity(c *Config, settings http3.FrontSettings) (security http3.Security, err error) {
-	pair, err := certfile.NewReloader(c.product.Resolve(settings.CertFile), c.product.Resolve(settings.KeyFile), log.Printf)
+// loadSecurity reads the certificate and, if the settings name one, the secret of the front.
+func loadSecurity(config *Config, settings http3.FrontSettings) (security http3.Security, err error) {
+	pair, err := certfile.NewReloader(config.product.Resolve(settings.CertFile), config.product.Resolve(settings.KeyFile), log.Printf)
 	if err != nil {
 		return security, err
 	}
@@ -50,7 +50,7 @@
 	if settings.SecretFile == "" {
 		return security, nil
 	}
-	secret, err := secretfile.ReadToken(c.product.Resolve(settings.SecretFile))
+	secret, err := secretfile.ReadToken(config.product.Resolve(settings.SecretFile))
 	if err != nil {
 		return security, err
 	}
@@ -58,7 +58,7 @@
 	return security, nil
 }
 
-// listenUDP opens a UDP socket at host:port.
+// listenUDP opens a UDP socket that is bound to a host:port.
 func listenUDP(address string) (*net.UDPConn, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return net.ListenUDP("udp", at)
 }
 
-// altSvcHeader returns the value of Alt-Svc that announces HTTP/3 at the same host to callers over HTTP/1.1 (RFC 7838, section 3);
-// empty for no announcement. Callers may remember it for maxAge.
+// altSvcHeader returns the value of the Alt-Svc header that announces HTTP/3 at the same host to callers over HTTP/1.1 (RFC 7838,
+// section 3); empty for no announcement. Callers may cache it for maxAge.
 func altSvcHeader(address net.Addr, maxAge time.Duration) string {
 	udp, ok := address.(*net.UDPAddr)
 	if !ok || maxAge <= 0 {
@@ -77,16 +77,16 @@
 	return fmt.Sprintf(`h3=":%d"; ma=%d`, udp.Port, int64(maxAge.Seconds()))
 }
 
-// openHTTP3Transport opens the transport for HTTP/3 to endpoints; nil if the settings do not use it.
-func openHTTP3Transport(c *Config, maxConnections int, idleTimeout time.Duration) (*http3.Transport, error) {
-	settings := c.tuning.http3Endpoints
+// openHTTP3Transport opens the transport for HTTP/3 to endpoints; it returns nil if the settings do not use HTTP/3.
+func openHTTP3Transport(config *Config, maxConnections int, idleTimeout time.Duration) (*http3.Transport, error) {
+	settings := config.tuning.http3Endpoints
 	if settings.Use == http3.Never {
 		return nil, nil
 	}
 	var pool *x509.CertPool
 	if settings.CAFile != "" {
 		var err error
-		if pool, err = certfile.LoadPool(c.product.Resolve(settings.CAFile)); err != nil {
+		if pool, err = certfile.LoadPool(config.product.Resolve(settings.CAFile)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/standalone/load.go
+++ b/internal/standalone/load.go
@@ -11,9 +11,9 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The environment variables. The last three override the platform's file.
+// Names of the environment variables. The last three variables override the platform's file.
 const (
-	envConfig    = "BALANCER_CONFIG" // the path of the platform's file
+	envConfig    = "BALANCER_CONFIG" // path of the platform's file
 	envName      = "BALANCER_NAME"
 	envListen    = "BALANCER_LISTEN"
 	envDiscovery = "BALANCER_DISCOVERY"
@@ -25,15 +25,16 @@
 	return LoadWith(getenv, Product{})
 }
 
-// LoadWith reads the product's file as well. If BALANCER_CONFIG is set, the platform's file has precedence for the settings that both
-// have. Otherwise the product's file has all settings.
+// LoadWith reads the product's file as well. If BALANCER_CONFIG is set, the platform's file takes precedence for the settings that both
+// files have. Otherwise all settings come from the product's file.
 func LoadWith(getenv func(string) string, product Product) (*Config, error) {
 	c := &Config{getenv: getenv, product: product}
 	return c.load(true)
 }
 
-// reload reads the files again. BALANCER_DISCOVERY no longer overrides the file: the environment is as old as the process, and the
-// file may have been replaced to name another discovery. The error lists the changed settings that take effect at a start only.
+// reload reads the files again and returns the new configuration. BALANCER_DISCOVERY no longer overrides the file: the environment
+// dates from the start of the process, and the file may have been replaced to name another discovery server. The error lists the
+// changed settings that take effect only at a start.
 func (c *Config) reload() (*Config, error) {
 	fresh, err := c.load(false)
 	if err != nil || c.file == nil {
@@ -49,8 +50,8 @@
 	return fresh, rejected.Err()
 }
 
-// logUnused logs the settings of the product's file that the platform's file replaces.
-func (c *Config) logUnused() {
+// logOverriddenSettings logs the settings of the product's file that have no effect because the platform's file sets them.
+func (c *Config) logOverriddenSettings() {
 	if c.file == nil || !c.hasPlatform {
 		return
 	}
@@ -59,12 +60,12 @@
 			continue // the group of sidecars uses it
 		}
 		if slices.Contains(appfile.PlatformTables(), s.Path[0]) {
-			log.Printf("%s: %s is not used: the platform's configuration says it", s.Location, s.ID())
+			log.Printf("%s: %s is not used: the platform's configuration sets it", s.Location, s.ID())
 		}
 	}
 }
 
-// load reads all files into a new Config. Nothing changes if one of them has a fault.
+// load reads all files into a new Config and leaves c unchanged. With useEnvDiscovery, BALANCER_DISCOVERY overrides the platform's file.
 func (c *Config) load(useEnvDiscovery bool) (*Config, error) {
 	var file *schema.File
 	if c.product.Load != nil {
@@ -113,11 +114,11 @@
 	return err
 }
 
-// openSources prepares what the product's file configures beside discovery: another source of endpoints, the admin pages, and the
-// group of sidecars.
+// openSources builds the components that the product's file configures: the source of endpoints other than discovery, the admin pages,
+// and the group of sidecars.
 func (c *Config) openSources() (err error) {
 	if c.tuning.endpointSource.Mode == endpointsource.ModeConsul {
-		c.Settings.MustSubscribe = false // the Balancer's list does not come from discovery
+		c.Settings.MustSubscribe = false // the Balancer's list comes from Consul, so it need not subscribe to discovery
 	}
 	if c.follower, err = c.product.Follow(c.file); err != nil {
 		return err
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// clockStart is the event clock at the start of the process. It is well above 0, so that the start of an endpoint shortly before
-	// that of this sidecar is above 0 as well: 0 means long ago.
+	// clockStart is the time on the event clock at which the process starts. It is well above 0, so that the start time of an endpoint
+	// that started shortly before this sidecar is above 0 as well: 0 means long ago.
 	clockStart = 24 * time.Hour
-	// eventQueueSize is how many events may wait for the loop. Beyond it, goroutines that post block.
+	// eventQueueSize is the maximum number of events that wait for the loop. While the queue is full, post blocks.
 	eventQueueSize = 1024
-	// sweepInterval is how often idle connections are checked.
+	// sweepInterval is the time between two checks of idle connections.
 	sweepInterval = time.Second
 )
 
@@ -27,27 +27,28 @@
 type loop struct {
 	events     chan func()
 	origin     time.Time       // zero of the event clock
-	ready      atomic.Bool     // the Balancer has a list
-	bodyBudget exchange.Budget // bytes for bodies of requests and responses
+	ready      atomic.Bool     // the Balancer has a list of endpoints
+	bodyBudget exchange.Budget // bytes available for bodies of requests and responses
 
 	config        *Config
-	shutdownAt    time.Time // when all requests must be answered; zero unless this sidecar is shutting down
+	shutdownAt    time.Time // time by which all requests must be answered; zero unless this sidecar is shutting down
 	versionFilter endpointsource.VersionFilter
 	merger        *endpointsource.Merger
-	nextTick      time.Duration // when the merger's next Tick is scheduled, on the event clock; 0 for not at all
-	stopFollower  context.CancelFunc
+	nextTick      time.Duration      // time on the event clock of the merger's next scheduled Tick; 0 for none
+	stopFollower  context.CancelFunc // stops the current follower; never nil
 	balancer      *balancer.Balancer
-	requests      map[balancer.RequestID]*request
+	requests      map[balancer.RequestID]*request // requests that are not answered or have an attempt in flight
 	recentIDs     recentIDs
 	endpoints     *endpointTable
 	http1         *http1.Transport // the fallback of transports
 	transports    transports
 	watcher       *watcher
-	memory        *memory // nil for none
-	backlog       backlog
+	memory        *memory // records on disk; nil if none are stored
+	backlog       backlog // chunks of lists that are not applied yet
 }
 
-// newLoop returns a loop that does not run yet. Its errors are those of the transports, the memory and the Balancer's settings.
+// newLoop returns a loop that is not running yet. It fails if a transport or the store cannot be opened, or if the Balancer's settings
+// are invalid.
 func newLoop(config *Config) (*loop, error) {
 	loop := &loop{
 		events:        make(chan func(), eventQueueSize),
@@ -77,7 +78,7 @@
 // openTransports opens the transports to endpoints that the configuration uses.
 func (l *loop) openTransports() error {
 	config := l.config
-	sockets := int(config.tuning.endpoints.Share * float64(config.Limits.Sockets-reservedSockets))
+	sockets := int(config.tuning.endpoints.SocketShare * float64(config.Limits.Sockets-reservedSockets))
 	idleTimeout := config.idleTimeout(config.tuning)
 	l.http1 = http1.NewTransport(sockets, idleTimeout, config.Settings.ConnectTimeout)
 	l.transports.fallback = l.http1
@@ -96,13 +97,13 @@
 	return nil
 }
 
-// now is the time on the event clock.
+// now returns the time on the event clock.
 func (l *loop) now() time.Duration { return time.Since(l.origin) }
 
-// post has the loop run an event. The loop's own goroutine must not call it: it would block while the queue is full.
+// post queues an event for the loop to run. The loop's own goroutine must not call it: it would block forever if the queue were full.
 func (l *loop) post(event func()) { l.events <- event }
 
-// run handles events until the process ends.
+// run starts to follow the sources of endpoints and handles events until the process ends.
 func (l *loop) run() {
 	l.loadLastKnown()
 	if !l.config.Settings.MustSubscribe && l.config.Discovery != "" {
@@ -123,7 +124,7 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long, and confirms the saved list while discovery is heard.
+// sweep closes connections that have been idle for too long, and confirms the saved list if discovery has sent something recently.
 func (l *loop) sweep() {
 	l.transports.sweep(time.Now())
 	if l.memory != nil && l.watcher.isCurrent(l.now()) {
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -14,35 +14,36 @@
 	"quincegap/internal/modules/idempotency"
 )
 
-// The keys of the store's records. They are data on the disk.
+// Keys of the store's records, or the first bytes of such keys. They are part of the format on disk.
 const (
-	requestKeyPrefix  = 'r' // followed by the id of an entry of the request table
-	endpointKeyPrefix = 'e' // followed by the uid of an endpoint of the saved list
-	listKey           = 'l' // the time to live of this record shows when the saved list was last confirmed
-	groupKey          = 'g' // the group of sidecars that was settled last
+	requestKeyPrefix  = 'r' // followed by the id of an entry in the request table
+	endpointKeyPrefix = 'e' // followed by the uid of an endpoint in the saved list
+	listKey           = 'l' // marker whose remaining time to live shows when the saved list was last confirmed
+	groupKey          = 'g' // group of sidecars that its members last agreed on
 )
 
-// diskTrialInterval is how often a write to a failing disk is tried while there is nothing else to write.
+// diskTrialInterval is the minimum time between two trial writes, which find out whether a failing disk works again when nothing else is
+// written.
 const diskTrialInterval = time.Second
 
-// memory is what a sidecar keeps on the disk for the process that follows it: which requests may have run (memory_requests.go), the
-// last list of endpoints (memory_list.go) and the last group of sidecars (group.go). The loop owns it, except for the store, which
-// has its own goroutines, and for diskFailing.
+// memory is the state that a sidecar stores on disk for its next process: which requests may have run (memory_requests.go), the last
+// list of endpoints (memory_list.go) and the last group of sidecars (group.go). The loop owns it, except for the store, which has its
+// own goroutines, and for diskFailing.
 type memory struct {
 	settings         Memory
 	table            *idempotency.Table
 	store            *store.Store
-	servesUnrecorded []bool // by class: whether requests are served while they cannot be recorded
+	servesUnrecorded []bool // for each class, whether its requests are served while they cannot be recorded
 	classes          []balancer.Class
-	zones            nameIndex       // of the endpoints
-	savedUIDs        map[string]bool // of the endpoints of the saved list, so that the loop need not read the disk
-	listSavedAt      time.Duration   // on the event clock
-	diskTriedAt      time.Duration   // when a write to the failing disk was last tried, on the event clock
-	diskFailing      atomic.Bool     // the last write failed, which was logged
+	zones            nameIndex       // numbers of the endpoints' zones
+	savedUIDs        map[string]bool // uids of the endpoints in the saved list, cached so that the loop need not read the disk
+	listSavedAt      time.Duration   // time on the event clock at which the saved list was last written or confirmed
+	diskTriedAt      time.Duration   // time on the event clock of the last trial write to the failing disk
+	diskFailing      atomic.Bool     // the last write failed; the failure was logged
 }
 
-// openMemory opens the memory that the file configures; nil for none. Its errors name memory.memory_dir or
-// memory.remembered_requests.
+// openMemory opens the memory that the file configures; it returns nil if memory.memory_dir is not set. Its errors name
+// memory.memory_dir or memory.remembered_requests.
 func openMemory(config *Config, zones nameIndex, now time.Duration) (*memory, error) {
 	settings := config.tuning.memory
 	if settings.Dir == "" {
@@ -71,26 +72,28 @@
 		savedUIDs: map[string]bool{},
 	}
 	for _, class := range config.Settings.Classes {
-		of := appfile.ClassTable.Get(config.file, class.Name)
-		opened.servesUnrecorded = append(opened.servesUnrecorded, of == nil || of.OnMemoryFailure == appfile.ContinueWithoutMemory)
+		classSettings := appfile.ClassTable.Get(config.file, class.Name)
+		opened.servesUnrecorded = append(opened.servesUnrecorded,
+			classSettings == nil || classSettings.OnMemoryFailure == appfile.ContinueWithoutMemory)
 	}
 	logDamage(records.Health())
 	return opened, opened.restore(now)
 }
 
-// logDamage logs the parts of the files that could not be read.
+// logDamage logs which parts of the store's files could not be read.
 func logDamage(h store.Health) {
 	for _, d := range h.Damage {
 		log.Printf("memory: %v", d)
 	}
 	if h.TornBytes > 0 {
-		log.Printf("memory: %d bytes of an append that was cut, or of damage to the last one, were passed over", h.TornBytes)
+		log.Printf("memory: skipped %d bytes at the end, where the last append is incomplete or damaged", h.TornBytes)
 	}
 }
 
-// restore reads the records of earlier processes of this sidecar. It returns an error if the request table is too small for them.
+// restore reads the records of earlier processes of this sidecar into the request table. It returns an error if the
+// table is too small for them. Records that cannot be read are logged and skipped.
 func (m *memory) restore(now time.Duration) error {
-	unknownForms := 0
+	unknownFormats := 0
 	var tableErr error
 	visit := func(key, value []byte, left time.Duration) bool {
 		if key[0] == endpointKeyPrefix {
@@ -101,29 +104,29 @@
 		}
 		entry, err := idempotency.Decode(value, now, left)
 		if err != nil {
-			unknownForms++
+			unknownFormats++
 			return true
 		}
 		tableErr = m.table.Restore(idempotency.ID(key[1:]), entry)
 		return tableErr == nil
 	}
 	if err := m.store.Range(visit); err != nil {
-		log.Printf("memory: %v", err)
+		log.Printf("memory: read records: %v", err)
 	}
-	if unknownForms > 0 {
-		log.Printf("memory: %d requests are remembered in a form that is not known, and are passed over", unknownForms)
+	if unknownFormats > 0 {
+		log.Printf("memory: skipped %d request records in an unknown format", unknownFormats)
 	}
 	if n := m.table.Len(); n > 0 {
-		log.Printf("memory: %d requests of earlier lives may have run", n)
+		log.Printf("memory: %d requests of earlier processes may have run", n)
 	}
 	if tableErr != nil {
-		return fmt.Errorf("memory.remembered_requests: %d: %w: more were before", m.settings.MaxRequests, tableErr)
+		return fmt.Errorf("memory.remembered_requests: %d: %w: an earlier process recorded more requests", m.settings.MaxRequests, tableErr)
 	}
 	return nil
 }
 
-// reportWrite is called with the result of each write. It logs when the disk begins to fail and when it works again. Any goroutine may
-// call it.
+// reportWrite handles the result of a write to the store. It logs when the disk begins to fail and when it works again. It may be called
+// from any goroutine.
 func (m *memory) reportWrite(err error) {
 	switch {
 	case errors.Is(err, store.ErrClosed): // the sidecar shuts down
@@ -140,6 +143,6 @@
 		return
 	}
 	if err := m.store.Close(); err != nil {
-		log.Printf("memory: %v", err)
+		log.Printf("memory: close store: %v", err)
 	}
 }
--- a/internal/standalone/memory_list.go
+++ b/internal/standalone/memory_list.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// listSaveInterval is how often the saved list is confirmed while its source is heard.
+	// listSaveInterval is the time between two confirmations of the saved list while its source sends data.
 	listSaveInterval = 10 * time.Second
-	// maxSavedEndpoints bounds the saved list: endpoints of a longer one are not saved.
+	// maxSavedEndpoints is the maximum size of the saved list. While more endpoints are listed, no endpoint is added to it.
 	maxSavedEndpoints = 20_000
 )
 
-// savedList returns the saved list of endpoints and its age; false if none is saved or it is older than list_keep.
+// savedList returns the saved list of endpoints and its age; ok is false if none is saved or it is older than list_keep.
 func (m *memory) savedList() (list endpointsource.List, age time.Duration, ok bool) {
 	_, left, ok, err := m.store.Get([]byte{listKey})
 	if err != nil {
-		log.Printf("memory: %v", err)
+		log.Printf("memory: read saved list: %v", err)
 	}
 	if !ok || m.settings.ListRetention == 0 {
 		return list, 0, false
@@ -38,13 +38,13 @@
 		return true
 	}
 	if err := m.store.Range(visit); err != nil {
-		log.Printf("memory: %v", err)
+		log.Printf("memory: read saved endpoints: %v", err)
 	}
 	slices.SortFunc(list.Endpoints, func(a, b endpointsource.Endpoint) int { return strings.Compare(a.UID, b.UID) })
 	return list, m.settings.ListRetention - left, len(list.Endpoints) > 0
 }
 
-// saveList applies a list, complete or a delta, to the saved one. listed are all endpoints that are listed now.
+// saveList applies a list, complete or a delta, to the saved list. listed contains all endpoints that are currently listed.
 func (m *memory) saveList(now time.Duration, list endpointsource.List, listed map[balancer.EndpointID]*exchange.Endpoint) {
 	if m.settings.ListRetention == 0 || list.Kind == balancer.ListCached {
 		return
@@ -83,14 +83,15 @@
 	}
 }
 
-// confirmList writes a batch, and with it that the saved list is up to date.
+// confirmList writes a batch together with a record that the saved list is up to date.
 func (m *memory) confirmList(now time.Duration, b *store.Batch) {
 	m.listSavedAt = now
 	b.Put([]byte{listKey}, nil, m.settings.ListRetention)
 	m.store.Apply(*b, m.reportWrite)
 }
 
-// refreshList confirms the saved list if listSaveInterval has passed. It is called while the source of the list is heard.
+// refreshList confirms the saved list if listSaveInterval has passed since it was last written or confirmed. It must only be called while
+// the source of the list sends data.
 func (m *memory) refreshList(now time.Duration) {
 	if m.settings.ListRetention > 0 && now-m.listSavedAt >= listSaveInterval {
 		m.confirmList(now, &store.Batch{})
--- a/internal/standalone/memory_requests.go
+++ b/internal/standalone/memory_requests.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/network/exchange"
 )
 
-// outcomeSyncDelay is how long the record of an attempt's outcome may wait to be synced together with another record. If it is lost, a
-// request counts as one that may have run though it has not, which is safe.
+// outcomeSyncDelay is how long the record of an attempt's outcome may wait to be synced together with another record. Losing it is safe:
+// a request that has not run is then taken for one that may have run.
 const outcomeSyncDelay = 20 * time.Millisecond
 
-// rejects looks up whether a request that arrives may have run before, and reports whether it has to be rejected because it could not
-// be recorded. One that may have run is never rejected: a rejection would promise that it has not.
-func (m *memory) rejects(now time.Duration, r *request) bool {
+// mustReject sets r.Prior if an arriving request may have run before. It reports whether the request has to be rejected because it could
+// not be recorded. A request that may have run is never rejected: a rejection would promise that it has not.
+func (m *memory) mustReject(now time.Duration, r *request) bool {
 	m.lookUpPrior(now, r)
 	return !r.Prior.MayHaveRun && m.cannotRecord(now, r.Class)
 }
@@ -34,7 +34,7 @@
 	return true
 }
 
-// entryID returns the id of a request in the table; false for an idempotent one, which is not recorded.
+// entryID returns the id of a request's entry in the table; ok is false for an idempotent request, which is not recorded.
 func (m *memory) entryID(r *request) (id idempotency.ID, ok bool) {
 	class := &m.classes[r.Class]
 	switch class.Idempotency {
@@ -46,7 +46,7 @@
 	return id, false
 }
 
-// lookUpPrior sets r.Prior if the table has the request.
+// lookUpPrior sets r.Prior if the table contains the request.
 func (m *memory) lookUpPrior(now time.Duration, r *request) {
 	id, ok := m.entryID(r)
 	if !ok {
@@ -61,7 +61,8 @@
 	}
 }
 
-// beginAttempt records that an attempt is about to be sent, and returns the gate that the attempt has to pass; nil for none.
+// beginAttempt records that an attempt is about to be sent. It returns the gate that delays the attempt until the record is on the disk;
+// nil if the attempt need not wait.
 func (m *memory) beginAttempt(now time.Duration, r *request, to *exchange.Endpoint) *durabilityGate {
 	id, ok := m.entryID(r)
 	if !ok {
@@ -88,7 +89,8 @@
 	return gate
 }
 
-// putEntry writes an entry with a time to live. The write may wait for syncDelay to be synced with others.
+// putEntry writes an entry with a time to live. The write may be delayed by up to syncDelay to be synced together with others. done is
+// called with its result.
 func (m *memory) putEntry(id idempotency.ID, entry *idempotency.Entry, ttl, syncDelay time.Duration, done func(error)) {
 	var b store.Batch
 	b.SetMaxDelay(syncDelay)
@@ -96,14 +98,14 @@
 	m.store.Apply(b, done)
 }
 
-// endAttempt records the outcome of an attempt, and reports whether the request may have run. answered means that its response goes to
-// the caller.
-func (m *memory) endAttempt(now time.Duration, a *attempt, status balancer.Status, answered bool) (mayRun bool) {
-	id, ok := m.entryID(a.request)
+// endAttempt records the outcome of an attempt, and reports whether the request may have run. answered is set if the attempt's response
+// goes to the caller.
+func (m *memory) endAttempt(now time.Duration, ended *attempt, status balancer.Status, answered bool) (mayRun bool) {
+	id, ok := m.entryID(ended.request)
 	if !ok {
 		return false
 	}
-	if a.gate != nil && a.gate.durable {
+	if ended.gate != nil && ended.gate.durable {
 		m.table.MarkDurable(id)
 	}
 	switch entry, change := m.table.EndAttempt(id, status, answered); change {
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -32,14 +32,14 @@
 	if err := mem.table.Restore(id, idempotency.Entry{SentAt: time.Hour, Retention: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	if mem.rejects(time.Hour, requestOf("new")) {
+	if mem.mustReject(time.Hour, requestOf("new")) {
 		t.Error("rejected while the disk works")
 	}
 	mem.reportWrite(errors.New("no space left"))
-	if !mem.rejects(time.Hour, requestOf("new")) {
+	if !mem.mustReject(time.Hour, requestOf("new")) {
 		t.Error("a request that cannot be remembered was admitted")
 	}
-	if r := requestOf("ran"); mem.rejects(time.Hour, r) || !r.Prior.MayHaveRun {
+	if r := requestOf("ran"); mem.mustReject(time.Hour, r) || !r.Prior.MayHaveRun {
 		t.Errorf("a request that may have run was rejected: %+v", r.Prior)
 	}
 }
--- a/internal/standalone/parse.go
+++ b/internal/standalone/parse.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// maxIDBytes bounds the id of a request.
+	// maxIDBytes is the maximum length of a request's id.
 	maxIDBytes = 128
-	// maxRemaining bounds the time that a caller waits.
+	// maxRemaining is the maximum time that a caller may say it waits.
 	maxRemaining = time.Hour
 )
 
-// faultNoLength is the answer to a request whose length is not known.
+// faultNoLength is the answer to a request whose body has no declared length.
 const faultNoLength = "a request must tell its Content-Length"
 
-// parse returns what the Balancer needs of a request, or the fault of the request and the status to answer with.
+// parse checks a request and returns its parsed form, without the body. For an invalid request it returns a description of the fault and
+// the status to answer with.
 func (s *server) parse(r *http.Request) (req *request, status int, fault string) {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -41,14 +42,14 @@
 	return req, 0, ""
 }
 
-// isReplayable reports whether a proxy in front received a request that is not idempotent in early data, before the handshake of its
-// caller was complete. An attacker who recorded it could replay it, and it would run twice.
+// isReplayable reports whether a request that is not idempotent reached a proxy in front of this sidecar in early data, before the
+// handshake of its caller was complete. An attacker who recorded it could replay it, and it would run twice.
 func (s *server) isReplayable(r *http.Request, req *request) bool {
-	return s.tuning.Load().callers.TooEarly && r.Header.Get(headerEarlyData) == headerSet &&
+	return s.tuning.Load().callers.RejectEarlyData && r.Header.Get(headerEarlyData) == headerSet &&
 		s.config.Settings.Classes[req.Class].Idempotency != balancer.Idempotent
 }
 
-// parseHeaders reads the headers of a request, or returns the first fault.
+// parseHeaders reads the headers of a request and finds its route. It returns the first fault, or an empty string.
 func (s *server) parseHeaders(r *http.Request) (req *request, fault string) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return nil, "not a path: this is no proxy for other hosts"
@@ -67,7 +68,7 @@
 	}
 	class := &s.config.Settings.Classes[req.Class]
 	if class.Idempotency == balancer.IdempotentWithKey && r.Header.Get(headerIdempotencyKey) == "" {
-		return nil, headerIdempotencyKey + ": missing" // endpoints could not recognise a repeat
+		return nil, headerIdempotencyKey + ": missing" // without it endpoints cannot recognise a duplicate
 	}
 	if !methodFits(r.Method, class) {
 		return nil, r.Method + ": not the method of this class"
@@ -76,7 +77,7 @@
 	return req, ""
 }
 
-// parseIdentity reads the headers that each request must have: its id, class, time and tenant.
+// parseIdentity reads the headers that each request must have: its id, class, remaining time and, if the settings have tenants, tenant.
 func (s *server) parseIdentity(r *http.Request, req *request) (fault string) {
 	req.ID = balancer.RequestID(r.Header.Get(headerRequestID))
 	if req.ID == "" || len(req.ID) > maxIDBytes {
@@ -101,7 +102,7 @@
 	return ""
 }
 
-// methodFits reports whether requests of a class have a method: GET if the class is idempotent, else POST.
+// methodFits reports whether a method is the one that requests of a class must use: GET for an idempotent class, otherwise POST.
 func methodFits(method string, class *balancer.Class) bool {
 	if class.Idempotency == balancer.Idempotent {
 		return method == http.MethodGet
@@ -121,7 +122,7 @@
 	req.Write = r.Method != http.MethodGet && r.Method != http.MethodHead
 }
 
-// applyRoute finds the route of a request and applies its settings. It returns a fault if the path is ambiguous.
+// applyRoute finds the route of a request and applies the route's settings to the request. It returns a fault if the path is ambiguous.
 func (s *server) applyRoute(r *http.Request, req *request) (fault string) {
 	routes := s.tuning.Load().routes
 	if routes == nil {
@@ -147,12 +148,12 @@
 	req.AttemptTimeout = settings.AttemptTimeout
 	req.ValueFactor = settings.Value
 	if limit := tighterLimit(settings.MaxAttempts, s.config.Settings.MaxAttempts); limit > 0 && s.config.mayHedge(req) {
-		req.MaxAttempts = limit - 1 // the secondary's attempt is one of them
+		req.MaxAttempts = limit - 1 // one attempt is reserved for the secondary
 	}
 	return ""
 }
 
-// parseRemaining parses a number with its unit, m for milliseconds or u for microseconds; false if it is malformed, negative or above
+// parseRemaining parses a number with a unit, m for milliseconds or u for microseconds; ok is false if it is malformed, negative or above
 // maxRemaining.
 func parseRemaining(text string) (left time.Duration, ok bool) {
 	unit := time.Millisecond
--- a/internal/standalone/protocols_test.go
+++ b/internal/standalone/protocols_test.go
@@ -189,7 +189,7 @@
 			arrived <- r.Header.Get("X-Lane") + r.Header.Get("Early-Data")
 		}))
 		tuning := *sidecar.server.tuning.Load()
-		tuning.callers.TooEarly = true
+		tuning.callers.RejectEarlyData = true
 		sidecar.server.tuning.Store(&tuning)
 		for class, want := range map[string]int{"read": 200, "book": 425, "once": 425} {
 			r := sidecar.request(class, 5*time.Second)
--- a/internal/standalone/recent_ids.go
+++ b/internal/standalone/recent_ids.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// recentIDRetention is how long the id of a request that has ended is kept.
+	// recentIDRetention is how long the id of a request is stored after the request has ended.
 	recentIDRetention = 10 * time.Second
-	// maxRecentIDs bounds those that are kept.
+	// maxRecentIDs is the maximum number of ids that are stored.
 	maxRecentIDs = 4096
 )
 
-// recentIDs holds the ids of requests that have ended recently. Ids are unique: another request with the same one is a duplicate, which
-// endpoints may run twice or reject. The zero value is empty. The loop owns it.
+// recentIDs stores the ids of requests that have ended recently. Ids are unique: another request with the same id is a duplicate, which
+// endpoints may run twice or reject. The zero value is empty and ready to use. The loop owns it.
 type recentIDs struct {
-	endedAt map[balancer.RequestID]time.Duration
-	ids     []balancer.RequestID // in the order in which they ended
+	endedAt map[balancer.RequestID]time.Duration // time on the event clock at which the request with an id ended
+	ids     []balancer.RequestID                 // ids in the order in which their requests ended
 }
 
-// add adds the id of a request that ends now, and drops the ids of those that ended too long ago.
+// add adds the id of a request that ends now. It deletes ids that are older than recentIDRetention, and the oldest if there are too many.
 func (r *recentIDs) add(id balancer.RequestID, now time.Duration) {
 	if r.endedAt == nil {
 		r.endedAt = map[balancer.RequestID]time.Duration{}
@@ -33,7 +33,7 @@
 	r.ids = append(r.ids, id)
 }
 
-// has reports whether a request with an id has ended recently.
+// has reports whether a request with the given id ended within recentIDRetention.
 func (r *recentIDs) has(id balancer.RequestID, now time.Duration) bool {
 	endedAt, ok := r.endedAt[id]
 	return ok && now-endedAt <= recentIDRetention
--- a/internal/standalone/request.go
+++ b/internal/standalone/request.go
@@ -13,45 +13,46 @@
 	balancer.Request
 	exchange.Inbound
 
-	deadline      time.Time    // of its attempts, early enough to write the answer in time
-	attempts      int          // how many were sent so far
-	inFlight      *attempt     // nil while none is
-	answered      bool         // the caller has its final answer, or has gone
-	route         *route.Route // nil for none
-	retryReserved bool         // a retry was taken out of the route's budget and has not been sent
+	deadline      time.Time    // deadline of its attempts, early enough for the answer to be written in time
+	attempts      int          // number of attempts sent so far
+	inFlight      *attempt     // attempt that is in flight; nil for none
+	answered      bool         // the final answer was delivered, or the caller has disconnected
+	route         *route.Route // route of the request; nil for none
+	retryReserved bool         // a retry was taken out of the route's budget and has not been sent yet
 	hedge         hedge
-	answer        chan answer // buffered, so that the loop never waits for a handler
+	answer        chan answer // receives the final answer; buffered, so that the loop never waits for a handler
 }
 
-// answer is the final answer to a request: an endpoint's response, a rejection, or else a failure.
+// answer is the final answer to a request: an endpoint's response, a rejection, or a failure, which is the zero value.
 type answer struct {
 	response   *exchange.Response // nil for a rejection or failure
 	rejected   bool               // the request has not run and may be repeated
-	retryAfter time.Duration      // 0 for no Retry-After
+	retryAfter time.Duration      // value of Retry-After; 0 for no such header
 }
 
-// handleArrival handles a request that its handler has read at a time: it is passed to the Balancer, or answered at once.
+// handleArrival handles a request that its handler has completely received at a time. It passes the request to the Balancer, or answers
+// it immediately if it is not admitted.
 func (l *loop) handleArrival(r *request, received time.Time) {
 	if immediate, admitted := l.admit(r); !admitted {
 		r.answer <- immediate
 		return
 	}
 	r.deadline = received.Add(r.TimeLeft - l.config.Settings.GraceToAnswer)
-	r.TimeLeft = time.Until(r.deadline) // regardless of a shutdown, of which the Balancer knows
+	r.TimeLeft = time.Until(r.deadline) // not shortened by a shutdown, which the Balancer accounts for itself
 	r.capDeadline(l.shutdownAt)
 	l.requests[r.ID] = r
 	l.balancer.HandleRequest(l.now(), r.Request)
 }
 
-// admit decides whether a request is admitted, and returns its answer if it is not.
+// admit reports whether a request is admitted, and returns the answer to it if it is not.
 func (l *loop) admit(r *request) (immediate answer, admitted bool) {
 	switch limit := l.config.Settings.OpenCap; {
 	case l.requests[r.ID] != nil || l.recentIDs.has(r.ID, l.now()):
-		return answer{}, false // a duplicate: the request with this id may have run
+		return answer{}, false // a duplicate: the earlier request with this id may have run
 	case limit > 0 && len(l.requests) >= limit:
 		return answer{rejected: true}, false
 	}
-	if l.memory != nil && l.memory.rejects(l.now(), r) {
+	if l.memory != nil && l.memory.mustReject(l.now(), r) {
 		return answer{rejected: true, retryAfter: time.Second}, false
 	}
 	if r.route != nil && !r.route.Admit() {
@@ -61,8 +62,8 @@
 	return answer{}, true
 }
 
-// shutDownAt has all requests answered by a time. Attempts that are in flight then are cancelled.
-func (l *loop) shutDownAt(end time.Time) {
+// scheduleShutdown limits all requests, present and future, to a deadline. Attempts that are in flight at that time are cancelled.
+func (l *loop) scheduleShutdown(end time.Time) {
 	l.shutdownAt = end
 	for _, r := range l.requests {
 		r.capDeadline(end)
@@ -79,31 +80,32 @@
 	})
 }
 
-// capDeadline limits the deadline of a request's further attempts. A zero time changes nothing.
+// capDeadline limits the deadline of the request's further attempts to a time. A zero time has no effect.
 func (r *request) capDeadline(end time.Time) {
 	if !end.IsZero() && end.Before(r.deadline) {
 		r.deadline = end
 	}
 }
 
-// handleClientGone handles that the caller of a request has disconnected.
+// handleClientGone handles the disconnection of the caller of a request.
 func (l *loop) handleClientGone(r *request) {
 	if l.requests[r.ID] == r && !r.answered {
 		l.abandon(r)
 		return
 	}
 	select {
-	case a := <-r.answer: // it was sent just before the caller disconnected
+	case a := <-r.answer: // the loop answered just before the caller disconnected
 		l.releaseResponse(a.response)
 	default:
 	}
 }
 
-// abandon ends a request whose caller has gone, and its secondary. It calls the Balancer, so the Balancer must not be the caller.
+// abandon ends a request whose answer is no longer needed, and its secondary. It calls the Balancer, so the Balancer must not be the
+// caller.
 func (l *loop) abandon(r *request) {
 	r.answered = true
 	if r.inFlight != nil {
-		r.inFlight.cancel() // its outcome follows
+		r.inFlight.cancel() // its outcome is handled by handleAttemptEnd
 	}
 	l.balancer.HandleClientGone(l.now(), r.ID)
 	l.forget(r)
@@ -112,9 +114,10 @@
 	}
 }
 
-// deliver sends the final answer of a request to its handler, unless it has one or has to wait for its secondary.
+// deliver sends the final answer of a request to its handler, unless the request is already answered or the answer is withheld because
+// of its hedge.
 func (l *loop) deliver(r *request, a answer) {
-	if r.answered || l.awaitHedge(r, &a) {
+	if r.answered || l.withholdAnswer(r, &a) {
 		return
 	}
 	r.answered = true
@@ -144,7 +147,7 @@
 	}
 }
 
-// releaseResponse returns the bytes of a response's body to the budget. The response may be nil.
+// releaseResponse returns the bytes of a response's body to the body budget. The response may be nil.
 func (l *loop) releaseResponse(r *exchange.Response) {
 	if r != nil {
 		l.bodyBudget.Release(len(r.Body))
--- a/internal/standalone/server.go
+++ b/internal/standalone/server.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// reservedSockets are for the listener, discovery, health checks, standard streams and the runtime, and for
-	// exchange.ExcessSockets.
+	// reservedSockets is the number of sockets reserved for the listener, discovery, health checks, standard streams and the runtime,
+	// and for exchange.ExcessSockets.
 	reservedSockets = 32
-	// writeTimeout is how long after the longest deadline an answer may take to be written.
+	// writeTimeout is how long after the longest deadline the writing of an answer times out.
 	writeTimeout = 10 * time.Second
-	// bodyRetryAfter is the Retry-After of a request whose body exceeds the budget.
+	// bodyRetryAfter is the Retry-After of a request that is rejected because its body exceeds the body budget.
 	bodyRetryAfter = time.Second
 )
 
 // faultTooEarly is the answer to early data that must not run before the handshake is complete (RFC 8470, section 5.2).
 const faultTooEarly = "too early: send it again when the handshake is complete"
 
-// server passes requests of callers to the loop, and answers back.
+// server passes requests from callers to the loop, and writes the answers to the callers.
 type server struct {
 	fronts          []exchange.Front
 	loop            *loop
 	config          *Config
-	classes         map[string]int            // by name, the index in the settings
-	tenants         map[string]int            // by name, the index in the settings
-	longestDeadline time.Duration             // of all classes
+	classes         map[string]int            // index in the settings of each class, by name
+	tenants         map[string]int            // index in the settings of each tenant, by name
+	longestDeadline time.Duration             // longest deadline of all classes
 	quietPeriod     time.Duration             // see defaultQuietPeriod
-	tuning          atomic.Pointer[tuning]    // replaced by a reload
-	shutdownAt      atomic.Pointer[time.Time] // when all requests are answered; nil unless it is shutting down
+	tuning          atomic.Pointer[tuning]    // current settings of the product's file; replaced by a reload
+	shutdownAt      atomic.Pointer[time.Time] // time by which all requests are answered; nil unless the server is shutting down
 	group           group
-	instances       atomic.Int64 // sidecars of this application, as far as is known
+	instances       atomic.Int64 // number of sidecars of this application, as last reported
 }
 
-// newServer opens the fronts; listener is that of the front for HTTP/1.1.
+// newServer returns a server with its fronts. The front for HTTP/1.1 uses listener; the front for HTTP/3 opens its own socket.
 func newServer(config *Config, l *loop, listener net.Listener) (*server, error) {
 	server := &server{
 		loop:        l,
@@ -71,11 +71,11 @@
 	return server, nil
 }
 
-// frontBounds returns the bounds of a front for HTTP/1.1.
+// frontBounds returns the limits of the HTTP/1.1 front, from which those of the HTTP/3 front are derived.
 func (s *server) frontBounds() http1.Bounds {
 	c := s.config.tuning.callers
 	return http1.Bounds{
-		MaxConnections: int(c.Share * float64(s.config.Limits.Sockets-reservedSockets)),
+		MaxConnections: int(c.SocketShare * float64(s.config.Limits.Sockets-reservedSockets)),
 		MaxHeaderBytes: int(c.MaxHeader),
 		RequestTimeout: c.RequestTimeout,
 		IdleTimeout:    c.IdleTimeout,
@@ -83,22 +83,22 @@
 	}
 }
 
-// ServeHTTP is the handler of all fronts: it reads and checks a request, has the loop answer it, and writes the answer.
+// ServeHTTP is the handler of all fronts. It reads and checks a request, passes it to the loop and writes the loop's answer.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readyPath && r.Header.Get(headerRequestID) == "" {
 		s.serveReadiness(w)
 		return
 	}
 	caller := exchange.CallerOf(r)
-	began, over := caller.BeginRequest()
-	if over {
+	began, excess := caller.BeginRequest()
+	if excess {
 		caller.CloseAfter(w.Header())
 		s.writeAnswer(w, caller, answer{rejected: true})
 		return
 	}
 	req, status, fault := s.parse(r)
 	if fault != "" {
-		// The bytes that follow on the connection may not be a request.
+		// The fault may be in the framing: the bytes that follow on the connection may not be a request.
 		caller.CloseAfter(w.Header())
 		http.Error(w, fault, status)
 		return
@@ -119,7 +119,7 @@
 	}
 	received := time.Now()
 	safe := s.config.Settings.Classes[req.Class].Idempotency == balancer.Idempotent
-	if !s.confirmEarly(r, caller, req, safe) {
+	if !s.awaitHandshake(r, caller, req, safe) {
 		http.Error(w, faultTooEarly, http.StatusTooEarly)
 		return
 	}
@@ -136,19 +136,19 @@
 		s.loop.releaseResponse(a.response)
 	case <-r.Context().Done():
 		s.loop.post(func() { s.loop.handleClientGone(req) })
-		// A return would send an empty 200 to a caller that has closed only its side of the connection.
+		// Returning would send an empty 200 to a caller that has closed only its side of the connection.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serveReadiness answers 200 if this sidecar has a list of endpoints and is not shutting down, else 503.
+// serveReadiness answers 200 if this sidecar has a list of endpoints and is not shutting down, otherwise 503.
 func (s *server) serveReadiness(w http.ResponseWriter) {
 	if !s.loop.ready.Load() || s.shutdownAt.Load() != nil {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 	}
 }
 
-// bodyCopies is how many copies of a request's body there may be in memory: the one that was read, and one for each attempt in flight.
+// bodyCopies returns how many copies of a request's body may be in memory: the one that was read, and one for each attempt in flight.
 func (s *server) bodyCopies(req *request) int {
 	if s.config.mayHedge(req) {
 		return 3
@@ -156,10 +156,10 @@
 	return 2
 }
 
-// readBody reads the body of a request that began at a time; false if it is not complete in time.
+// readBody reads the body of a request that began to arrive at a time; ok is false if the body is not complete within the request timeout.
 func (s *server) readBody(w http.ResponseWriter, r *http.Request, began time.Time) (body []byte, ok bool) {
-	// The read deadline is removed after the body: when it expired, it would look like a caller that disconnects. Fronts without
-	// read deadlines limit the time in their own way.
+	// The read deadline is removed after the body, because its expiry would look like a caller that disconnects. Fronts that do not
+	// support read deadlines limit the time themselves.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(began.Add(s.config.tuning.callers.RequestTimeout))
 	body, err := exchange.ReadAll(r.Body)
@@ -173,10 +173,10 @@
 	return body, int64(len(body)) == r.ContentLength
 }
 
-// confirmEarly delays a request in early data until the handshake of its caller is complete; false if that takes too long. An attacker
-// who recorded early data can replay it, to this sidecar or another, so a request that is not idempotent must not be forwarded
-// before. A safe one is forwarded at once, marked as early.
-func (s *server) confirmEarly(r *http.Request, caller exchange.Caller, req *request, safe bool) bool {
+// awaitHandshake delays a request in early data until the handshake of its caller is complete. It returns false if that takes too long.
+// An attacker who recorded early data can replay it, to this sidecar or another, so a request that is not idempotent must not be
+// forwarded before. A safe request is forwarded immediately, with a header that marks it as early data.
+func (s *server) awaitHandshake(r *http.Request, caller exchange.Caller, req *request, safe bool) bool {
 	if !caller.Early() {
 		return true
 	}
--- a/internal/standalone/shutdown.go
+++ b/internal/standalone/shutdown.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// defaultQuietPeriod is how long there must have been no new connection, and no caller connected, before a sidecar that is
-	// shutting down ends early.
+	// defaultQuietPeriod is how long a sidecar that is shutting down must have had no connected caller and no new connection before it
+	// ends early.
 	defaultQuietPeriod = 500 * time.Millisecond
-	// shutdownPollInterval is how often that is checked.
+	// shutdownPollInterval is the time between two checks for connected callers during a shutdown.
 	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// shutDown ends the server shortly before SIGKILL is expected, with all accepted requests answered. Until then it goes on serving:
-// the platform sends it no new callers, but the present ones go on using their connections, and if it is the only sidecar, or the
-// others have ended or are just starting, they have no other. If there are others, it closes idle connections hand_over before the
-// end, so that its last callers move there. It ends early when no caller is connected any more. Requests are lost if the platform
-// kills sooner than the settings say. Its error joins those of the fronts.
+// shutDown stops the server shortly before SIGKILL is expected, with all accepted requests answered. Until then the server continues to
+// serve: the platform directs no new callers to it, but the current callers continue to use their connections, and they have no other
+// sidecar if this is the only one, or if the others have ended or are still starting. If there are other sidecars, the server closes
+// idle connections hand_over before the end, so that its last callers move to them. It stops early once no caller is connected.
+// Requests are lost if the platform sends SIGKILL sooner than the settings say. The returned error joins the errors of the fronts.
 func (s *server) shutDown() error {
 	began := time.Now()
 	stop := s.tuning.Load().stop
 	duration := min(s.longestDeadline, stop.MaxDeadline) + stop.KillGrace - stop.KillMargin
 	end := began.Add(duration)
-	s.loop.post(func() { s.loop.shutDownAt(end) })
+	s.loop.post(func() { s.loop.scheduleShutdown(end) })
 	s.shutdownAt.Store(&end)
 	s.group.announceLeave()
 	lastServed := end
@@ -40,7 +40,7 @@
 	return s.stopFronts(end.Add(stop.KillMargin / 2))
 }
 
-// stopFronts stops all fronts at once, and closes the connections that are left at a time.
+// stopFronts stops all fronts concurrently, and closes the connections that are still open at the time end.
 func (s *server) stopFronts(end time.Time) error {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -49,7 +49,7 @@
 		go func() {
 			err := f.Stop(ctx)
 			if errors.Is(err, context.DeadlineExceeded) {
-				err = f.Close() // the callers that are left have not sent a complete request, or do not read their answers
+				err = f.Close() // the remaining callers have not sent a complete request, or do not read their answers
 			}
 			stopped <- err
 		}()
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -15,29 +15,29 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// memoryLimitShare is the share of limits.memory_mb that the garbage collector keeps the heap below; the rest is for the stacks of
-// system threads and for what the kernel counts.
+// memoryLimitShare is the share of limits.memory_mb that is set as the Go runtime's soft memory limit. The rest is for the stacks of
+// system threads and for memory that the kernel attributes to the process.
 const memoryLimitShare = 0.75
 
-// Run serves until a signal arrives on stop, and then shuts down. A signal on reload makes it read its configuration files again. It
+// Run serves until a signal arrives on stop, and then shuts down. On a signal on reload it reads its configuration files again. It
 // returns the first error of the start, of a front, or of the shutdown.
-func Run(c *Config, stop, reload <-chan os.Signal) error {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.Limits.MemoryMB<<20)))
-	l, err := newLoop(c)
+func Run(config *Config, stop, reload <-chan os.Signal) error {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(config.Limits.MemoryMB<<20)))
+	loop, err := newLoop(config)
 	if err != nil {
 		return err
 	}
-	var open net.ListenConfig
-	listener, err := open.Listen(context.Background(), "tcp", c.Listen)
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(context.Background(), "tcp", config.Listen)
 	if err != nil {
 		return err
 	}
-	s, err := newServer(c, l, listener)
+	server, err := newServer(config, loop, listener)
 	if err != nil {
 		return err
 	}
-	return s.run(listener.Addr(), stop, reload)
+	return server.run(listener.Addr(), stop, reload)
 }
 
 // run joins the group, runs the loop and serves until a signal arrives on stop.
@@ -58,7 +58,7 @@
 		log.Printf("%v: stopping", <-stop)
 		stopped <- s.shutDown()
 	}()
-	s.config.logUnused()
+	s.config.logOverriddenSettings()
 	if s.config.admin != nil {
 		stopAdmin, err := s.config.admin(s.loop.endpointView, s.group.fleet)
 		if err != nil {
@@ -73,7 +73,7 @@
 	return <-stopped
 }
 
-// serve serves by all fronts until they are stopped, or returns the first error.
+// serve runs all fronts until they are stopped. It returns as soon as one of them fails.
 func (s *server) serve() error {
 	served := make(chan error, len(s.fronts))
 	for _, f := range s.fronts {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// reload reads the configuration files again. It follows the discovery that they name now, and applies the settings of the product's
-// file that may change. A file with a fault, or with a change of a setting that may not change, has no effect.
+// reload reads the configuration files again. It switches to the discovery server that they name, and applies the changed settings of the
+// product's file. If a file has a fault, or changes a setting that takes effect only at a start, nothing is applied.
 func (s *server) reload() {
 	fresh, err := s.config.reload()
 	if err != nil {
@@ -98,25 +98,25 @@
 		log.Printf("reload: refused; the old configuration stays")
 		return
 	}
-	// One event for the loop and one pointer for the handlers: the new settings are never in force in part.
+	// The loop applies the new settings in one event and the handlers read them through one pointer, so they are never partly applied.
 	fresh.tuning.routes.KeepStates(s.tuning.Load().routes)
 	s.tuning.Store(fresh.tuning)
-	followAnew := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, fresh.file), configuresFollower)
+	restartFollower := s.config.file != nil && slices.ContainsFunc(schema.Changed(s.config.file, fresh.file), configuresFollower)
 	s.loop.post(func() {
 		s.loop.http1.SetMaxIdle(s.config.idleTimeout(fresh.tuning))
 		s.loop.applyEndpoints(s.loop.merger.UpdateSettings(s.loop.now(), fresh.tuning.endpointSource))
-		if followAnew {
+		if restartFollower {
 			s.loop.startFollower(fresh.follower)
 		}
 		s.loop.switchDiscovery(fresh.Discovery, fresh.token)
 	})
-	s.group.reload()
+	s.group.reloadKeys()
 	s.config.file = fresh.file
-	// The line is logged once the settings are in force, because tools wait for it.
+	// This line is logged after the settings have been applied, because tools wait for it.
 	log.Printf("reload: discovery is %s", fresh.Discovery)
 }
 
-// configuresFollower reports whether a setting configures the source that is followed beside discovery.
+// configuresFollower reports whether a setting configures the source of endpoints other than discovery.
 func configuresFollower(s *schema.Setting) bool {
 	return s.Path[0] == "consul" || s.Path[0] == endpointsource.SettingsTable.Name && s.Key.Name == "source"
 }
--- a/internal/standalone/sources.go
+++ b/internal/standalone/sources.go
@@ -9,14 +9,14 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// Follower follows a source of endpoints beside discovery until its context ends. It calls changed with each answer of that source, and
-// unchanged when an answer has nothing new.
+// Follower follows a source of endpoints other than discovery until its context ends. It calls changed with each answer of that source,
+// and unchanged if an answer contains no change.
 type Follower func(ctx context.Context, changed func(endpointsource.ConsulAnswer), unchanged func())
 
 // viewTimeout is how long the admin pages wait for the loop.
 const viewTimeout = 2 * time.Second
 
-// loadLastKnown starts with the last known endpoints: those of the platform's file, else those of the memory.
+// loadLastKnown applies the last known endpoints: those in the platform's file or, if it has none, those in the saved list.
 func (l *loop) loadLastKnown() {
 	if l.memory != nil && len(l.config.Known.Targets) == 0 {
 		if list, age, ok := l.memory.savedList(); ok {
@@ -28,8 +28,9 @@
 	l.handleList(l.config.Known, endpointsource.FromCache)
 }
 
-// switchDiscovery follows the discovery at an address from now on. Its versions are not comparable with those of the one before, so
-// its complete list is requested, and late lists of the old one are ignored. Until that list arrives, the present one is kept.
+// switchDiscovery replaces the discovery server by the one at an address. Its versions are not comparable with those of the previous
+// server, so its complete list is requested, and late lists of the previous server are ignored. The current list stays in use until
+// the new one arrives.
 func (l *loop) switchDiscovery(address, token string) {
 	l.watcher.stop()
 	l.watcher = newWatcher(address, token, l)
@@ -39,13 +40,13 @@
 	}
 	l.watcher.fetch()
 	if l.config.Settings.MustSubscribe {
-		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed}) // it decides when to watch again
+		l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed}) // the Balancer decides when to watch again
 		return
 	}
 	l.watcher.start(nil)
 }
 
-// handleList applies a list of discovery or of the platform's file.
+// handleList applies a list from discovery or from the platform's file.
 func (l *loop) handleList(list endpointList, from endpointsource.ListOrigin) {
 	l.handlePreparedList(list.prepare(from), from)
 }
@@ -67,7 +68,7 @@
 	l.backlog.add(steps...)
 }
 
-// handleListFailure handles that a fetch has failed, or that a watch has ended that the Balancer has to start again.
+// handleListFailure handles a failed fetch, or the end of a watch that only the Balancer may start again.
 func (l *loop) handleListFailure(err error) {
 	log.Printf("discovery: %v", err)
 	l.balancer.HandleEndpoints(l.now(), balancer.EndpointList{Kind: balancer.ListFailed})
@@ -84,7 +85,8 @@
 	l.scheduleTick()
 }
 
-// publish applies a list to the table of endpoints and then passes it to the Balancer, whose attempts need the table.
+// publish applies a list to the table of endpoints and then passes it to the Balancer. The table comes first because the Balancer may send
+// attempts immediately, which look their endpoints up in it.
 func (l *loop) publish(list endpointsource.List) {
 	entries, retired := l.endpoints.apply(list)
 	for _, e := range retired {
@@ -111,7 +113,7 @@
 	l.nextTick = at
 	time.AfterFunc(at-l.now(), func() {
 		l.post(func() {
-			if l.nextTick == at { // else an earlier one was scheduled since, which schedules the next
+			if l.nextTick == at { // otherwise an earlier Tick was scheduled since, which schedules the next one
 				l.nextTick = 0
 			}
 			l.applyEndpoints(l.merger.Tick(l.now()))
@@ -119,7 +121,7 @@
 	})
 }
 
-// startFollower follows another source in place of the one before; nil for none. Late answers of the old one are ignored.
+// startFollower replaces the current follower; nil stops it without a replacement. Late answers of the previous follower are ignored.
 func (l *loop) startFollower(follow Follower) {
 	l.stopFollower()
 	if follow == nil {
@@ -145,7 +147,7 @@
 	go follow(ctx, changed, unchanged)
 }
 
-// endpointView is the EndpointView of the admin pages; false if the loop does not take the event within viewTimeout.
+// endpointView is the EndpointView for the admin pages; ok is false if the loop's event queue stays full for viewTimeout.
 func (l *loop) endpointView() (source string, rows []endpointsource.Row, ok bool) {
 	late := time.NewTimer(viewTimeout)
 	defer late.Stop()
@@ -160,6 +162,6 @@
 	case <-late.C:
 		return "", nil, false
 	}
-	<-done // the loop never blocks, so this follows soon
+	<-done // the loop never blocks, so this does not take long
 	return source, rows, true
 }
--- a/internal/standalone/tables.go
+++ b/internal/standalone/tables.go
@@ -10,18 +10,18 @@
 	"quincegap/internal/network/http3"
 )
 
-// Callers are the bounds of callers' connections and requests. CallersTable has their defaults.
+// Callers are the limits of callers' connections and requests. CallersTable has the defaults.
 type Callers struct {
-	IdleTimeout    time.Duration // of a connection without a request
-	RequestTimeout time.Duration // for a complete request to arrive
-	MaxHeader      int64         // bytes of one request's headers
-	MaxBody        int64         // bytes of one request's body
-	Share          float64       // of limits.sockets, for callers' connections
-	BodyShare      float64       // of limits.memory, for all bodies together
-	TooEarly       bool          // requests in a proxy's early data that are not idempotent are answered 425
+	IdleTimeout     time.Duration // maximum time that a connection stays open without a request
+	RequestTimeout  time.Duration // maximum time for a complete request to arrive
+	MaxHeader       int64         // maximum bytes of one request's headers
+	MaxBody         int64         // maximum bytes of one request's body
+	SocketShare     float64       // share of limits.sockets for callers' connections
+	BodyShare       float64       // share of limits.memory for all bodies together
+	RejectEarlyData bool          // requests that are not idempotent and reached a proxy in early data are answered 425
 }
 
-// CallersTable is [callers].
+// CallersTable defines the settings in [callers].
 var CallersTable = schema.NewTable("callers", "Connections and requests from callers.",
 	schema.Duration("idle_timeout", func(c *Callers) *time.Duration { return &c.IdleTimeout },
 		schema.Bounds[time.Duration]{Default: 30 * time.Second, Min: time.Second, Max: time.Hour}, schema.AtStart,
@@ -35,31 +35,31 @@
 	schema.Size("max_body", func(c *Callers) *int64 { return &c.MaxBody },
 		schema.Bounds[int64]{Default: exchange.MaxBody, Min: 0, Max: exchange.MaxBody}, schema.OnReload,
 		"The body of one request; a larger one is answered 413."),
-	schema.Float("caller_share", func(c *Callers) *float64 { return &c.Share },
+	schema.Float("caller_share", func(c *Callers) *float64 { return &c.SocketShare },
 		schema.Bounds[float64]{Default: 0.6, Min: 0.05, Max: 0.95}, schema.AtStart,
 		"The share of limits.sockets, less the 32 reserved, that callers' connections may use."),
 	schema.Float("body_share", func(c *Callers) *float64 { return &c.BodyShare },
 		schema.Bounds[float64]{Default: 0.25, Min: 0.01, Max: 0.5}, schema.AtStart,
 		"The share of limits.memory that bodies of requests and answers may hold together."),
-	schema.Bool("too_early", func(c *Callers) *bool { return &c.TooEarly }, false, schema.OnReload,
+	schema.Bool("too_early", func(c *Callers) *bool { return &c.RejectEarlyData }, false, schema.OnReload,
 		"Whether a request with Early-Data: 1 from a proxy in front is answered 425 (RFC 8470) unless its class is safe."),
 ).Check(func(f *schema.File, _ string, c *Callers, report schema.Reporter) {
-	if e := EndpointsTable.In(f); c.Share+e.Share > 1+1e-9 {
-		report("caller_share", "%g and endpoints.endpoint_share, %g (%s), are more than all sockets", c.Share, e.Share,
+	if e := EndpointsTable.In(f); c.SocketShare+e.SocketShare > 1+1e-9 {
+		report("caller_share", "%g and endpoints.endpoint_share, %g (%s), are more than all sockets", c.SocketShare, e.SocketShare,
 			f.Location("endpoints", "endpoint_share"))
 	}
 })
 
-// Endpoints are the bounds of connections to endpoints. EndpointsTable has their defaults.
+// Endpoints are the limits of connections to endpoints. EndpointsTable has the defaults.
 type Endpoints struct {
-	Share         float64       // of limits.sockets, for connections to endpoints
-	KeepIdle      time.Duration // until an idle connection is closed; 0 to derive it from the platform's settings
-	MaxSubsetSize int           // how many endpoints this sidecar uses; 0 for all
+	SocketShare   float64       // share of limits.sockets for connections to endpoints
+	KeepIdle      time.Duration // time after which an idle connection is closed; 0 to derive it from the platform's settings
+	MaxSubsetSize int           // maximum number of endpoints that this sidecar uses; 0 for all
 }
 
-// EndpointsTable is [endpoints].
+// EndpointsTable defines the settings in [endpoints].
 var EndpointsTable = schema.NewTable("endpoints", "Connections to endpoints.",
-	schema.Float("endpoint_share", func(e *Endpoints) *float64 { return &e.Share },
+	schema.Float("endpoint_share", func(e *Endpoints) *float64 { return &e.SocketShare },
 		schema.Bounds[float64]{Default: 0.4, Min: 0.05, Max: 0.95}, schema.AtStart,
 		"The share of limits.sockets, less the 32 reserved, that connections to endpoints may use."),
 	schema.Duration("keep_idle", func(e *Endpoints) *time.Duration { return &e.KeepIdle },
@@ -73,8 +73,8 @@
 			"every endpoint: subset_most times their number has to be above the number of endpoints, else the others get no calls."),
 )
 
-// Stop is how a sidecar shuts down. SIGKILL is expected after SIGTERM by the longest deadline of a class, at most MaxDeadline, and
-// KillGrace. StopTable has the defaults.
+// Stop configures how a sidecar shuts down. SIGKILL is expected after SIGTERM by the sum of the longest deadline of a class, but at most
+// MaxDeadline, and KillGrace. StopTable has the defaults.
 type Stop struct {
 	MaxDeadline time.Duration
 	KillGrace   time.Duration
@@ -82,7 +82,7 @@
 	HandOver    time.Duration // how long before the end idle connections are closed if there are other sidecars
 }
 
-// StopTable is [stop].
+// StopTable defines the settings in [stop].
 var StopTable = schema.NewTable("stop", "How the sidecar ends on SIGTERM; it goes on serving until shortly before SIGKILL.",
 	schema.Duration("stop_longest", func(s *Stop) *time.Duration { return &s.MaxDeadline },
 		schema.Bounds[time.Duration]{Default: 3 * time.Second, Min: 0, Max: time.Hour}, schema.OnReload,
@@ -103,16 +103,16 @@
 	}
 })
 
-// Memory is what a sidecar keeps on the disk for the process that follows it. MemoryTable has the defaults.
+// Memory configures what a sidecar stores on disk for its next process. MemoryTable has the defaults.
 type Memory struct {
-	Dir           string        // empty for no memory
-	MaxRequests   int           // in the request table at once
-	MaxBytes      int64         // of all records
-	WriteTimeout  time.Duration // until an attempt no longer waits for its record
-	ListRetention time.Duration // of the saved list of endpoints; 0 for no list
+	Dir           string        // directory of the store; empty to store nothing
+	MaxRequests   int           // maximum number of entries in the request table
+	MaxBytes      int64         // maximum bytes of all records
+	WriteTimeout  time.Duration // maximum time that an attempt waits for its record to be on the disk
+	ListRetention time.Duration // time after which the saved list of endpoints expires; 0 to save no list
 }
 
-// MemoryTable is [memory].
+// MemoryTable defines the settings in [memory].
 var MemoryTable = schema.NewTable("memory", "What is remembered on a disk across a death of the sidecar. Off unless memory_dir is set.",
 	schema.String("memory_dir", func(m *Memory) *string { return &m.Dir },
 		schema.StringOptions{Example: "/var/lib/quincegap/front", Type: "path"}, schema.AtStart,
@@ -131,14 +131,14 @@
 		"How old the list of endpoints may be that a start goes on with until discovery answers."),
 )
 
-// Tables returns the tables of settings of this package and of its transports, in the order in which a file has them.
+// Tables returns the tables of settings of this package and of its HTTP/3 front and transport, in the order in which a file lists them.
 func Tables() []*schema.Table {
 	return []*schema.Table{
 		CallersTable.Table, EndpointsTable.Table, StopTable.Table, MemoryTable.Table, http3.FrontTable.Table, http3.TransportTable.Table,
 	}
 }
 
-// tuning is the settings of these tables, of endpointsource and of the routes.
+// tuning has the settings of the tables in this file, of endpointsource and of the routes.
 type tuning struct {
 	endpointSource endpointsource.Settings
 	callers        Callers
@@ -150,7 +150,7 @@
 	routes         *route.Table // nil for none
 }
 
-// tuningOf returns the settings of a file; nil returns the defaults.
+// tuningOf returns the settings in a file, or the defaults if the file is nil.
 func tuningOf(file *schema.File) *tuning {
 	if file == nil {
 		return &tuning{
--- a/internal/standalone/transports.go
+++ b/internal/standalone/transports.go
@@ -9,11 +9,11 @@
 	"quincegap/internal/network/exchange"
 )
 
-// transports are the transports to endpoints. The loop owns them.
+// transports has the transports to endpoints. The loop owns it.
 type transports struct {
-	fallback  exchange.Transport       // for HTTP/1.1, which every endpoint supports
-	preferred exchange.Transport       // for HTTP/3; nil for none
-	tracker   protocolfallback.Tracker // decides where preferred is tried
+	fallback  exchange.Transport       // transport for HTTP/1.1, which every endpoint supports
+	preferred exchange.Transport       // transport for HTTP/3; nil for none
+	tracker   protocolfallback.Tracker // decides at which endpoints preferred is tried
 }
 
 // choose returns the transport for an attempt.
@@ -24,8 +24,8 @@
 	return t.fallback
 }
 
-// fallbackAfter is called with the result of an attempt. It returns the transport by which the attempt has to be sent again; nil for
-// none. Nothing of the attempt was sent then, so it still counts as the same attempt.
+// fallbackAfter is called with the result of an attempt. It returns the transport through which the attempt must be sent again; nil for
+// none. In that case no part of the attempt has been sent, so it counts as the same attempt.
 func (t *transports) fallbackAfter(now time.Duration, ended *attempt, result exchange.Result) exchange.Transport {
 	if t.preferred == nil || ended.transport != t.preferred {
 		return nil
@@ -33,7 +33,7 @@
 	switch {
 	case result.Unreachable || result.Blocked:
 		if pause, changed := t.tracker.RecordFailure(now, ended.Endpoint.Address); changed {
-			log.Printf("http3: no connection to %s; HTTP/1.1 for %v", ended.Endpoint.Address, pause)
+			log.Printf("http3: no connection to %s; using HTTP/1.1 for %v", ended.Endpoint.Address, pause)
 		}
 		if result.Unreachable {
 			return t.fallback
@@ -62,5 +62,5 @@
 	}
 }
 
-// forget drops the state of an endpoint that is no longer listed.
+// forget deletes the state of an endpoint that is no longer listed.
 func (t *transports) forget(e *exchange.Endpoint) { t.tracker.Forget(e.Address) }
