--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -11,8 +11,8 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// fleetLoop returns a loop that does not run, with a list of n endpoints, numbered from 0.
-func fleetLoop(tb testing.TB, n int) *loop {
+// loopWithEndpoints returns a loop that is not running, with a list of n endpoints.
+func loopWithEndpoints(tb testing.TB, n int) *loop {
 	tb.Helper()
 	config := &Config{Limits: Limits{Sockets: 1024}, Seed: 1, tuning: tuningOf(nil)}
 	config.Settings.ConnectTimeout = time.Second
@@ -22,12 +22,12 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l.handleList(fleetList(1, 0, n), endpointsource.FromFetch)
+	l.handleList(completeList(1, 0, n), endpointsource.FromFetch)
 	return l
 }
 
-// fleetList is a complete list of n endpoints, numbered from a number on.
-func fleetList(rev uint64, from, n int) endpointList {
+// completeList returns a complete list of n endpoints, whose numbers begin at from+1.
+func completeList(rev uint64, from, n int) endpointList {
 	l := endpointList{Rev: rev, All: true}
 	for i := from; i < from+n; i++ {
 		l.Targets = append(l.Targets, listedEndpoint{
@@ -38,36 +38,37 @@
 	return l
 }
 
-// A long list is applied in chunks, with other events in between: endpoints that drain or are gone first, then the others, and a
-// later list after it.
+// A long list is applied in chunks, with other events in between: first endpoints that drain or were removed, then the others. A later
+// list is applied after it.
 func TestLongListIsAppliedInChunks(t *testing.T) {
 	const n = 3 * maxChunkEntries
-	loop := fleetLoop(t, n)
+	loop := loopWithEndpoints(t, n)
 	if len(loop.endpoints.byID) != n || loop.backlog.ready() != nil {
-		t.Fatalf("%d endpoints at first", len(loop.endpoints.byID))
+		t.Fatalf("before the new list: got %d endpoints, waiting chunks %v; want %d and none",
+			len(loop.endpoints.byID), loop.backlog.ready() != nil, n)
 	}
-	next := fleetList(2, n/2, n) // half of them gone, and as many new
+	next := completeList(2, n/2, n) // half of the endpoints are removed, and as many are new
 	next.Targets[0].State = "Terminating"
 	loop.handleList(next, endpointsource.FromWatch)
 	loop.handleList(endpointList{Rev: 3, Targets: []listedEndpoint{{UID: next.Targets[n-1].UID, State: "Gone"}}}, endpointsource.FromWatch)
 	if loop.backlog.ready() == nil {
-		t.Fatal("the list was applied at once")
+		t.Fatal("no chunk is waiting: the long list was applied in one event")
 	}
-	urgent := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // chunks of what drains, and of what is missing
+	urgent := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // chunks of endpoints that drain or are no longer listed
 	for range urgent {
 		loop.backlog.next()
 	}
 	if got := len(loop.endpoints.byID); got != n/2 {
-		t.Errorf("%d are left after the urgent chunks, should be %d", got, n/2)
+		t.Errorf("after the chunks of draining and removed endpoints: got %d endpoints, want %d", got, n/2)
 	}
 	if e := loop.endpoints.byID[balancer.EndpointID(n/2+1)]; e == nil || e.Open.Load() {
-		t.Error("one that drains is open")
+		t.Errorf("endpoint %d, which drains, is missing or open to new attempts: %+v", n/2+1, e)
 	}
 	for loop.backlog.ready() != nil {
 		loop.backlog.next()
 	}
 	if got := len(loop.endpoints.byID); got != n-1 {
-		t.Errorf("%d in the end, should be %d", got, n-1)
+		t.Errorf("after all chunks: got %d endpoints, want %d", got, n-1)
 	}
 }
 
@@ -78,33 +79,33 @@
 	for i := range 3 * maxBacklogSteps {
 		b.add(func() { got = append(got, 2*i) }, func() { got = append(got, 2*i+1) })
 		if len(b.steps) > maxBacklogSteps {
-			t.Fatalf("%d steps wait", len(b.steps))
+			t.Fatalf("%d steps wait, want at most %d", len(b.steps), maxBacklogSteps)
 		}
 	}
 	for b.ready() != nil {
 		b.next()
 	}
 	if len(got) != 6*maxBacklogSteps || !slices.IsSorted(got) {
-		t.Errorf("%d of %d steps ran, in order %v", len(got), 6*maxBacklogSteps, slices.IsSorted(got))
+		t.Errorf("%d of %d steps ran, in order: %v; want all, in order", len(got), 6*maxBacklogSteps, slices.IsSorted(got))
 	}
 }
 
-// BenchmarkLongList measures how long the loop takes to apply a complete list of 10,000 endpoints, and for how long at most it delays
-// other events.
+// BenchmarkLongList measures how long the loop takes to apply a complete list of 10,000 endpoints, and the longest time for which that
+// delays other events.
 func BenchmarkLongList(b *testing.B) {
 	const n = 10000
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		others int
 	}{{"the same", 0}, {"a tenth others", n / 10}, {"all others", n}} {
-		b.Run(c.name, func(b *testing.B) {
-			l := fleetLoop(b, n)
-			lists := [2]endpointList{fleetList(0, c.others, n), fleetList(0, 0, n)}
+		b.Run(test.name, func(b *testing.B) {
+			l := loopWithEndpoints(b, n)
+			lists := [2]endpointList{completeList(0, test.others, n), completeList(0, 0, n)}
 			worst, rev := time.Duration(0), uint64(1)
 			for i := 0; b.Loop(); i++ {
 				rev++
 				lists[i%2].Rev = rev
-				prepared := lists[i%2].prepare(endpointsource.FromWatch) // outside of the loop
+				prepared := lists[i%2].prepare(endpointsource.FromWatch) // runs in another goroutine than the loop's, so it is not part of the delay
 				began := time.Now()
 				l.handlePreparedList(prepared, endpointsource.FromWatch)
 				worst = max(worst, time.Since(began))
@@ -119,7 +120,7 @@
 	}
 }
 
-// BenchmarkUnusedEndpoints measures the memory for each endpoint that a sidecar knows and has sent nothing to.
+// BenchmarkUnusedEndpoints measures the memory for each endpoint that a sidecar knows but has not sent anything to.
 func BenchmarkUnusedEndpoints(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -128,7 +129,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				l := fleetLoop(b, n)
+				l := loopWithEndpoints(b, n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				perEndpoint = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
--- a/internal/standalone/client_test.go
+++ b/internal/standalone/client_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// readiness is the status of the answer to a readiness request; 0 for no answer.
+// readiness returns the status of the answer to a readiness request; 0 for no answer.
 func (s *testSidecar) readiness() int {
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, s.url+"/ready", nil)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return res.StatusCode
 }
 
-// request returns a request of a class, as a caller that waits for so long sends it.
+// request returns a request of a class, as a caller sends it that waits for timeLeft.
 func (s *testSidecar) request(class string, timeLeft time.Duration) *http.Request {
 	method := http.MethodPost
 	if class == "read" {
@@ -54,7 +54,7 @@
 type reply struct {
 	status int
 	header http.Header
-	close  bool // it announces that it is the last on its connection
+	close  bool // the answer announces that the connection will be closed after it
 	body   string
 }
 
@@ -65,7 +65,7 @@
 	return &reply{status: res.StatusCode, header: res.Header, close: res.Close, body: string(body)}, err
 }
 
-// roundTrip sends a request by the protocol that the test runs with. With an error the reply is nil, or has what was read of the
+// roundTrip sends a request over the protocol that the test runs with. With an error the reply is nil, or has what was read of the
 // answer.
 func (s *testSidecar) roundTrip(r *http.Request) (*reply, error) {
 	c, _ := s.client()
@@ -114,20 +114,20 @@
 	}
 	c := &clientConn{dialed.(*net.TCPConn), bufio.NewReader(dialed), s.t}
 	s.t.Cleanup(func() { closeQuietly(c) })
-	c.extend()
+	c.extendDeadline()
 	return c
 }
 
-// extend moves the deadline of the connection to patience from now.
-func (c *clientConn) extend() {
+// extendDeadline sets the deadline of the connection to eventTimeout from now.
+func (c *clientConn) extendDeadline() {
 	c.t.Helper()
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(eventTimeout)); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// next reads the next answer. With an error the reply is nil, or has what was read of the answer.
-func (c *clientConn) next() (*reply, error) {
+// nextReply reads the next answer. With an error the reply is nil, or has what was read of the answer.
+func (c *clientConn) nextReply() (*reply, error) {
 	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return nil, err
@@ -136,8 +136,8 @@
 	return readReply(res)
 }
 
-// post writes a request. An error fails the test.
-func (c *clientConn) post(r *http.Request) {
+// writeRequest writes a request without reading its answer. An error fails the test.
+func (c *clientConn) writeRequest(r *http.Request) {
 	c.t.Helper()
 	if err := r.Write(c); err != nil {
 		c.t.Error(err)
@@ -147,37 +147,37 @@
 // send writes a request to a connection that may have been closed, and returns the answer; nil for none.
 func (c *clientConn) send(r *http.Request) *reply {
 	c.t.Helper()
-	c.extend()
+	c.extendDeadline()
 	if err := r.Write(c); err != nil {
 		return nil
 	}
-	got, err := c.next()
+	got, err := c.nextReply()
 	if err != nil {
 		return nil
 	}
 	return got
 }
 
-// sendRaw sends a text on a new connection, and returns the status of the answer; 0 where there is none.
+// sendRaw sends a text on a new connection, and returns the status of the answer; 0 if there is none.
 func (s *testSidecar) sendRaw(text string) (status int, c *clientConn) {
 	s.t.Helper()
 	c = s.dial()
-	_, _ = io.WriteString(c, text) // the sidecar may have closed it by then
-	got, _ := c.next()             // a body that breaks off does not hide the status
+	_, _ = io.WriteString(c, text) // an error is expected if the sidecar has already closed the connection
+	got, _ := c.nextReply()        // the reply has the status even if the body is incomplete
 	if got == nil {
 		return 0, c
 	}
 	return got.status, c
 }
 
-// connectIdle returns n connections that have had one answer each and are idle. They are the only ones that are open then.
+// connectIdle opens n connections and returns them idle, after one answer on each. No other connections to the front are open then.
 func (s *testSidecar) connectIdle(n int) (connections []*clientConn) {
 	s.t.Helper()
 	for range n {
 		_, c := s.sendRaw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		connections = append(connections, c)
 	}
-	s.waitUntil("only these are open, and idle", func() bool {
+	s.waitUntil("only the new connections are open, and they are idle", func() bool {
 		http.DefaultClient.CloseIdleConnections()
 		open, idle, _, _ := s.http1Front().Counts()
 		return idle == n && open == n
@@ -185,5 +185,5 @@
 	return connections
 }
 
-// closeQuietly closes something whose error does not matter to the test.
+// closeQuietly closes c and ignores the error, which does not matter to the test.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/standalone/config_test.go
+++ b/internal/standalone/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The error for each fault of a configuration file names the field.
+// The error for a fault in a configuration file names the field in one line.
 func TestConfigFaultsAreNamed(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1",` +
 		`"limits":{"cores":1,"memory_mb":9,"sockets":99},"settings":` + settingsText + `}`
@@ -39,10 +39,10 @@
 			err = load(good[:len(good)/2])
 		}
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", want, err)
+			t.Errorf("got error %v, want one line that contains %q", err, want)
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no configuration, and no fault")
+		t.Error("LoadConfig without BALANCER_CONFIG returned no error")
 	}
 }
--- a/internal/standalone/connections_test.go
+++ b/internal/standalone/connections_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/config/appfile"
 )
 
-// A connection that its endpoint has closed while it was idle carries no further request.
+// A connection that its endpoint closed while it was idle is not used for further requests.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	var conns atomic.Int64
 	endpoint := httptest.NewUnstartedServer(http.HandlerFunc(answerOK))
@@ -32,7 +32,7 @@
 	sidecar := startSidecar(t, 1024, listedEndpoint{UID: "s-1", Address: endpoint.Listener.Addr().String(), State: "Ready", Weight: 1})
 	for range 3 {
 		if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
-			t.Fatal(status)
+			t.Fatalf("request on an open endpoint: got status %d, want 200", status)
 		}
 		sidecar.waitUntil("the connection is idle", func() (idle bool) {
 			sidecar.onLoop(func() { _, n := sidecar.server.loop.http1.Counts(); idle = n == 1 })
@@ -40,26 +40,27 @@
 		})
 	}
 	if conns.Load() != 1 {
-		t.Errorf("%d connections for three requests in turn", conns.Load())
+		t.Errorf("three requests in turn used %d connections, want 1", conns.Load())
 	}
 	endpoint.CloseClientConnections()
 	<-closed
 	if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
-		t.Errorf("got %d %q on %d connections", status, body, conns.Load())
+		t.Errorf("request after the close: got status %d, body %q, on %d connections; want 200 on 2", status, body, conns.Load())
 	}
 }
 
-// Connections without a request do not displace others: they are closed before idle ones, and in time.
+// New connections that send no request do not displace others: when room is needed they are closed before idle connections, and they
+// are closed after a while in any case.
 func TestFreshConnectionsMakeRoom(t *testing.T) {
 	sidecar := startSidecar(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
 	http.DefaultClient.CloseIdleConnections()
 	used := sidecar.dial()
 	send := func() {
 		t.Helper()
-		used.post(sidecar.request("once", 9*time.Second))
-		res, err := used.next()
+		used.writeRequest(sidecar.request("once", 9*time.Second))
+		res, err := used.nextReply()
 		if err != nil || res.status != 200 {
-			t.Fatalf("the connection that is in use got %v, %v", res, err)
+			t.Fatalf("request on the connection that is in use: got %v, error %v; want status 200", res, err)
 		}
 	}
 	send()
@@ -69,18 +70,20 @@
 	}
 	send()
 	if status, _ := sidecar.call(sidecar.request("once", 9*time.Second)); status != 200 {
-		t.Errorf("a new caller got %d", status)
+		t.Errorf("request on a new connection: got status %d, want 200", status)
 	}
 	for i, c := range fresh {
 		if got, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("connection %d without a request got %q, %v", i, got, err)
+			t.Fatalf("connection %d without a request is still open: read %q, error %v", i, got, err)
 		}
 	}
 }
 
-// A request that is not complete in time gets an error or a close, wherever it stops.
+// A request that is not complete in time gets an error or its connection is closed, at whatever point the caller stops sending.
 func TestSlowRequestsEnd(t *testing.T) {
-	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { t.Error("it was forwarded") }))
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) {
+		t.Error("an incomplete request was forwarded")
+	}))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	ended := make(chan bool)
 	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
@@ -88,7 +91,7 @@
 	for _, text := range texts {
 		go func() {
 			if status, _ := sidecar.sendRaw(text); status > 0 && status < 400 {
-				t.Errorf("%.80q: got %d", text, status)
+				t.Errorf("%.80q: got status %d, want 400 or above, or no answer", text, status)
 			}
 			ended <- true
 		}()
@@ -96,12 +99,12 @@
 	for range texts {
 		<-ended
 	}
-	if took := time.Since(began); took > CallersTable.Default().RequestTimeout+patience/4 {
-		t.Errorf("took %v", took)
+	if took := time.Since(began); took > CallersTable.Default().RequestTimeout+eventTimeout/4 {
+		t.Errorf("the incomplete requests ended after %v, want at most %v", took, CallersTable.Default().RequestTimeout+eventTimeout/4)
 	}
 }
 
-// Connections are accepted also when they use up their share: the one that has been idle the longest is closed.
+// When connections have used up their share, a new one is still accepted: the connection that has been idle the longest is closed.
 func TestIdleCallersMakeRoom(t *testing.T) {
 	sidecar := startSidecar(t, appfile.MinSockets, startEndpoint(t, "s-1", answerOK))
 	var first *clientConn
@@ -110,15 +113,15 @@
 		if i == 0 {
 			first = c
 		}
-		c.post(sidecar.request("once", 5*time.Second))
-		res, err := c.next()
+		c.writeRequest(sidecar.request("once", 5*time.Second))
+		res, err := c.nextReply()
 		if err != nil || res.status != 200 {
-			t.Fatalf("connection %d: %v %v", i, res, err)
+			t.Fatalf("request on connection %d: got %v, error %v; want status 200", i, res, err)
 		}
 	}
-	first.extend()
+	first.extendDeadline()
 	if n, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the first connection: %d bytes, %v", n, err)
+		t.Errorf("first connection: read %d bytes, error %v; want EOF", n, err)
 	}
 	sidecar.waitUntil("open connections are within their share", func() bool {
 		open, _, _, limit := sidecar.http1Front().Counts()
@@ -126,23 +129,23 @@
 	})
 }
 
-// When all connections are busy, the next caller gets an answer all the same: closing its connection would lose what it has sent.
-// Nothing of its request has run, so it is rejected.
+// When all connections are busy, the next caller still gets an answer, because closing its connection would lose what it has sent. Its
+// request has not run, so it is rejected.
 func TestCallerBeyondTheBoundIsAnswered(t *testing.T) {
 	release := make(chan bool)
 	sidecar := startSidecar(t, appfile.MinSockets, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		write(w, "ok")
 	}))
-	sidecar.http1Front().SetMaxConnections(2) // as if the machine were that small
+	sidecar.http1Front().SetMaxConnections(2) // simulates a machine with few sockets
 	dial := func() *clientConn {
 		c := sidecar.dial()
-		c.post(sidecar.request("once", 9*time.Second))
+		c.writeRequest(sidecar.request("once", 9*time.Second))
 		return c
 	}
 	status := func(c *clientConn) int {
 		t.Helper()
-		got, err := c.next()
+		got, err := c.nextReply()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -159,12 +162,12 @@
 	}
 	extra := dial()
 	if got := status(extra); got != http.StatusServiceUnavailable {
-		t.Errorf("got %d", got)
+		t.Errorf("request beyond the maximum number of connections: got status %d, want 503", got)
 	}
 	close(release)
 	for _, c := range accepted {
 		if got := status(c); got != http.StatusOK {
-			t.Errorf("a request that was accepted got %d", got)
+			t.Errorf("accepted request: got status %d, want 200", got)
 		}
 	}
 }
--- a/internal/standalone/disk_test.go
+++ b/internal/standalone/disk_test.go
@@ -14,9 +14,9 @@
 	"quincegap/internal/standin/disk"
 )
 
-// onDisk gives the sidecars that a test starts a memory on a disk. Where it fails, requests of class once are rejected, and those of
-// other classes are served without it.
-func onDisk(t *testing.T, d *disk.Disk) {
+// useDisk configures the sidecars that a test starts to store their records on a disk. If the disk fails, requests of class once are
+// rejected, and requests of other classes are served without a record.
+func useDisk(t *testing.T, d *disk.Disk) {
 	t.Helper()
 	var found finding.List
 	const classes = "[class.once]\naim = \"9s\"\ndeadline = \"10s\"\neffect = \"unsafe\"\nwithout_memory = \"refuse\"\n"
@@ -37,7 +37,7 @@
 // runCounter counts how often each request ran at the endpoints.
 type runCounter struct {
 	mu     sync.Mutex
-	counts map[string]int // by the request's id
+	counts map[string]int // number of runs by request id
 }
 
 // serve is the handler of the endpoints.
@@ -48,29 +48,29 @@
 	write(w, "ok")
 }
 
-// count is how often the request of an id ran.
+// count returns how often the request with an id ran.
 func (r *runCounter) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[id]
 }
 
-// diskSidecar is a sidecar with its memory on a disk that may fail.
+// diskSidecar is a sidecar that stores its records on a disk that may fail.
 type diskSidecar struct {
 	*testSidecar
 	runs *runCounter
 }
 
-// startOnDisk starts a sidecar with its memory on a disk. Its endpoints count what runs.
+// startOnDisk starts a sidecar that stores its records on a disk. Its endpoints count how often each request runs.
 func startOnDisk(t *testing.T, d *disk.Disk, counter *runCounter) *diskSidecar {
 	t.Helper()
-	onDisk(t, d)
+	useDisk(t, d)
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", counter.serve), startEndpoint(t, "s-2", counter.serve))
 	return &diskSidecar{testSidecar: sidecar, runs: counter}
 }
 
 // callExpecting sends a request of a class and checks the status of its answer, unless want is 0. It also checks that the request ran
-// once if it was answered, and not at all otherwise. It returns the request's id.
+// once if the status is 200, and not at all otherwise. It returns the request's id.
 func (d *diskSidecar) callExpecting(class string, want int) (id string) {
 	d.t.Helper()
 	r := d.request(class, 5*time.Second)
@@ -80,37 +80,37 @@
 	}
 	status, _ := d.call(r)
 	if want != 0 && status != want {
-		d.t.Errorf("%s: status %d, wanted %d", class, status, want)
+		d.t.Errorf("request of class %s: got status %d, want %d", class, status, want)
 	}
 	if n := d.runs.count(id); (status == http.StatusOK) != (n == 1) || n > 1 {
-		d.t.Errorf("%s: status %d, and it ran %d times", class, status, n)
+		d.t.Errorf("request of class %s: got status %d and %d runs, want one run with status 200 and none otherwise", class, status, n)
 	}
 	return id
 }
 
-// sendUntilRun sends requests that are not idempotent until one runs, and returns its id: on a busy machine even a healthy disk may
-// be too slow.
+// sendUntilRun sends requests that are not idempotent until one runs, and returns its id. The first ones may be rejected, because on a
+// busy machine even a working disk may be too slow.
 func (d *diskSidecar) sendUntilRun() (id string) {
 	d.t.Helper()
-	d.waitUntil("a request is remembered and runs", func() bool {
+	d.waitUntil("a request is recorded and runs", func() bool {
 		id = d.callExpecting("once", 0)
 		return d.runs.count(id) == 1
 	})
 	return id
 }
 
-// checkRepeatFails sends a request again that ran, and checks that the repeat fails and does not run.
+// checkRepeatFails repeats a request that ran, and checks that the repeat fails and does not run.
 func (d *diskSidecar) checkRepeatFails(when, id string) {
 	d.t.Helper()
 	r := d.request("once", 5*time.Second)
 	r.Header.Set("X-Txn", id)
 	if status, _ := d.call(r); status != http.StatusBadGateway || d.runs.count(id) != 1 {
-		d.t.Errorf("a repeat %s: status %d, and it ran %d times", when, status, d.runs.count(id))
+		d.t.Errorf("repeat %s: got status %d and %d runs in total, want 502 and 1", when, status, d.runs.count(id))
 	}
 }
 
-// A disk that hangs, that fails each write or that is full delays no request that need not be remembered. Each class behaves as its
-// file says, no rejected request has run, and all is as before once the disk works again.
+// A disk that hangs, fails each write or is full does not delay requests that need not be recorded. Each class behaves as its settings
+// say, no rejected request has run, and requests are served as before once the disk works again.
 func TestFailingDiskOverSockets(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -138,12 +138,12 @@
 				sidecar.callExpecting("book", http.StatusOK)
 				sidecar.callExpecting("once", http.StatusServiceUnavailable)
 			}
-			sidecar.checkRepeatFails("while the disk fails", first) // it is still known, so it is not rejected
+			sidecar.checkRepeatFails("while the disk fails", first) // its entry is still in the table, so the repeat is not rejected
 			repair()
 			last := sidecar.sendUntilRun()
 			sidecar.callExpecting("book", http.StatusOK)
 
-			// After a crash the next process knows what was remembered, before the failure and after it.
+			// After a crash the next process knows the requests that were recorded before the failure and after it.
 			sidecar = startOnDisk(t, fs.AfterCrash(), counter)
 			for _, id := range []string{first, last} {
 				sidecar.checkRepeatFails("after a crash", id)
--- a/internal/standalone/endpoint_test.go
+++ b/internal/standalone/endpoint_test.go
@@ -17,7 +17,7 @@
 	return listedEndpoint{UID: uid, Address: listenEndpoint(t, serve), Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}
 }
 
-// closeConnection closes the connection of a request, or resets its stream, without an answer.
+// closeConnection closes the connection of a request, or resets its HTTP/3 stream, without an answer.
 func closeConnection(w http.ResponseWriter) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		closeQuietly(c)
@@ -32,13 +32,13 @@
 	<-r.Context().Done()
 }
 
-// write writes a part of an answer. The sidecar may have gone, so errors are ignored.
+// write writes a part of an answer. Errors are ignored, because the sidecar may have closed the connection.
 func write(w io.Writer, values ...any) { _, _ = fmt.Fprint(w, values...) }
 
-// answerOK is the handler of an endpoint that answers each request.
+// answerOK is the handler of an endpoint that answers each request with 200.
 func answerOK(w http.ResponseWriter, _ *http.Request) { write(w, "ok") }
 
-// flush sends what was written. The sidecar may have gone, so errors are ignored.
+// flush sends what was written. Errors are ignored, because the sidecar may have closed the connection.
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
 // drainBody reads a body until its end or its first error.
--- a/internal/standalone/golden_format_test.go
+++ b/internal/standalone/golden_format_test.go
@@ -34,11 +34,11 @@
 func (plainCaller) Confirm(context.Context) bool    { return true }
 func (plainCaller) Early() bool                     { return false }
 
-// Callers tell answers of endpoints, rejections and failures apart by their status and headers.
+// The format of answers stays the same: callers distinguish responses of endpoints, rejections and failures by status and headers.
 func TestAnswersKeepTheirForm(t *testing.T) {
 	s := &server{}
 	var text strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		answer answer
 	}{
@@ -48,8 +48,8 @@
 		{"failed", answer{}},
 	} {
 		w := httptest.NewRecorder()
-		s.writeAnswer(w, plainCaller{}, c.answer)
-		fmt.Fprintf(&text, "%s: %d\n", c.name, w.Code)
+		s.writeAnswer(w, plainCaller{}, test.answer)
+		fmt.Fprintf(&text, "%s: %d\n", test.name, w.Code)
 		for _, name := range slices.Sorted(maps.Keys(w.Header())) {
 			fmt.Fprintf(&text, "  %s: %s\n", name, strings.Join(w.Header()[name], " | "))
 		}
@@ -58,9 +58,9 @@
 	golden.Text(t, "answers.txt", []byte(text.String()))
 }
 
-// Requests with a fault are answered with a status and a text, for the first fault in a fixed order.
+// An invalid request is answered with a status and a text for its first fault. Faults are checked in a fixed order.
 func TestFaultsOfRequestsKeepTheirForm(t *testing.T) {
-	l := fleetLoop(t, 1)
+	l := loopWithEndpoints(t, 1)
 	l.config.Settings.Classes = []balancer.Class{
 		{Name: "read", Idempotency: balancer.Idempotent},
 		{Name: "book", Idempotency: balancer.IdempotentWithKey},
@@ -101,8 +101,8 @@
 	golden.Text(t, "faults.txt", []byte(text.String()))
 }
 
-// logged returns the log lines of a function, without times.
-func logged(t *testing.T, f func()) string {
+// captureLog returns what the standard logger writes during a call of f, without times.
+func captureLog(t *testing.T, f func()) string {
 	t.Helper()
 	var text strings.Builder
 	flags, out := log.Flags(), log.Writer()
@@ -116,7 +116,7 @@
 	return text.String()
 }
 
-// Later versions find the records on the disk under the same keys, and people match the log lines.
+// The keys of records on disk and the log lines stay the same: later versions look the records up, and operators match the lines.
 func TestMemoryKeepsItsForm(t *testing.T) {
 	records, err := store.Open(store.Dir(t.TempDir()), store.Options{})
 	if err != nil {
@@ -135,7 +135,7 @@
 	mem.saveList(0, endpointsource.List{Kind: balancer.ListFull, Endpoints: listed}, all)
 	r := &request{Request: balancer.Request{ID: "txn1"}, Inbound: exchange.Inbound{Header: http.Header{}}}
 	if g := mem.beginAttempt(0, r, all[1]); g == nil || !g.pass(t.Context()) {
-		t.Fatal("the request is not remembered")
+		t.Fatal("the attempt has no gate or was not let through: the request was not recorded")
 	}
 	var lines []string
 	if err := records.Range(func(key, value []byte, _ time.Duration) bool {
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	slices.Sort(lines)
-	lines = append(lines, logged(t, func() {
+	lines = append(lines, captureLog(t, func() {
 		mem.reportWrite(errors.New("no space left"))
 		mem.reportWrite(errors.New("no space left"))
 		mem.reportWrite(nil)
@@ -159,7 +159,7 @@
 	golden.Text(t, "memory.txt", []byte(strings.Join(lines, "\n")))
 }
 
-// The lists of discovery have these keys.
+// The JSON keys of discovery's lists, the names of states, the URL of discovery and the Alt-Svc header stay the same.
 func TestListKeepsItsForm(t *testing.T) {
 	list := endpointList{Rev: 7, All: true, Targets: []listedEndpoint{{
 		UID: "s-00000001", Address: "10.0.0.1:80", Zone: "z", Model: "m", Cell: 2, State: "Ready", Weight: 1.5, BootMS: 1700000000000,
@@ -171,14 +171,14 @@
 	golden.Text(t, "list.json", text)
 	var back endpointList
 	if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(back, list) {
-		t.Errorf("read as %+v, %v", back, err)
+		t.Errorf("decoded list: got %+v, error %v; want %+v", back, err, list)
 	}
 	var forms strings.Builder
 	for _, state := range slices.Sorted(maps.Keys(endpointStates)) {
 		fmt.Fprintf(&forms, "%s %d\n", state, endpointStates[state])
 	}
-	w := newWatcher("127.0.0.1:9", "", fleetLoop(t, 1))
-	fmt.Fprintf(&forms, "%s\n", w.url)
+	discoveryClient := newWatcher("127.0.0.1:9", "", loopWithEndpoints(t, 1))
+	fmt.Fprintf(&forms, "%s\n", discoveryClient.url)
 	fmt.Fprintf(&forms, "%s\n", altSvcHeader(&net.UDPAddr{Port: 8443}, time.Hour))
 	golden.Text(t, "list-forms.txt", []byte(forms.String()))
 }
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -24,8 +24,8 @@
 	"quincegap/internal/network/exchange"
 )
 
-// goldenRead returns the content of a golden file.
-func goldenRead(t *testing.T, name string) []byte {
+// readGolden returns the content of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -34,7 +34,7 @@
 	return text
 }
 
-// The saved list of endpoints, key by key, as [memory] has it: a sidecar of another version starts with it.
+// The saved list of endpoints has the recorded keys and values, because a sidecar of another version may start with it.
 func TestGoldenRecordedKeptList(t *testing.T) {
 	endpoints := []endpointsource.Endpoint{
 		{
@@ -58,7 +58,8 @@
 	mem := open()
 	list := endpointsource.List{Kind: balancer.ListFull, Version: 4, Endpoints: endpoints}
 	mem.saveList(0, list, map[balancer.EndpointID]*exchange.Endpoint{})
-	if err := mem.store.Put([]byte{'?'}, nil, time.Second); err != nil { // writes are durable in their order
+	// Put waits, and writes become durable in order, so the list is on disk after it.
+	if err := mem.store.Put([]byte{'?'}, nil, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
@@ -74,7 +75,7 @@
 	golden.Text(t, "recorded/kept-list.txt", []byte(strings.Join(lines, "")))
 
 	mem = open()
-	for line := range strings.Lines(string(goldenRead(t, "recorded/kept-list.txt"))) {
+	for line := range strings.Lines(string(readGolden(t, "recorded/kept-list.txt"))) {
 		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
 		keep := time.Duration(0)
 		if parts[1] == "true" {
@@ -85,14 +86,14 @@
 		}
 	}
 	if got, _, ok := mem.savedList(); !ok || !reflect.DeepEqual(got, endpointsource.List{Kind: balancer.ListCached, Endpoints: endpoints}) {
-		t.Errorf("read back as %+v, %v", got, ok)
+		t.Errorf("saved list: got %+v, found %v; want endpoints %+v", got, ok, endpoints)
 	}
 	if requestKeyPrefix != 'r' || endpointKeyPrefix != 'e' || listKey != 'l' {
-		t.Errorf("keys begin with %c, %c, %c", requestKeyPrefix, endpointKeyPrefix, listKey)
+		t.Errorf("keys of records begin with %c, %c, %c; want r, e, l", requestKeyPrefix, endpointKeyPrefix, listKey)
 	}
 }
 
-// The list that discovery sends, and that a platform's configuration has under known.
+// The list that discovery sends, which a platform's configuration also has as known, is decoded to the recorded values.
 func TestGoldenRecordedDiscoveryList(t *testing.T) {
 	want := endpointList{Rev: 41, All: true, Targets: []listedEndpoint{
 		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 1_800_000_000_123},
@@ -106,8 +107,8 @@
 	}
 	golden.Text(t, "recorded/discovery-list.json", text)
 	var got endpointList
-	if err := json.Unmarshal(goldenRead(t, "recorded/discovery-list.json"), &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read back as %+v, %v", got, err)
+	if err := json.Unmarshal(readGolden(t, "recorded/discovery-list.json"), &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded list: got %+v, error %v; want %+v", got, err, want)
 	}
 	endpoints := []endpointsource.Endpoint{
 		{
@@ -120,14 +121,14 @@
 	}
 	wantList := endpointsource.List{Kind: balancer.ListFull, Version: 41, Endpoints: endpoints}
 	if list := got.sourceList(endpointsource.FromWatch); !reflect.DeepEqual(list, wantList) {
-		t.Errorf("converted to %+v", list)
+		t.Errorf("converted list: got %+v, want %+v", list, wantList)
 	}
 }
 
-// A platform's configuration with all keys, some of them overridden by variables of the environment.
+// A platform's configuration with all keys is parsed to the recorded values. Environment variables override some of them.
 func TestGoldenRecordedPlatformConfiguration(t *testing.T) {
 	env := map[string]string{"BALANCER_NAME": "n7", "BALANCER_LISTEN": "127.0.0.1:81", "BALANCER_DISCOVERY": "127.0.0.1:82"}
-	got, err := parsePlatform(goldenRead(t, "recorded/platform.json"), func(name string) string { return env[name] }, true)
+	got, err := parsePlatform(readGolden(t, "recorded/platform.json"), func(name string) string { return env[name] }, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,28 +165,28 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got\n%+v\nwant\n%+v", got, want)
 	}
-	if err := CheckPlatform(goldenRead(t, "recorded/platform.json")); err != nil {
-		t.Error(err)
+	if err := CheckPlatform(readGolden(t, "recorded/platform.json")); err != nil {
+		t.Errorf("CheckPlatform: %v", err)
 	}
 }
 
-// recordAnswer sends a request on a new connection and writes the answer, without the date, under a name. After a request that is cut
-// short it closes its side of the connection; after a complete one that would mean that the caller has gone.
+// recordAnswer sends a request on a new connection and writes the answer, without the date, under a name. After an incomplete request it
+// closes its side of the connection; after a complete one that would mean that the caller has disconnected.
 func (s *testSidecar) recordAnswer(all *bytes.Buffer, what, request string, cutShort bool) {
 	s.t.Helper()
-	c := s.dial()
-	if _, err := io.WriteString(c, request); err != nil {
+	conn := s.dial()
+	if _, err := io.WriteString(conn, request); err != nil {
 		s.t.Fatal(err)
 	}
 	if cutShort {
-		if err := c.CloseWrite(); err != nil {
+		if err := conn.CloseWrite(); err != nil {
 			s.t.Fatal(err)
 		}
 	}
 	fmt.Fprintf(all, "--- %s\n", what)
-	body := make([]byte, s.recordHeaders(all, what, c.reader))
-	if _, err := io.ReadFull(c.reader, body); err != nil {
-		s.t.Fatalf("%s: %v", what, err)
+	body := make([]byte, s.recordHeaders(all, what, conn.reader))
+	if _, err := io.ReadFull(conn.reader, body); err != nil {
+		s.t.Fatalf("%s: read body: %v", what, err)
 	}
 	all.Write(body)
 	if !bytes.HasSuffix(all.Bytes(), []byte("\n")) {
@@ -199,12 +200,12 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			s.t.Fatalf("%s: %v", what, err)
+			s.t.Fatalf("%s: read headers: %v", what, err)
 		}
 		line = strings.TrimRight(line, "\r\n")
 		if text, ok := strings.CutPrefix(line, "Content-Length: "); ok {
 			if length, err = strconv.Atoi(text); err != nil {
-				s.t.Fatalf("%s: %v", what, err)
+				s.t.Fatalf("%s: parse Content-Length: %v", what, err)
 			}
 		}
 		if !strings.HasPrefix(line, "Date: ") {
@@ -216,10 +217,10 @@
 	}
 }
 
-// recordedHead are the headers of a request without a fault.
+// recordedHead has the headers of a valid request.
 const recordedHead = "Host: h\r\nX-Txn: txn1\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 
-// headWithout is recordedHead without a header.
+// headWithout returns recordedHead without one of its headers.
 func headWithout(name string) string {
 	var kept strings.Builder
 	for line := range strings.Lines(recordedHead) {
@@ -230,7 +231,7 @@
 	return kept.String()
 }
 
-// The answers that the front gives by itself, byte by byte without the date: to readiness requests, and to requests with a fault.
+// The answers to readiness requests, invalid requests and failed requests are byte for byte as recorded, except for the date.
 func TestGoldenRecordedAnswers(t *testing.T) {
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		drainBody(r.Body)
--- a/internal/standalone/group_test.go
+++ b/internal/standalone/group_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The group that was settled last is found by the next process, and none where none was saved.
+// The next process finds the group that was saved last, and no group if none was saved.
 func TestGroupIsSaved(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *memory {
@@ -21,24 +21,24 @@
 		}
 		return &memory{table: idempotency.NewTable(10), store: s, zones: nameIndex{}, diskTriedAt: time.Hour}
 	}
-	m := open()
-	if names, addresses := m.savedGroup(); names != nil || addresses != nil {
-		t.Errorf("the first process has %v at %v", names, addresses)
+	mem := open()
+	if names, addresses := mem.savedGroup(); names != nil || addresses != nil {
+		t.Errorf("first process: got saved group %v at %v, want none", names, addresses)
 	}
-	m.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
-	if err := m.store.Close(); err != nil {
+	mem.saveGroup([]string{"front-0", "front-1"}, []string{"10.0.4.7:7946"})
+	if err := mem.store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	m = open()
-	defer m.close()
-	names, addresses := m.savedGroup()
+	mem = open()
+	defer mem.close()
+	names, addresses := mem.savedGroup()
 	if !slices.Equal(names, []string{"front-0", "front-1"}) || !slices.Equal(addresses, []string{"10.0.4.7:7946"}) {
-		t.Errorf("the next process has %v at %v", names, addresses)
+		t.Errorf("next process: got saved group %v at %v, want the one that the first process saved", names, addresses)
 	}
 }
 
-// All members compute the same member numbers from a share, whatever their ordinal, and the Balancer accepts each group.
-func TestShareIsAGroup(t *testing.T) {
+// All members compute the same member numbers from their shares, regardless of their ordinals, and the Balancer accepts each group.
+func TestMembersAgreeOnGroup(t *testing.T) {
 	names := []string{"front-0", "front-1", "front-2"}
 	lb, err := balancer.New(balancer.Settings{Instances: 9, Classes: []balancer.Class{{Idempotency: balancer.Idempotent}}}, 1, &loop{})
 	if err != nil {
@@ -51,10 +51,10 @@
 			first = g
 		}
 		if !slices.Equal(g.Members, first.Members) || g.Self != g.Members[i] || g.MaxInstances != 5 || g.Instances != 3 {
-			t.Errorf("member %d has %+v, the first %+v", i, g, first)
+			t.Errorf("group of member %d: got %+v, want the members of the first, %+v, and its own number as Self", i, g, first)
 		}
 		if err := lb.UpdateGroup(0, g); err != nil {
-			t.Error(err)
+			t.Errorf("UpdateGroup of member %d: %v", i, err)
 		}
 	}
 }
--- a/internal/standalone/hedging_test.go
+++ b/internal/standalone/hedging_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// startHedging starts a sidecar with four endpoints in two cells and a route that hedges. It has served enough requests for the
-// quantile of their latencies. Paths other than /warm are served by a function that is given the number of the endpoint.
+// startHedging starts a sidecar with four endpoints in two cells and a route that hedges. The sidecar has served enough requests to
+// know the quantile of their latencies. The function serve handles all paths except /warm; it gets the index of the endpoint.
 func startHedging(t *testing.T, allowed bool, more string, serve func(endpoint int, w http.ResponseWriter, r *http.Request)) *testSidecar {
 	t.Helper()
-	withRoutes(t, "[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\n"+more)
-	table := adjustConfig
+	useRoutes(t, "[route.all]\nmatch_path = \"/{rest...}\"\ncopy_after = 0.9\n"+more)
+	setRoutes := adjustConfig
 	adjustConfig = func(c *Config) {
-		table(c)
+		setRoutes(c)
 		c.Settings.HedgedRequests = allowed
 	}
 	var targets []listedEndpoint
@@ -34,20 +34,21 @@
 	sidecar := startSidecar(t, 1024, targets...)
 	for range 120 {
 		if res := sidecar.mustRoundTrip(sidecar.requestTo("read", "/warm")); res.status != http.StatusOK {
-			t.Fatal(res.status)
+			t.Fatalf("request to /warm: got status %d, want 200", res.status)
 		}
 	}
 	return sidecar
 }
 
-// A request whose endpoint does not answer is hedged: another endpoint answers it, of the same cell if it has an idempotency key,
-// and the first attempt is cancelled. Requests that are not idempotent are not hedged, nor is any if the platform forbids it.
+// A request whose endpoint does not answer is hedged: another endpoint answers it, in the same cell if the request has an idempotency
+// key, and the first attempt is cancelled. Requests that are not idempotent are not hedged, nor is any request if the platform forbids
+// hedging.
 func TestHedgedRequests(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		var mu sync.Mutex
 		endpoints := map[string][]int{}
 		var cancelled atomic.Int64
-		// The budget must not be used up by the requests before: one in ten of them is slower than the quantile.
+		// copy_share is large enough that the earlier requests, of which one in ten is slower than the quantile, do not use up the budget.
 		sidecar := startHedging(t, allowed, "copy_share = 0.25\n", func(endpoint int, w http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Txn")
 			mu.Lock()
@@ -62,7 +63,7 @@
 			write(w, "ok")
 		})
 		for _, class := range []string{"read", "book"} {
-			r := sidecar.requestTo(class, "/x") // with enough time for a busy machine, unless no answer is expected
+			r := sidecar.requestTo(class, "/x") // the request has enough time for a busy machine, unless no answer is expected
 			if !allowed {
 				r.Header.Set("X-Remaining", "600m")
 			}
@@ -73,11 +74,11 @@
 			mu.Unlock()
 			switch {
 			case !allowed && (status == http.StatusOK || len(at) != 1):
-				t.Errorf("%s, forbidden: %d, at %v", class, status, at)
+				t.Errorf("request of class %s, hedging forbidden: got status %d and attempts at %v, want no 200 and one attempt", class, status, at)
 			case allowed && (status != http.StatusOK || len(at) != 2 || at[0] == at[1]):
-				t.Errorf("%s: %d, at %v", class, status, at)
+				t.Errorf("request of class %s: got status %d and attempts at %v, want 200 and two different endpoints", class, status, at)
 			case allowed && class == "book" && at[0]/2 != at[1]/2:
-				t.Errorf("a hedge with a key went to another cell: %v", at)
+				t.Errorf("attempts with an idempotency key went to endpoints %v of different cells", at)
 			}
 		}
 		r := sidecar.requestTo("once", "/x")
@@ -86,7 +87,7 @@
 		status := sidecar.mustRoundTrip(r).status
 		mu.Lock()
 		if status != http.StatusBadGateway || len(endpoints[id]) != 1 {
-			t.Errorf("not idempotent: %d, at %v", status, endpoints[id])
+			t.Errorf("request that is not idempotent: got status %d and attempts at %v, want 502 and one attempt", status, endpoints[id])
 		}
 		mu.Unlock()
 		sidecar.waitUntil("the unanswered attempts are cancelled", func() bool { return cancelled.Load() == 3 })
@@ -97,15 +98,15 @@
 	}
 }
 
-// hedgedPair is the two attempts of a hedged request. Their endpoints answer when both attempts have arrived.
+// hedgedPair coordinates the two attempts of a hedged request. Their endpoints answer once both attempts have arrived.
 type hedgedPair struct {
 	mu       sync.Mutex
-	arrived  int
-	together chan bool // closed when both have arrived
-	outcomes [2]string // of the first and of the second to arrive; see writeOutcome
+	arrived  int       // number of attempts that have arrived
+	together chan bool // closed when both attempts have arrived
+	outcomes [2]string // outcomes of the first and of the second attempt to arrive; see writeOutcome
 }
 
-// arrive waits until both attempts have arrived, and returns the outcome of this one; false if it was cancelled before.
+// arrive waits until both attempts have arrived, and returns the outcome for this attempt; ok is false if it was cancelled before.
 func (h *hedgedPair) arrive(r *http.Request) (outcome string, ok bool) {
 	h.mu.Lock()
 	i := h.arrived
@@ -144,14 +145,14 @@
 	}
 }
 
-// sendUntilHedged sends requests of a class until one is hedged and both of its attempts arrive. It returns the status of the answer,
-// and false if no request was hedged. The endpoints find the pair in pairs, by the request's id.
+// sendUntilHedged sends requests of a class until one is hedged and both of its attempts arrive. It returns the status of its answer;
+// hedged is false if no request was hedged. It stores the pair in pairs under the request's id, where the endpoints look it up.
 func (s *testSidecar) sendUntilHedged(class string, outcomes [2]string, pairs *sync.Map) (status int, hedged bool) {
 	s.t.Helper()
-	// A request may not be hedged: the budget is empty, or its first attempt was rejected. Where 8 are not, the endpoints are
-	// ejected by the failures before.
+	// A request is not hedged if the budget is empty or its first attempt was rejected. If 8 in a row are not hedged, the endpoints
+	// have been ejected because of earlier failures.
 	for range 8 {
-		for range 25 { // so that slow answers are few, and the budget covers a hedge
+		for range 25 { // keeps the share of slow answers low, and earns budget for a hedge
 			s.mustRoundTrip(s.requestTo("read", "/warm"))
 		}
 		r := s.requestTo(class, "/x")
@@ -167,11 +168,11 @@
 }
 
 // The two attempts of a hedged request are answered, fail or are rejected at the same moment, in either order. There is one final
-// answer, which is an endpoint's if there is one, and no rejection of a request that may have run.
+// answer, which is an endpoint's response if there is one, and a request that may have run is not rejected.
 func TestHedgedAttemptsEndTogether(t *testing.T) {
-	var sent sync.Map // *hedgedPair by the request's id
+	var sent sync.Map // *hedgedPair by request id
 	sidecar := startHedging(t, true, "copy_share = 0.25\n", func(_ int, w http.ResponseWriter, r *http.Request) {
-		drainBody(r.Body) // until then the server does not see that the sidecar cancels
+		drainBody(r.Body) // the server notices a cancellation only after it has read the body
 		value, _ := sent.Load(r.Header.Get("X-Txn"))
 		if outcome, ok := value.(*hedgedPair).arrive(r); ok {
 			writeOutcome(outcome, w)
@@ -181,26 +182,26 @@
 	outcomes := []string{"answer", "fail", "turn away", "break"}
 	var pairs []pair
 	for _, b := range outcomes {
-		pairs = append(pairs, pair{"read", "answer", b}) // without an answer a rejection and a failure are both true
+		pairs = append(pairs, pair{"read", "answer", b}) // if neither attempt is answered, both a rejection and a failure are correct
 	}
 	for i, a := range outcomes {
-		for _, b := range outcomes[i:] { // which of the two arrives first is by chance
+		for _, b := range outcomes[i:] { // either of the two may arrive first
 			pairs = append(pairs, pair{"book", a, b})
 		}
 	}
 	hedged := 0
-	for _, p := range pairs {
-		status, ok := sidecar.sendUntilHedged(p.class, [2]string{p.a, p.b}, &sent)
+	for _, test := range pairs {
+		status, ok := sidecar.sendUntilHedged(test.class, [2]string{test.a, test.b}, &sent)
 		if !ok {
 			continue
 		}
 		hedged++
-		if p.a == "answer" && p.b == "answer" && status != http.StatusOK {
-			t.Errorf("%s, %s and %s: %d", p.class, p.a, p.b, status)
+		if test.a == "answer" && test.b == "answer" && status != http.StatusOK {
+			t.Errorf("class %s, outcomes %s and %s: got status %d, want 200", test.class, test.a, test.b, status)
 		}
-		// An attempt ran, or may have: a request with a key must not be rejected.
-		if ran := p.a != "turn away" || p.b != "turn away"; p.class == "book" && ran && status == http.StatusServiceUnavailable {
-			t.Errorf("%s, %s and %s: rejected", p.class, p.a, p.b)
+		// If an attempt ran or may have run, a request with a key must not be rejected.
+		if ran := test.a != "turn away" || test.b != "turn away"; test.class == "book" && ran && status == http.StatusServiceUnavailable {
+			t.Errorf("class %s, outcomes %s and %s: got 503 for a request that may have run", test.class, test.a, test.b)
 		}
 	}
 	if hedged < 7 {
@@ -227,13 +228,13 @@
 			t.Fatal(status)
 		}
 	}
-	// The budget may cover ten from before.
+	// Up to ten hedges may be covered by budget that was earned before.
 	if n := arrived.Load(); n <= requests || n > requests+10+requests/10+1 {
-		t.Errorf("%d attempts of %d requests", n, requests)
+		t.Errorf("%d attempts of %d requests, want more attempts than requests, and at most 11 and a tenth more", n, requests)
 	}
 	var hedges uint64
 	sidecar.onLoop(func() { hedges = sidecar.server.tuning.Load().routes.Routes[0].State.Hedges })
 	if hedges == 0 || hedges > 10+(120+requests)/10 {
-		t.Errorf("%d hedged requests", hedges)
+		t.Errorf("%d hedged requests, want 1 to %d", hedges, 10+(120+requests)/10)
 	}
 }
--- a/internal/standalone/lifetime_test.go
+++ b/internal/standalone/lifetime_test.go
@@ -9,9 +9,9 @@
 	"quincegap/internal/balancer"
 )
 
-// Endpoints, connections and requests come and go; nothing is kept of what has gone.
+// After endpoints, connections and requests have come and gone, no state of them remains.
 func TestTablesEndEmpty(t *testing.T) {
-	sidecar := startSidecar(t, 1024, ready("s-ffffffff"))
+	sidecar := startSidecar(t, 1024, readyEndpoint("s-ffffffff"))
 	loop := sidecar.server.loop
 	announce := func(rev uint64, all bool, targets ...listedEndpoint) {
 		sidecar.announce(endpointList{Rev: rev, All: all, Targets: targets})
@@ -20,18 +20,18 @@
 			return done
 		})
 	}
-	full := loop.bodyBudget.Available()
+	fullBudget := loop.bodyBudget.Available()
 	rev := uint64(1)
 	for i := range 20 {
-		x := startEndpoint(t, fmt.Sprintf("s-%08x", i), answerOK)
+		added := startEndpoint(t, fmt.Sprintf("s-%08x", i), answerOK)
 		rev++
-		announce(rev, i%2 == 0, x)
+		announce(rev, i%2 == 0, added)
 		if status, body := sidecar.call(sidecar.request("once", 9*time.Second)); status != 200 {
-			t.Fatalf("got %d %q", status, body)
+			t.Fatalf("request %d: got status %d, body %q; want 200", i, status, body)
 		}
 		if rev++; i%4 < 2 {
-			x.State = "Gone"
-			announce(rev, false, x)
+			added.State = "Gone"
+			announce(rev, false, added)
 		} else {
 			announce(rev, true)
 		}
@@ -41,7 +41,7 @@
 		sidecar.onLoop(func() {
 			e := loop.endpoints
 			open, idle := loop.http1.Counts()
-			done = len(e.byID)+len(e.ids)+idle+open+len(loop.requests) == 0 && loop.bodyBudget.Available() == full
+			done = len(e.byID)+len(e.ids)+idle+open+len(loop.requests) == 0 && loop.bodyBudget.Available() == fullBudget
 		})
 		open, _, staged, _ := sidecar.http1Front().Counts()
 		return done && staged == 0 && open == 0
@@ -52,6 +52,6 @@
 	}
 	ids.add("last", 2*recentIDRetention)
 	if len(ids.endedAt) != 1 || len(ids.ids) != 1 || ids.has("1", 2*recentIDRetention) || !ids.has("last", 2*recentIDRetention) {
-		t.Errorf("%d ids are kept", len(ids.endedAt))
+		t.Errorf("recent ids: got %d in the map and %d in the list, want only the last one", len(ids.endedAt), len(ids.ids))
 	}
 }
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -86,7 +86,7 @@
 		log.Printf("memory: %v", d)
 	}
 	if h.TornBytes > 0 {
-		log.Printf("memory: skipped %d bytes at the end, where the last append is incomplete or damaged", h.TornBytes)
+		log.Printf("memory: skipped %d bytes: the last append is incomplete or damaged", h.TornBytes)
 	}
 }
 
--- a/internal/standalone/memory_test.go
+++ b/internal/standalone/memory_test.go
@@ -33,13 +33,13 @@
 		t.Fatal(err)
 	}
 	if mem.mustReject(time.Hour, requestOf("new")) {
-		t.Error("rejected while the disk works")
+		t.Error("a new request was rejected while the disk works")
 	}
 	mem.reportWrite(errors.New("no space left"))
 	if !mem.mustReject(time.Hour, requestOf("new")) {
-		t.Error("a request that cannot be remembered was admitted")
+		t.Error("a request that cannot be recorded was admitted")
 	}
 	if r := requestOf("ran"); mem.mustReject(time.Hour, r) || !r.Prior.MayHaveRun {
-		t.Errorf("a request that may have run was rejected: %+v", r.Prior)
+		t.Errorf("a request that may have run was rejected, or not recognised: prior attempt %+v", r.Prior)
 	}
 }
--- a/internal/standalone/parse.go
+++ b/internal/standalone/parse.go
@@ -148,7 +148,7 @@
 	req.AttemptTimeout = settings.AttemptTimeout
 	req.ValueFactor = settings.Value
 	if limit := tighterLimit(settings.MaxAttempts, s.config.Settings.MaxAttempts); limit > 0 && s.config.mayHedge(req) {
-		req.MaxAttempts = limit - 1 // one attempt is reserved for the secondary
+		req.MaxAttempts = limit - 1 // the remaining attempt is reserved for the secondary
 	}
 	return ""
 }
--- a/internal/standalone/protocols_test.go
+++ b/internal/standalone/protocols_test.go
@@ -21,16 +21,16 @@
 	"quincegap/internal/standin/udp"
 )
 
-// protocols are the protocols of a test, "http1" or "http3": from callers, and to endpoints.
+// protocols are the protocols that a test uses from callers (front) and to endpoints (transport), each "http1" or "http3".
 type protocols struct{ front, transport string }
 
-// currentProtocols are those of the test that runs; the tests of this package do not run in parallel.
+// currentProtocols are the protocols of the running test. The tests of this package do not run in parallel.
 var currentProtocols = protocols{"http1", "http1"}
 
 // adjustConfig changes the configuration of the sidecars that a test starts.
 var adjustConfig = func(*Config) {}
 
-// forEachProtocol runs a test with every front and transport.
+// forEachProtocol runs a test with every combination of front and transport.
 func forEachProtocol(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	for _, p := range []protocols{{"http1", "http1"}, {"http3", "http1"}, {"http1", "http3"}, {"http3", "http3"}} {
@@ -42,11 +42,11 @@
 	}
 }
 
-// The names in the certificates of endpoints and of the sidecar.
+// Server names in the certificates of endpoints and of the sidecar's front.
 const endpointName, frontName = "slot-keeper.example.org", "front.example.org"
 
-// signer signs the certificates of all tests.
-var signer = func() *authority.Authority {
+// testAuthority signs the certificates of all tests.
+var testAuthority = func() *authority.Authority {
 	a, err := authority.New()
 	if err != nil {
 		panic(err)
@@ -54,7 +54,7 @@
 	return a
 }()
 
-// apply sets the protocols in a sidecar's configuration, after adjustConfig.
+// apply calls adjustConfig and then sets the protocols in a sidecar's configuration.
 func (p protocols) apply(t *testing.T, config *Config) {
 	t.Helper()
 	adjustConfig(config)
@@ -68,7 +68,7 @@
 	}
 	config.product.Resolve = func(path string) string { return path }
 	if p.front == "http3" {
-		cert, key, err := signer.Issue(frontName, time.Hour)
+		cert, key, err := testAuthority.Issue(frontName, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,21 +81,21 @@
 	if p.transport == "http3" {
 		endpoints := &config.tuning.http3Endpoints
 		endpoints.Use = http3.Prefer
-		endpoints.CAFile = writeFile("ca.pem", signer.PEM())
+		endpoints.CAFile = writeFile("ca.pem", testAuthority.PEM())
 		endpoints.ServerName = endpointName
 		endpoints.EarlyRequests = true
 		endpoints.HandshakeTimeout = 5 * time.Second
 	}
 }
 
-// client returns a caller's transport to the sidecar, by the protocol of the front, and the beginning of the URLs.
+// client returns a caller's transport to the sidecar over the protocol of the front, and the base URL of requests.
 func (s *testSidecar) client() (c http.RoundTripper, base string) {
 	if len(s.server.fronts) == 1 {
 		return http.DefaultTransport, s.url
 	}
 	if s.h3 == nil {
 		s.h3 = &qh3.Transport{
-			TLSClientConfig: &tls.Config{RootCAs: signer.Pool(), ServerName: frontName},
+			TLSClientConfig: &tls.Config{RootCAs: testAuthority.Pool(), ServerName: frontName},
 			QUICConfig:      &quic.Config{MaxIdleTimeout: time.Minute},
 		}
 		s.t.Cleanup(func() { closeQuietly(s.h3) })
@@ -103,27 +103,27 @@
 	return s.h3, "https://" + s.server.fronts[1].(*http3.Front).Address().String()
 }
 
-// listenEndpoint starts an endpoint that serves by the current protocol. Where that is HTTP/3, a request over HTTP/1.1 fails the
-// test, except health checks.
-func listenEndpoint(t *testing.T, release http.HandlerFunc) (address string) {
+// listenEndpoint starts an endpoint that serves over the current protocol. If that is HTTP/3, a request over HTTP/1.1 fails the test,
+// except for health checks.
+func listenEndpoint(t *testing.T, serve http.HandlerFunc) (address string) {
 	t.Helper()
-	behind := release
+	http1Handler := serve
 	if currentProtocols.transport == "http3" {
-		behind = func(_ http.ResponseWriter, r *http.Request) {
+		http1Handler = func(_ http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/health" {
-				t.Errorf("%s came over HTTP/1.1", r.URL.Path)
+				t.Errorf("request for %s arrived over HTTP/1.1, want HTTP/3", r.URL.Path)
 			}
 		}
 	}
 	for range 20 {
-		server := httptest.NewServer(behind)
+		server := httptest.NewServer(http1Handler)
 		address = server.Listener.Addr().String()
 		if currentProtocols.transport == "http3" {
-			cert, err := signer.Pair(endpointName)
+			cert, err := testAuthority.Pair(endpointName)
 			if err != nil {
 				t.Fatal(err)
 			}
-			e, err := h3.Start(address, cert, h3.Options{EarlyData: true}, release)
+			e, err := h3.Start(address, cert, h3.Options{EarlyData: true}, serve)
 			if err != nil { // the port is taken for UDP
 				server.Close()
 				continue
@@ -168,7 +168,7 @@
 		go send()
 		for range 2 {
 			if status := <-answer; status != http.StatusOK {
-				t.Errorf("status %d", status)
+				t.Errorf("request in flight during the shutdown: got status %d, want 200", status)
 			}
 		}
 		http.DefaultClient.CloseIdleConnections()
@@ -179,8 +179,8 @@
 	})
 }
 
-// A proxy in front announces early data by a header. Requests that are not idempotent are answered 425, so that they are sent again
-// after the handshake.
+// A proxy in front of the sidecar marks early data with a header. Requests that are not idempotent are answered 425, so that they are sent
+// again after the handshake.
 func TestTooEarly(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T) {
 		t.Helper()
@@ -195,18 +195,18 @@
 			r := sidecar.request(class, 5*time.Second)
 			r.Header.Set("Early-Data", "1")
 			if status, _ := sidecar.call(r); status != want {
-				t.Errorf("%s: %d, want %d", class, status, want)
+				t.Errorf("early request of class %s: got status %d, want %d", class, status, want)
 			}
 		}
 		if n := len(arrived); n != 1 {
-			t.Errorf("endpoints got %d requests", n)
+			t.Errorf("endpoints got %d requests, want 1", n)
 		} else if got := <-arrived; got != "read1" {
-			t.Errorf("endpoints got %s", got)
+			t.Errorf("endpoints got class and Early-Data %s, want read1", got)
 		}
 	})
 }
 
-// recordedCaller sends requests of class book over HTTP/3, each on a new connection whose datagrams are recorded.
+// recordedCaller sends requests of class book over HTTP/3. Each uses a new connection through a relay that records the datagrams.
 type recordedCaller struct {
 	sidecar *testSidecar
 	front   *http3.Front
@@ -218,9 +218,9 @@
 func (c *recordedCaller) send(early bool) [][]byte {
 	t := c.sidecar.t
 	t.Helper()
-	// With early data the caller gets no reply until its request has arrived: on a busy machine the handshake would be complete
-	// before. And quic-go 0.65.0 reads the peer's transport parameters, when a stream is opened in early data, while it writes them
-	// at the end of the handshake, which the race detector reports now and then.
+	// With early data, replies are dropped until the request has arrived, for two reasons: on a busy machine the handshake could be
+	// complete before; and quic-go 0.65.0 has a data race, which the race detector reports now and then: opening a stream in early
+	// data reads the peer's transport parameters while the end of the handshake writes them.
 	c.relay.SetFault(udp.Fault{DropReplies: early})
 	c.relay.StartRecording()
 	conn, err := quic.DialAddrEarly(t.Context(), c.relay.Address(), c.tls, nil)
@@ -239,7 +239,7 @@
 	}
 	closeQuietly(stream)
 	if early {
-		c.sidecar.waitUntil("the early request waits for the handshake", func() bool {
+		c.sidecar.waitUntil("the early request has arrived and waits for the handshake", func() bool {
 			open, idle, _ := c.front.Counts()
 			return open > idle
 		})
@@ -251,16 +251,16 @@
 	}
 	defer closeQuietly(res.Body)
 	if res.StatusCode != http.StatusOK {
-		t.Fatalf("%+v", res)
+		t.Fatalf("got response %+v, want status 200", res)
 	}
-	time.Sleep(50 * time.Millisecond) // until the session ticket has arrived
+	time.Sleep(50 * time.Millisecond) // wait for the session ticket
 	if conn.ConnectionState().Used0RTT != early {
-		t.Fatalf("early data: %v, wanted %v", conn.ConnectionState().Used0RTT, early)
+		t.Fatalf("connection used early data: got %v, want %v", conn.ConnectionState().Used0RTT, early)
 	}
 	return c.relay.StopRecording()
 }
 
-// A request in a first flight that is recorded and replayed runs once.
+// A request in early data runs once, even if its first flight is recorded and replayed.
 func TestReplayedBookingRunsOnce(t *testing.T) {
 	currentProtocols = protocols{"http3", "http1"}
 	defer func() { currentProtocols = protocols{"http1", "http1"} }()
@@ -276,11 +276,11 @@
 	}
 	defer relay.Close()
 	caller := &recordedCaller{sidecar: sidecar, front: front, relay: relay, tls: &tls.Config{
-		RootCAs: signer.Pool(), ServerName: frontName, NextProtos: []string{"h3"}, ClientSessionCache: tls.NewLRUClientSessionCache(4),
+		RootCAs: testAuthority.Pool(), ServerName: frontName, NextProtos: []string{"h3"}, ClientSessionCache: tls.NewLRUClientSessionCache(4),
 	}}
 	caller.send(false)
 	recorded := caller.send(true)
-	// An attacker could not change the id, but the replay must not be recognised by it alone.
+	// An attacker could not change the id, but a replay must be detected even without the recent ids.
 	sidecar.onLoop(func() { sidecar.server.loop.recentIDs = recentIDs{} })
 	for range 100 {
 		if err := relay.Replay(recorded); err != nil {
@@ -289,11 +289,11 @@
 	}
 	// A connection that is opened after the replays is served after them.
 	if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
-		t.Error(status)
+		t.Errorf("request after the replays: got status %d, want 200", status)
 	}
 	sidecar.waitUntil("no handshake is in progress", func() bool { _, _, n := front.Counts(); return n == 0 })
 	if runs.Load() != 3 {
-		t.Errorf("three requests ran %d times", runs.Load())
+		t.Errorf("three requests ran %d times, want 3", runs.Load())
 	}
 }
 
@@ -311,7 +311,7 @@
 		r := sidecar.request("once", 5*time.Second)
 		r.Body, r.ContentLength = read, 100
 		if got, err := sidecar.roundTrip(r); got != nil && got.status != 400 {
-			t.Errorf("status %d, %v", got.status, err)
+			t.Errorf("incomplete request: got status %d, error %v; want 400 or no answer", got.status, err)
 		}
 		if arrived.Load() != 0 {
 			t.Error("the request was forwarded")
@@ -319,7 +319,7 @@
 	})
 }
 
-// Callers disconnect around the moment at which they are answered: nothing is kept of their requests.
+// If callers disconnect around the time at which they are answered, no state of their requests remains.
 func TestCallerLeavesAsTheAnswerComes(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T) {
 		t.Helper()
@@ -327,20 +327,20 @@
 			time.Sleep(2 * time.Millisecond)
 			write(w, "ok")
 		}))
-		full := sidecar.server.loop.bodyBudget.Available()
+		fullBudget := sidecar.server.loop.bodyBudget.Available()
 		for i := range 60 {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*100*time.Microsecond)
-			_, _ = sidecar.roundTrip(sidecar.request("once", 5*time.Second).WithContext(ctx)) // with an answer or without
+			_, _ = sidecar.roundTrip(sidecar.request("once", 5*time.Second).WithContext(ctx)) // succeeds or fails, depending on the timing
 			cancel()
 		}
-		sidecar.waitUntil("no request and no body is kept", func() (done bool) {
+		sidecar.waitUntil("no request is in flight and the body budget is full", func() (done bool) {
 			sidecar.onLoop(func() {
-				done = len(sidecar.server.loop.requests) == 0 && sidecar.server.loop.bodyBudget.Available() == full
+				done = len(sidecar.server.loop.requests) == 0 && sidecar.server.loop.bodyBudget.Available() == fullBudget
 			})
 			return done
 		})
 		if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
-			t.Errorf("a request after them: %d", status)
+			t.Errorf("request after the disconnections: got status %d, want 200", status)
 		}
 	})
 }
--- a/internal/standalone/request.go
+++ b/internal/standalone/request.go
@@ -105,7 +105,7 @@
 func (l *loop) abandon(r *request) {
 	r.answered = true
 	if r.inFlight != nil {
-		r.inFlight.cancel() // its outcome is handled by handleAttemptEnd
+		r.inFlight.cancel() // handleAttemptEnd handles the attempt's outcome
 	}
 	l.balancer.HandleClientGone(l.now(), r.ID)
 	l.forget(r)
--- a/internal/standalone/requests_test.go
+++ b/internal/standalone/requests_test.go
@@ -14,29 +14,32 @@
 	"quincegap/internal/network/exchange"
 )
 
-func TestRequestGoesOnUnchanged(t *testing.T) { forEachProtocol(t, testRequestGoesOnUnchanged) }
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	forEachProtocol(t, testRequestIsForwardedUnchanged)
+}
 
-func testRequestGoesOnUnchanged(t *testing.T) {
+func testRequestIsForwardedUnchanged(t *testing.T) {
 	t.Helper()
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		left, ok := parseRemaining(r.Header.Get("X-Remaining"))
 		if !ok || left <= 0 || left >= 5*time.Second {
-			t.Errorf("X-Remaining %q", r.Header.Get("X-Remaining"))
+			t.Errorf("forwarded X-Remaining: got %q, want above 0 and below 5 s", r.Header.Get("X-Remaining"))
 		}
 		write(w, r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Txn"), " ", r.Header.Get("Idempotency-Key"), " ", string(body))
 	}))
 	status, body := sidecar.call(sidecar.request("book", 5*time.Second))
 	if want := "POST /api?x=1&y=%2F txn1 k1 trip"; status != 200 || body != want {
-		t.Errorf("got %d %q, want %q", status, body, want)
+		t.Errorf("keyed request: got status %d, body %q; want 200, %q", status, body, want)
 	}
 	if status, body = sidecar.call(sidecar.request("read", 5*time.Second)); status != 200 || body != "GET /api?x=1&y=%2F txn2  " {
-		t.Errorf("got %d %q", status, body)
+		t.Errorf("idempotent request: got status %d, body %q; want 200 and the request line", status, body)
 	}
 }
 
-// A request whose length can be read in two ways may hide another one in its body. It is not forwarded, and its connection is closed.
-func TestRequestInsideAnotherIsNotPassedOn(t *testing.T) {
+// A request with an ambiguous length may hide another request in its body (request smuggling). It is not forwarded, and its connection
+// is closed.
+func TestRequestInsideAnotherIsNotForwarded(t *testing.T) {
 	var arrived atomic.Int64
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, _ *http.Request) { arrived.Add(1) }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
@@ -52,18 +55,19 @@
 	} {
 		status, c := sidecar.sendRaw(fmt.Sprintf(head, "outer") + framing)
 		if status < 400 {
-			t.Errorf("%.60q: answered %d", framing, status)
+			t.Errorf("%.60q: got status %d, want 400 or above", framing, status)
 		}
 		if rest, _ := io.ReadAll(c); strings.Contains(string(rest), "HTTP/1.1 ") {
-			t.Errorf("%.60q: a second answer %q", framing, rest)
+			t.Errorf("%.60q: got a second answer on the connection: %q", framing, rest)
 		}
 	}
 	if arrived.Load() != 0 {
-		t.Errorf("%d requests reached the endpoint", arrived.Load())
+		t.Errorf("%d requests reached the endpoint, want none", arrived.Load())
 	}
 }
 
-// A caller that closes its side of the connection has gone away. An empty 200 would be an answer that no endpoint made.
+// A caller that closes its side of the connection counts as disconnected and gets no answer. Returning from the handler would send an
+// empty 200, which no endpoint has sent.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
 	arrived := make(chan bool)
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
@@ -71,13 +75,13 @@
 		awaitCancel(r)
 	}))
 	c := sidecar.dial()
-	c.post(sidecar.request("once", 9*time.Second))
+	c.writeRequest(sidecar.request("once", 9*time.Second))
 	<-arrived
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	if got, _ := io.ReadAll(c); len(got) > 0 {
-		t.Errorf("answered %q", got)
+		t.Errorf("half-closed connection: got answer %q, want none", got)
 	}
 }
 
@@ -119,16 +123,16 @@
 		}, 411},
 	} {
 		if name == "other host" && currentProtocols.front == "http3" {
-			continue // HTTP/3 has no such request line
+			continue // HTTP/3 has no request line with an absolute URL
 		}
 		r := sidecar.request("book", 5*time.Second)
 		test.change(r)
 		if status, body := sidecar.call(r); status != test.want {
-			t.Errorf("%s: got %d %q, want %d", name, status, body, test.want)
+			t.Errorf("%s: got status %d, body %q; want %d", name, status, body, test.want)
 		}
 	}
 	if arrived.Load() != 0 {
-		t.Errorf("%d requests reached the endpoint", arrived.Load())
+		t.Errorf("%d requests reached the endpoint, want none", arrived.Load())
 	}
 }
 
@@ -141,19 +145,20 @@
 	var arrived atomic.Int64
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if arrived.Add(1) == 1 {
-			write(w, "ok") // the next request is sent on a connection that was used before
+			write(w, "ok") // so that the next request is sent on a reused connection
 			return
 		}
 		drainBody(r.Body)
 		closeConnection(w)
 	}))
 	if status, _ := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
-		t.Fatal(status)
+		t.Fatalf("first request: got status %d, want 200", status)
 	}
 	r := sidecar.request("once", 5*time.Second)
 	r.Header.Set("Idempotency-Key", "k")
 	if status, body := sidecar.call(r); status != 502 || arrived.Load() != 2 {
-		t.Errorf("got %d %q after %d requests", status, body, arrived.Load())
+		t.Errorf("request whose connection was closed: got status %d, body %q, after %d attempts in total; want 502 after 2",
+			status, body, arrived.Load())
 	}
 }
 
@@ -181,11 +186,11 @@
 	for i := 0; inCell.Load() == 0 && i < 100; i++ {
 		outsideCell.Store(0)
 		if status, body := sidecar.call(sidecar.request("book", 9*time.Second)); status != 200 {
-			t.Fatalf("got %d %q", status, body)
+			t.Fatalf("keyed request: got status %d, body %q; want 200", status, body)
 		}
 	}
 	if inCell.Load() != 2 || outsideCell.Load() != 0 {
-		t.Errorf("%d attempts in the cell, %d outside of it", inCell.Load(), outsideCell.Load())
+		t.Errorf("got %d attempts in the cell and %d outside of it, want 2 and 0", inCell.Load(), outsideCell.Load())
 	}
 }
 
@@ -207,17 +212,17 @@
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", full), startEndpoint(t, "s-2", answerOK))
 	for range 10 {
 		if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 200 {
-			t.Fatalf("got %d %q", status, body)
+			t.Fatalf("request that one endpoint rejects: got status %d, body %q; want 200 from the other", status, body)
 		}
 	}
 	sidecar = startSidecar(t, 1024, startEndpoint(t, "s-1", full))
 	plain.Store(true)
 	if status, body := sidecar.call(sidecar.request("once", 5*time.Second)); status != 502 {
-		t.Errorf("got %d %q: a rejection promises that it has not run", status, body)
+		t.Errorf("request that got a plain 503: got status %d, body %q; want 502, because a rejection promises that it has not run", status, body)
 	}
 }
 
-// A request that its endpoint does not answer fails before its deadline, and one that could not be sent is rejected before it.
+// A request that its endpoint does not answer fails before the request's deadline, and a request that cannot be sent is rejected before it.
 func TestAnswerIsOutBeforeTheDeadline(t *testing.T) {
 	forEachProtocol(t, testAnswerIsOutBeforeTheDeadline)
 }
@@ -229,7 +234,7 @@
 	draining.State = "Terminating"
 	for want, targets := range map[int][]listedEndpoint{502: {unresponsive}, 503: {draining}} {
 		sidecar := startSidecar(t, 1024, targets...)
-		// The caller's time counts from when it can send, so the handshake is done beforehand.
+		// The caller's time counts from when it can send, so this request completes the handshake beforehand.
 		ready := sidecar.request("read", callerTime)
 		ready.URL.Path = "/ready"
 		ready.Header.Del("X-Txn")
@@ -239,13 +244,13 @@
 }
 
 const (
-	callerTime      = 1500 * time.Millisecond // that the caller of checkAnswerInTime waits
-	maxMachineStall = 5 * time.Millisecond    // less than what the sidecar keeps between its answer and the deadline
-	maxTimedCalls   = 10
+	callerTime      = 1500 * time.Millisecond // how long the caller in checkAnswerInTime waits
+	maxMachineStall = 5 * time.Millisecond    // longer stalls excuse a late answer; less than the sidecar's margin before the deadline
+	maxTimedCalls   = 10                      // maximum number of calls of checkAnswerInTime
 )
 
-// checkAnswerInTime checks the status of an answer, and that it is there before the caller's time is over. The caller's clock runs in the
-// same process as the sidecar: an answer that comes late while the machine has stalled says nothing, and the call is repeated.
+// checkAnswerInTime checks the status of an answer, and that it arrives before the caller's time is over. The caller runs in the same
+// process as the sidecar, so a late answer proves nothing if the machine has stalled during the call: the call is then repeated.
 func checkAnswerInTime(sidecar *testSidecar, want int) {
 	sidecar.t.Helper()
 	for call := 1; ; call++ {
@@ -255,21 +260,20 @@
 		took := time.Since(sent)
 		longest := stalled()
 		if status != want {
-			sidecar.t.Errorf("got %d %q, want %d", status, body, want)
+			sidecar.t.Errorf("request without a response: got status %d, body %q; want %d", status, body, want)
 		}
 		if took < callerTime {
 			return
 		}
 		if longest <= maxMachineStall || call == maxTimedCalls {
-			sidecar.t.Errorf("answered %d after %v of %v; the machine stalled for %v", want, took, callerTime, longest)
+			sidecar.t.Errorf("answer %d arrived after %v, want less than %v; the machine stalled for %v", want, took, callerTime, longest)
 			return
 		}
-		sidecar.t.Logf("called again: answered after %v of %v, and the machine stalled for %v", took, callerTime, longest)
+		sidecar.t.Logf("calling again: the answer arrived after %v, want less than %v, but the machine stalled for %v", took, callerTime, longest)
 	}
 }
 
-// watchStalls measures how long the machine keeps a goroutine waiting that has nothing to do, until stop is called, which returns the
-// longest delay.
+// watchStalls measures how late a timer wakes an idle goroutine, until stop is called. The function stop returns the longest delay.
 func watchStalls() (stop func() time.Duration) {
 	const interval = time.Millisecond
 	done := make(chan struct{})
@@ -293,7 +297,7 @@
 	}
 }
 
-// When a caller disconnects, its attempt is cancelled at the endpoint and its request is forgotten.
+// When a caller disconnects, its attempt is cancelled at the endpoint and its request is deleted.
 func TestClientGoneEndsTheAttempt(t *testing.T) { forEachProtocol(t, testClientGoneEndsTheAttempt) }
 
 func testClientGoneEndsTheAttempt(t *testing.T) {
@@ -310,7 +314,7 @@
 	go func() {
 		defer close(disconnected)
 		if got, _ := sidecar.roundTrip(request.WithContext(ctx)); got != nil {
-			t.Errorf("answered %d", got.status)
+			t.Errorf("disconnected caller: got status %d, want no answer", got.status)
 		}
 	}()
 	<-arrived
@@ -319,9 +323,9 @@
 	select {
 	case <-cancelled:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the attempt is still in flight")
+		t.Fatal("the attempt was not cancelled within 5 s of the disconnection")
 	}
-	sidecar.waitUntil("the request is forgotten", func() bool {
+	sidecar.waitUntil("the request is deleted and its connection closed", func() bool {
 		n := 0
 		sidecar.onLoop(func() {
 			open, _ := sidecar.server.loop.http1.Counts()
@@ -331,10 +335,12 @@
 	})
 }
 
-// Once discovery lists an endpoint as draining, it gets no new requests.
-func TestDrainIsKept(t *testing.T) { forEachProtocol(t, testDrainIsKept) }
+// Once discovery lists an endpoint as draining, it gets no new requests, and its idle connections are closed.
+func TestDrainingEndpointGetsNoRequest(t *testing.T) {
+	forEachProtocol(t, testDrainingEndpointGetsNoRequest)
+}
 
-func testDrainIsKept(t *testing.T) {
+func testDrainingEndpointGetsNoRequest(t *testing.T) {
 	t.Helper()
 	count := func(n *atomic.Int64) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -359,16 +365,16 @@
 		sidecar.call(sidecar.request("once", 5*time.Second))
 	}
 	if atDraining.Load() != before || atOther.Load() == 0 {
-		t.Errorf("%d requests went to the draining endpoint", atDraining.Load()-before)
+		t.Errorf("%d requests went to the draining endpoint and %d to the other, want 0 and some", atDraining.Load()-before, atOther.Load())
 	}
 	idle := -1
 	sidecar.onLoop(func() { idle = sidecar.server.loop.http1.IdleAt(draining.Address) })
 	if idle != 0 {
-		t.Errorf("%d idle connections to it are kept", idle)
+		t.Errorf("%d idle connections to the draining endpoint, want 0", idle)
 	}
 }
 
-// A request that its endpoint does not answer, though it answers others, is retried at another one while there is time.
+// A request that its endpoint does not answer, although the endpoint answers others, is retried at another endpoint while there is time.
 func TestUnansweredRequestsAreRetriedElsewhere(t *testing.T) {
 	forEachProtocol(t, testUnansweredRequestsAreRetriedElsewhere)
 }
@@ -376,8 +382,8 @@
 func testUnansweredRequestsAreRetriedElsewhere(t *testing.T) {
 	t.Helper()
 	const deadline = 9 * time.Second
-	var unanswered atomic.Int32 // how many further requests get no answer
-	release := func(w http.ResponseWriter, r *http.Request) {
+	var unanswered atomic.Int32 // number of further requests that get no answer
+	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "book" && unanswered.Add(-1) >= 0 {
 			awaitCancel(r)
 			return
@@ -385,8 +391,8 @@
 		time.Sleep(5 * time.Millisecond)
 		write(w, "ok")
 	}
-	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", release), startEndpoint(t, "s-2", release))
-	for range 20 { // so that the usual latency is known
+	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", serve), startEndpoint(t, "s-2", serve))
+	for range 20 { // let the sidecar learn the usual latency
 		sidecar.call(sidecar.request("book", deadline))
 	}
 	var others sync.WaitGroup
@@ -394,7 +400,7 @@
 	done := make(chan bool)
 	defer close(done)
 	for range 4 {
-		others.Go(func() { // overtake the unanswered ones, at both endpoints
+		others.Go(func() { // requests that overtake the unanswered ones at both endpoints
 			for {
 				select {
 				case <-done:
@@ -415,13 +421,13 @@
 	}
 	for range 2 {
 		if status := <-answer; status != http.StatusOK {
-			t.Errorf("status %d after %v", status, time.Since(began))
+			t.Errorf("request that the first endpoint did not answer: got status %d after %v, want 200", status, time.Since(began))
 		}
 	}
 }
 
-// The id of a request is unique. Another request with it fails and is not forwarded, while the first one is in flight and shortly
-// after: endpoints would run it twice, or reject it.
+// The id of a request is unique. Another request with the same id fails and is not forwarded while the first is in flight and shortly
+// after, because endpoints would run the request twice, or reject it.
 func TestDuplicateIDFails(t *testing.T) { forEachProtocol(t, testDuplicateIDFails) }
 
 func testDuplicateIDFails(t *testing.T) {
@@ -440,20 +446,20 @@
 		done <- status
 	}()
 	<-arrived
-	again := func() int {
+	sendDuplicate := func() int {
 		r := sidecar.request("once", 9*time.Second)
 		r.Header.Set("X-Txn", id)
 		status, _ := sidecar.call(r)
 		return status
 	}
-	if status := again(); status != http.StatusBadGateway {
-		t.Errorf("got %d while the first is open", status)
+	if status := sendDuplicate(); status != http.StatusBadGateway {
+		t.Errorf("duplicate while the first request is in flight: got status %d, want 502", status)
 	}
 	close(release)
 	if status := <-done; status != http.StatusOK {
-		t.Errorf("the first one got %d", status)
+		t.Errorf("first request: got status %d, want 200", status)
 	}
-	if status := again(); status != http.StatusBadGateway || len(arrived) > 0 {
-		t.Errorf("got %d after the first, with %d more requests at the endpoint", status, len(arrived))
+	if status := sendDuplicate(); status != http.StatusBadGateway || len(arrived) > 0 {
+		t.Errorf("duplicate after the first request: got status %d and %d more requests at the endpoint, want 502 and 0", status, len(arrived))
 	}
 }
--- a/internal/standalone/route_test.go
+++ b/internal/standalone/route_test.go
@@ -17,23 +17,24 @@
 func routesOf(t *testing.T, text string) *route.Table {
 	t.Helper()
 	var found finding.List
-	d := doc.ReadTOML([]byte(text), 1<<16, found.ForFile("f"))
-	f := schema.New(route.Rules.Table).Decode(&found, schema.Options{Partial: true}, schema.Layer{Doc: d, Table: d.Root, File: "f"})
+	document := doc.ReadTOML([]byte(text), 1<<16, found.ForFile("f"))
+	file := schema.New(route.Rules.Table).Decode(&found, schema.Options{Partial: true},
+		schema.Layer{Doc: document, Table: document.Root, File: "f"})
 	if err := found.Err(); err != nil {
 		t.Fatal(err)
 	}
-	return route.Compile(f)
+	return route.Compile(file)
 }
 
-// withRoutes sets the routes of the sidecars that a test starts.
-func withRoutes(t *testing.T, text string) {
+// useRoutes sets the routes of the sidecars that a test starts.
+func useRoutes(t *testing.T, text string) {
 	t.Helper()
 	table := routesOf(t, text)
 	adjustConfig = func(c *Config) { c.tuning.routes = table }
 	t.Cleanup(func() { adjustConfig = func(*Config) {} })
 }
 
-// requestTo returns a request of a class for a path, with an idempotency key of its own if the class needs one.
+// requestTo returns a request of a class for a path, with a unique idempotency key if the class requires one.
 func (s *testSidecar) requestTo(class, path string) *http.Request {
 	r := s.request(class, 5*time.Second)
 	r.URL.Opaque = path
@@ -43,7 +44,7 @@
 	return r
 }
 
-// routesText has one route for each setting, named for what it does.
+// routesText has one route for each setting. The name of a route hints at the effect of its setting.
 const routesText = `
 [route.off]
 match_path = "/off/{rest...}"
@@ -73,12 +74,12 @@
 retry_reserve = 1
 `
 
-// routeEndpoints is the state of the endpoints that serve the routes of routesText, each as the test of its setting needs.
+// routeEndpoints is the state of the endpoints that serve the routes of routesText. Each path behaves as the test of its route requires.
 type routeEndpoints struct {
-	requests atomic.Int64
-	failures atomic.Int64 // requests to paths that fail, always or the first time
-	arrived  chan bool    // gets a value for each request to /few,
-	release  chan bool    // which is answered when this has a value
+	requests atomic.Int64 // all requests
+	failures atomic.Int64 // requests to paths that fail, either always or the first time
+	arrived  chan bool    // receives a value for each request to /few
+	release  chan bool    // each value lets one request to /few be answered
 }
 
 // serve is the handler of the endpoints.
@@ -120,25 +121,25 @@
 	r.t.Helper()
 	res := r.mustRoundTrip(r.requestTo(class, path))
 	if res.status != want {
-		r.t.Errorf("%s: %d, wanted %d", path, res.status, want)
+		r.t.Errorf("request for %s: got status %d, want %d", path, res.status, want)
 	}
 	return res
 }
 
-// Each setting of a route has its effect on its own requests, and none on others.
+// Each setting of a route affects the requests of that route and no others.
 func TestRoutesOverSockets(t *testing.T) { forEachProtocol(t, testRoutesOverSockets) }
 
 func testRoutesOverSockets(t *testing.T) {
 	t.Helper()
-	withRoutes(t, routesText)
+	useRoutes(t, routesText)
 	sidecar := &routedSidecar{routeEndpoints: routeEndpoints{arrived: make(chan bool, 10), release: make(chan bool)}}
-	// Endpoints are ejected for the failures of this test: of so many one is always healthy.
+	// This test makes endpoints fail, so some are ejected. With 8 endpoints there is always a healthy one.
 	var targets []listedEndpoint
 	for i := range 8 {
 		targets = append(targets, startEndpoint(t, fmt.Sprint("s-", i), sidecar.serve))
 	}
 	sidecar.testSidecar = startSidecar(t, 1024, targets...)
-	for range 20 { // answers earn the retries of all routes
+	for range 20 { // answered requests earn retry budget for all routes
 		sidecar.callExpecting("read", "/other", http.StatusOK)
 	}
 	sidecar.requests.Store(0)
@@ -152,7 +153,8 @@
 	r.t.Helper()
 	retryAfter := r.callExpecting("book", "/off/x", http.StatusServiceUnavailable).header.Get("Retry-After")
 	if retryAfter != "3.000" || r.requests.Load() != 0 {
-		r.t.Errorf("a route that is off: Retry-After %q, and %d runs", retryAfter, r.requests.Load())
+		r.t.Errorf("route with serve = false: got Retry-After %q and %d requests at the endpoints, want 3.000 and 0",
+			retryAfter, r.requests.Load())
 	}
 	r.callExpecting("read", "/off", http.StatusServiceUnavailable)
 	r.callExpecting("read", "/offer", http.StatusOK)
@@ -166,26 +168,26 @@
 	r.t.Helper()
 	began := time.Now()
 	if r.callExpecting("book", "/short", http.StatusBadGateway); time.Since(began) > 3*time.Second {
-		r.t.Errorf("a request with a timeout of 200 ms took %v", time.Since(began))
+		r.t.Errorf("request with whole_time of 200 ms: took %v, want at most 3 s", time.Since(began))
 	}
 	if r.callExpecting("read", "/once", http.StatusServiceUnavailable); r.failures.Swap(0) != 1 {
-		r.t.Error("a route of one attempt was sent more than once")
+		r.t.Error("request of a route with one attempt: the number of attempts is not 1")
 	}
 	if r.callExpecting("read", "/quick", http.StatusOK); r.failures.Swap(0) != 2 {
-		r.t.Error("an attempt that exceeded its timeout was not retried once")
+		r.t.Error("attempt that exceeded its timeout: the number of attempts is not 2")
 	}
 	if r.callExpecting("read", "/picky", http.StatusServiceUnavailable); r.failures.Swap(0) != 1 {
-		r.t.Error("an outcome that its route does not name was followed by another attempt")
+		r.t.Error("outcome that retry_on does not name: the number of attempts is not 1")
 	}
 	began = time.Now()
 	if r.callExpecting("read", "/paused", http.StatusOK); r.failures.Swap(0) != 2 || time.Since(began) < 150*time.Millisecond {
-		r.t.Errorf("a backoff of 150 to 450 ms took %v", time.Since(began))
+		r.t.Errorf("retry with a backoff of 150 to 450 ms: not exactly 2 attempts, or answered after %v", time.Since(began))
 	}
 	if r.callExpecting("read", "/saved", http.StatusServiceUnavailable); r.failures.Swap(0) != 2 {
-		r.t.Error("one retry is in reserve")
+		r.t.Error("first request with one retry in reserve: the number of attempts is not 2")
 	}
 	if r.callExpecting("read", "/saved", http.StatusServiceUnavailable); r.failures.Swap(0) != 1 {
-		r.t.Error("no retry is left in reserve")
+		r.t.Error("second request, with no retry left in reserve: the number of attempts is not 1")
 	}
 }
 
@@ -196,12 +198,12 @@
 	go func() { done <- r.mustRoundTrip(r.requestTo("read", "/few")).status }()
 	<-r.arrived
 	if res := r.callExpecting("read", "/few", http.StatusServiceUnavailable); res.header.Get("Retry-After") != "1.000" {
-		r.t.Errorf("Retry-After is %q", res.header.Get("Retry-After"))
+		r.t.Errorf("request beyond most_open: got Retry-After %q, want 1.000", res.header.Get("Retry-After"))
 	}
 	r.callExpecting("read", "/other", http.StatusOK)
 	r.release <- true
 	if status := <-done; status != http.StatusOK {
-		r.t.Errorf("the request that was admitted: %d", status)
+		r.t.Errorf("admitted request: got status %d, want 200", status)
 	}
 	r.waitUntil("the next request is admitted", func() bool {
 		go func() { done <- r.mustRoundTrip(r.requestTo("read", "/few")).status }()
@@ -215,10 +217,9 @@
 	})
 }
 
-// A reload replaces all routes at once. A request that was admitted keeps its route, and a route keeps its state under the same
-// name.
+// A reload replaces all routes at once. An admitted request keeps its route, and a route with the same name as before keeps its state.
 func TestRoutesAreReloaded(t *testing.T) {
-	withRoutes(t, "[route.few]\nmatch_path = \"/few\"\nmost_open = 1\n")
+	useRoutes(t, "[route.few]\nmatch_path = \"/few\"\nmost_open = 1\n")
 	arrived, release := make(chan bool, 10), make(chan bool)
 	sidecar := startSidecar(t, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/few" {
@@ -238,15 +239,15 @@
 	<-arrived
 	applyRoutes("[route.few]\nmatch_path = \"/{rest...}\"\nmost_open = 1\n")
 	if res := sidecar.mustRoundTrip(sidecar.requestTo("read", "/other")); res.status != http.StatusServiceUnavailable {
-		t.Errorf("the route admits one, which is in flight: %d", res.status)
+		t.Errorf("second request of a route with most_open = 1: got status %d, want 503", res.status)
 	}
 	applyRoutes("[route.none]\nmatch_path = \"/none\"\nserve = false\n") // the route of the request in flight is gone
 	if res := sidecar.mustRoundTrip(sidecar.requestTo("read", "/other")); res.status != http.StatusOK {
-		t.Errorf("without a route: %d", res.status)
+		t.Errorf("request without a route: got status %d, want 200", res.status)
 	}
 	release <- true
 	if status := <-done; status != http.StatusOK {
-		t.Errorf("the request in flight: %d", status)
+		t.Errorf("request in flight: got status %d, want 200", status)
 	}
 	open := -1
 	sidecar.waitUntil("no request is in flight", func() bool {
--- a/internal/standalone/shutdown_test.go
+++ b/internal/standalone/shutdown_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A sidecar that is shutting down goes on serving callers on the connections that they have: they may know no other sidecar. It
+// A sidecar that is shutting down continues to serve callers on their open connections, because they may know no other sidecar. It
 // accepts new connections, loses no request, and ends when all callers have disconnected.
 func TestStopServesOpenConnections(t *testing.T) {
 	arrived, release := make(chan bool), make(chan bool)
@@ -27,20 +27,20 @@
 	sidecar.beginShutdown()
 	close(release)
 	if res := <-answer; res == nil || res.status != 200 {
-		t.Errorf("in flight at the signal: answer %+v", res)
+		t.Errorf("request in flight at the signal: got answer %+v, want status 200", res)
 	}
 	for range 3 {
 		go send(connections[1])
 		<-arrived
 		if res := <-answer; res == nil || res.status != 200 || res.close {
-			t.Errorf("on an open connection: answer %+v", res)
+			t.Errorf("request on an open connection: got answer %+v, want status 200 and no close", res)
 		}
 	}
 	late := sidecar.dial()
 	go send(late)
 	<-arrived
 	if res := <-answer; res == nil || res.status != 200 {
-		t.Errorf("on a new connection: answer %+v", res)
+		t.Errorf("request on a new connection: got answer %+v, want status 200", res)
 	}
 	closeQuietly(late)
 	for _, c := range connections {
@@ -49,8 +49,8 @@
 	sidecar.waitForEnd()
 }
 
-// All requests that a sidecar has accepted are answered before it is killed: requests from before the signal are cancelled at the
-// end of the shutdown, and the attempts of later ones carry no more time than is left.
+// All requests that a sidecar has accepted are answered before it is killed. Requests from before the signal are cancelled at the end of
+// the shutdown, and attempts of later requests carry no more time than remains until then.
 func TestStopAnswersAllInTime(t *testing.T) {
 	const serveFor = 3 * time.Second
 	arrived, cancelled := make(chan string, 2), make(chan bool, 2)
@@ -68,23 +68,23 @@
 	sidecar.beginShutdown()
 	go send(connections[1])
 	if left, ok := parseRemaining(<-arrived); !ok || left > serveFor {
-		t.Errorf("an attempt carries %v, more than is left", left)
+		t.Errorf("attempt during the shutdown: got X-Remaining %v, want at most the time until the end of the shutdown", left)
 	}
 	for range 2 {
-		// Only the end of the shutdown ends these: the endpoint does not answer.
+		// The endpoint does not answer, so only the end of the shutdown ends these requests.
 		if res := <-answer; res == nil || res.status != http.StatusBadGateway || !res.close {
-			t.Errorf("answer %+v", res)
+			t.Errorf("request at the end of the shutdown: got answer %+v, want status 502 and close", res)
 		}
 		<-cancelled
 	}
 	if now := time.Now(); now.Before(*sidecar.server.shutdownAt.Load()) || now.After(sidecar.server.shutdownAt.Load().Add(serveFor)) {
-		t.Errorf("cancelled %v after the end", now.Sub(*sidecar.server.shutdownAt.Load()))
+		t.Errorf("attempts were cancelled %v after the end of the shutdown, want 0 to 3 s", now.Sub(*sidecar.server.shutdownAt.Load()))
 	}
 	sidecar.waitForEnd()
 }
 
-// Callers open no new connections to a sidecar that is shutting down. A caller whose connections are all in use would reach no
-// sidecar, so the only sidecar rejects requests, with Retry-After, before that.
+// Callers open no new connections to a sidecar that is shutting down. A caller whose connections are all in use could reach no sidecar.
+// So if there is no other sidecar, requests are rejected with Retry-After before all connections are in use.
 func TestStopKeepsConnectionsIdle(t *testing.T) {
 	arrived := make(chan bool, 1)
 	endpoint := startEndpoint(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
@@ -104,7 +104,7 @@
 		sidecar := startReplica(t, test.instances, 1024, endpoint)
 		sidecar.setShutdown(time.Hour, 700*time.Millisecond)
 		if status, _ := sidecar.call(sidecar.request("once", 9*time.Second)); status != http.StatusOK {
-			t.Fatalf("%s: before the shutdown: %d", test.name, status)
+			t.Fatalf("%s: request before the shutdown: got status %d, want 200", test.name, status)
 		}
 		connections := sidecar.connectIdle(2 + test.idle)
 		go connections[0].send(sidecar.request("read", 9*time.Second))
@@ -112,13 +112,13 @@
 		sidecar.beginShutdown()
 		res := connections[1].send(sidecar.request("once", 9*time.Second))
 		if res == nil || res.status != test.status || (res.header.Get("Retry-After") == "") != (test.status == 200) {
-			t.Errorf("%s: %+v", test.name, res)
+			t.Errorf("%s: got answer %+v, want status %d, with Retry-After if it is not 200", test.name, res, test.status)
 		}
 	}
 }
 
-// Where there are other sidecars, one that is shutting down closes idle connections, so that callers move on, while it still
-// answers the requests in flight.
+// If there are other sidecars, a sidecar that is shutting down closes idle connections, so that callers move to the others, while it
+// still answers the requests in flight.
 func TestStopHandsOver(t *testing.T) {
 	arrived, release := make(chan bool), make(chan bool)
 	sidecar := startReplica(t, 2, 1024, startEndpoint(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
@@ -133,13 +133,13 @@
 	go func() { answer <- connections[0].send(sidecar.request("once", 9*time.Second)) }()
 	<-arrived
 	sidecar.beginShutdown()
-	connections[1].extend()
+	connections[1].extendDeadline()
 	if _, err := connections[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("read from an idle connection: got error %v, want EOF", err)
 	}
 	close(release)
 	if res := <-answer; res == nil || res.status != 200 || !res.close {
-		t.Errorf("answer %+v", res)
+		t.Errorf("request in flight at the signal: got answer %+v, want status 200 and close", res)
 	}
 	sidecar.waitForEnd()
 }
--- a/internal/standalone/sidecar_test.go
+++ b/internal/standalone/sidecar_test.go
@@ -19,11 +19,11 @@
 	"quincegap/internal/network/http1"
 )
 
-// patience is how long a test waits for an event before it fails.
-const patience = 20 * time.Second
+// eventTimeout is how long a test waits for an event before it fails.
+const eventTimeout = 20 * time.Second
 
-// settingsText is the settings of a platform with an idempotent class (read), one that is idempotent with a key (book) and one
-// that is not (once).
+// settingsText has the settings of a platform with three classes: read is idempotent, book is idempotent with a key, and once is not
+// idempotent.
 const settingsText = `{"allowed":{"cancel":true,"connIdle":30000000,"connectTimeout":2000000,"maxRetryAfter":2000000,
 	"mayProbe":true,"openCap":1000,"peers":false,"retryAfter":true,"secondCopies":false,"sendCap":5},
 	"clientHabits":{"marksRetry":false},"discovery":"push","instances":1,"ordinal":0,"quantum":5000,"stage":0,
@@ -37,16 +37,16 @@
 // testSidecar is a sidecar on loopback sockets, with a discovery server that the test controls.
 type testSidecar struct {
 	t         *testing.T
-	file      string // the path of its configuration
+	file      string // path of its configuration file
 	server    *server
 	url       string
 	discovery *httptest.Server
-	lists     chan string // lines that the discovery server sends on the watch
-	signals   chan os.Signal
-	reloads   chan os.Signal
-	ended     chan error     // the result of server.run
-	txn       atomic.Int64   // the number in the latest request id
-	h3        *qh3.Transport // see client
+	lists     chan string    // lines that the discovery server sends on the watch
+	signals   chan os.Signal // signals that begin the shutdown
+	reloads   chan os.Signal // signals that reload the configuration
+	ended     chan error     // receives the result of server.run
+	txn       atomic.Int64   // number in the latest request id
+	h3        *qh3.Transport // caller's transport over HTTP/3; nil until client creates it
 }
 
 // startSidecar starts a sidecar without replicas that knows the given endpoints, and waits until it is ready. The sidecar ends with
@@ -56,7 +56,7 @@
 	return startReplica(t, 1, sockets, targets...)
 }
 
-// startReplica is startSidecar for one of several replicas.
+// startReplica starts a sidecar like startSidecar, as one of several replicas.
 func startReplica(t *testing.T, instances, sockets int, targets ...listedEndpoint) *testSidecar {
 	t.Helper()
 	sidecar := &testSidecar{
@@ -80,7 +80,7 @@
 	sidecar.url = "http://" + listener.Addr().String()
 	go func() { sidecar.ended <- sidecar.server.run(listener.Addr(), sidecar.signals, sidecar.reloads) }()
 	t.Cleanup(sidecar.close)
-	sidecar.waitUntil("ready", func() bool { return sidecar.readiness() == http.StatusOK })
+	sidecar.waitUntil("the sidecar is ready", func() bool { return sidecar.readiness() == http.StatusOK })
 	return sidecar
 }
 
@@ -140,27 +140,26 @@
 	s.discovery.Close()
 }
 
-// http1Front is the front for HTTP/1.1.
+// http1Front returns the front for HTTP/1.1.
 func (s *testSidecar) http1Front() *http1.Front { return s.server.fronts[0].(*http1.Front) }
 
-// maxConnections is how many connections the front for HTTP/1.1 accepts.
+// maxConnections returns how many connections the front for HTTP/1.1 accepts.
 func (s *testSidecar) maxConnections() int {
 	_, _, _, limit := s.http1Front().Counts()
 	return limit
 }
 
-// waitUntil polls a condition until it holds, and fails the test if it does not within patience.
+// waitUntil polls a condition until it holds, and fails the test if it does not within eventTimeout.
 func (s *testSidecar) waitUntil(what string, done func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("not within %v: %s", patience, what)
+			s.t.Fatalf("condition not met within %v: %s", eventTimeout, what)
 		}
 	}
 }
 
-// setShutdown sets how long the sidecar serves after SIGTERM, and how long before its end it hands
-// over.
+// setShutdown sets how long the sidecar serves after SIGTERM, and how long before its end it closes idle connections.
 func (s *testSidecar) setShutdown(serveFor, handOver time.Duration) {
 	tuning := *s.server.tuning.Load()
 	tuning.stop = Stop{KillGrace: serveFor + tuning.stop.KillMargin, KillMargin: tuning.stop.KillMargin, HandOver: handOver}
@@ -188,7 +187,7 @@
 func (s *testSidecar) beginShutdown() {
 	s.t.Helper()
 	s.signals <- syscall.SIGTERM
-	s.waitUntil("it stops", func() bool { return s.server.shutdownAt.Load() != nil })
+	s.waitUntil("the shutdown has begun", func() bool { return s.server.shutdownAt.Load() != nil })
 }
 
 // waitForEnd waits for the sidecar to end without an error.
@@ -197,9 +196,9 @@
 	select {
 	case err := <-s.ended:
 		if err != nil {
-			s.t.Error(err)
+			s.t.Errorf("the sidecar ended with an error: %v", err)
 		}
-	case <-time.After(patience):
-		s.t.Error("it never ended")
+	case <-time.After(eventTimeout):
+		s.t.Errorf("the sidecar did not end within %v", eventTimeout)
 	}
 }
