--- a/internal/standalone/backlog.go
+++ b/internal/standalone/backlog.go
@@ -31,8 +31,8 @@
 	return closedChannel
 }
 
-// next runs the oldest step.
-func (b *backlog) next() {
+// runNext removes the oldest step and runs it. It must not be called if no step is waiting.
+func (b *backlog) runNext() {
 	first := b.steps[0]
 	b.steps[0] = nil // so that it can be garbage collected
 	b.steps = b.steps[1:]
@@ -54,6 +54,6 @@
 	}
 	log.Printf("discovery: %d chunks of lists are waiting; applying all of them before other events", len(b.steps))
 	for len(b.steps) > 0 {
-		b.next()
+		b.runNext()
 	}
 }
--- a/internal/standalone/backlog_test.go
+++ b/internal/standalone/backlog_test.go
@@ -56,7 +56,7 @@
 	}
 	urgent := 1 + (n/2+maxChunkEntries-1)/maxChunkEntries // chunks of endpoints that drain or are no longer listed
 	for range urgent {
-		loop.backlog.next()
+		loop.backlog.runNext()
 	}
 	if got := len(loop.endpoints.byID); got != n/2 {
 		t.Errorf("after the chunks of draining and removed endpoints: got %d endpoints, want %d", got, n/2)
@@ -65,7 +65,7 @@
 		t.Errorf("endpoint %d, which drains, is missing or open to new attempts: %+v", n/2+1, e)
 	}
 	for loop.backlog.ready() != nil {
-		loop.backlog.next()
+		loop.backlog.runNext()
 	}
 	if got := len(loop.endpoints.byID); got != n-1 {
 		t.Errorf("after all chunks: got %d endpoints, want %d", got, n-1)
@@ -83,7 +83,7 @@
 		}
 	}
 	for b.ready() != nil {
-		b.next()
+		b.runNext()
 	}
 	if len(got) != 6*maxBacklogSteps || !slices.IsSorted(got) {
 		t.Errorf("%d of %d steps ran, in order: %v; want all, in order", len(got), 6*maxBacklogSteps, slices.IsSorted(got))
@@ -111,7 +111,7 @@
 				worst = max(worst, time.Since(began))
 				for l.backlog.ready() != nil {
 					began := time.Now()
-					l.backlog.next()
+					l.backlog.runNext()
 					worst = max(worst, time.Since(began))
 				}
 			}
--- a/internal/standalone/config.go
+++ b/internal/standalone/config.go
@@ -75,8 +75,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// check returns an error that names the first invalid value, or nil if the sidecar can run with the configuration.
-func (c *Config) check() error {
+// validate returns an error that names the first invalid value, or nil if the sidecar can run with the configuration.
+func (c *Config) validate() error {
 	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if name == "discovery" && c.consulOnly {
 			continue
--- a/internal/standalone/config_platform.go
+++ b/internal/standalone/config_platform.go
@@ -79,7 +79,7 @@
 	if config.Settings, _, err = settings.Parse(file.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	return config, nil
--- a/internal/standalone/config_product.go
+++ b/internal/standalone/config_product.go
@@ -40,7 +40,7 @@
 	}
 	config.Settings.GraceToAnswer = standaloneGrace
 	config.Settings.Settings = balancerSettings(file)
-	return config, config.check()
+	return config, config.validate()
 }
 
 // balancerSettings returns the Balancer's settings from the product's file.
@@ -72,20 +72,20 @@
 	if len(appfile.CallsTable.All(file)) > 0 {
 		settings.Tiers = 2 // a request may also wait in the queues of the applications that this one calls
 	}
-	for _, v := range appfile.ClassTable.All(file) {
+	for _, class := range appfile.ClassTable.All(file) {
 		settings.Classes = append(settings.Classes, balancer.Class{
-			Name:           v.Name,
-			LatencyTarget:  v.Value.LatencyTarget,
-			Deadline:       v.Value.Deadline,
-			Value:          v.Value.Value,
-			LateValueShare: v.Value.LateValueShare,
-			Idempotency:    v.Value.Idempotency,
-			KeyScope:       v.Value.KeyScope,
-			KeyWindow:      v.Value.KeyWindow,
+			Name:           class.Name,
+			LatencyTarget:  class.Value.LatencyTarget,
+			Deadline:       class.Value.Deadline,
+			Value:          class.Value.Value,
+			LateValueShare: class.Value.LateValueShare,
+			Idempotency:    class.Value.Idempotency,
+			KeyScope:       class.Value.KeyScope,
+			KeyWindow:      class.Value.KeyWindow,
 		})
 	}
-	for _, v := range appfile.TenantTable.All(file) {
-		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: v.Name, QuotaPerSecond: v.Value.QuotaPerSecond})
+	for _, tenant := range appfile.TenantTable.All(file) {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.Value.QuotaPerSecond})
 	}
 	return settings
 }
--- a/internal/standalone/discovery_test.go
+++ b/internal/standalone/discovery_test.go
@@ -110,10 +110,10 @@
 
 // A watch that ends is resumed at the version that it reached; after a line that cannot be parsed, the complete list is requested.
 func TestWatchReconnects(t *testing.T) {
-	asked := make(chan string, 8)
+	queries := make(chan string, 8)
 	replies := make(chan string, 8)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		select {
 		case reply := <-replies:
 			write(w, reply)
@@ -142,7 +142,7 @@
 		{"41", line(43)}, {"43", line(44) + line(45)}, {"45", "{broken\n"}, {"", ""},
 	} {
 		select {
-		case query := <-asked:
+		case query := <-queries:
 			want := "follow=1"
 			if step.since != "" {
 				want += "&since=" + step.since
@@ -160,9 +160,9 @@
 // A watch that stays open without a line is replaced before the time after which discovery assumes that the sidecar knows a change.
 func TestUnresponsiveWatchIsReplaced(t *testing.T) {
 	const countsAsKnown = 6 * time.Second
-	asked := make(chan time.Time, 8)
+	requested := make(chan time.Time, 8)
 	unresponsive := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- time.Now()
+		requested <- time.Now()
 		flush(w)
 		<-r.Context().Done()
 	}))
@@ -171,11 +171,11 @@
 	sidecar := startSidecar(t, 1024, readyEndpoint("s-1"))
 	sidecar.onLoop(func() { sidecar.server.loop.switchDiscovery(unresponsive.Listener.Addr().String(), "") })
 	for range 2 { // the watch, and the fetch of the complete list
-		<-asked
+		<-requested
 	}
 	began := time.Now()
 	select {
-	case <-asked: // the second fetch or the second watch
+	case <-requested: // the second fetch or the second watch
 	case <-time.After(eventTimeout):
 	}
 	if took := time.Since(began); took > countsAsKnown-500*time.Millisecond {
@@ -185,11 +185,11 @@
 
 // startDiscovery starts a discovery server whose complete list has one endpoint, at version 0, and never changes. The query of each
 // request is sent on the channel.
-func startDiscovery(t *testing.T, endpoint listedEndpoint) (address string, asked chan string) {
+func startDiscovery(t *testing.T, endpoint listedEndpoint) (address string, queries chan string) {
 	t.Helper()
-	asked = make(chan string, 8)
+	queries = make(chan string, 8)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		if r.URL.Query().Get("since") == "" {
 			list := endpointList{Rev: 0, All: true, Targets: []listedEndpoint{endpoint}}
 			if err := json.NewEncoder(w).Encode(list); err != nil {
@@ -205,7 +205,7 @@
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
-	return discovery.Listener.Addr().String(), asked
+	return discovery.Listener.Addr().String(), queries
 }
 
 // reloadDiscovery reloads a broken file and checks that this has no effect. Then it reloads a file that names another discovery server,
@@ -259,10 +259,10 @@
 	}()
 	<-arrived
 
-	other, asked := startDiscovery(t, second)
+	other, queries := startDiscovery(t, second)
 	old := sidecar.reloadDiscovery(other)
 	for range 2 {
-		if query := <-asked; strings.Contains(query, "since=7") {
+		if query := <-queries; strings.Contains(query, "since=7") {
 			t.Errorf("the new discovery was asked for changes to the list of the previous one: %q", query)
 		}
 	}
--- a/internal/standalone/durability_gate.go
+++ b/internal/standalone/durability_gate.go
@@ -29,13 +29,13 @@
 	if g.err != nil {
 		return g.servesUnrecorded
 	}
-	late := time.NewTimer(g.timeout)
-	defer late.Stop()
+	timer := time.NewTimer(g.timeout)
+	defer timer.Stop()
 	select {
 	case err := <-g.written:
 		g.durable = err == nil
 		return g.durable || g.servesUnrecorded
-	case <-late.C:
+	case <-timer.C:
 		g.reportTimeout(errDiskSlow)
 		return g.servesUnrecorded
 	case <-ctx.Done():
--- a/internal/standalone/endpoint_list.go
+++ b/internal/standalone/endpoint_list.go
@@ -58,15 +58,15 @@
 // preparedList is a list that the goroutine that received it has already sorted into chunks, which saves the loop time.
 type preparedList struct {
 	endpointsource.PreparedList
-	rev uint64
-	all bool
+	version uint64 // version of the list
+	full    bool   // the list is complete; otherwise it is a delta
 }
 
 // prepare converts the list and sorts it into chunks for the loop.
 func (e endpointList) prepare(from endpointsource.ListOrigin) preparedList {
 	return preparedList{
 		PreparedList: endpointsource.PrepareList(e.sourceList(from), maxChunkEntries),
-		rev:          e.Rev,
-		all:          e.All,
+		version:      e.Rev,
+		full:         e.All,
 	}
 }
--- a/internal/standalone/golden_recorded_test.go
+++ b/internal/standalone/golden_recorded_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// The list that discovery sends, which a platform's configuration also has as known, is decoded to the recorded values.
+// The list that discovery sends, which a platform's configuration also has under the key known, is decoded to the recorded values.
 func TestGoldenRecordedDiscoveryList(t *testing.T) {
 	want := endpointList{Rev: 41, All: true, Targets: []listedEndpoint{
 		{UID: "s-1", Address: "10.0.0.1:8080", Zone: "zone-a", Model: "m5", Cell: 3, State: "Ready", Weight: 1.5, BootMS: 1_800_000_000_123},
--- a/internal/standalone/group.go
+++ b/internal/standalone/group.go
@@ -139,8 +139,8 @@
 // groupRetention is the time after which a saved group expires.
 const groupRetention = 24 * time.Hour
 
-// savedGroup is the record of the group that its members last agreed on. Its keys are part of the format on disk.
-type savedGroup struct {
+// groupRecord is the record of the group that its members last agreed on. Its keys are part of the format on disk.
+type groupRecord struct {
 	Names     []string `json:"names"`
 	Addresses []string `json:"addresses"`
 }
@@ -151,7 +151,7 @@
 	if err != nil {
 		log.Printf("memory: read saved group: %v", err)
 	}
-	var saved savedGroup
+	var saved groupRecord
 	if !ok || json.Unmarshal(text, &saved) != nil {
 		return nil, nil
 	}
@@ -160,7 +160,7 @@
 
 // saveGroup saves the group that its members have agreed on.
 func (m *memory) saveGroup(names, addresses []string) {
-	text, err := json.Marshal(savedGroup{names, addresses})
+	text, err := json.Marshal(groupRecord{names, addresses})
 	if err != nil {
 		return // lists of strings can always be encoded
 	}
--- a/internal/standalone/loop.go
+++ b/internal/standalone/loop.go
@@ -117,7 +117,7 @@
 		case event := <-l.events:
 			event()
 		case <-l.backlog.ready():
-			l.backlog.next()
+			l.backlog.runNext()
 		case <-sweep.C:
 			l.sweep()
 		}
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// restore reads the records of earlier processes of this sidecar into the request table. It returns an error if the
+// restore reads the request records of earlier processes of this sidecar into the request table. It returns an error if the
 // table is too small for them. Records that cannot be read are logged and skipped.
 func (m *memory) restore(now time.Duration) error {
 	unknownFormats := 0
--- a/internal/standalone/sources.go
+++ b/internal/standalone/sources.go
@@ -53,10 +53,10 @@
 
 // handlePreparedList applies a prepared list in chunks, with other events in between.
 func (l *loop) handlePreparedList(list preparedList, from endpointsource.ListOrigin) {
-	accepted, rewatch := l.versionFilter.Accept(from, list.rev, list.all)
+	accepted, rewatch := l.versionFilter.Accept(from, list.version, list.full)
 	if rewatch {
 		l.watcher.stop()
-		l.watcher.start(&list.rev)
+		l.watcher.start(&list.version)
 	}
 	if !accepted {
 		return
@@ -149,8 +149,8 @@
 
 // endpointView is the EndpointView for the admin pages; ok is false if the loop's event queue stays full for viewTimeout.
 func (l *loop) endpointView() (source string, rows []endpointsource.Row, ok bool) {
-	late := time.NewTimer(viewTimeout)
-	defer late.Stop()
+	timer := time.NewTimer(viewTimeout)
+	defer timer.Stop()
 	done := make(chan struct{})
 	event := func() {
 		source = string(l.merger.Mode())
@@ -159,7 +159,7 @@
 	}
 	select {
 	case l.events <- event:
-	case <-late.C:
+	case <-timer.C:
 		return "", nil, false
 	}
 	<-done // the loop never blocks, so this does not take long
