--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -96,7 +96,7 @@
 }
 
 // A socket that a killed process left is replaced; the socket of a running process and a file are not.
-func TestSocketInTheWay(t *testing.T) {
+func TestExistingSocketPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestAddresses(t *testing.T) {
+func TestBadAddress(t *testing.T) {
 	for address, ok := range map[string]bool{
 		"unix:/run/x":     true,
 		"127.0.0.1:80":    true,
--- a/internal/network/admin/client.go
+++ b/internal/network/admin/client.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	dialTimeout    = 2 * time.Second
-	askTimeout     = 10 * time.Second
-	maxAnswerBytes = 64 << 20
-	maxFaultBytes  = 300 // of the body of an error answer
+	dialTimeout      = 2 * time.Second
+	requestTimeout   = 10 * time.Second
+	maxResponseBytes = 64 << 20
+	maxErrorBytes    = 300 // length of the text of an error response, in bytes
 )
 
-// AskMembers asks the sidecar at an address for its endpoints.
+// AskMembers returns the endpoints of the sidecar at an address. It fails if the sidecar can't be reached or does not answer with status 200.
 func AskMembers(ctx context.Context, address string) (m Members, err error) {
 	err = get(ctx, address, "members", &m)
 	return m, err
 }
 
-// AskPeers asks the sidecar at an address for its view of its peers; with all also for the peers' own views.
+// AskPeers returns the view of peers of the sidecar at an address; if all is set, the peers' views are included. It fails if the sidecar
+// can't be reached or does not answer with status 200.
 func AskPeers(ctx context.Context, address string, all bool) (f peers.FleetReport, err error) {
 	page := "peers"
 	if all {
@@ -37,23 +38,24 @@
 	return f, err
 }
 
-// get reads a page into a value. It returns errors of the connection, or one that names the address and the sidecar's answer.
-func get(ctx context.Context, address, page string, into any) error {
-	client := &http.Client{Timeout: askTimeout, Transport: newTransport(address)}
+// get requests a page and decodes it into result. It fails if the connection fails or the page is malformed; for a status other than 200,
+// the error contains the address, the status and the text of the response.
+func get(ctx context.Context, address, page string, result any) error {
+	client := &http.Client{Timeout: requestTimeout, Transport: newTransport(address)}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://sidecar/"+page, nil)
 	if err != nil {
 		return err
 	}
 	res, err := client.Do(r)
 	if err != nil {
-		return errors.Unwrap(err) // without the URL, which names no address
+		return errors.Unwrap(err) // omits the URL, which does not contain the address
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		fault, _ := io.ReadAll(io.LimitReader(res.Body, maxFaultBytes)) // as much of it as there is
-		return fmt.Errorf("%s answered %s: %s", address, res.Status, strings.TrimSpace(string(fault)))
+		message, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes)) // on an error, the part that was received
+		return fmt.Errorf("%s answered %s: %s", address, res.Status, strings.TrimSpace(string(message)))
 	}
-	return json.NewDecoder(io.LimitReader(res.Body, maxAnswerBytes)).Decode(into)
+	return json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(result)
 }
 
 // newTransport returns a transport that connects to one address, whatever host a request names.
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -45,14 +45,14 @@
 	}
 	defer stop()
 	var all strings.Builder
-	ask := func(page string) {
+	appendPage := func(page string) {
 		t.Helper()
 		all.WriteString(readPage(t, address, page))
 	}
-	ask("members")
-	ask("peers")
-	ask("peers?all=1")
-	ask("other")
+	appendPage("members")
+	appendPage("peers")
+	appendPage("peers?all=1")
+	appendPage("other")
 	if got, err := AskMembers(t.Context(), address); err != nil || !reflect.DeepEqual(got, members) {
 		t.Errorf("read back as %+v, %v", got, err)
 	}
@@ -60,8 +60,8 @@
 		t.Errorf("read back as %+v, %v", got, err)
 	}
 	available = false
-	ask("members")
-	ask("peers")
+	appendPage("members")
+	appendPage("peers")
 	golden.Text(t, "views.txt", []byte(all.String()))
 }
 
--- a/internal/network/admin/listener.go
+++ b/internal/network/admin/listener.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// maxConns bounds the connections to the pages; they use sockets that the sidecar reserves.
+// maxConns bounds the connections to the server; they use sockets that the sidecar reserves for itself.
 const maxConns = 4
 
-// boundedListener accepts at most maxConns connections at once; further ones wait in the backlog.
+// boundedListener is a listener with at most maxConns open connections at once; further ones wait in the operating system's backlog.
 type boundedListener struct {
 	net.Listener
-	slots chan struct{} // one element per open connection
+	slots chan struct{} // contains one element for each open connection
 }
 
 func newBoundedListener(l net.Listener) *boundedListener {
 	return &boundedListener{Listener: l, slots: make(chan struct{}, maxConns)}
 }
 
-// Accept waits for a free slot, and then for a connection.
+// Accept waits for a free slot, and then accepts a connection. It fails if the listener fails.
 func (b *boundedListener) Accept() (net.Conn, error) {
 	b.slots <- struct{}{}
 	c, err := b.Listener.Accept()
@@ -29,7 +29,7 @@
 	return &boundedConn{Conn: c, release: func() { <-b.slots }}, nil
 }
 
-// boundedConn frees its slot when it is closed. net/http may close it twice.
+// boundedConn is a connection that frees its slot when it is closed. net/http may close it twice; the slot is freed once.
 type boundedConn struct {
 	net.Conn
 	closeOnce sync.Once
--- a/internal/network/admin/server.go
+++ b/internal/network/admin/server.go
@@ -22,21 +22,21 @@
 	socketMode     = 0o660
 )
 
-// Members is the page /members.
+// Members is the content of the page /members.
 type Members struct {
 	Name      string               `json:"name"`
 	Source    string               `json:"source"`
 	Endpoints []endpointsource.Row `json:"endpoints"`
 }
 
-// Views returns the data of the pages. A page whose function is nil is not found.
+// Views has the functions that return the data of the pages. A page whose function is nil is answered with status 404.
 type Views struct {
-	Members func() (Members, bool)                   // false if the sidecar does not answer
-	Peers   func(all bool) (peers.FleetReport, bool) // false if it looks for no peers
+	Members func() (Members, bool)                   // returns false if the sidecar does not answer
+	Peers   func(all bool) (peers.FleetReport, bool) // returns false if the view of peers is disabled
 }
 
-// Serve serves the views until stop is called; stop waits until the server has ended. The number of connections and their time are
-// bounded, so that they can't exhaust the sidecar.
+// Serve serves the views at an address until stop is called; stop waits until the server has ended. The number of connections and the time
+// of each are bounded, so that clients can't exhaust the sidecar's resources. Serve fails if it can't listen on the address.
 func Serve(address string, views Views) (stop func(), err error) {
 	listener, err := listen(address)
 	if err != nil {
@@ -44,23 +44,24 @@
 	}
 	server := &http.Server{Handler: views.handler(), ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
 	server.SetKeepAlivesEnabled(false)
-	served := make(chan struct{})
+	serverDone := make(chan struct{})
 	go func() {
-		defer close(served)
-		_ = server.Serve(newBoundedListener(listener)) // ends with stop; after any other error the sidecar runs on without pages
+		defer close(serverDone)
+		_ = server.Serve(newBoundedListener(listener)) // returns when stop is called; after any other error the sidecar continues without pages
 	}()
 	return func() {
-		_ = server.Close() // its error is that of a connection that is closed anyway
-		<-served
+		_ = server.Close() // an error concerns only the closing of a listener or a connection that is no longer used
+		<-serverDone
 	}, nil
 }
 
-// listen opens an address. It replaces a socket that a killed process left.
+// listen listens on an address. It replaces a Unix socket that a killed process has left behind, and fails if the address is in use or
+// can't be opened.
 func listen(address string) (net.Listener, error) {
 	ctx := context.Background()
 	network, target := splitAddress(address)
 	if network == "unix" {
-		if err := removeStale(ctx, target); err != nil {
+		if err := removeStaleSocket(ctx, target); err != nil {
 			return nil, err
 		}
 	}
@@ -76,22 +77,23 @@
 	return listener, nil
 }
 
-// removeStale removes a socket that no process listens on. Anything else at the path is left for Listen to report.
-func removeStale(ctx context.Context, path string) error {
+// removeStaleSocket removes a Unix socket that no process listens on. It fails if a process listens on it. Anything else at the path is left
+// unchanged, so that Listen fails.
+func removeStaleSocket(ctx context.Context, path string) error {
 	info, err := os.Lstat(path)
 	if err != nil || info.Mode()&fs.ModeSocket == 0 {
-		return nil // usually nothing is there; Listen reports what else is wrong with the path
+		return nil // the path usually does not exist; Listen reports any other problem with it
 	}
 	c, err := (&net.Dialer{}).DialContext(ctx, "unix", path)
 	if err == nil {
 		_ = c.Close() // nothing was sent on it
-		return fmt.Errorf("admin: %s: another process listens there", path)
+		return fmt.Errorf("admin: %s: another process listens on this socket", path)
 	}
-	_ = os.Remove(path) // Listen reports it if the socket is still there
+	_ = os.Remove(path) // if the socket still exists, Listen fails
 	return nil
 }
 
-// handler returns the handler of the pages that have a function.
+// handler returns the HTTP handler of the pages whose function is set.
 func (v Views) handler() http.Handler {
 	mux := http.NewServeMux()
 	if v.Members != nil {
@@ -117,7 +119,8 @@
 	return mux
 }
 
+// writeJSON answers a request with a page as JSON.
 func writeJSON(w http.ResponseWriter, page any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(page) // fails only if the client is gone
+	_ = json.NewEncoder(w).Encode(page) // fails only if the client has closed the connection
 }
--- a/internal/network/admin/settings.go
+++ b/internal/network/admin/settings.go
@@ -7,14 +7,14 @@
 	"quincegap/internal/config/schema"
 )
 
-// unixPrefix begins the address of a Unix socket.
+// unixPrefix is the prefix of the address of a Unix socket.
 const unixPrefix = "unix:"
 
-// maxSocketPath bounds the path of a Unix socket, in bytes; the system's own bound is 108.
+// maxSocketPath bounds the path of a Unix socket, in bytes; the operating system's bound is 108.
 const maxSocketPath = 100
 
 // Settings is the table [admin] of a settings file.
-type Settings struct{ Listen string } // unix:PATH, or host:port on loopback; empty for none
+type Settings struct{ Listen string } // address to listen on: unix:PATH, or host:port on loopback; empty disables the server
 
 // Table is the table [admin] of a settings file.
 var Table = schema.NewTable("admin", "A read-only view for people; it is off unless it is set.",
@@ -28,7 +28,7 @@
 		"Where quincegapctl members asks. A Unix socket is open to this user and group only; on loopback everybody on the machine can read it."),
 )
 
-// badAddress returns what is wrong with an address, for example that other machines could reach it; empty if nothing is.
+// badAddress returns why an address is not permitted, for example because other machines could reach it; empty if it is permitted.
 func badAddress(text string) string {
 	if path, ok := strings.CutPrefix(text, unixPrefix); ok {
 		if path == "" || len(path) > maxSocketPath {
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// splitAddress splits an address into the network and the address that package net expects.
+// splitAddress converts an address into the network and the address that package net expects.
 func splitAddress(address string) (network, target string) {
 	if path, ok := strings.CutPrefix(address, unixPrefix); ok {
 		return "unix", path
--- a/internal/network/consul/answer.go
+++ b/internal/network/consul/answer.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxFaults bounds the reported instances of one answer that were skipped.
+	// maxFaults bounds the number of skipped instances that are reported per answer.
 	maxFaults = 10
-	// yieldEvery is the number of instances after which other goroutines get to run, as between two instances that are decoded.
+	// yieldEvery is the number of instances after which diff lets other goroutines run.
 	yieldEvery = 256
 )
 
-// addEndpoint adds an instance to the endpoints of an answer. Of two instances with one UID the one that was registered later stays. It
-// returns the faults, to which it appends why an instance was skipped.
+// addEndpoint adds an instance to the endpoints of an answer. Of two instances with the same UID, the one that was registered later is
+// retained. If the instance can't be used, it appends the reason to faults unless there are maxFaults already. It returns faults.
 func (s *Settings) addEndpoint(endpoints map[string]endpointsource.Endpoint, i *instance, qualified bool, faults []string) []string {
 	e, fault := s.endpoint(i, qualified)
 	if fault != "" {
@@ -24,13 +24,13 @@
 		}
 		return faults
 	}
-	if other, twice := endpoints[e.UID]; !twice || other.RegistrationIndex < e.RegistrationIndex {
+	if other, exists := endpoints[e.UID]; !exists || other.RegistrationIndex < e.RegistrationIndex {
 		endpoints[e.UID] = e
 	}
 	return faults
 }
 
-// diff returns what an answer changes compared with the one before.
+// diff returns the differences between the endpoints of two consecutive answers.
 func diff(before, after map[string]endpointsource.Endpoint) (a endpointsource.ConsulAnswer) {
 	a.KnownBefore = len(before)
 	n := 0
@@ -50,8 +50,8 @@
 	return a
 }
 
-// nextIndex returns the index of the next blocking query (Consul's API, Blocking Queries, "Implementation Details"). After an index that
-// goes backwards, or none, it is 0: such a query does not block.
+// nextIndex returns the index of the next blocking query (Consul's API, Blocking Queries, "Implementation Details"). If the index has
+// gone backwards or is missing, it returns 0: such a query does not block.
 func nextIndex(last, got uint64) uint64 {
 	if got < last {
 		return 0
--- a/internal/network/consul/answer_test.go
+++ b/internal/network/consul/answer_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestNextIndex(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name            string
 		last, got, want uint64
 	}{
@@ -21,9 +21,9 @@
 		{"none after one", 5, 0, 0},
 		{"none at all", 0, 0, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if next := nextIndex(c.last, c.got); next != c.want {
-				t.Errorf("after %d came %d: next is %d, want %d", c.last, c.got, next, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if next := nextIndex(test.last, test.got); next != test.want {
+				t.Errorf("after %d came %d: next is %d, want %d", test.last, test.got, next, test.want)
 			}
 		})
 	}
--- a/internal/network/consul/backoff.go
+++ b/internal/network/consul/backoff.go
@@ -9,18 +9,18 @@
 const (
 	minBackoff          = 100 * time.Millisecond
 	maxBackoff          = 10 * time.Second
-	maxBackoffDoublings = 10 // exceeds maxBackoff without an overflow
+	maxBackoffDoublings = 10 // enough to exceed maxBackoff, and too few to overflow
 )
 
-// backoff returns the pause after all agents have failed n times, n at least 1. Jitter makes it half as long to as long as its nominal
-// value, which doubles each time up to maxBackoff.
+// backoff returns the pause after all agents have failed n times; n is at least 1. The nominal pause doubles each time, up to maxBackoff;
+// jitter shortens it to between half and all of that.
 func backoff(n int) time.Duration {
 	d := minBackoff << min(n-1, maxBackoffDoublings)
 	d = min(d, maxBackoff)
 	return d/2 + rand.N(d/2+1)
 }
 
-// pause waits for d, or until the context ends.
+// pause waits for d, or until ctx is done. It returns at once if d is not positive.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/network/consul/client.go
+++ b/internal/network/consul/client.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	requestTimeout  = 10 * time.Second // of a query that Consul answers at once
-	blockingSlack   = 2 * time.Second  // time for the answer to a blocking query, beyond wait and Consul's own jitter
+	requestTimeout  = 10 * time.Second // timeout of a query that does not block
+	blockingSlack   = 2 * time.Second  // time for the answer to a blocking query, in addition to wait and Consul's jitter
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = time.Minute
 	maxHeaderBytes  = 64 << 10
-	maxBodyBytes    = 64 << 20 // of one answer
-	maxAgentConns   = 2        // to one agent: a blocking query for health and one for the catalogue
-	consulJitter    = 16       // Consul blocks for up to a sixteenth longer than asked
-	maxErrorBytes   = 100      // of an agent's error in a log line
+	maxBodyBytes    = 64 << 20 // size of the body of one answer
+	maxAgentConns   = 2        // connections to one agent: a blocking query for health and one for the catalogue
+	consulJitter    = 16       // Consul blocks for up to 1/consulJitter longer than the requested wait
+	maxErrorBytes   = 100      // length of an agent's error text in a log line
 	maxReportedLast = time.Hour
 )
 
@@ -45,22 +45,22 @@
 
 var (
 	// ErrNoAgents is returned by Find if the settings name no agent.
-	ErrNoAgents = errors.New("consul.agents names none")
-	// errTooLarge ends the reading of an answer.
+	ErrNoAgents = errors.New("consul.agents names no agent")
+	// errTooLarge is returned when the body of an answer exceeds maxBodyBytes.
 	errTooLarge = fmt.Errorf("the answer has more than %d MiB", maxBodyBytes>>20)
 	errNoList   = errors.New("the answer is no list")
 )
 
 // AgentError is the failure of a query to one agent.
 type AgentError struct {
-	Agent string // host:port
+	Agent string // address of the agent, host:port
 	Err   error
 }
 
-// Error returns a text for operators; it contains neither the URL of the query nor a token.
+// Error returns the agent's address and the cause. The text contains neither the URL of the query nor a token.
 func (a *AgentError) Error() string { return "consul agent " + a.Agent + ": " + errorText(a.Err) }
 
-// Unwrap returns the client library's error.
+// Unwrap returns the cause.
 func (a *AgentError) Unwrap() error { return a.Err }
 
 // agent is one Consul agent and the connections to it.
@@ -73,10 +73,11 @@
 // client queries the agents that the settings name.
 type client struct {
 	settings Settings
-	resolve  func(string) string // turns a path of the settings into one to open
+	resolve  func(string) string // function that converts a path in the settings into one to open
 	agents   []agent
 }
 
+// newClient returns a client of the agents that the settings name. It fails if a TLS file can't be loaded or an address is invalid.
 func newClient(settings Settings, resolve func(string) string) (*client, error) {
 	c := &client{settings: settings, resolve: resolve}
 	var tlsConfig *tls.Config
@@ -99,7 +100,7 @@
 			MaxResponseHeaderBytes: maxHeaderBytes,
 			DisableCompression:     true,
 		}
-		library, err := api.NewClient(&api.Config{
+		apiClient, err := api.NewClient(&api.Config{
 			Address:    address,
 			Scheme:     scheme,
 			HttpClient: &http.Client{Transport: &boundedTransport{transport}},
@@ -109,13 +110,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("consul agent %s: %w", address, err)
 		}
-		c.agents = append(c.agents, agent{address: address, client: library, transport: transport})
+		c.agents = append(c.agents, agent{address: address, client: apiClient, transport: transport})
 	}
 	return c, nil
 }
 
-// tlsConfig reads the files of TLS: the certificate authority once, the client's certificate at each handshake, since it may be
-// replaced while the program runs.
+// tlsConfig returns the TLS configuration. The file of the certificate authority is read once, that of the client's certificate again at
+// each handshake, since it may be replaced while the program runs. It fails if a file can't be loaded.
 func (c *client) tlsConfig() (*tls.Config, error) {
 	config := &tls.Config{ServerName: c.settings.ServerName, MinVersion: tls.VersionTLS12}
 	if c.settings.CAFile != "" {
@@ -136,27 +137,28 @@
 	return config, nil
 }
 
-// closeIdle closes the connections that no query uses.
+// closeIdle closes the connections that are not in use.
 func (c *client) closeIdle() {
 	for i := range c.agents {
 		c.agents[i].transport.CloseIdleConnections()
 	}
 }
 
-// question is one query. Without an index and a hash it is answered at once, otherwise after a change or after wait.
-type question struct {
+// queryParams describes one query. Without an index and a hash the agent answers at once, otherwise after a change or after wait.
+type queryParams struct {
 	path        string
-	tagsField   string // the field of the instances' tags in a filter expression
-	index       uint64
-	hash        string
-	wait        time.Duration
+	tagsField   string        // name of the field with the instances' tags in a filter expression
+	index       uint64        // index to block on; 0 for none
+	hash        string        // content hash to block on; empty for none
+	wait        time.Duration // longest time for which the agent blocks
 	consistency Consistency
 }
 
-func (q *question) blocks() bool { return q.index > 0 || q.hash != "" }
+// blocks reports whether the query is a blocking one.
+func (q *queryParams) blocks() bool { return q.index > 0 || q.hash != "" }
 
-// timeout returns the time after which an agent that has not answered has failed.
-func (q *question) timeout() time.Duration {
+// timeout returns the time after which an agent that has not answered is considered failed.
+func (q *queryParams) timeout() time.Duration {
 	if q.blocks() {
 		return q.wait + q.wait/consulJitter + blockingSlack
 	}
@@ -165,15 +167,16 @@
 
 // answerMeta has the values of an answer's headers.
 type answerMeta struct {
-	index       uint64        // 0 for none
-	hash        string        // empty for none
-	knownLeader bool          // true unless the answer denies it
-	lastContact time.Duration // since the server last heard of its leader
+	index       uint64        // index to block on in the next query; 0 for none
+	hash        string        // content hash to block on in the next query; empty for none
+	knownLeader bool          // whether the server knows a leader; true if the header is missing
+	lastContact time.Duration // time since the server last heard from its leader
 	receivedAt  time.Time     // when the headers were received; the time since then was spent on decoding
 }
 
-// query sends a query to one agent. decode reads the body of a good answer.
-func (c *client) query(ctx context.Context, a *agent, q question, decode func(io.Reader) error) (answerMeta, error) {
+// query sends a query to one agent and returns the values of the answer's headers. decode is called with the body of an answer with
+// status 200. query fails if the token can't be read, the agent does not answer in time or with another status, or decode fails.
+func (c *client) query(ctx context.Context, a *agent, q queryParams, decode func(io.Reader) error) (answerMeta, error) {
 	e := &exchange{decode: decode}
 	if c.settings.TokenFile != "" {
 		var err error
@@ -198,28 +201,28 @@
 	if c.settings.Tag != "" {
 		options.Filter = strconv.Quote(c.settings.Tag) + " in " + q.tagsField
 	}
-	var none any // the body is decoded by the exchange
+	var none any // stays nil: the exchange decodes the body
 	if _, err := a.client.Raw().Query(q.path, &none, options.WithContext(ctx)); err != nil {
 		return answerMeta{}, err
 	}
 	return e.meta(), nil
 }
 
-// exchange passes a query's token to boundedTransport, and the answer's headers back, in the query's context: the client library exposes
-// no headers, and does not keep the token that it is given apart from the environment's.
+// exchange is stored in a query's context. It passes the query's token to boundedTransport and the answer's headers back: the client
+// library exposes no headers, and does not distinguish the token that it is given from the one in the environment.
 type exchange struct {
 	token      string
 	header     http.Header
 	receivedAt time.Time
-	// decode reads the body. The client library would decode it without a pause; on one core requests would wait for that at each
-	// of their steps, ten milliseconds each time.
+	// decode reads the body. The client library would decode it in one go; on one core, requests would then wait for it at each of
+	// their steps, ten milliseconds each time.
 	decode func(io.Reader) error
 }
 
 // exchangeKey is the context key of an exchange.
 type exchangeKey struct{}
 
-// meta parses the headers. A header that is malformed counts as missing.
+// meta parses the answer's headers. A malformed header is treated as missing.
 func (e *exchange) meta() answerMeta {
 	m := answerMeta{
 		hash:        e.header.Get(headerHash),
@@ -233,10 +236,11 @@
 	return m
 }
 
-// boundedTransport is a RoundTripper that bounds answers, and sends no other token than the exchange's.
+// boundedTransport is a RoundTripper that bounds the size of answers, and sends no token but the exchange's.
 type boundedTransport struct{ transport *http.Transport }
 
-// RoundTrip decodes the body of a good answer, and leaves a JSON null in its place for the client library.
+// RoundTrip sends a request. It decodes the body of an answer with status 200 and replaces it by a JSON null for the client library. It
+// fails if the connection or decoding fails.
 func (b *boundedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	e, _ := r.Context().Value(exchangeKey{}).(*exchange)
 	r = r.Clone(r.Context())
@@ -267,13 +271,13 @@
 	return res, nil
 }
 
-// limitedBody is a body that returns errTooLarge when it exceeds its bound.
+// limitedBody is a body whose Read returns errTooLarge once the limit has been read.
 type limitedBody struct {
 	io.ReadCloser
-	remaining int64 // bytes
+	remaining int64 // number of bytes that may still be read
 }
 
-// Read reads at most the bytes that remain.
+// Read reads from the body. It returns errTooLarge if no bytes remain.
 func (l *limitedBody) Read(b []byte) (int, error) {
 	if l.remaining <= 0 {
 		return 0, errTooLarge
@@ -283,16 +287,16 @@
 	return n, err
 }
 
-// decodeEach decodes the elements of a JSON list one by one, and lets other goroutines run in between. A null is an empty list. It returns
-// errNoList for any other value, and an error after maxElements.
-func decodeEach[T any](r io.Reader, maxElements int, take func(*T)) error {
+// decodeEach decodes the elements of a JSON list one by one, calls handle with each, and lets other goroutines run in between. A null
+// counts as an empty list. It returns errNoList for any other value, and fails if the list is malformed or longer than maxElements.
+func decodeEach[T any](r io.Reader, maxElements int, handle func(*T)) error {
 	d := json.NewDecoder(r)
-	switch open, err := d.Token(); {
+	switch token, err := d.Token(); {
 	case err != nil:
 		return err
-	case open == nil:
+	case token == nil:
 		return nil
-	case open != json.Delim('['):
+	case token != json.Delim('['):
 		return errNoList
 	}
 	for n := 0; d.More(); n++ {
@@ -303,14 +307,14 @@
 		if n >= maxElements {
 			return fmt.Errorf("the answer has more than %d instances", maxElements)
 		}
-		take(&element)
+		handle(&element)
 		runtime.Gosched()
 	}
 	_, err := d.Token()
 	return err
 }
 
-// errorText returns the text of an error, without the URL of the query and with at most maxErrorBytes of an agent's answer.
+// errorText returns the text of an error without the URL of the query, and with at most maxErrorBytes of an agent's error text.
 func errorText(err error) string {
 	var status api.StatusError
 	switch {
@@ -323,9 +327,9 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return "no answer in time"
 	}
-	var failed *url.Error
-	if errors.As(err, &failed) {
-		return failed.Err.Error()
+	var urlError *url.Error
+	if errors.As(err, &urlError) {
+		return urlError.Err.Error()
 	}
 	return err.Error()
 }
--- a/internal/network/consul/client_test.go
+++ b/internal/network/consul/client_test.go
@@ -48,7 +48,7 @@
 		for len(asked) > 0 {
 			<-asked
 		}
-		watcher := watch(t, func(s *Settings) {
+		watcher := startWatcher(t, func(s *Settings) {
 			s.Agents = server.Listener.Addr().String()
 			s.Tag = "v2"
 			s.Datacenter = "east"
@@ -73,10 +73,10 @@
 
 // The token is read again before each query, from the file and not from the environment, and is never logged.
 func TestTokenIsReadAgain(t *testing.T) {
-	agent := serve(t, "a")
+	agent := startAgent(t, "a")
 	agent.SetToken("one")
 	file := filepath.Join(t.TempDir(), "token")
-	put := func(token string) {
+	writeToken := func(token string) {
 		t.Helper()
 		if err := os.WriteFile(file+".new", []byte(token+"\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -85,17 +85,17 @@
 			t.Fatal(err)
 		}
 	}
-	put("one")
+	writeToken("one")
 	t.Setenv("CONSUL_HTTP_TOKEN", "of the environment")
 	var logged lockedText
 	log.SetOutput(&logged)
 	defer log.SetOutput(os.Stderr)
-	watcher := watch(t, func(s *Settings) { s.TokenFile = file }, agent)
-	watcher.knows("a")
+	watcher := startWatcher(t, func(s *Settings) { s.TokenFile = file }, agent)
+	watcher.awaitReady("a")
 	agent.SetToken("two") // revoked
 	agent.SetStatus("a", "critical")
-	put("two")
-	watcher.knows()
+	writeToken("two")
+	watcher.awaitReady()
 	watcher.stop()
 	if strings.Contains(logged.String(), "one") || strings.Contains(logged.String(), "two") || !strings.Contains(logged.String(), "answers") {
 		t.Errorf("logged: %s", logged.String())
@@ -103,34 +103,34 @@
 }
 
 func TestTLS(t *testing.T) {
-	agent := serve(t, "a")
-	front := httptest.NewTLSServer(agent)
-	defer front.Close()
+	agent := startAgent(t, "a")
+	tlsServer := httptest.NewTLSServer(agent)
+	defer tlsServer.Close()
 	ca := filepath.Join(t.TempDir(), "ca.pem")
-	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: front.Certificate().Raw})
+	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: tlsServer.Certificate().Raw})
 	if err := os.WriteFile(ca, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	over := func(name string) func(s *Settings) {
+	configureTLS := func(name string) func(s *Settings) {
 		return func(s *Settings) {
 			s.TLS = true
 			s.CAFile = ca
 			s.ServerName = name
-			s.Agents = front.Listener.Addr().String()
+			s.Agents = tlsServer.Listener.Addr().String()
 		}
 	}
-	watcher := watch(t, over("example.com"), agent)
-	watcher.knows("a")
+	watcher := startWatcher(t, configureTLS("example.com"), agent)
+	watcher.awaitReady("a")
 	watcher.stop()
 	var logged lockedText
 	log.SetOutput(&logged)
 	defer log.SetOutput(os.Stderr)
-	wrong := watch(t, over("another.example"), serve(t, "a"))
-	wrong.until("a refusal", func() bool {
+	mismatched := startWatcher(t, configureTLS("another.example"), startAgent(t, "a"))
+	mismatched.waitFor("a refusal", func() bool {
 		return strings.Contains(logged.String(), "certificate is valid for example.com")
 	})
-	wrong.stop()
-	if len(wrong.answers) > 0 {
+	mismatched.stop()
+	if len(mismatched.answers) > 0 {
 		t.Error("it believed a server by another name")
 	}
 	s := *Table.Default()
@@ -143,13 +143,13 @@
 }
 
 // Agents that refuse connections or speak no HTTP are skipped.
-func TestNoAgent(t *testing.T) {
+func TestUnusableAgents(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var junk sync.WaitGroup
-	junk.Go(func() {
+	var acceptLoop sync.WaitGroup
+	acceptLoop.Go(func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
@@ -163,11 +163,11 @@
 		if err := listener.Close(); err != nil {
 			t.Error(err)
 		}
-		junk.Wait()
+		acceptLoop.Wait()
 	}()
-	agent := serve(t, "a")
-	watcher := watch(t, func(s *Settings) {
+	agent := startAgent(t, "a")
+	watcher := startWatcher(t, func(s *Settings) {
 		s.Agents = "127.0.0.1:1," + listener.Addr().String() + "," + agent.Address()
 	}, agent)
-	watcher.knows("a")
+	watcher.awaitReady("a")
 }
--- a/internal/network/consul/confirmation.go
+++ b/internal/network/consul/confirmation.go
@@ -10,31 +10,31 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// confirmationTimeout bounds the time for which the catalogue is followed after one answer. By then endpointsource has decided by other
-// means, by the time or by attempts.
+// confirmationTimeout bounds the time for which the catalogue is followed after one answer. By then endpointsource has decided without
+// the catalogue, by the elapsed time or by connection attempts.
 const confirmationTimeout = 5 * time.Minute
 
-// confirmation follows the catalogue while the answers of the health API lack more instances than endpointsource believes at once. The
-// catalogue lists the registered instances whatever their checks report. Its queries are Consistent, so that the leader confirms its role
-// with its peers: a server that has lost its data or its cluster can't answer. They are blocking queries, so a change is published at
-// once.
+// confirmation follows the catalogue while the answers of the health API lack more instances than endpointsource accepts as gone at once.
+// The catalogue lists the registered instances regardless of their checks. Its queries are Consistent, so that the leader confirms its
+// role with its peers: a server that has lost its data or its cluster can't answer. They are blocking queries, so a change is published
+// at once.
 //
-// It does not run while nothing is in doubt: the health API lists all that the catalogue lists, and following both would double
-// Consul's load.
+// It does not run while no instance is unconfirmed: the health API lists everything that the catalogue lists, and following both would
+// double Consul's load.
 type confirmation struct {
 	watcher *Watcher
 	runs    sync.WaitGroup
 
 	mu          sync.Mutex
-	unconfirmed map[string]bool    // UIDs that the health API lacks, and that the catalogue has not been seen to lack
-	cancel      context.CancelFunc // ends the present run
+	unconfirmed map[string]bool    // UIDs that are missing from the health API but not known to be missing from the catalogue
+	cancel      context.CancelFunc // function that stops the current run
 }
 
 func newConfirmation(w *Watcher) *confirmation {
 	return &confirmation{watcher: w, unconfirmed: map[string]bool{}, cancel: func() {}}
 }
 
-// stop ends the present run and waits for it.
+// stop stops the current run and waits until all runs have ended.
 func (c *confirmation) stop() {
 	c.mu.Lock()
 	c.cancel()
@@ -42,8 +42,8 @@
 	c.runs.Wait()
 }
 
-// observe handles an answer of the health API: instances that it lists again need no confirmation any more. publish is called under the
-// lock, so that no result of the catalogue is published in between.
+// observe handles an answer of the health API: instances that it lists again no longer need a confirmation. publish is called with the
+// lock held, so that no result of the catalogue is published in between.
 func (c *confirmation) observe(a endpointsource.ConsulAnswer, publish func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,8 +56,9 @@
 	publish()
 }
 
-// confirm starts a run that asks the catalogue about missing instances, beginning with the agent that answered the health query. It also
-// asks again about the earlier ones: the run that it replaces may have read an older catalogue.
+// confirm starts a run that checks whether the missing instances are gone from the catalogue, too. It begins with the agent that answered
+// the health query, and replaces the current run. The new run also checks the earlier unconfirmed instances, since the replaced one may
+// have read an older catalogue.
 func (c *confirmation) confirm(ctx context.Context, agent int, missing []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +74,7 @@
 	})
 }
 
-// followCatalog queries the catalogue until no instance is unconfirmed, or the context ends.
+// followCatalog queries the catalogue until no instance is unconfirmed, or ctx is done.
 func (c *confirmation) followCatalog(ctx context.Context, agent int) {
 	watcher := c.watcher
 	var index uint64
@@ -87,7 +88,7 @@
 		if err != nil {
 			failures++
 			address := watcher.agents[agent].address
-			watcher.log.logf("consul: the catalogue at agent %s: %s", address, errorText(err))
+			watcher.log.logf("consul: query the catalogue at agent %s: %s", address, errorText(err))
 			agent = (agent + 1) % len(watcher.agents)
 			index = 0
 			pause(ctx, backoff(failures))
@@ -101,14 +102,14 @@
 		if index == 0 {
 			pause(ctx, pollInterval)
 		}
-		pause(ctx, max(watcher.settings.MinInterval, restPerWork*time.Since(meta.receivedAt)))
+		pause(ctx, max(watcher.settings.MinInterval, restPerDecodeTime*time.Since(meta.receivedAt)))
 	}
 }
 
-// queryCatalog adds the UIDs that the catalogue lists to listed.
+// queryCatalog queries the catalogue at an agent, and adds the UIDs of its instances to listed.
 func (c *confirmation) queryCatalog(ctx context.Context, agent int, index uint64, listed map[string]bool) (answerMeta, error) {
 	watcher := c.watcher
-	q := question{
+	q := queryParams{
 		path:        "/v1/catalog/service/" + url.PathEscape(watcher.settings.Service),
 		tagsField:   "ServiceTags",
 		index:       index,
@@ -122,7 +123,7 @@
 	})
 }
 
-// handleCatalog publishes the unconfirmed instances that the catalogue lacks too. It reports whether the run is done.
+// handleCatalog publishes the unconfirmed instances that are missing from the catalogue, too. It reports whether the run is done.
 func (c *confirmation) handleCatalog(ctx context.Context, listed map[string]bool) (done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/network/consul/confirmation_test.go
+++ b/internal/network/consul/confirmation_test.go
@@ -10,7 +10,7 @@
 
 // An answer that is empty or lists half of the instances is published at once with the missing ones, and the catalogue is followed until
 // it confirms or refutes that they are gone.
-func TestSuspiciousLists(t *testing.T) {
+func TestSuspiciousAnswers(t *testing.T) {
 	all := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for _, test := range []struct {
 		name      string
@@ -29,17 +29,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			agent := serve(t, all...)
-			watcher := watch(t, nil, agent)
-			watcher.knows(all...)
+			agent := startAgent(t, all...)
+			watcher := startWatcher(t, nil, agent)
+			watcher.awaitReady(all...)
 			agent.SetFault(test.fault)
-			watcher.until("fewer", func() bool { return len(watcher.known) < 7 })
+			watcher.waitFor("fewer", func() bool { return len(watcher.known) < 7 })
 			for _, a := range watcher.answers {
 				if len(a.Missing) > 0 && (a.Untrusted != test.untrusted || a.KnownBefore != 7) {
 					t.Errorf("%+v", a)
 				}
 			}
-			watcher.until("the catalogue's answer", func() bool {
+			watcher.waitFor("the catalogue's answer", func() bool {
 				_, asked := agent.Queries()
 				return asked > 0 && len(watcher.confirmed()) == test.confirmed
 			})
@@ -47,7 +47,7 @@
 			agent.SetStatus("a", "passing")
 			time.Sleep(50 * time.Millisecond)
 			agent.SetFault(standin.Fault{})
-			watcher.knows(all...)
+			watcher.awaitReady(all...)
 			if got := len(watcher.confirmed()); got != test.confirmed {
 				t.Errorf("the catalogue confirmed %d, want %d", got, test.confirmed)
 			}
@@ -63,7 +63,7 @@
 	for range 5 {
 		seen := watcher.unchanged + len(watcher.answers)
 		agent.SetStatus("a", "passing")
-		watcher.until("an answer", func() bool { return watcher.unchanged+len(watcher.answers) > seen })
+		watcher.waitFor("an answer", func() bool { return watcher.unchanged+len(watcher.answers) > seen })
 	}
 	if _, after := agent.Queries(); after > before+1 {
 		t.Errorf("the catalogue was asked %d times more", after-before)
@@ -72,12 +72,12 @@
 
 // The catalogue is followed by blocking queries: an instance that disappears from it later is published then.
 func TestCatalogueIsFollowed(t *testing.T) {
-	agent := serve(t, "a", "b", "c", "d", "e", "f")
-	watcher := watch(t, nil, agent)
-	watcher.knows("a", "b", "c", "d", "e", "f")
+	agent := startAgent(t, "a", "b", "c", "d", "e", "f")
+	watcher := startWatcher(t, nil, agent)
+	watcher.awaitReady("a", "b", "c", "d", "e", "f")
 	agent.SetFault(standin.Fault{FirstHalf: true, CatalogUnaffected: true})
-	watcher.knows("a", "b", "c")
-	watcher.until("a held question", func() bool { _, n := agent.Queries(); return n >= 2 })
+	watcher.awaitReady("a", "b", "c")
+	watcher.waitFor("a held question", func() bool { _, n := agent.Queries(); return n >= 2 })
 	if last := watcher.answers[len(watcher.answers)-1]; len(last.ConfirmedMissing) > 0 {
 		t.Errorf("%+v", last)
 	}
@@ -85,7 +85,7 @@
 	agent.Update(func(all []standin.Instance) []standin.Instance { // the health API's half stays the same
 		return append(all[:3:3], all[5])
 	})
-	watcher.until("two are gone", func() bool { return slices.Equal(watcher.confirmed(), []string{"d@n", "e@n"}) })
+	watcher.waitFor("two are gone", func() bool { return slices.Equal(watcher.confirmed(), []string{"d@n", "e@n"}) })
 	if _, after := agent.Queries(); after > before+4 {
 		t.Errorf("%d questions: it polls", after-before)
 	}
@@ -93,13 +93,13 @@
 
 // A critical check in a doubtful answer is published though the catalogue hangs.
 func TestCriticalInstanceInDoubtfulAnswer(t *testing.T) {
-	agent := serve(t, "a", "b", "c", "d", "e", "f", "g", "h")
-	watcher := watch(t, nil, agent)
-	watcher.knows("a", "b", "c", "d", "e", "f", "g", "h")
+	agent := startAgent(t, "a", "b", "c", "d", "e", "f", "g", "h")
+	watcher := startWatcher(t, nil, agent)
+	watcher.awaitReady("a", "b", "c", "d", "e", "f", "g", "h")
 	agent.SetFault(standin.Fault{FirstHalf: true, CatalogHangs: true})
 	began := time.Now()
 	agent.SetStatus("b", "critical")
-	watcher.knows("a", "c", "d")
+	watcher.awaitReady("a", "c", "d")
 	if took := time.Since(began); took > requestTimeout/2 {
 		t.Errorf("it took %v", took)
 	}
--- a/internal/network/consul/endpoint.go
+++ b/internal/network/consul/endpoint.go
@@ -14,19 +14,19 @@
 // Bounds on the memory that an answer may use, and on its numbers.
 const (
 	maxInstances    = 20000
-	maxTextBytes    = 255 // of an ID, a name or an address
-	maxCheckIDBytes = 64  // in a reason
+	maxTextBytes    = 255 // length of an ID, a name or an address
+	maxCheckIDBytes = 64  // length of a check's ID in a reason
 	maxWeight       = 65535
 	maxPort         = 65535
 )
 
-// The statuses of checks, and the IDs of those for maintenance, in Consul's API.
+// The statuses of checks and the IDs of maintenance checks in Consul's API.
 const (
 	statusPassing     = "passing"
 	statusWarning     = "warning"
 	statusCritical    = "critical"
 	statusMaintenance = "maintenance"
-	// The IDs of the checks of a maintenance mode (Consul's API, Agent, "Enable Maintenance Mode").
+	// The IDs of the checks that represent a maintenance mode (Consul's API, Agent, "Enable Maintenance Mode").
 	nodeMaintenance    = "_node_maintenance"
 	serviceMaintenance = "_service_maintenance" // followed by a colon and the service's ID
 )
@@ -37,8 +37,8 @@
 	Status  string
 }
 
-// instance has the fields that are used of one element of /v1/health/service/:service (Consul's API, Health, "List Service Instances for
-// Service"). Their names are those of the API.
+// instance has those fields of one element of /v1/health/service/:service (Consul's API, Health, "List Service Instances for Service")
+// that this package uses. Their names are those of the API.
 type instance struct {
 	Node struct {
 		Node       string
@@ -56,15 +56,16 @@
 	Checks []check
 }
 
-// catalogEntry has the fields that are used of one element of /v1/catalog/service/:service.
+// catalogEntry has those fields of one element of /v1/catalog/service/:service that this package uses.
 type catalogEntry struct {
 	Node        string
 	ServiceID   string
 	ServiceMeta map[string]string
 }
 
-// uid returns the UID of an instance: the one in its metadata if the settings name a field for it, else its service ID. Service IDs are
-// unique on a node only, so a qualified UID has the node's name too; an unqualified one matches the names in the platform's list.
+// uid returns the UID of an instance: the one in its metadata if the settings name a field for it and the instance has that field,
+// otherwise its service ID. Service IDs are unique only on a node, so a qualified UID also contains the node's name; an unqualified one
+// matches the names in the platform's list.
 func (s *Settings) uid(node, id string, meta map[string]string, qualified bool) string {
 	if u := meta[s.UIDMeta]; s.UIDMeta != "" && u != "" {
 		return u
@@ -75,7 +76,7 @@
 	return id
 }
 
-// endpoint returns the endpoint of an instance, or why the instance can't be used.
+// endpoint returns the endpoint of an instance. If the instance can't be used, fault is the reason.
 func (s *Settings) endpoint(i *instance, qualified bool) (result endpointsource.Endpoint, fault string) {
 	result.UID = s.uid(i.Node.Node, i.Service.ID, i.Service.Meta, qualified)
 	host := cmp.Or(i.Service.Address, i.Node.Address)
@@ -96,7 +97,7 @@
 	return result, ""
 }
 
-// readMeta sets the fields that come from the service's metadata, or returns why the instance can't be used.
+// readMeta sets the fields of e that come from the service's metadata. If the instance can't be used, it returns the reason.
 func (s *Settings) readMeta(i *instance, e *endpointsource.Endpoint) (fault string) {
 	e.Zone = cmp.Or(i.Service.Meta[s.ZoneMeta], i.Node.Datacenter)
 	e.Model = i.Service.Meta[s.ModelMeta]
@@ -106,7 +107,7 @@
 	if text := i.Service.Meta[s.CellMeta]; text != "" {
 		cell, err := strconv.ParseInt(text, 10, 32)
 		if err != nil {
-			return fmt.Sprintf("its cell %.40q is no number", text) // in a wrong cell a retried request would run twice
+			return fmt.Sprintf("its cell %.40q is no number", text) // with a wrong cell, a retried request would be executed twice
 		}
 		e.Cell = int(cell)
 	}
@@ -118,13 +119,13 @@
 	return ""
 }
 
-// applyChecks sets the state, the weights and the reason by the worst of all checks of the node and the service.
+// applyChecks sets the endpoint's state, weights and reason according to the worst of all checks of the node and the service.
 func applyChecks(i *instance, endpoint *endpointsource.Endpoint) {
 	passing := min(max(cmp.Or(i.Service.Weights.Passing, 1), 1), maxWeight)
 	warning := min(max(i.Service.Weights.Warning, 0), maxWeight)
 	endpoint.Weight = float64(passing)
 	endpoint.WeightShare = 1
-	warned := "" // the ID of a check that warns
+	warned := "" // ID of a check with the status warning; empty for none
 	for _, c := range i.Checks {
 		switch {
 		case c.maintenance():
@@ -134,7 +135,7 @@
 		case c.Status == statusPassing:
 		case c.Status == statusWarning:
 			warned = c.shortID()
-		default: // critical, or a status of a later version of Consul
+		default: // critical, or an unknown status of a later version of Consul
 			endpoint.State = balancer.EndpointDraining
 			if !endpoint.Maintenance {
 				endpoint.Reason = fmt.Sprintf("check %q is %.20s", c.shortID(), c.Status)
@@ -145,7 +146,7 @@
 		return
 	}
 	if warning == 0 {
-		// Consul's own DNS leaves such an instance out.
+		// Consul's DNS interface omits such an instance, too.
 		endpoint.State = balancer.EndpointDraining
 		endpoint.Reason = fmt.Sprintf("check %q warns, and its weight is 0 then", warned)
 		return
@@ -160,7 +161,7 @@
 	return c.CheckID == nodeMaintenance || strings.HasPrefix(c.CheckID, serviceMaintenance) || c.Status == statusMaintenance
 }
 
-// shortID returns the ID, bounded for use in a reason.
+// shortID returns the check's ID, truncated to maxCheckIDBytes for use in a reason.
 func (c *check) shortID() string {
 	if len(c.CheckID) > maxCheckIDBytes {
 		return strings.ToValidUTF8(c.CheckID[:maxCheckIDBytes], "")
--- a/internal/network/consul/endpoint_test.go
+++ b/internal/network/consul/endpoint_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-func TestStates(t *testing.T) {
+func TestApplyChecks(t *testing.T) {
 	const ready, draining = balancer.EndpointReady, balancer.EndpointDraining
 	passes := check{"a", "passing"}
 	warns := check{"b", "warning"}
--- a/internal/network/consul/find.go
+++ b/internal/network/consul/find.go
@@ -8,12 +8,12 @@
 	"strconv"
 )
 
-// maxFoundAddresses bounds the addresses of one search.
+// maxFoundAddresses bounds the number of addresses that Find returns.
 const maxFoundAddresses = 256
 
-// Find returns the addresses of a service's instances without a critical check, in Consul's order, from the first agent that answers.
-// The Service and the Tag of the settings are not used. If no agent answers it returns the *AgentError of the last one; if the settings name none,
-// ErrNoAgents.
+// Find returns the addresses of those instances of a service that have no critical check, in Consul's order, from the first agent that
+// answers. It ignores the Service and the Tag of the settings. resolve converts a path in the settings into one to open. If no agent
+// answers, Find returns the *AgentError of the last one; if the settings name no agent, it returns ErrNoAgents.
 func Find(ctx context.Context, settings Settings, service string, resolve func(string) string) (addresses []string, err error) {
 	settings.Service = service
 	settings.Tag = ""
@@ -25,7 +25,7 @@
 	if len(c.agents) == 0 {
 		return nil, ErrNoAgents
 	}
-	q := question{
+	q := queryParams{
 		path:        "/v1/health/service/" + url.PathEscape(service),
 		consistency: settings.Consistency,
 	}
@@ -46,7 +46,7 @@
 	return nil, err
 }
 
-// address returns the address of an instance. It returns false if there is none, or a check is critical.
+// address returns the address of an instance. It returns false if the instance has no valid address or a check is critical.
 func (i *instance) address() (string, bool) {
 	host := i.Service.Address
 	if host == "" {
--- a/internal/network/consul/helpers_test.go
+++ b/internal/network/consul/helpers_test.go
@@ -37,7 +37,7 @@
 }
 
 // watch starts a watcher that fails back to its first agent after a short time. The test's end stops it and the agents.
-func watch(t *testing.T, change func(*Settings), agents ...*standin.Server) *testWatcher {
+func startWatcher(t *testing.T, configure func(*Settings), agents ...*standin.Server) *testWatcher {
 	t.Helper()
 	s := *Table.Default()
 	s.Service = "x"
@@ -48,8 +48,8 @@
 		addresses = append(addresses, agent.Address())
 	}
 	s.Agents = strings.Join(addresses, ", ")
-	if change != nil {
-		change(&s)
+	if configure != nil {
+		configure(&s)
 	}
 	watcher, err := New(s, endpointsource.ModeConsul, samePath)
 	if err != nil {
@@ -99,27 +99,27 @@
 }
 
 // until handles events until a condition holds; it fails after testTimeout.
-func (w *testWatcher) until(what string, holds func() bool) {
+func (w *testWatcher) waitFor(description string, condition func() bool) {
 	w.t.Helper()
 	timeout := time.NewTimer(testTimeout)
 	defer timeout.Stop()
 	poll := time.NewTicker(2 * time.Millisecond) // the condition may depend on other things than the watcher's events
 	defer poll.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case event := <-w.events:
 			event()
 		case <-poll.C:
 		case <-timeout.C:
-			w.t.Fatalf("never: %s; known are %v", what, slices.Sorted(maps.Keys(w.known)))
+			w.t.Fatalf("never: %s; known are %v", description, slices.Sorted(maps.Keys(w.known)))
 		}
 	}
 }
 
 // knows waits until exactly these instances are ready.
-func (w *testWatcher) knows(ids ...string) {
+func (w *testWatcher) awaitReady(ids ...string) {
 	w.t.Helper()
-	w.until(fmt.Sprint(ids), func() bool {
+	w.waitFor(fmt.Sprint(ids), func() bool {
 		var ready []string
 		for uid, e := range w.known {
 			if e.State == balancer.EndpointReady {
@@ -140,7 +140,7 @@
 }
 
 // serve starts an agent with instances of these IDs.
-func serve(t *testing.T, ids ...string) *standin.Server {
+func startAgent(t *testing.T, ids ...string) *standin.Server {
 	t.Helper()
 	agent, err := standin.Start("", instances(ids...)...)
 	if err != nil {
--- a/internal/network/consul/settings.go
+++ b/internal/network/consul/settings.go
@@ -13,14 +13,14 @@
 
 // The consistency modes.
 const (
-	Stale      Consistency = "stale"      // by any server, also one without a leader
-	Default    Consistency = "default"    // by the leader
-	Consistent Consistency = "consistent" // by the leader, after it has asked its peers
+	Stale      Consistency = "stale"      // any server answers, even if it knows no leader
+	Default    Consistency = "default"    // the leader answers
+	Consistent Consistency = "consistent" // the leader answers after its peers have confirmed that it is the leader
 )
 
-// Settings is the table [consul] of a settings file. Table has the meaning of each setting.
+// Settings is the table [consul] of a settings file. Table describes the meaning of each setting.
 type Settings struct {
-	Agents       string // host:port, divided by commas
+	Agents       string // addresses of the agents, each host:port, separated by commas
 	Service      string
 	Tag          string
 	Datacenter   string
@@ -43,13 +43,13 @@
 	UIDMeta      string
 }
 
-// agents returns the addresses of the agents, in order.
+// agents returns the addresses of the agents, in the order of the settings.
 func (s *Settings) agents() []string { return appfile.SplitList(s.Agents) }
 
 const maxAgents = 16
 
-// text returns the options of a setting whose value is a name in Consul.
-func text(example string) schema.StringOptions {
+// nameOptions returns the options of a setting whose value is a name in Consul.
+func nameOptions(example string) schema.StringOptions {
 	return schema.StringOptions{Example: example, Fault: appfile.ServiceNameFault}
 }
 
@@ -63,15 +63,15 @@
 			Fault:   appfile.AddressListFault(maxAgents),
 		}, schema.OnReload,
 		"Agents to ask, in order: the next one is asked where one does not answer, and the first again a minute later."),
-	schema.String("service", func(s *Settings) *string { return &s.Service }, text("slot-keeper"), schema.OnReload,
+	schema.String("service", func(s *Settings) *string { return &s.Service }, nameOptions("slot-keeper"), schema.OnReload,
 		"The service whose instances are the endpoints."),
-	schema.String("service_tag", func(s *Settings) *string { return &s.Tag }, text("v2"), schema.OnReload,
+	schema.String("service_tag", func(s *Settings) *string { return &s.Tag }, nameOptions("v2"), schema.OnReload,
 		"Only instances with this tag."),
-	schema.String("datacenter", func(s *Settings) *string { return &s.Datacenter }, text("dc1"), schema.OnReload,
+	schema.String("datacenter", func(s *Settings) *string { return &s.Datacenter }, nameOptions("dc1"), schema.OnReload,
 		"The datacentre; the agent's own where it is left out."),
-	schema.String("namespace", func(s *Settings) *string { return &s.Namespace }, text("transport"), schema.OnReload,
+	schema.String("namespace", func(s *Settings) *string { return &s.Namespace }, nameOptions("transport"), schema.OnReload,
 		"The namespace (Consul Enterprise)."),
-	schema.String("partition", func(s *Settings) *string { return &s.Partition }, text("default"), schema.OnReload,
+	schema.String("partition", func(s *Settings) *string { return &s.Partition }, nameOptions("default"), schema.OnReload,
 		"The admin partition (Consul Enterprise)."),
 	schema.SecretFile("consul_token_file", func(s *Settings) *string { return &s.TokenFile },
 		schema.Token, "/etc/quincegap/consul.token", schema.OnReload,
--- a/internal/network/consul/watcher.go
+++ b/internal/network/consul/watcher.go
@@ -12,34 +12,36 @@
 )
 
 const (
-	defaultFailbackDelay = time.Minute // after a failover, until the first agent is queried again
-	pollInterval         = time.Second // between queries if an agent returns no index to block on
-	// restPerWork is the ratio of the rest after an answer to the time that decoding took: on one core that time is lost for requests.
-	restPerWork = 4
-	// believedMissing is the number of missing instances that endpointsource believes at once with any settings.
-	believedMissing = 2
+	defaultFailbackDelay = time.Minute // delay after a failover until the first agent is queried again
+	pollInterval         = time.Second // mean time between queries if an agent returns no index to block on
+	// restPerDecodeTime is the ratio of the pause after an answer to the time that decoding and handling it took: on one core, no requests
+	// are served in that time.
+	restPerDecodeTime = 4
+	// maxUnconfirmedMissing is the number of missing instances that endpointsource accepts as gone without a confirmation, whatever its
+	// settings are.
+	maxUnconfirmedMissing = 2
 )
 
-// Watcher follows the instances of one service. While Run runs, nothing else of it may be used.
+// Watcher follows the instances of one service. While Run runs, neither its fields nor its other methods may be used.
 type Watcher struct {
 	*client
-	qualified bool // UIDs contain the node's name
+	qualified bool // whether UIDs contain the node's name
 
-	// OnAnswer is called with the changes of an answer, OnUnchanged for an answer without changes. They must not block for long,
-	// since the next query waits for them. Both are set before Run.
+	// OnAnswer is called with the changes that an answer contains, OnUnchanged for an answer without changes. They must not block for
+	// long, since the next query waits for them. Both must be set before Run is called.
 	OnAnswer    func(endpointsource.ConsulAnswer)
 	OnUnchanged func()
 
-	known         map[string]endpointsource.Endpoint // as of the last answer, by UID
-	askLeader     bool                               // the next query goes to the leader
-	failbackDelay time.Duration                      // defaultFailbackDelay, shorter in tests
+	known         map[string]endpointsource.Endpoint // endpoints of the last answer, by UID
+	queryLeader   bool                               // whether the next query goes to the leader
+	failbackDelay time.Duration                      // defaultFailbackDelay; tests set a shorter one
 	failbackAt    time.Time                          // when the first agent is queried again
 	confirmation  *confirmation
-	log           repeatLog
+	log           dedupLog
 }
 
-// New returns a watcher. resolve turns a path of the settings into one to open. The files of TLS are read at once; the client's
-// certificate and the token are read again whenever they are used.
+// New returns a watcher. resolve converts a path in the settings into one to open. The TLS files are read at once, and New fails if one
+// can't be loaded; the client's certificate and the token are read again each time they are used.
 func New(s Settings, mode endpointsource.Mode, resolve func(string) string) (*Watcher, error) {
 	c, err := newClient(s, resolve)
 	if err != nil {
@@ -50,27 +52,27 @@
 		qualified:     mode == endpointsource.ModeConsul,
 		known:         map[string]endpointsource.Endpoint{},
 		failbackDelay: defaultFailbackDelay,
-		log:           repeatLog{logged: map[string]time.Time{}},
+		log:           dedupLog{logged: map[string]time.Time{}},
 	}, nil
 }
 
 // cursor is a watcher's position in the stream of answers.
 type cursor struct {
-	agent    int    // index into the agents
-	index    uint64 // of the last answer, to block on; 0 for none
-	hash     string // used in place of an index; empty for none
-	failures int    // of queries in a row, of all agents
-	answered bool   // an agent has answered since the start
+	agent    int    // index of the current agent in Watcher.agents
+	index    uint64 // index to block on, from the last answer; 0 for none
+	hash     string // content hash to block on if there is no index; empty for none
+	failures int    // number of consecutive failed queries to any agents
+	answered bool   // whether an agent has answered since the start
 }
 
-// moveTo moves the cursor to another agent, where it starts without an index: agents' indexes are not comparable.
+// moveTo moves the cursor to another agent and clears the index, since the indexes of different agents are not comparable.
 func (c *cursor) moveTo(agent int) {
 	c.agent = agent
 	c.index = 0
 	c.hash = ""
 }
 
-// Run follows the service until the context ends, and waits for all that it has started.
+// Run follows the service until ctx is done, and then waits until all goroutines that it has started have ended.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.closeIdle()
 	w.confirmation = newConfirmation(w)
@@ -96,12 +98,12 @@
 // healthAnswer has the contents of an answer of the health API.
 type healthAnswer struct {
 	endpoints map[string]endpointsource.Endpoint // by UID
-	faults    []string                           // why instances were skipped
+	faults    []string                           // reasons why instances were skipped
 }
 
-// queryHealth queries the service's instances at the cursor's agent.
+// queryHealth queries the service's instances at the cursor's agent, and adds them to answer.
 func (w *Watcher) queryHealth(ctx context.Context, position *cursor, answer *healthAnswer) (answerMeta, error) {
-	q := question{
+	q := queryParams{
 		path:        "/v1/health/service/" + url.PathEscape(w.settings.Service),
 		tagsField:   "Service.Tags",
 		index:       position.index,
@@ -109,7 +111,7 @@
 		wait:        w.settings.Wait - rand.N(w.settings.Wait/8+1),
 		consistency: w.settings.Consistency,
 	}
-	if w.askLeader && q.consistency == Stale {
+	if w.queryLeader && q.consistency == Stale {
 		q.consistency = Default
 	}
 	return w.query(ctx, &w.agents[position.agent], q, func(body io.Reader) error {
@@ -119,7 +121,7 @@
 	})
 }
 
-// failOver moves the cursor to the next agent; after all agents have failed it waits first.
+// failOver logs the error of a query and moves the cursor to the next agent. Each time all agents have failed, it then waits for a backoff.
 func (w *Watcher) failOver(ctx context.Context, position *cursor, err error) {
 	position.failures++
 	address := w.agents[position.agent].address
@@ -131,7 +133,7 @@
 	}
 }
 
-// accept handles an answer, and rests until the next query is due.
+// accept handles an answer, and waits until the next query is due.
 func (w *Watcher) accept(ctx context.Context, position *cursor, answer *healthAnswer, meta answerMeta) {
 	if position.failures > 0 || !position.answered {
 		log.Printf("consul: agent %s answers: %d instances of %s",
@@ -141,7 +143,7 @@
 	position.failures = 0
 	position.answered = true
 	w.handleAnswer(ctx, position.agent, answer, meta)
-	work := time.Since(meta.receivedAt)
+	processingTime := time.Since(meta.receivedAt)
 	next := nextIndex(position.index, meta.index)
 	position.index = 0
 	position.hash = ""
@@ -153,11 +155,11 @@
 	default:
 		pause(ctx, pollInterval/2+rand.N(pollInterval))
 	}
-	pause(ctx, max(w.settings.MinInterval, restPerWork*work))
+	pause(ctx, max(w.settings.MinInterval, restPerDecodeTime*processingTime))
 }
 
-// handleAnswer publishes the changes of an answer, without waiting for a confirmation: an answer that lacks too many instances may also
-// have one that has become critical.
+// handleAnswer publishes the changes in an answer and starts a confirmation if one is required. It does not wait for the confirmation: an
+// answer that lacks too many instances may also contain one that has become critical.
 func (w *Watcher) handleAnswer(ctx context.Context, agent int, answer *healthAnswer, meta answerMeta) {
 	for _, fault := range answer.faults {
 		w.log.logf("consul: %s", fault)
@@ -165,14 +167,14 @@
 	a := diff(w.known, answer.endpoints)
 	a.UnixMS = time.Now().UnixMilli()
 	a.Untrusted = !meta.knownLeader || meta.lastContact > w.settings.MaxStaleness
-	w.askLeader = a.Untrusted && meta.knownLeader
+	w.queryLeader = a.Untrusted && meta.knownLeader
 	w.known = answer.endpoints
 	if len(a.Changed) == 0 && len(a.Missing) == 0 {
 		w.OnUnchanged()
 		return
 	}
 	w.confirmation.observe(a, func() { w.OnAnswer(a) })
-	if doubtful := a.Untrusted || len(answer.endpoints) == 0; len(a.Missing) > believedMissing || len(a.Missing) > 0 && doubtful {
+	if doubtful := a.Untrusted || len(answer.endpoints) == 0; len(a.Missing) > maxUnconfirmedMissing || len(a.Missing) > 0 && doubtful {
 		w.confirmation.confirm(ctx, agent, a.Missing)
 	}
 }
--- a/internal/network/gossip/delegate.go
+++ b/internal/network/gossip/delegate.go
@@ -8,10 +8,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// digestBytes is the length of a digest in the answer to a probe, little-endian.
+// digestBytes is the length of the view's digest in the answer to a probe, a little-endian integer.
 const digestBytes = 8
 
-// delegate implements the callbacks of memberlist. memberlist calls them with its locks held, so no method blocks or calls back into it.
+// delegate implements the callbacks of memberlist. memberlist calls them with its locks held, so no method blocks or calls memberlist.
 type delegate struct{ group *Group }
 
 var (
@@ -60,15 +60,16 @@
 // MergeRemoteState merges the records of another member after a full exchange.
 func (d *delegate) MergeRemoteState(b []byte, _ bool) { d.group.receive(b) }
 
-// AckPayload returns the digest of this member's view, which is sent with each answer to a probe.
+// AckPayload returns the digest of this member's view, which memberlist sends with each answer to a probe.
 func (d *delegate) AckPayload() []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
 	return binary.LittleEndian.AppendUint64(nil, d.group.view.Digest(d.group.now()))
 }
 
-// NotifyPingComplete compares the digest of a member that was probed. After a partition a member may reach all others and still be
-// gone in their views; they don't probe it, so only the digest shows the difference.
+// NotifyPingComplete compares the digest of a probed member with that of this member's view, and schedules a full exchange if they
+// differ. After a partition a member may reach all others and still be gone in their views. They don't probe it, so only the digests
+// that it receives show the difference.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
 	if len(payload) != digestBytes {
 		return
@@ -80,19 +81,20 @@
 	}
 }
 
-// NotifyAlive rejects nodes of other applications, and new nodes once MaxMembers nodes are known.
+// NotifyAlive returns an error, which rejects the node, if it belongs to another application or MaxMembers nodes are known already.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
-	_, rejection := d.group.decodeOwn(n.Meta)
+	_, rejection := d.group.decodeAndCheck(n.Meta)
 	if rejection == "" && int(d.group.nodes.Load()) >= d.group.config.MaxMembers {
 		rejection = rejectedMember
 	}
 	return d.reject(n, rejection)
 }
 
-// NotifyMerge rejects a node list that has a node of another application: that application's members would learn of ours.
+// NotifyMerge returns an error, which rejects the whole exchange, if any of the nodes belongs to another application: otherwise that
+// application's members would learn of this one's.
 func (d *delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	for _, n := range nodes {
-		_, rejection := d.group.decodeOwn(n.Meta)
+		_, rejection := d.group.decodeAndCheck(n.Meta)
 		if err := d.reject(n, rejection); err != nil {
 			return err
 		}
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// reject counts a rejection and returns it as an error; nil if rejection is empty.
+// reject counts a rejected node and returns an error with the reason. It returns nil if the reason, rejection, is empty.
 func (d *delegate) reject(n *memberlist.Node, rejection string) error {
 	if rejection == "" {
 		return nil
@@ -109,15 +111,16 @@
 	return fmt.Errorf("%s: %s", n.Address(), rejection)
 }
 
-// NotifyJoin marks a node as reachable once memberlist has reached it.
+// NotifyJoin marks a node as reachable that has joined.
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	d.group.nodes.Add(1)
 	d.markReachable(n)
 }
 
-// NotifyUpdate merges a node's new metadata.
+// NotifyUpdate merges a node's new metadata and marks the node as reachable.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.markReachable(n) }
 
+// markReachable merges the record in a node's metadata, remembers the node's address and marks its process as reachable.
 func (d *delegate) markReachable(n *memberlist.Node) {
 	e := d.decodeMetadata(n)
 	if e == nil {
@@ -133,7 +136,7 @@
 	g.view.MarkReachable(g.now(), process)
 }
 
-// NotifyLeave marks a node as unreachable that left or that memberlist has declared dead.
+// NotifyLeave marks a node as unreachable that has left or that memberlist has declared dead.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	d.group.nodes.Add(-1)
 	e := d.decodeMetadata(n)
@@ -153,7 +156,7 @@
 // decodeMetadata returns the envelope in a node's metadata, which has one record. It returns nil for this member itself and for
 // metadata without exactly one record.
 func (d *delegate) decodeMetadata(n *memberlist.Node) *envelope {
-	e, rejection := d.group.decodeOwn(n.Meta)
+	e, rejection := d.group.decodeAndCheck(n.Meta)
 	if rejection != "" || len(e.records) != 1 || n.Name == d.group.nodeName() {
 		return nil
 	}
--- a/internal/network/gossip/doc.go
+++ b/internal/network/gossip/doc.go
@@ -1,5 +1,5 @@
-// Package gossip spreads a standalone sidecar's view of the others (internal/modules/peers) over memberlist: SWIM with Lifeguard
-// finds out who is reachable, and its broadcasts and full exchanges carry the view's records.
+// Package gossip spreads a standalone sidecar's view of its peers (internal/modules/peers) over memberlist. memberlist detects which
+// members are reachable (SWIM with Lifeguard); its broadcasts and full exchanges (push/pull) carry the records of the view.
 //
 //	            ┌──────────────────────── Group ───────────────────────┐
 //	settings ──▶│ loop ── tick ──▶ peers.View ──▶ Share ──▶ OnShare     │
@@ -12,22 +12,24 @@
 //
 // # Messages
 //
-// Members send one another envelopes (see wire.go). A node's metadata holds its own record, a broadcast one record, a full exchange
-// all records. The answer to a probe carries the digest of the sender's view; if the digests differ, the two members make a full
-// exchange.
+// Members send one another envelopes (see wire.go). A node's metadata contains its own record, a broadcast contains one record, and
+// a full exchange contains all records. The answer to a probe carries the digest of the sender's view; if it differs from the digest
+// of the prober's view, the two members run a full exchange.
 //
 // # What is rejected
 //
-// Messages of another application or in another format are rejected and counted by reason; messages under another key can't be
-// decrypted. peers_most bounds the members, maxInboundStreams the connections from others.
+// Messages of another application or in another format are rejected and counted by reason; messages that are encrypted with an unknown
+// key can't be decrypted. peers_most bounds the number of members, maxInboundStreams the number of inbound connections.
 //
 // # Goroutines
 //
-// Each Group has a loop that ticks and answers queries, which Close waits for, and one that announces new metadata. An attempt to
-// join, an answer and the queries of Fleet have goroutines of their own, because each may wait for a member that does not
-// respond. They end with their timeouts, within a few seconds. Close does not wait for them: the sidecar's shutdown would be late.
+// Each Group has two long-running goroutines: one ticks and answers queries, and Close waits for it; the other announces new metadata.
+// Attempts to join, answers and the queries of Fleet run in separate goroutines, because each may wait for a member that does not
+// respond. They end when their timeouts expire, within a few seconds. Close does not wait for them, since that would delay the
+// sidecar's shutdown.
 //
 // # What it does not do
 //
-// It does not interpret records: the view does. It keeps nothing on disk: OnSettled passes on what a later run starts with.
+// It does not interpret records; the view does. It writes nothing to disk; OnSettled passes the caller the names and addresses that a
+// later run starts with.
 package gossip
--- a/internal/network/gossip/fleet_test.go
+++ b/internal/network/gossip/fleet_test.go
@@ -57,14 +57,14 @@
 }
 
 // record adds a step to the history, which a failure prints.
-func (v *virtualFleet) record(format string, args ...any) {
+func (v *virtualFleet) recordStep(format string, args ...any) {
 	v.history = append(v.history, fmt.Sprintf("%6.2fs ", time.Since(v.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // start starts a member, with a configuration that change may change.
-func (v *virtualFleet) start(i, expected int, change func(*Config)) {
+func (v *virtualFleet) start(i, expected int, configure func(*Config)) {
 	v.t.Helper()
-	c := Config{
+	config := Config{
 		Settings:        *Table.Default(),
 		Name:            fmt.Sprintf("front-%03d", i),
 		Application:     "booking-front",
@@ -74,13 +74,13 @@
 		Log:             slog.New(slog.NewTextHandler(io.Discard, nil)),
 		NewTransport:    func() (memberlist.Transport, error) { return v.net.open(address(i)) },
 	}
-	c.Join = v.join
-	c.MaxMembers = v.maxMembers
-	c.Listen = address(i)
-	if change != nil {
-		change(&c)
+	config.Join = v.join
+	config.MaxMembers = v.maxMembers
+	config.Listen = address(i)
+	if configure != nil {
+		configure(&config)
 	}
-	g, err := Open(c)
+	g, err := Open(config)
 	if err != nil {
 		v.t.Fatal(err)
 	}
@@ -88,10 +88,10 @@
 }
 
 // startAll starts all members.
-func (v *virtualFleet) startAll(change func(*Config)) {
+func (v *virtualFleet) startAll(configure func(*Config)) {
 	v.t.Helper()
 	for i := range v.members {
-		v.start(i, len(v.members), change)
+		v.start(i, len(v.members), configure)
 	}
 }
 
@@ -126,17 +126,17 @@
 }
 
 // halve separates the first half of the members from the second.
-func (v *virtualFleet) halve() {
+func (v *virtualFleet) partitionHalves() {
 	all := v.addresses()
 	half := len(all) / 2
 	v.partition(all[:half], all[half:])
 }
 
 // heal ends all partitions.
-func (v *virtualFleet) heal() { v.net.set(func() { clear(v.net.partitioned) }) }
+func (v *virtualFleet) heal() { v.net.update(func() { clear(v.net.partitioned) }) }
 
 // end kills all members. memberlist's goroutines end with their timeouts, and virtual time stops when the test returns.
-func (v *virtualFleet) end() {
+func (v *virtualFleet) killAll() {
 	v.t.Helper()
 	for i := range v.members {
 		v.kill(i)
@@ -145,7 +145,7 @@
 }
 
 // state returns the member's present share, and false if it has none.
-func (g *Group) state() (peers.Share, bool) {
+func (g *Group) currentShare() (peers.Share, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s, ok := g.view.Share(g.now())
@@ -153,7 +153,7 @@
 }
 
 // agree reports whether all members that run are settled in one group, which has them and nobody else.
-func (v *virtualFleet) agree() bool {
+func (v *virtualFleet) converged() bool {
 	var alive []*Group
 	for _, g := range v.members {
 		if g != nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	for _, g := range alive {
-		s, ok := g.state()
+		s, ok := g.currentShare()
 		if !ok || s.Confidence != peers.Settled || s.Instances != len(alive) || !s.OwnsName || s.Names[s.Ordinal] != g.config.Name {
 			return false
 		}
@@ -173,7 +173,7 @@
 // maxInstances of 0 matches any.
 func haveShares(members []*Group, confidence peers.Confidence, instances, maxInstances int) bool {
 	for _, g := range members {
-		s, _ := g.state()
+		s, _ := g.currentShare()
 		if s.Confidence != confidence || s.Instances != instances || maxInstances != 0 && s.MaxInstances != maxInstances {
 			return false
 		}
@@ -182,14 +182,14 @@
 }
 
 // oneSettled fails if two members are settled in groups that have nobody in common.
-func (v *virtualFleet) oneSettled() {
+func (v *virtualFleet) checkOneSettledGroup() {
 	v.t.Helper()
 	var first []string
 	for i, g := range v.members {
 		if g == nil {
 			continue
 		}
-		s, ok := g.state()
+		s, ok := g.currentShare()
 		if !ok || s.Confidence != peers.Settled {
 			continue
 		}
@@ -204,12 +204,12 @@
 }
 
 // within waits until something holds, and returns how long it took; it fails if it does not in time.
-func (v *virtualFleet) within(d time.Duration, what string, holds func() bool) time.Duration {
+func (v *virtualFleet) waitFor(d time.Duration, what string, condition func() bool) time.Duration {
 	v.t.Helper()
 	began := time.Now()
-	for !holds() {
+	for !condition() {
 		if time.Since(began) > d {
-			v.t.Fatalf("%s: not within %v\n%s\n%s", what, d, strings.Join(v.history, "\n"), v.views())
+			v.t.Fatalf("%s: not within %v\n%s\n%s", what, d, strings.Join(v.history, "\n"), v.describeViews())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -217,14 +217,14 @@
 }
 
 // views returns all members' views as text, which a failure prints.
-func (v *virtualFleet) views() string {
+func (v *virtualFleet) describeViews() string {
 	var text strings.Builder
 	for i, g := range v.members {
 		if g == nil {
 			fmt.Fprintf(&text, "%d: dead\n", i)
 			continue
 		}
-		s, ok := g.state()
+		s, ok := g.currentShare()
 		fmt.Fprintf(&text, "%d: %v %v", i, ok, s)
 		for _, m := range g.Report().Members {
 			if !m.InGroup || m.State != "serving" {
--- a/internal/network/gossip/golden_log_test.go
+++ b/internal/network/gossip/golden_log_test.go
@@ -20,11 +20,11 @@
 		}
 		return a
 	}
-	c := Config{
+	config := Config{
 		Settings: *Table.Default(), Name: "front-0", Application: "booking-front", Version: "1.4.2",
 		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: noTime})),
 	}
-	group := newGroup(c)
+	group := newGroup(config)
 	group.logChanges([]peers.Change{
 		{At: time.Second, Name: "front-1", Process: 2, To: peers.Serving, Witness: "front-2", Cause: "heard of"},
 		{At: time.Second, Name: "front-1", Process: 2, From: peers.Serving, To: peers.Gone, Witness: "front-0", Cause: "not reached"},
@@ -40,12 +40,12 @@
 		}
 	}
 	for _, e := range []envelope{{application: "slot-keeper"}, {application: "booking-front"}} {
-		_, reason := group.decodeOwn(e.encode())
+		_, reason := group.decodeAndCheck(e.encode())
 		fmt.Fprintf(&log, "%q\n", reason)
 	}
-	_, reason := group.decodeOwn([]byte("x"))
+	_, reason := group.decodeAndCheck([]byte("x"))
 	fmt.Fprintf(&log, "%q\n", reason)
-	_, reason = group.decodeOwn([]byte{0x08, 0x02})
+	_, reason = group.decodeAndCheck([]byte{0x08, 0x02})
 	fmt.Fprintf(&log, "%q\n%v\n%s\n", reason, group.rejections.counts, errMalformed)
 	golden.Text(t, "log.txt", []byte(log.String()))
 }
--- a/internal/network/gossip/join.go
+++ b/internal/network/gossip/join.go
@@ -1,7 +1,7 @@
 package gossip
 
-// startJoin starts a full exchange with an address, empty for none, and an attempt to join if one is due. It does nothing while an
-// earlier one runs, which members that do not respond delay until their timeouts.
+// startJoin starts, in the background, a full exchange with the address exchangeWith unless that is empty, and an attempt to join if one
+// is due. It does nothing while an earlier call's work still runs, which can take until the timeouts of members that do not respond.
 func (g *Group) startJoin(exchangeWith string, due, missing bool) {
 	if !due && exchangeWith == "" || g.joining.Swap(true) {
 		return
@@ -9,7 +9,7 @@
 	go func() {
 		defer g.joining.Store(false)
 		if exchangeWith != "" {
-			_, _ = g.list.Join([]string{exchangeWith}) // fails if the member is gone by now
+			_, _ = g.list.Join([]string{exchangeWith}) // fails if the member has left in the meantime
 		}
 		if due {
 			g.join(missing)
@@ -17,13 +17,13 @@
 	}()
 }
 
-// join tries the next addresses of the schedule. If members are missing it first asks FindAddresses for more.
+// join attempts to join through the next addresses of the schedule. If members are missing it first asks FindAddresses for more.
 func (g *Group) join(missing bool) {
 	var discovered []string
 	if g.config.FindAddresses != nil && missing {
 		var err error
 		if discovered, err = g.config.FindAddresses(); err != nil {
-			g.config.Log.Warn("peers", "trouble", "no addresses were found: "+err.Error())
+			g.config.Log.Warn("peers", "trouble", "find addresses of peers: "+err.Error())
 			discovered = nil
 		}
 	}
@@ -31,7 +31,7 @@
 	if len(addresses) == 0 {
 		return
 	}
-	reached, _ := g.list.Join(addresses) // the error names those that did not respond; the schedule tries others next
+	reached, _ := g.list.Join(addresses) // the error names the addresses that did not respond; the next attempt tries others
 	if reached == 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 	g.joinSchedule.ResetBackoff()
 }
 
-// nextAddresses adds the addresses that a search discovered, nil for none, to the schedule and returns those to try next.
+// nextAddresses passes discovered addresses to the schedule, unless discovered is nil, and returns the addresses to try next.
 func (g *Group) nextAddresses(discovered []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,7 +50,7 @@
 	return g.joinSchedule.NextAddresses(g.reachable)
 }
 
-// reachable reports whether an address is this member's own or that of a member that is reachable. The caller holds g.mu.
+// reachable reports whether an address belongs to this member or to a reachable one. The caller holds g.mu.
 func (g *Group) reachable(address string) bool {
 	if address == g.config.Listen || address == g.config.Advertise {
 		return true
--- a/internal/network/gossip/keys.go
+++ b/internal/network/gossip/keys.go
@@ -17,13 +17,14 @@
 )
 
 var (
-	// ErrNoKeys is returned for a text of keys that holds none.
-	ErrNoKeys = errors.New("holds no key")
-	// ErrKeysFixed is returned by ReplaceKeys if encryption would begin or end while members run.
-	ErrKeysFixed = errors.New("peers: keys come and go with a start only")
+	// ErrNoKeys is returned by ParseKeys for a text that contains no key.
+	ErrNoKeys = errors.New("contains no key")
+	// ErrKeysFixed is returned by ReplaceKeys if the change would enable or disable encryption while the group runs.
+	ErrKeysFixed = errors.New("peers: enabling or disabling encryption requires a restart")
 )
 
-// ParseKeys reads the keys of a file's text: base64, divided by commas, of which the first encrypts. No error holds any of them.
+// ParseKeys parses the text of a key file: keys in base64, separated by commas. The first one encrypts, all of them decrypt. It fails
+// if a key is malformed or of another length than 16, 24 or 32 bytes, or if there is none. No error contains key material.
 func ParseKeys(text string) (keys [][]byte, err error) {
 	for i, part := range appfile.SplitList(text) {
 		key, err := base64.StdEncoding.DecodeString(part)
@@ -43,25 +44,26 @@
 	return keys, nil
 }
 
-// ReplaceKeys takes the keys of a file that was read again. The first one encrypts, all of them decrypt, and others no longer do.
+// ReplaceKeys replaces the keys of a running group. The first one encrypts, all of them decrypt, and all other keys are removed. It
+// returns ErrKeysFixed if the group has no encryption or keys is empty.
 func (g *Group) ReplaceKeys(keys [][]byte) error {
 	if g.keyring == nil || len(keys) == 0 {
 		return ErrKeysFixed
 	}
 	for _, key := range keys {
 		if err := g.keyring.AddKey(key); err != nil {
-			return fmt.Errorf("peers: %w", err)
+			return fmt.Errorf("peers: add key: %w", err)
 		}
 	}
 	if err := g.keyring.UseKey(keys[0]); err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("peers: change encryption key: %w", err)
 	}
 	for _, key := range g.keyring.GetKeys() {
 		if slices.ContainsFunc(keys, func(k []byte) bool { return string(k) == string(key) }) {
 			continue
 		}
 		if err := g.keyring.RemoveKey(key); err != nil {
-			return fmt.Errorf("peers: %w", err)
+			return fmt.Errorf("peers: remove key: %w", err)
 		}
 	}
 	return nil
--- a/internal/network/gossip/loop.go
+++ b/internal/network/gossip/loop.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// run ticks and answers queries until ctx ends.
+// run calls tick at regular intervals and answers queries, until ctx is done.
 func (g *Group) run(ctx context.Context) {
 	defer close(g.loopDone)
 	ticker := time.NewTicker(max(g.config.SettleAfter/ticksPerSettle, minTick))
@@ -27,56 +27,56 @@
 	}
 }
 
-// announceMetadata announces new metadata through memberlist until ctx ends. An announcement blocks until others have it, so it runs
-// apart from the loop: the view would take a tick that is late for a standstill of the process.
+// announceMetadata announces new metadata through memberlist until ctx is done. It runs in a separate goroutine because an announcement
+// blocks until other members have received it: the view would interpret the delayed tick as a pause of the whole process.
 func (g *Group) announceMetadata(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.metadataChanged:
-			_ = g.list.UpdateNode(updateTimeout) // fails by a timeout; the next full exchange carries the metadata too
+			_ = g.list.UpdateNode(updateTimeout) // fails by a timeout; the next full exchange also carries the metadata
 		}
 	}
 }
 
-// work is what a tick has to do after it has released g.mu.
-type work struct {
+// tickActions lists the actions of a tick that are carried out after g.mu has been released.
+type tickActions struct {
 	changes         []peers.Change
 	share           peers.Share
 	shareChanged    bool
-	settledNames    []string       // nil if the settled group is unchanged
-	knownAddresses  []string       // set with settledNames
-	disputed        []peers.Record // of members that are reachable, though others say that they are gone
+	settledNames    []string       // names of the newly settled group; nil if it is unchanged
+	knownAddresses  []string       // known addresses, set if settledNames is
+	disputed        []peers.Record // records of members that are reachable, though others report them as gone
 	metadataChanged bool
-	exchangeWith    string // an address; empty for none
-	join            bool   // an attempt to join is due
-	missing         bool   // members are missing
+	exchangeWith    string // address of the member to exchange all records with; empty for none
+	join            bool   // whether an attempt to join is due
+	missing         bool   // whether members are missing
 }
 
-// tick advances the view to the present time, and does the work that results from it.
+// tick advances the view to the present time, and carries out the actions that result.
 func (g *Group) tick() {
 	ready := g.config.Ready == nil || g.config.Ready()
-	todo := g.updateView(ready)
-	g.logChanges(todo.changes)
-	if todo.shareChanged {
-		g.publishShare(&todo.share)
+	actions := g.updateView(ready)
+	g.logChanges(actions.changes)
+	if actions.shareChanged {
+		g.publishShare(&actions.share)
 	}
-	if todo.settledNames != nil {
-		g.config.OnSettled(todo.settledNames, todo.knownAddresses)
+	if actions.settledNames != nil {
+		g.config.OnSettled(actions.settledNames, actions.knownAddresses)
 	}
-	g.sendDisputed(todo.disputed)
-	if todo.metadataChanged {
+	g.sendDisputed(actions.disputed)
+	if actions.metadataChanged {
 		select {
 		case g.metadataChanged <- struct{}{}:
 		default: // the pending announcement reads the latest metadata
 		}
 	}
-	g.startJoin(todo.exchangeWith, todo.join, todo.missing)
+	g.startJoin(actions.exchangeWith, actions.join, actions.missing)
 }
 
-// updateView advances the view, and broadcasts the records that are new in it.
-func (g *Group) updateView(ready bool) (todo work) {
+// updateView advances the view, broadcasts the records that this changes, and returns the remaining actions of the tick.
+func (g *Group) updateView(ready bool) (actions tickActions) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -84,29 +84,29 @@
 		g.view.SetState(now, peers.Serving)
 	}
 	g.broadcast(g.view.Tick(now)...)
-	todo.metadataChanged = g.announceSelf()
+	actions.metadataChanged = g.announceSelf()
 	if now-g.lastDispute >= g.config.ProbeInterval {
-		todo.disputed = g.view.Disputed()
+		actions.disputed = g.view.Disputed()
 		g.lastDispute = now
 	}
 	share, ok := g.view.Share(now)
 	if ok && (!g.haveShare || !share.Equal(&g.share) || share.Confidence != g.share.Confidence) {
-		todo.share = share
-		todo.shareChanged = true
+		actions.share = share
+		actions.shareChanged = true
 		g.share = share
 		g.haveShare = true
-		todo.settledNames, todo.knownAddresses = g.newSettledGroup()
+		actions.settledNames, actions.knownAddresses = g.newSettledGroup()
 	}
-	todo.missing = !ok || share.Confidence == peers.Partitioned
-	todo.join = g.joinSchedule.Due(now, todo.missing)
-	todo.exchangeWith = g.exchangeWith
+	actions.missing = !ok || share.Confidence == peers.Partitioned
+	actions.join = g.joinSchedule.Due(now, actions.missing)
+	actions.exchangeWith = g.exchangeWith
 	g.exchangeWith = ""
-	todo.changes = g.view.TakeChanges()
-	return todo
+	actions.changes = g.view.TakeChanges()
+	return actions
 }
 
-// announceSelf broadcasts this member's record if it has changed or others have to be reminded of it. It reports whether the record has
-// changed. The caller holds g.mu.
+// announceSelf broadcasts this member's record if it has changed or a repeat was requested by reannounce. It reports whether the record
+// has changed. The caller holds g.mu.
 func (g *Group) announceSelf() bool {
 	self := g.view.Self()
 	changed := self != g.announced
@@ -118,8 +118,8 @@
 	return changed
 }
 
-// newSettledGroup returns the group that settled last and the known addresses, or nil if OnSettled has been called with that group. The
-// caller holds g.mu.
+// newSettledGroup returns the names of the last settled group and the known addresses; nil if there is no such group, OnSettled is not
+// set, or it has already been called with that group. The caller holds g.mu.
 func (g *Group) newSettledGroup() (names, addresses []string) {
 	if g.config.OnSettled == nil {
 		return nil, nil
@@ -151,7 +151,7 @@
 	}
 }
 
-// sendDisputed sends members the records that call them gone, for them to refute.
+// sendDisputed sends each member the record that reports it as gone, so that the member can refute it.
 func (g *Group) sendDisputed(disputed []peers.Record) {
 	if len(disputed) == 0 {
 		return
@@ -162,7 +162,7 @@
 	}
 	for _, r := range disputed {
 		if n := nodes[formatNodeName(r.Name, r.Process)]; n != nil {
-			_ = g.list.SendBestEffort(n, g.encodeRecords(r)) // a record that is lost is sent again while the dispute lasts
+			_ = g.list.SendBestEffort(n, g.encodeRecords(r)) // a lost record is sent again while it is disputed
 		}
 	}
 }
--- a/internal/network/gossip/model_test.go
+++ b/internal/network/gossip/model_test.go
@@ -11,36 +11,36 @@
 )
 
 // After a partition into halves no side is settled, each has a view of its own members, and they merge after the partition heals.
-func TestHalves(t *testing.T) {
+func TestPartitionIntoHalves(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		const n = 10
 		fleet := newFleet(t, n, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		fleet.startAll(nil)
-		fleet.within(convergenceTimeout, "the start", fleet.agree)
-		fleet.halve()
+		fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
+		fleet.partitionHalves()
 		parts := func() bool { return haveShares(fleet.members, peers.Partitioned, n/2, n) }
-		fleet.within(20*time.Second, "two parts", parts)
+		fleet.waitFor(20*time.Second, "two parts", parts)
 		for range 150 {
 			time.Sleep(time.Second)
 			for i, g := range fleet.members {
-				if s, _ := g.state(); s.Confidence == peers.Settled {
+				if s, _ := g.currentShare(); s.Confidence == peers.Settled {
 					t.Fatalf("%d is settled in a half: %+v", i, s)
 				}
 			}
 		}
 		fleet.heal()
-		fleet.within(convergenceTimeout, "healed", fleet.agree)
+		fleet.waitFor(convergenceTimeout, "healed", fleet.converged)
 	})
 }
 
 // Members of another application, with another key or another format are rejected and counted, and are in no view.
-func TestStrangers(t *testing.T) {
+func TestForeignMembersAreRejected(t *testing.T) {
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, 5, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		key := []byte("0123456789abcdef")
 		other := []byte("fedcba9876543210")
 		for i := range 3 {
@@ -49,7 +49,7 @@
 		fleet.start(3, 3, func(c *Config) { c.Keys = [][]byte{key}; c.Application = "slot-keeper" })
 		fleet.start(4, 3, func(c *Config) { c.Keys = [][]byte{other} })
 		three := func() bool { return haveShares(fleet.members[:3], peers.Settled, 3, 0) }
-		fleet.within(convergenceTimeout, "three members", three)
+		fleet.waitFor(convergenceTimeout, "three members", three)
 		time.Sleep(time.Minute)
 		rejected := map[string]int{}
 		for _, g := range fleet.members[:3] {
@@ -58,10 +58,10 @@
 			}
 		}
 		if !three() || rejected["other application"] == 0 || rejected["other key"] == 0 {
-			t.Errorf("rejected %v\n%s", rejected, fleet.views())
+			t.Errorf("rejected %v\n%s", rejected, fleet.describeViews())
 		}
 		for _, i := range []int{3, 4} {
-			if s, ok := fleet.members[i].state(); ok && s.Instances > 1 {
+			if s, ok := fleet.members[i].currentShare(); ok && s.Instances > 1 {
 				t.Errorf("a stranger has a group: %+v", s)
 			}
 		}
@@ -73,21 +73,21 @@
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, 5, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		old := []byte("0123456789abcdef")
 		fresh := []byte("0123456789abcdef0123456789abcdef")
 		for i := range 5 {
 			fleet.start(i, 5, func(c *Config) { c.Keys = [][]byte{old} })
 		}
-		fleet.within(convergenceTimeout, "the start", fleet.agree)
+		fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
 		for _, keys := range [][][]byte{{old, fresh}, {fresh, old}, {fresh}} {
 			for _, g := range fleet.members {
 				if err := g.ReplaceKeys(keys); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(3 * time.Second)
-				if !fleet.agree() {
-					t.Fatalf("lost somebody\n%s", fleet.views())
+				if !fleet.converged() {
+					t.Fatalf("lost somebody\n%s", fleet.describeViews())
 				}
 			}
 		}
@@ -103,13 +103,13 @@
 			n = 200
 		}
 		fleet := newFleet(t, n, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		fleet.join = address(0)
 		for i := range n {
 			fleet.start(i, n, nil)
 			time.Sleep(time.Second / time.Duration(n))
 		}
-		t.Log("settled after", fleet.within(2*convergenceTimeout, "200 join", fleet.agree))
+		t.Log("settled after", fleet.waitFor(2*convergenceTimeout, "200 join", fleet.converged))
 	})
 }
 
@@ -118,27 +118,27 @@
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, 5, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		fleet.net.recording = true
 		for i := range 5 {
 			fleet.start(i, 4, func(c *Config) { c.ForgetAfter = time.Minute })
 		}
-		fleet.within(convergenceTimeout, "the start", fleet.agree)
+		fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
 		fleet.kill(4)
-		fleet.within(convergenceTimeout, "four left", fleet.agree)
-		fleet.net.set(func() { fleet.net.recording = false })
+		fleet.waitFor(convergenceTimeout, "four left", fleet.converged)
+		fleet.net.update(func() { fleet.net.recording = false })
 		time.Sleep(2 * time.Minute)
-		fleet.net.set(func() {
+		fleet.net.update(func() {
 			for to, packets := range fleet.net.recorded {
 				for _, r := range packets {
-					fleet.net.deliver(address(4), to, r.text)
+					fleet.net.deliver(address(4), to, r.packet)
 				}
 			}
 		})
 		for range 60 {
 			time.Sleep(500 * time.Millisecond)
 			for i, g := range fleet.members[:4] {
-				if s, _ := g.state(); slices.Contains(s.Names, "front-004") || s.Instances != 4 {
+				if s, _ := g.currentShare(); slices.Contains(s.Names, "front-004") || s.Instances != 4 {
 					t.Fatalf("%d has the dead one in its group: %+v", i, s)
 				}
 			}
@@ -152,9 +152,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		const n = 8
 		fleet := newFleet(t, n, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		fleet.startAll(nil)
-		fleet.within(convergenceTimeout, "the start", fleet.agree)
+		fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
 		reporter := fleet.members[n-1]
 		for range 120 {
 			reporter.mu.Lock()
@@ -167,7 +167,7 @@
 			reporter.mu.Unlock()
 			time.Sleep(500 * time.Millisecond)
 			for i, g := range fleet.members[:n-1] {
-				if s, _ := g.state(); s.Instances != n || s.Confidence != peers.Settled {
+				if s, _ := g.currentShare(); s.Instances != n || s.Confidence != peers.Settled {
 					t.Fatalf("%d has another group: %+v", i, s)
 				}
 			}
@@ -181,25 +181,25 @@
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, 10, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		for i := range 10 {
 			fleet.start(i, 5, func(c *Config) { c.Join = address(i / 5 * 5) })
 		}
 		side := func(from, maxInstances int, want peers.Confidence) func() bool {
 			return func() bool { return haveShares(fleet.members[from:from+5], want, 5, maxInstances) }
 		}
-		fleet.within(convergenceTimeout, "one fleet", side(0, 5, peers.Settled))
-		fleet.within(convergenceTimeout, "the other", side(5, 5, peers.Settled))
+		fleet.waitFor(convergenceTimeout, "one fleet", side(0, 5, peers.Settled))
+		fleet.waitFor(convergenceTimeout, "the other", side(5, 5, peers.Settled))
 		go func() { _, _ = fleet.members[0].list.Join([]string{address(5)}) }() // whether it joins is seen below
-		fleet.within(convergenceTimeout, "joined", fleet.agree)
-		fleet.halve()
-		fleet.within(convergenceTimeout, "parted", side(0, 10, peers.Partitioned))
-		fleet.within(convergenceTimeout, "parted", side(5, 10, peers.Partitioned))
+		fleet.waitFor(convergenceTimeout, "joined", fleet.converged)
+		fleet.partitionHalves()
+		fleet.waitFor(convergenceTimeout, "parted", side(0, 10, peers.Partitioned))
+		fleet.waitFor(convergenceTimeout, "parted", side(5, 10, peers.Partitioned))
 		for i := range 5 {
 			fleet.kill(i)
 			fleet.start(i, 5, func(c *Config) { c.Join = address(0) })
 		}
-		fleet.within(convergenceTimeout, "restarted", side(0, 5, peers.Settled))
+		fleet.waitFor(convergenceTimeout, "restarted", side(0, 5, peers.Settled))
 	})
 }
 
@@ -208,13 +208,13 @@
 	useOneProcessor(t)
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, 12, 1)
-		defer fleet.end()
+		defer fleet.killAll()
 		fleet.join = address(0)
 		names := func(i int) func(c *Config) { return func(c *Config) { c.Name = fmt.Sprintf("front-%03d", i%6) } }
 		for i := range 6 {
 			fleet.start(i, 6, names(i))
 		}
-		fleet.within(convergenceTimeout, "the start", fleet.agree)
+		fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
 		learned := fleet.members[3].joinSchedule.Learned()
 		for i := range 6 {
 			fleet.kill(i)
@@ -227,6 +227,6 @@
 				c.KnownAddresses = learned
 			})
 		}
-		fleet.within(convergenceTimeout, "elsewhere", fleet.agree)
+		fleet.waitFor(convergenceTimeout, "elsewhere", fleet.converged)
 	})
 }
--- a/internal/network/gossip/network_test.go
+++ b/internal/network/gossip/network_test.go
@@ -29,8 +29,8 @@
 }
 
 type recording struct {
-	to   string
-	text []byte
+	to     string
+	packet []byte
 }
 
 func newNetwork(seed uint64) *network {
@@ -57,7 +57,7 @@
 }
 
 // set calls f with n.mu held, for it to change the network's fields.
-func (n *network) set(f func()) {
+func (n *network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -123,12 +123,12 @@
 }
 
 // pause returns how long what goes from one member to another waits for those that stand still. The caller holds n.mu.
-func (n *network) pause(from, to string) time.Duration {
+func (n *network) pauseDelay(from, to string) time.Duration {
 	return max(0, time.Until(n.pausedUntil[from]), time.Until(n.pausedUntil[to]))
 }
 
 // passes reports whether anything gets from one member to another now. The caller holds n.mu.
-func (n *network) passes(from, to string) bool { return !n.partitioned[[2]string{from, to}] }
+func (n *network) connected(from, to string) bool { return !n.partitioned[[2]string{from, to}] }
 
 func (v *virtualTransport) WriteTo(b []byte, to string) (time.Time, error) {
 	n := v.network
@@ -136,25 +136,25 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	n.bytes[v.address] += len(b)
-	if v.closed || !n.passes(v.address, to) || n.rng.Float64() < n.loss {
+	if v.closed || !n.connected(v.address, to) || n.rng.Float64() < n.loss {
 		return now, nil
 	}
-	text := append([]byte(nil), b...)
+	packet := append([]byte(nil), b...)
 	if n.recording {
-		n.recorded[to] = append(n.recorded[to], recording{to, text})
+		n.recorded[to] = append(n.recorded[to], recording{to, packet})
 	}
-	n.deliver(v.address, to, text)
+	n.deliver(v.address, to, packet)
 	return now, nil
 }
 
 // deliver delivers a packet after a random delay. The caller holds n.mu.
-func (n *network) deliver(from, to string, text []byte) {
-	time.AfterFunc(n.pause(from, to)+time.Duration(n.rng.Float64()*float64(n.maxDelay)), func() {
+func (n *network) deliver(from, to string, packet []byte) {
+	time.AfterFunc(n.pauseDelay(from, to)+time.Duration(n.rng.Float64()*float64(n.maxDelay)), func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if other := n.transports[to]; other != nil {
 			select {
-			case other.packets <- &memberlist.Packet{Buf: text, From: virtualAddress(from), Timestamp: time.Now()}:
+			case other.packets <- &memberlist.Packet{Buf: packet, From: virtualAddress(from), Timestamp: time.Now()}:
 			default:
 			}
 		}
@@ -165,22 +165,22 @@
 	return v.WriteTo(b, a.Addr)
 }
 
-var errUnreached = errors.New("unreached")
+var errUnreachable = errors.New("unreached")
 
 func (v *virtualTransport) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
 	n := v.network
 	n.mu.Lock()
 	other := n.transports[to]
-	wait := n.pause(v.address, to)
-	passes := n.passes(v.address, to) && n.passes(to, v.address) && wait < timeout
+	wait := n.pauseDelay(v.address, to)
+	connected := n.connected(v.address, to) && n.connected(to, v.address) && wait < timeout
 	n.mu.Unlock()
-	if !passes {
+	if !connected {
 		time.Sleep(timeout)
-		return nil, errUnreached
+		return nil, errUnreachable
 	}
 	time.Sleep(wait)
 	if other == nil {
-		return nil, errUnreached // refused at once
+		return nil, errUnreachable // refused at once
 	}
 	time.Sleep(time.Millisecond)
 	near, far := net.Pipe()
@@ -188,7 +188,7 @@
 	case other.streams <- &virtualConn{far, other, v.address}:
 		return &virtualConn{near, v, to}, nil
 	default:
-		return nil, errUnreached
+		return nil, errUnreachable
 	}
 }
 
@@ -199,19 +199,19 @@
 // virtualConn is a connection that drops what is written to it across a partition.
 type virtualConn struct {
 	net.Conn
-	own *virtualTransport
-	to  string
+	transport *virtualTransport
+	to        string
 }
 
 func (v *virtualConn) RemoteAddr() net.Addr { return virtualAddress(v.to) }
 
 func (v *virtualConn) Write(b []byte) (int, error) {
-	n := v.own.network
+	n := v.transport.network
 	n.mu.Lock()
-	n.bytes[v.own.address] += len(b)
-	passes := n.passes(v.own.address, v.to) && !v.own.closed
+	n.bytes[v.transport.address] += len(b)
+	connected := n.connected(v.transport.address, v.to) && !v.transport.closed
 	n.mu.Unlock()
-	if !passes {
+	if !connected {
 		return len(b), nil
 	}
 	return v.Conn.Write(b)
--- a/internal/network/gossip/query.go
+++ b/internal/network/gossip/query.go
@@ -15,11 +15,11 @@
 
 const (
 	queryTimeout      = 2 * time.Second
-	queryConcurrency  = 4 // connections for one Fleet
-	maxPendingQueries = 8 // of other members, which wait for this member's answer
+	queryConcurrency  = 4 // number of concurrent connections of one call of Fleet
+	maxPendingQueries = 8 // limit on the queries of other members that wait for this member's answer
 )
 
-// pendingAnswers holds the queries of this member that wait for answers, by token.
+// pendingAnswers holds this member's queries that wait for answers, by token. It is safe for concurrent use.
 type pendingAnswers struct {
 	mu      sync.Mutex
 	reports map[uint64]chan peers.Report
@@ -29,8 +29,8 @@
 	return &pendingAnswers{reports: map[uint64]chan peers.Report{}}
 }
 
-// open registers a token and returns the channel on which its answers come, answers of them at most.
-func (p *pendingAnswers) open(token uint64, answers int) <-chan peers.Report {
+// register registers a token and returns the channel that receives the reports sent in answer to it, at most as many as answers.
+func (p *pendingAnswers) register(token uint64, answers int) <-chan peers.Report {
 	reports := make(chan peers.Report, answers)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,14 +38,14 @@
 	return reports
 }
 
-// close removes a token. Answers that come later are dropped.
-func (p *pendingAnswers) close(token uint64) {
+// unregister removes a token. Answers that arrive later are dropped.
+func (p *pendingAnswers) unregister(token uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.reports, token)
 }
 
-// deliver passes the report of an answer on to the query that waits for it. It does not block.
+// deliver passes the report in an answer to the query that waits for it. It ignores other messages and does not block.
 func (p *pendingAnswers) deliver(e *envelope) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,15 +55,15 @@
 	}
 	var r peers.Report
 	if json.Unmarshal(e.report, &r) != nil {
-		return // the member counts as unresponsive
+		return // Fleet lists the member as unresponsive
 	}
 	select {
 	case reports <- r:
-	default: // more answers than members were asked
+	default: // there are more answers than queried members
 	}
 }
 
-// Report returns this member's view.
+// Report returns a report of this member's view.
 func (g *Group) Report() peers.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,13 +72,14 @@
 	return r
 }
 
-// Fleet returns this member's view and those of the members that it reaches. It waits for their answers, queryTimeout at most.
+// Fleet returns the reports of this member and of the members that it reaches. It waits at most queryTimeout for their answers, and lists
+// the members that have not answered by then as unresponsive.
 func (g *Group) Fleet() peers.FleetReport {
 	fleet := peers.FleetReport{Own: g.Report()}
-	token := rand.Uint64() | 1 // 0 is no token
+	token := rand.Uint64() | 1 // never 0, which stands for no token
 	nodes := g.list.Members()
-	answers := g.pendingAnswers.open(token, len(nodes))
-	defer g.pendingAnswers.close(token)
+	answers := g.pendingAnswers.register(token, len(nodes))
+	defer g.pendingAnswers.unregister(token)
 
 	asked := g.sendQueries(nodes, token)
 	timeout := time.NewTimer(queryTimeout)
@@ -100,8 +101,8 @@
 	return fleet
 }
 
-// sendQueries asks all nodes but this one for their reports, and returns the names of those nodes. It does not wait: its goroutines end
-// with the timeouts of their connections.
+// sendQueries asks all nodes but this one for their reports, and returns the names of those nodes. It does not wait for its goroutines,
+// which end at the latest when the timeouts of their connections expire.
 func (g *Group) sendQueries(nodes []*memberlist.Node, token uint64) map[string]bool {
 	e := envelope{application: g.config.Application, witness: g.nodeName(), query: token}
 	query := e.encode()
@@ -117,14 +118,15 @@
 	for range queryConcurrency {
 		go func() {
 			for n := range next {
-				_ = g.list.SendReliable(n, query) // a node that does not take it is reported as unresponsive
+				_ = g.list.SendReliable(n, query) // a node that can't be reached is listed as unresponsive by Fleet
 			}
 		}()
 	}
 	return asked
 }
 
-// enqueueAnswer queues the answer to a query for the loop: memberlist is the caller, and must not be called back.
+// enqueueAnswer queues the answer to a query, which the loop sends: memberlist is the caller, and must not be called back. If the queue
+// is full, the query is counted as rejected.
 func (g *Group) enqueueAnswer(e *envelope) {
 	select {
 	case g.queries <- func() { g.answer(e.witness, e.query) }:
@@ -137,12 +139,13 @@
 func (g *Group) answer(node string, token uint64) {
 	report, err := json.Marshal(g.Report())
 	if err != nil {
-		return // the node reports this member as unresponsive
+		return // the node lists this member as unresponsive
 	}
 	e := envelope{application: g.config.Application, witness: g.config.Name, answer: token, report: report}
 	for _, n := range g.list.Members() {
 		if n.Name == node {
-			go func() { _ = g.list.SendReliable(n, e.encode()) }() // likewise; it may block until the connection's timeout
+			// SendReliable may block until the connection's timeout. On an error, the node lists this member as unresponsive.
+			go func() { _ = g.list.SendReliable(n, e.encode()) }()
 			return
 		}
 	}
--- a/internal/network/gossip/rejections.go
+++ b/internal/network/gossip/rejections.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The reasons under which a report counts rejected messages and members. They are data; none contains text from a peer.
+// The reasons under which a report counts rejected messages and members. They are keys in the report; none contains text from a peer.
 const (
 	rejectedMalformed   = "spoilt"
 	rejectedFormat      = "other format"
@@ -33,7 +33,7 @@
 	r.counts[reason]++
 }
 
-// copyTo copies the counts into those of a report.
+// copyTo copies the counts into a map of counts by reason.
 func (r *rejections) copyTo(counts map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,13 +41,13 @@
 }
 
 const (
-	// warningInterval is the least time between two of memberlist's own warnings in the log.
+	// warningInterval is the minimum time between two logged warnings of memberlist.
 	warningInterval = 10 * time.Second
-	// maxWarningBytes bounds such a line, which may contain text from a peer.
+	// maxWarningBytes bounds the logged part of a warning, which may contain text from a peer.
 	maxWarningBytes = 300
 )
 
-// libraryLog is the writer of memberlist's own log. It counts errors and warnings, and logs at most one per warningInterval.
+// libraryLog is the writer that receives memberlist's log. It counts errors and warnings, and logs at most one per warningInterval.
 type libraryLog struct {
 	rejections *rejections
 	log        *slog.Logger
@@ -56,7 +56,7 @@
 	lastWarning time.Time
 }
 
-// Write handles one line. Warnings about alive messages are skipped: their cause is NotifyAlive, which has counted the rejection.
+// Write handles one log line. Warnings about alive messages are skipped: they result from NotifyAlive, which has counted the rejection.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := string(line)
 	warning := strings.HasPrefix(text, "[ERR]") || strings.HasPrefix(text, "[WARN]")
@@ -64,7 +64,7 @@
 		return len(line), nil
 	}
 	if strings.Contains(text, "crypt") {
-		l.rejections.add(rejectedKey) // memberlist has no callback for failed decryption
+		l.rejections.add(rejectedKey) // memberlist has no callback for a failed decryption
 	} else {
 		l.rejections.add(rejectedNetwork)
 	}
@@ -74,7 +74,7 @@
 	return len(line), nil
 }
 
-// due reports whether a warning may be logged now; then the next one waits for warningInterval.
+// due reports whether a warning may be logged now. If it returns true, it returns false for the next warningInterval.
 func (l *libraryLog) due() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/network/gossip/schedule_test.go
+++ b/internal/network/gossip/schedule_test.go
@@ -30,9 +30,9 @@
 // schedule injects random faults into a fleet.
 type schedule struct {
 	*virtualFleet
-	rng       *rand.Rand
-	shuffled  []string // the members' addresses
-	instances int
+	rng         *rand.Rand
+	shuffled    []string // the members' addresses
+	memberCount int
 }
 
 func runSchedule(t *testing.T, seed uint64) {
@@ -44,89 +44,89 @@
 	}
 	n := sizes[rng.IntN(len(sizes))]
 	fleet := newFleet(t, n, seed)
-	defer fleet.end()
+	defer fleet.killAll()
 	fleet.startAll(nil)
-	fleet.record("%d members", n)
-	fleet.within(convergenceTimeout, "the start", fleet.agree)
-	fleet.record("settled")
+	fleet.recordStep("%d members", n)
+	fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
+	fleet.recordStep("settled")
 
-	s := &schedule{virtualFleet: fleet, rng: rng, shuffled: fleet.addresses(), instances: n}
+	s := &schedule{virtualFleet: fleet, rng: rng, shuffled: fleet.addresses(), memberCount: n}
 	for range 2 + rng.IntN(5) {
-		s.fault()
+		s.injectFault()
 		pause := time.Duration(rng.IntN(15000)) * time.Millisecond
 		for end := time.Now().Add(pause); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-			fleet.oneSettled()
+			fleet.checkOneSettledGroup()
 		}
 	}
 	s.endFaults()
-	took := fleet.within(convergenceTimeout, "after the last fault", fleet.agree)
+	took := fleet.waitFor(convergenceTimeout, "after the last fault", fleet.converged)
 	t.Logf("%d members: %v", n, took)
 }
 
 // fault draws one fault, or the end of all partitions.
-func (s *schedule) fault() {
+func (s *schedule) injectFault() {
 	s.t.Helper()
 	switch s.rng.IntN(7) {
 	case 0:
 		s.partitionSome()
 	case 1:
-		i := s.rng.IntN(s.instances)
-		s.record("%s is heard by none", s.shuffled[i])
+		i := s.rng.IntN(s.memberCount)
+		s.recordStep("%s is heard by none", s.shuffled[i])
 		s.net.partition(s.shuffled[i:i+1], s.shuffled)
 	case 2:
 		s.loseAndDelay()
 	case 3:
-		for range 1 + s.rng.IntN(s.instances) {
-			i := s.rng.IntN(s.instances)
-			s.record("%s is killed", address(i))
+		for range 1 + s.rng.IntN(s.memberCount) {
+			i := s.rng.IntN(s.memberCount)
+			s.recordStep("%s is killed", address(i))
 			s.kill(i)
 		}
 	case 4:
-		i := s.rng.IntN(s.instances)
-		s.record("%s restarts at once", address(i))
+		i := s.rng.IntN(s.memberCount)
+		s.recordStep("%s restarts at once", address(i))
 		s.kill(i)
-		s.start(i, s.instances, nil)
+		s.start(i, s.memberCount, nil)
 	case 5:
-		i := s.rng.IntN(s.instances)
+		i := s.rng.IntN(s.memberCount)
 		pause := time.Duration(s.rng.IntN(20000)) * time.Millisecond
-		s.record("%s stands still for %v", address(i), pause)
-		s.net.set(func() { s.net.pausedUntil[address(i)] = time.Now().Add(pause) })
+		s.recordStep("%s stands still for %v", address(i), pause)
+		s.net.update(func() { s.net.pausedUntil[address(i)] = time.Now().Add(pause) })
 	case 6:
-		s.record("healed")
+		s.recordStep("healed")
 		s.heal()
 	}
 }
 
 // partitionSome separates some members from the others.
 func (s *schedule) partitionSome() {
-	k := 1 + s.rng.IntN(s.instances-1)
-	s.rng.Shuffle(s.instances, func(i, j int) { s.shuffled[i], s.shuffled[j] = s.shuffled[j], s.shuffled[i] })
-	s.record("partitioned into %d and %d: %v", k, s.instances-k, s.shuffled[:k])
+	k := 1 + s.rng.IntN(s.memberCount-1)
+	s.rng.Shuffle(s.memberCount, func(i, j int) { s.shuffled[i], s.shuffled[j] = s.shuffled[j], s.shuffled[i] })
+	s.recordStep("partitioned into %d and %d: %v", k, s.memberCount-k, s.shuffled[:k])
 	s.partition(s.shuffled[:k], s.shuffled[k:])
 }
 
 // loseAndDelay makes the network lose and delay packets.
 func (s *schedule) loseAndDelay() {
-	s.net.set(func() {
+	s.net.update(func() {
 		s.net.loss = 0.3 * s.rng.Float64()
 		s.net.maxDelay = time.Duration(s.rng.IntN(300)) * time.Millisecond
 	})
-	s.record("loss %.2f, delay up to %v", s.net.loss, s.net.maxDelay)
+	s.recordStep("loss %.2f, delay up to %v", s.net.loss, s.net.maxDelay)
 }
 
 // endFaults ends all faults of the network, and starts the members that are dead.
 func (s *schedule) endFaults() {
 	s.t.Helper()
 	s.heal()
-	s.net.set(func() {
+	s.net.update(func() {
 		clear(s.net.pausedUntil)
 		s.net.loss = 0
 		s.net.maxDelay = defaultMaxDelay
 	})
 	for i, g := range s.members {
 		if g == nil {
-			s.start(i, s.instances, nil)
+			s.start(i, s.memberCount, nil)
 		}
 	}
-	s.record("all faults are over")
+	s.recordStep("all faults are over")
 }
--- a/internal/network/gossip/settings.go
+++ b/internal/network/gossip/settings.go
@@ -10,12 +10,12 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Settings is the table [peers] of a settings file. See Table for each one's meaning.
+// Settings is the table [peers] of a settings file. Table describes the meaning of each setting.
 type Settings struct {
-	Listen        string // IP:port; empty for no view of the others
-	Advertise     string // IP:port; empty for Listen
-	Join          string // host:port, divided by commas
-	Service       string // in Consul
+	Listen        string // IP:port to listen on; empty disables the view of peers
+	Advertise     string // IP:port that peers are told to use; empty for Listen
+	Join          string // addresses of peers to join, each host:port, separated by commas
+	Service       string // name of the Consul service whose instances are peers
 	KeyFile       string
 	Zone          string
 	ProbeInterval time.Duration
@@ -27,15 +27,15 @@
 const (
 	maxJoinAddresses = 64
 	maxZoneBytes     = 64
-	// bytesPerMember is the memory of one member, including memberlist's (docs/figures/peers.md).
+	// bytesPerMember is the memory that one member uses, including memberlist's data about it (docs/figures/peers.md).
 	bytesPerMember = 6 << 10
-	// maxMemoryShare is the share of limits.memory that all members together may use.
+	// maxMemoryShare is the maximum fraction of limits.memory that all members together may use.
 	maxMemoryShare = 0.1
-	// minForgetSettles is the least ratio of forget_after to settle_after.
+	// minForgetSettles is the ratio that forget_after to settle_after must exceed.
 	minForgetSettles = 10
 )
 
-// badAddress returns what is wrong with an address of the form IP:port; empty if nothing is.
+// badAddress returns why text is not an address of the form IP:port; empty if it is one.
 func badAddress(text string) string {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil || strings.Trim(port, "0123456789") != "" || port == "" || port == "0" {
@@ -44,7 +44,7 @@
 	return ""
 }
 
-// badZone returns what is wrong with the name of a zone; empty if nothing is.
+// badZone returns why text is not a valid zone name; empty if it is valid.
 func badZone(text string) string {
 	if len(text) > maxZoneBytes {
 		return "is longer than 64 bytes"
@@ -109,7 +109,7 @@
 			schema.FormatDuration(s.SettleAfter), f.Location("peers", "settle_after"))
 	}
 	for _, a := range appfile.SplitList(s.Join) {
-		if a == s.Advertise { // that it is peers_listen is seen where all addresses are compared
+		if a == s.Advertise { // an address equal to peers_listen is reported by the check that compares all addresses
 			report("peers_join", "%s is this sidecar's own address", a)
 		}
 	}
@@ -119,7 +119,7 @@
 
 func unspecified(address string) bool { return addressIP(address).IsUnspecified() }
 
-// addressIP returns the IP of an address that badAddress accepts; nil for others.
+// addressIP returns the IP of an address that badAddress considers valid, and nil for other addresses.
 func addressIP(address string) net.IP {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -132,15 +132,15 @@
 const (
 	suspicionProbes = 20
 	exchangeProbes  = 10
-	// lossProbes exceeds the time that memberlist needs to declare half of the largest group dead, one member after another: a
-	// suspicion of suspicionMult*suspicionMaxMult*log10(members) probe intervals, and the probes before it.
+	// lossProbes exceeds the time that memberlist needs to declare half of the largest group dead, one member after another: each
+	// takes a suspicion of suspicionMult*suspicionMaxMult*log10(members) probe intervals, and the probes before it.
 	lossProbes     = 120
 	dampingSettles = 20
 	resumeSettles  = 60
 )
 
-// options returns the view's options. memberlist ends suspicions by itself; SuspicionTimeout is the time that a member has to learn that
-// others call it gone, and to refute it.
+// options returns the view's options. memberlist ends its own suspicions; SuspicionTimeout is the time that a member has to learn that
+// others report it as gone, and to refute that.
 func (s *Settings) options(expectedMembers int) peers.Options {
 	return peers.Options{
 		SuspicionTimeout:    suspicionProbes * s.ProbeInterval,
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -53,7 +53,7 @@
 	}
 	second := open(first.config.Listen)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if s, ok := second.state(); ok && s.Instances == 2 {
+		if s, ok := second.currentShare(); ok && s.Instances == 2 {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/network/gossip/wire.go
+++ b/internal/network/gossip/wire.go
@@ -12,27 +12,27 @@
 // An envelope is what members send one another, in the wire format of Protocol Buffers (protobuf.dev, Encoding):
 //
 //	message Envelope {
-//	  uint32 format = 1;          // 1; others are rejected
-//	  string application = 2;     // others are rejected
+//	  uint32 format = 1;          // always 1; a message in another format is rejected
+//	  string application = 2;     // application name; a message of another application is rejected
 //	  repeated Record records = 3;
-//	  string witness = 4;         // the name of the sender; in a query its node name
-//	  fixed64 query = 5;          // asks for a report, under this token
-//	  fixed64 answer = 6;         // has one, under that token
-//	  bytes report = 7;           // JSON
+//	  string witness = 4;         // the sender's name; in a query its node name
+//	  fixed64 query = 5;          // token of a query for the receiver's report
+//	  fixed64 answer = 6;         // token of the query that the report answers
+//	  bytes report = 7;           // the sender's report, as JSON
 //	}
 //	message Record {
 //	  fixed64 process = 1; string name = 2; sint64 born = 3; string zone = 4;
 //	  string version = 5; uint64 incarnation = 6; uint32 state = 7;
 //	}
 //
-// Unknown fields are skipped, so that a later version may add some.
+// Unknown fields are skipped, so that a later version may add fields.
 type envelope struct {
 	format      uint64
 	application string
 	records     []peers.Record
 	witness     string
-	query       uint64 // 0 for none
-	answer      uint64 // 0 for none; a message never has both
+	query       uint64 // token of a query; 0 for none
+	answer      uint64 // token of the answered query; 0 for none; a message never has both tokens
 	report      []byte
 }
 
@@ -58,19 +58,19 @@
 	fieldState       protowire.Number = 7
 )
 
-// format is the version of the messages.
+// format is the version of the message format.
 const format = 1
 
-// Bounds on what a message may make grow.
+// Bounds on the variable parts of a message.
 const (
-	maxTextBytes   = 128       // of a name, a zone, a version
-	maxRecords     = 4096      // in one envelope
-	maxReportBytes = 512 << 10 // in JSON
+	maxTextBytes   = 128       // length of a name, a zone or a version, in bytes
+	maxRecords     = 4096      // number of records in one envelope
+	maxReportBytes = 512 << 10 // length of a report as JSON, in bytes
 )
 
 var errMalformed = errors.New("is no message of a member, or a spoilt one")
 
-// encode encodes the envelope in the present format, whatever e.format is.
+// encode encodes the envelope in the current format, whatever e.format is.
 func (e *envelope) encode() []byte {
 	b := protowire.AppendTag(nil, fieldFormat, protowire.VarintType)
 	b = protowire.AppendVarint(b, format)
@@ -85,6 +85,7 @@
 	return appendText(b, fieldReport, string(e.report))
 }
 
+// encodeRecord encodes one record, without its length.
 func encodeRecord(r *peers.Record) []byte {
 	b := protowire.AppendTag(nil, fieldProcess, protowire.Fixed64Type)
 	b = protowire.AppendFixed64(b, r.Process)
@@ -99,7 +100,7 @@
 	return protowire.AppendVarint(b, uint64(r.State))
 }
 
-// appendToken appends a token, unless it is 0, which stands for none.
+// appendToken appends a field with a token, unless it is 0, which stands for none.
 func appendToken(b []byte, n protowire.Number, token uint64) []byte {
 	if token == 0 {
 		return b
@@ -108,7 +109,7 @@
 	return protowire.AppendFixed64(b, token)
 }
 
-// appendText appends a text, unless it is empty.
+// appendText appends a field with a text, unless it is empty.
 func appendText(b []byte, n protowire.Number, s string) []byte {
 	if s == "" {
 		return b
@@ -116,9 +117,9 @@
 	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
 }
 
-// fields calls field for each field of a message until it returns false: number is set for varints and fixed64, text for bytes. It
-// reports whether the whole message was read.
-func fields(b []byte, field func(n protowire.Number, number uint64, text []byte) bool) bool {
+// forEachField calls visit for each field of a message until visit returns false. number is set for varint and fixed64 fields, text for
+// length-delimited ones. It reports whether the whole message was read.
+func forEachField(b []byte, visit func(n protowire.Number, number uint64, text []byte) bool) bool {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -137,7 +138,7 @@
 		default:
 			size = protowire.ConsumeFieldValue(n, kind, b)
 		}
-		if size < 0 || !field(n, number, text) {
+		if size < 0 || !visit(n, number, text) {
 			return false
 		}
 		b = b[size:]
@@ -145,10 +146,11 @@
 	return true
 }
 
-// decode decodes an envelope, whose values are copies. It returns errMalformed for anything else.
+// decode decodes an envelope; its values are copies of those in b. It returns errMalformed for a message that is malformed, exceeds a
+// bound or has no format.
 func decode(b []byte) (*envelope, error) {
 	e := &envelope{}
-	ok := fields(b, func(n protowire.Number, number uint64, text []byte) bool {
+	ok := forEachField(b, func(n protowire.Number, number uint64, text []byte) bool {
 		switch n {
 		case fieldFormat:
 			e.format = number
@@ -178,9 +180,9 @@
 	return e, nil
 }
 
-// decodeRecord decodes one record. It returns false for a malformed one and for one without a process or a name.
+// decodeRecord decodes one record. ok is false if the record is malformed, exceeds a bound, or has no process or no name.
 func decodeRecord(b []byte) (r peers.Record, ok bool) {
-	ok = fields(b, func(n protowire.Number, number uint64, text []byte) bool {
+	ok = forEachField(b, func(n protowire.Number, number uint64, text []byte) bool {
 		switch n {
 		case fieldProcess:
 			r.Process = number
--- a/internal/network/gossip/wire_test.go
+++ b/internal/network/gossip/wire_test.go
@@ -13,7 +13,7 @@
 )
 
 // An envelope within the bounds is decoded as it was encoded.
-func TestEnvelopeComesBack(t *testing.T) {
+func TestEnvelopeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 30, maxTextBytes)
 		e := envelope{
@@ -40,7 +40,7 @@
 // A message that is beyond the bounds, truncated or of another kind is rejected; unknown fields are skipped.
 func TestMalformedEnvelopes(t *testing.T) {
 	good := envelope{application: "a", records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
-	for what, b := range map[string][]byte{
+	for name, b := range map[string][]byte{
 		"nothing":         nil,
 		"half":            good.encode()[:len(good.encode())-1],
 		"no format":       appendText(nil, 2, "a"),
@@ -53,7 +53,7 @@
 		"a group's start": protowire.AppendTag(nil, 9, protowire.StartGroupType),
 	} {
 		if e, err := decode(b); err == nil {
-			t.Errorf("%s was taken: %+v", what, e)
+			t.Errorf("%s was taken: %+v", name, e)
 		}
 	}
 	later := protowire.AppendVarint(protowire.AppendTag(good.encode(), 15, protowire.VarintType), 7)
