--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -17,12 +17,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testMembers returns a page with one endpoint.
+// testMembers returns the content of the page /members with one endpoint.
 func testMembers() (Members, bool) {
 	return Members{Name: "front", Source: "consul", Endpoints: []endpointsource.Row{{UID: "a", State: "ready", Weight: 1}}}, true
 }
 
-// freeAddress returns an address on loopback that nothing listens on.
+// freeAddress returns an address on loopback that no process listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	return l.Addr().String()
 }
 
-// dial connects to a Unix socket; the test's end closes the connection.
+// dial connects to a Unix socket. The connection is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", strings.TrimPrefix(address, unixPrefix))
@@ -62,16 +62,16 @@
 		}
 		m, err := AskMembers(t.Context(), address)
 		if err != nil || m.Name != "front" || len(m.Endpoints) != 1 || m.Endpoints[0].UID != "a" {
-			t.Errorf("%s: %+v, %v", address, m, err)
+			t.Errorf("AskMembers(%s) returned %+v, %v; want the members of front with endpoint a", address, m, err)
 		}
 		stop()
 		if _, err := AskMembers(t.Context(), address); err == nil {
-			t.Errorf("%s answers after its end", address)
+			t.Errorf("the server at %s answers after it was stopped", address)
 		}
 	}
 }
 
-// The pages can't be written to. The answer is 503 if the sidecar does not answer.
+// The pages accept no writes. The response has status 503 if the sidecar does not answer.
 func TestReadOnly(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{Members: func() (Members, bool) { return Members{}, false }})
@@ -80,7 +80,7 @@
 	}
 	defer stop()
 	if _, err := AskMembers(t.Context(), address); err == nil || !strings.Contains(err.Error(), "503") {
-		t.Error(err)
+		t.Errorf("AskMembers of a sidecar that does not answer returned error %v, want status 503", err)
 	}
 	c := dial(t, address)
 	if _, err := io.WriteString(c, "POST /members HTTP/1.0\r\n\r\n"); err != nil {
@@ -91,11 +91,11 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(answer), "405") {
-		t.Errorf("%.80s", answer)
+		t.Errorf("the response to POST is %.80q, want status 405", answer)
 	}
 }
 
-// A socket that a killed process left is replaced; the socket of a running process and a file are not.
+// The socket that a killed process has left behind is replaced. The socket of a running process and a file are not.
 func TestExistingSocketPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Serve("unix:"+path, Views{Members: testMembers}); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Error(err)
+		t.Errorf("Serve on the socket of a running process returned error %v, want one about another process", err)
 	}
 	l.SetUnlinkOnClose(false)
 	if err := l.Close(); err != nil {
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o660 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("the socket has mode %v, error %v; want permissions 0660", info.Mode(), err)
 	}
 	stop()
 	file := filepath.Join(t.TempDir(), "f")
@@ -122,14 +122,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Serve("unix:"+file, Views{Members: testMembers}); err == nil {
-		t.Error("a file was taken for a socket")
+		t.Error("Serve on the path of a file did not fail")
 	}
 	if text, _ := os.ReadFile(file); string(text) != "x" {
-		t.Error("the file is gone")
+		t.Error("Serve changed or removed the file at its path")
 	}
 }
 
-// Clients that keep connections open without a request delay others for a limited time only.
+// Clients that keep connections open without sending a request delay other clients only for a limited time.
 func TestClientsWithoutRequest(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "s")
 	stop, err := Serve(address, Views{Members: testMembers})
@@ -154,7 +154,7 @@
 		t.Error(err)
 	}
 	if took := time.Since(began); res.StatusCode != http.StatusOK || took > 20*time.Second {
-		t.Errorf("%s after %v", res.Status, took)
+		t.Errorf("got status %s after %v, want 200 within 20 s", res.Status, took)
 	}
 }
 
@@ -175,7 +175,7 @@
 	} {
 		t.Run(address, func(t *testing.T) {
 			if got := badAddress(address) == ""; got != ok {
-				t.Errorf("%q", badAddress(address))
+				t.Errorf("badAddress(%q) is %q; want the address to be accepted: %v", address, badAddress(address), ok)
 			}
 		})
 	}
--- a/internal/network/admin/example_test.go
+++ b/internal/network/admin/example_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/network/admin"
 )
 
-// A sidecar's page of endpoints, and what reads it.
+// Serves the page with a sidecar's endpoints, and reads it.
 func Example() {
 	folder, err := os.MkdirTemp("", "admin")
 	if err != nil {
--- a/internal/network/admin/golden_test.go
+++ b/internal/network/admin/golden_test.go
@@ -13,7 +13,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The pages as they are sent over the socket, and as quincegapctl decodes them.
+// The pages that are sent over the socket do not change, and the client of quincegapctl decodes them.
 func TestGoldenViews(t *testing.T) {
 	members := Members{Name: "front-0", Source: "both", Endpoints: []endpointsource.Row{
 		{UID: "slot-keeper-1", Address: "10.0.0.1:8080", State: "ready", Weight: 1.5, Platform: "ready", Consul: "draining", Why: "consul: maintenance", AgoMS: 1234},
@@ -54,10 +54,10 @@
 	appendPage("peers?all=1")
 	appendPage("other")
 	if got, err := AskMembers(t.Context(), address); err != nil || !reflect.DeepEqual(got, members) {
-		t.Errorf("read back as %+v, %v", got, err)
+		t.Errorf("AskMembers returned %+v, %v; want %+v", got, err, members)
 	}
 	if got, err := AskPeers(t.Context(), address, true); err != nil || !reflect.DeepEqual(got, fleet) {
-		t.Errorf("read back as %+v, %v", got, err)
+		t.Errorf("AskPeers returned %+v, %v; want %+v", got, err, fleet)
 	}
 	available = false
 	appendPage("members")
@@ -65,7 +65,7 @@
 	golden.Text(t, "views.txt", []byte(all.String()))
 }
 
-// readPage returns an answer as text: its status, its type and its body.
+// readPage requests a page and returns the response as text: its status, content type and body.
 func readPage(t *testing.T, address, page string) string {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://sidecar/"+page, nil)
--- a/internal/network/consul/answer_test.go
+++ b/internal/network/consul/answer_test.go
@@ -23,13 +23,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if next := nextIndex(test.last, test.got); next != test.want {
-				t.Errorf("after %d came %d: next is %d, want %d", test.last, test.got, next, test.want)
+				t.Errorf("nextIndex(%d, %d) is %d, want %d", test.last, test.got, next, test.want)
 			}
 		})
 	}
 }
 
-// Whatever an answer contains, the endpoints from it are bounded and valid.
+// Whatever an answer contains, the endpoints that are read from it are bounded in number and valid.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(`[{"Node":{"Node":"n","Address":"10.0.0.1","Datacenter":"d"},` +
 		`"Service":{"ID":"x","Port":80,"Meta":{"cell":"1"},"Weights":{"Passing":3,"Warning":1},"CreateIndex":7},` +
@@ -45,20 +45,20 @@
 			faults = s.addEndpoint(endpoints, i, true, faults)
 		})
 		if len(endpoints) > n || len(faults) > maxFaults || n > 20 {
-			t.Errorf("%d endpoints and %d faults of %d instances", len(endpoints), len(faults), n)
+			t.Errorf("read %d endpoints and %d faults from %d instances, more than the bounds permit", len(endpoints), len(faults), n)
 		}
-		// Decoding one by one gives the same as decoding all at once.
+		// Decoding the instances one by one gives the same result as decoding all at once.
 		var all []instance
 		if want := json.NewDecoder(bytes.NewReader(text)).Decode(&all); want == nil && len(all) <= 20 && (err != nil || n != len(all)) {
-			t.Errorf("%d of %d instances, %v", n, len(all), err)
+			t.Errorf("decoded %d instances one by one, error %v; want %d and no error", n, err, len(all))
 		}
 		for uid, e := range endpoints {
 			host, port, err := net.SplitHostPort(e.Address)
 			if uid != e.UID || uid == "" || len(uid) > maxTextBytes || err != nil || host == "" || port == "0" {
-				t.Errorf("%+v", e)
+				t.Errorf("endpoint %+v with key %q has an invalid UID or address (error %v)", e, uid, err)
 			}
 			if e.Weight <= 0 || e.WeightShare <= 0 || e.WeightShare > maxWeight {
-				t.Errorf("%+v", e)
+				t.Errorf("endpoint %+v has an invalid weight", e)
 			}
 		}
 	})
--- a/internal/network/consul/client_test.go
+++ b/internal/network/consul/client_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The settings become parameters of the queries, by the names of Consul's API.
+// The settings are sent as parameters of the queries, under the names in Consul's API.
 func TestQueryParameters(t *testing.T) {
 	asked := make(chan *http.Request, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,12 +60,13 @@
 		first, second := <-asked, <-asked
 		query, _ := url.QueryUnescape(first.URL.RawQuery)
 		if first.URL.Path != "/v1/health/service/x" || query != test.want || first.Header.Get("X-Consul-Token") != "s3cret" {
-			t.Errorf("asked %s?%s, want %s; token %q", first.URL.Path, query, test.want, first.Header.Get("X-Consul-Token"))
+			t.Errorf("the first query is %s?%s, want parameters %s; token %q, want s3cret",
+				first.URL.Path, query, test.want, first.Header.Get("X-Consul-Token"))
 		}
 		q := second.URL.Query()
 		wait, err := time.ParseDuration(q.Get("wait"))
 		if q.Get("index") != "7" || err != nil || wait <= 800*time.Millisecond || wait > time.Second {
-			t.Errorf("then asked %s", second.URL.RawQuery)
+			t.Errorf("the parameters of the second query are %s, want index=7 and a wait of 0.8 to 1 s", second.URL.RawQuery)
 		}
 		watcher.stop()
 	}
@@ -98,7 +99,7 @@
 	watcher.awaitReady()
 	watcher.stop()
 	if strings.Contains(logged.String(), "one") || strings.Contains(logged.String(), "two") || !strings.Contains(logged.String(), "answers") {
-		t.Errorf("logged: %s", logged.String())
+		t.Errorf("the log is %q, want a line about the answer and no token", logged.String())
 	}
 }
 
@@ -126,23 +127,23 @@
 	log.SetOutput(&logged)
 	defer log.SetOutput(os.Stderr)
 	mismatched := startWatcher(t, configureTLS("another.example"), startAgent(t, "a"))
-	mismatched.waitFor("a refusal", func() bool {
+	mismatched.waitFor("the rejection of the server's certificate", func() bool {
 		return strings.Contains(logged.String(), "certificate is valid for example.com")
 	})
 	mismatched.stop()
 	if len(mismatched.answers) > 0 {
-		t.Error("it believed a server by another name")
+		t.Error("the watcher accepted an answer of a server with another name in its certificate")
 	}
 	s := *Table.Default()
 	s.Agents = "127.0.0.1:1"
 	s.TLS = true
 	s.CAFile = filepath.Join(t.TempDir(), "none")
 	if _, err := New(s, endpointsource.ModeConsul, samePath); err == nil {
-		t.Error("a missing CA passes")
+		t.Error("New with a missing CA file did not fail")
 	}
 }
 
-// Agents that refuse connections or speak no HTTP are skipped.
+// Agents that refuse connections or do not speak HTTP are skipped.
 func TestUnusableAgents(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/network/consul/endpoint_test.go
+++ b/internal/network/consul/endpoint_test.go
@@ -17,7 +17,7 @@
 	for _, test := range []struct {
 		name             string
 		checks           []check
-		passing, warning int // weights
+		passing, warning int // weights of the service in the instance
 		state            balancer.EndpointState
 		weight, share    float64
 		maintenance      bool
@@ -42,7 +42,8 @@
 			applyChecks(&i, &e)
 			if e.State != test.state || e.Weight != test.weight || e.WeightShare != test.share ||
 				e.Maintenance != test.maintenance || e.Reason != test.reason {
-				t.Errorf("got %+v", e)
+				t.Errorf("got %+v, want state %v, weight %v, share %v, maintenance %v, reason %q",
+					e, test.state, test.weight, test.share, test.maintenance, test.reason)
 			}
 		})
 	}
@@ -84,9 +85,9 @@
 	}
 	settings.UIDMeta = "uid"
 	if got := settings.uid("n", "x", map[string]string{"uid": "s-1"}, true); got != "s-1" {
-		t.Error(got)
+		t.Errorf("UID of an instance with the metadata field uid: got %q, want s-1", got)
 	}
 	if got := settings.uid("n", "x", nil, false); got != "x" {
-		t.Error(got)
+		t.Errorf("unqualified UID of an instance without the metadata field uid: got %q, want x", got)
 	}
 }
--- a/internal/network/consul/find_test.go
+++ b/internal/network/consul/find_test.go
@@ -10,7 +10,7 @@
 	standin "quincegap/internal/standin/consul"
 )
 
-// The addresses of a service's instances that no check has as critical.
+// Finds the addresses of those instances of a service that have no critical check.
 func ExampleFind() {
 	agent, err := standin.Start("",
 		standin.Instance{Node: "n", ID: "a", Address: "10.0.0.1", Port: 7946, WarningWeight: 1},
@@ -34,12 +34,12 @@
 	settings := *consul.Table.Default()
 	resolve := func(path string) string { return path }
 	if _, err := consul.Find(t.Context(), settings, "x", resolve); !errors.Is(err, consul.ErrNoAgents) {
-		t.Errorf("no agents: %v", err)
+		t.Errorf("Find without agents returned error %v, want ErrNoAgents", err)
 	}
 	settings.Agents = "127.0.0.1:1"
 	_, err := consul.Find(t.Context(), settings, "x", resolve)
 	var failed *consul.AgentError
 	if !errors.As(err, &failed) || failed.Agent != settings.Agents {
-		t.Errorf("an agent that does not answer: %v", err)
+		t.Errorf("Find with an agent that does not answer returned error %v, want an AgentError with the agent's address", err)
 	}
 }
--- a/internal/network/consul/golden_test.go
+++ b/internal/network/consul/golden_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// An answer as Consul 1.20's API documents it, with elements that can't be used.
+// documentedAnswer is an answer in the form that the API documentation of Consul 1.20 describes, with some elements that can't be used.
 const documentedAnswer = `[
  {"Node":{"ID":"40e4a748","Node":"node-1","Address":"10.1.10.12","Datacenter":"dc1","TaggedAddresses":{"lan":"10.1.10.12"}},
   "Service":{"ID":"slot-keeper-1","Service":"slot-keeper","Tags":["v2"],"Address":"10.1.10.13","Port":8000,
@@ -36,7 +36,8 @@
  {"Node":{"Node":"node-3","Address":"h"},"Service":{"Port":1}}
 ]`
 
-// What is read of an answer: endpoints, why others are passed over, what one answer changes of another, the texts of errors.
+// The results of reading an answer do not change: endpoints, reasons why instances are skipped, differences from another answer, and the
+// texts of errors.
 func TestGoldenAnswer(t *testing.T) {
 	var text strings.Builder
 	s := Table.Default()
@@ -74,7 +75,7 @@
 	golden.Text(t, "answer.txt", []byte(text.String()))
 }
 
-// describe has all fields of an endpoint, without their Go names.
+// describe returns all fields of an endpoint as text, without their Go names.
 func describe(e endpointsource.Endpoint) string {
 	return fmt.Sprintf("%q %q zone %q model %q cell %d state %d weight %v share %v started %d unknown %v index %d maintenance %v: %q", e.UID, e.Address,
 		e.Zone, e.Model, e.Cell, e.State, e.Weight, e.WeightShare, e.StartedMS, e.StartUnknown, e.RegistrationIndex, e.Maintenance, e.Reason)
--- a/internal/network/consul/helpers_test.go
+++ b/internal/network/consul/helpers_test.go
@@ -23,20 +23,21 @@
 	goleak.VerifyTestMain(m)
 }
 
-// samePath resolves a path of the settings to itself.
+// samePath returns a path of the settings unchanged.
 func samePath(path string) string { return path }
 
-// testWatcher is a watcher on stand-ins, with the endpoints that result from its answers.
+// testWatcher runs a watcher of simulated agents, and applies its answers to known.
 type testWatcher struct {
 	t         *testing.T
-	events    chan func() // changes of the fields below, from the watcher's goroutine
+	events    chan func() // functions that change the fields below, sent by the watcher's goroutine
 	known     map[string]endpointsource.Endpoint
 	answers   []endpointsource.ConsulAnswer
-	unchanged int    // calls of OnUnchanged
-	stop      func() // ends the watcher and waits for it
+	unchanged int    // number of calls of OnUnchanged
+	stop      func() // stops the watcher and waits until it has ended
 }
 
-// watch starts a watcher that fails back to its first agent after a short time. The test's end stops it and the agents.
+// startWatcher starts a watcher that returns to its first agent a short time after a failover. configure, unless it is nil, changes its
+// settings. The watcher and the agents are stopped at the end of the test.
 func startWatcher(t *testing.T, configure func(*Settings), agents ...*standin.Server) *testWatcher {
 	t.Helper()
 	s := *Table.Default()
@@ -89,7 +90,7 @@
 	}
 }
 
-// confirmed returns the UIDs that the catalogue lacks too, sorted.
+// confirmed returns the sorted UIDs of the instances that are also missing from the catalogue.
 func (w *testWatcher) confirmed() (uids []string) {
 	for _, a := range w.answers {
 		uids = append(uids, a.ConfirmedMissing...)
@@ -98,12 +99,12 @@
 	return uids
 }
 
-// until handles events until a condition holds; it fails after testTimeout.
+// waitFor handles events until a condition holds. It fails the test after testTimeout.
 func (w *testWatcher) waitFor(description string, condition func() bool) {
 	w.t.Helper()
 	timeout := time.NewTimer(testTimeout)
 	defer timeout.Stop()
-	poll := time.NewTicker(2 * time.Millisecond) // the condition may depend on other things than the watcher's events
+	poll := time.NewTicker(2 * time.Millisecond) // the condition may depend on more than the watcher's events
 	defer poll.Stop()
 	for !condition() {
 		select {
@@ -111,15 +112,15 @@
 			event()
 		case <-poll.C:
 		case <-timeout.C:
-			w.t.Fatalf("never: %s; known are %v", description, slices.Sorted(maps.Keys(w.known)))
+			w.t.Fatalf("waited for %s: not reached; known endpoints: %v", description, slices.Sorted(maps.Keys(w.known)))
 		}
 	}
 }
 
-// knows waits until exactly these instances are ready.
+// awaitReady waits until exactly these instances are ready.
 func (w *testWatcher) awaitReady(ids ...string) {
 	w.t.Helper()
-	w.waitFor(fmt.Sprint(ids), func() bool {
+	w.waitFor(fmt.Sprint("ready endpoints ", ids), func() bool {
 		var ready []string
 		for uid, e := range w.known {
 			if e.State == balancer.EndpointReady {
@@ -131,7 +132,7 @@
 	})
 }
 
-// instances returns instances with these IDs on one node, n.
+// instances returns instances with these IDs on a single node, n.
 func instances(ids ...string) (all []standin.Instance) {
 	for i, id := range ids {
 		all = append(all, standin.Instance{Node: "n", ID: id, Address: "127.0.0.1", Port: 1000 + i, WarningWeight: 1})
@@ -139,7 +140,7 @@
 	return all
 }
 
-// serve starts an agent with instances of these IDs.
+// startAgent starts a simulated agent with instances that have these IDs.
 func startAgent(t *testing.T, ids ...string) *standin.Server {
 	t.Helper()
 	agent, err := standin.Start("", instances(ids...)...)
@@ -149,7 +150,7 @@
 	return agent
 }
 
-// lockedText is a log that is read while it grows.
+// lockedText is a log that may be read while it is written.
 type lockedText struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/internal/network/consul/watcher_test.go
+++ b/internal/network/consul/watcher_test.go
@@ -19,16 +19,16 @@
 	watcher.awaitReady("b", "c")
 	last := watcher.answers[len(watcher.answers)-1]
 	if len(last.Changed) != 0 || len(last.Missing) != 1 || last.KnownBefore != 3 || len(last.ConfirmedMissing) > 0 {
-		t.Errorf("%+v", last)
+		t.Errorf("the last answer is %+v, want 1 missing of 3 known instances, none of them confirmed", last)
 	}
-	watcher.waitFor("an answer with nothing new", func() bool { return watcher.unchanged > 0 })
+	watcher.waitFor("an answer without changes", func() bool { return watcher.unchanged > 0 })
 	health, catalog := agent.Queries()
 	if health > 20 || catalog != 0 {
-		t.Errorf("%d questions, %d to the catalogue", health, catalog)
+		t.Errorf("got %d queries of the health API and %d of the catalogue, want at most 20 and 0", health, catalog)
 	}
 }
 
-// While answers are faulty nothing is published; the changes of that time are published with the next good answer.
+// No changes are published while answers are faulty; the changes of that time are published with the next valid answer.
 func TestFaultyAnswers(t *testing.T) {
 	for name, fault := range map[string]standin.Fault{
 		"refuse":   {Refuse: true},
@@ -51,12 +51,12 @@
 			before, _ := agent.Queries()
 			agent.SetFault(fault)
 			agent.SetStatus("a", "critical")
-			watcher.waitFor("some questions", func() bool {
+			watcher.waitFor("four more queries", func() bool {
 				now, _ := agent.Queries()
 				return now >= before+4
 			})
 			if len(watcher.answers) != published {
-				t.Errorf("it published %+v", watcher.answers[published:])
+				t.Errorf("published %+v while answers were faulty, want nothing", watcher.answers[published:])
 			}
 			agent.SetFault(standin.Fault{})
 			watcher.awaitReady("b", "c", "d")
@@ -64,7 +64,7 @@
 	}
 }
 
-// After an answer of a server that has been without contact to the leader for too long, the leader is queried.
+// After an answer of a server that has not heard from the leader for too long, the next query goes to the leader.
 func TestStaleServer(t *testing.T) {
 	agent := startAgent(t, "a")
 	watcher := startWatcher(t, nil, agent)
@@ -91,7 +91,7 @@
 	agent.SetFault(standin.Fault{IndexBack: 8})
 	agent.SetStatus("b", "critical")
 	watcher.awaitReady("a")
-	agent.SetFault(standin.Fault{NoIndex: true}) // polled then
+	agent.SetFault(standin.Fault{NoIndex: true}) // the watcher polls then
 	agent.SetStatus("b", "passing")
 	watcher.awaitReady("a", "b")
 	agent.SetStatus("a", "critical")
@@ -101,7 +101,7 @@
 	watcher.awaitReady("a", "b")
 }
 
-// Queries also block on the content hash of an agent that returns no index.
+// If an agent returns a content hash but no index, queries block on the hash.
 func TestHashBlocking(t *testing.T) {
 	agent := startAgent(t, "a", "b")
 	agent.SetFault(standin.Fault{ContentHash: true})
@@ -116,11 +116,11 @@
 		}
 	}
 	if health, _ := agent.Queries(); health > 12 {
-		t.Errorf("%d questions: it polls", health)
+		t.Errorf("got %d queries, want at most 12: the watcher polls instead of blocking", health)
 	}
 }
 
-// If an agent fails the next one is queried; an agent that hangs fails by its timeout.
+// If an agent fails, the next one is queried. An agent that does not answer fails by the timeout of the query.
 func TestFailover(t *testing.T) {
 	first := startAgent(t, "a")
 	second := startAgent(t, "a", "b")
@@ -129,19 +129,19 @@
 	first.SetFault(standin.Fault{Hang: true})
 	watcher.awaitReady("a", "b")
 	first.SetFault(standin.Fault{})
-	watcher.awaitReady("a") // it goes back to the first agent though the other one answers
+	watcher.awaitReady("a") // the watcher returns to the first agent, although the second one answers
 	before, _ := second.Queries()
 	first.SetStatus("a", "critical")
 	watcher.awaitReady()
 	if after, _ := second.Queries(); after > before+1 {
-		t.Error("the other agent is still asked")
+		t.Errorf("the second agent got %d more queries after the return to the first one, want at most 1", after-before)
 	}
 	second.Close()
 	first.SetStatus("a", "passing")
 	watcher.awaitReady("a")
 }
 
-// However fast changes come, the time between two answers is at least the setting pace.
+// However fast changes occur, the time between two answers is at least the setting pace.
 func TestPace(t *testing.T) {
 	agent := startAgent(t, "a", "b")
 	watcher := startWatcher(t, func(s *Settings) { s.MinInterval = 100 * time.Millisecond }, agent)
@@ -155,6 +155,6 @@
 	took := time.Since(began)
 	after, _ := agent.Queries()
 	if limit := int(took/(100*time.Millisecond)) + 2; after-before > limit {
-		t.Errorf("%d questions in %v, want %d at most", after-before, took, limit)
+		t.Errorf("got %d queries in %v, want at most %d", after-before, took, limit)
 	}
 }
--- a/internal/network/gossip/example_test.go
+++ b/internal/network/gossip/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/network/gossip"
 )
 
-// While a key is replaced the file has both: the first one encrypts, all of them decrypt.
+// While a key is being replaced, the file contains the new one and the old one: the first key encrypts, all keys decrypt.
 func ExampleParseKeys() {
 	fresh := base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))
 	former := base64.StdEncoding.EncodeToString([]byte("fedcba9876543210"))
--- a/internal/network/gossip/figures_test.go
+++ b/internal/network/gossip/figures_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// cpu is the processor time that this process has used.
+// cpuTime returns the processor time that this process has used.
 func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var u syscall.Rusage
@@ -23,7 +23,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is the memory in use, in bytes.
+// heapInUse returns the memory in use on the heap and by stacks, in bytes.
 func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -31,7 +31,7 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// lines keeps a log.
+// logRecorder records log lines. It is safe for concurrent use.
 type logRecorder struct {
 	mu  sync.Mutex
 	all []string
@@ -46,6 +46,7 @@
 
 func (l *logRecorder) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
+// drain returns the lines recorded since the last call.
 func (l *logRecorder) drain() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +55,7 @@
 	return all
 }
 
-// TestFigures prints docs/figures/peers.md's tables of virtual time:
+// TestFigures logs the tables of docs/figures/peers.md that are measured in virtual time:
 //
 //	FIGURES=1 go test ./internal/network/gossip -run TestFigures -v -timeout 60m
 func TestFigures(t *testing.T) {
@@ -79,7 +80,8 @@
 	})
 }
 
-// times measures a fleet of n members: its start, a quiet minute, a death, a join, a partition that heals. It returns a line of the table.
+// measureTimes measures a fleet of size members: the start, the load of an idle minute, the death of a member, a join, a partition and its
+// end. It returns a row of the table.
 func measureTimes(t *testing.T, size int) string {
 	t.Helper()
 	before := heapInUse()
@@ -89,7 +91,7 @@
 		fleet.start(i, size, nil)
 	}
 	const timeout = 5 * time.Minute
-	startTime := fleet.waitFor(timeout, "start", fleet.converged)
+	startTime := fleet.waitFor(timeout, "all members to settle after the start", fleet.converged)
 	memory := float64(heapInUse()-before) / float64(size)
 	sentBytes := func() (b int) {
 		fleet.net.update(func() {
@@ -99,19 +101,19 @@
 		})
 		return b
 	}
-	time.Sleep(time.Minute) // the broadcasts of the start have ended
+	time.Sleep(time.Minute) // until the broadcasts of the start have ended
 	bytesBefore, cpuBefore := sentBytes(), cpuTime(t)
 	const idlePeriod = time.Minute
 	time.Sleep(idlePeriod)
 	byteRate := float64(sentBytes()-bytesBefore) / float64(size) / idlePeriod.Seconds()
 	cpuLoad := (cpuTime(t) - cpuBefore).Seconds() / float64(size) / idlePeriod.Seconds()
 	fleet.kill(size - 1)
-	deathTime := fleet.waitFor(timeout, "a death", fleet.converged)
+	deathTime := fleet.waitFor(timeout, "the survivors to settle after a death", fleet.converged)
 	fleet.start(size-1, size, nil)
-	joinTime := fleet.waitFor(timeout, "a join", fleet.converged)
+	joinTime := fleet.waitFor(timeout, "all members to settle after a join", fleet.converged)
 	time.Sleep(time.Minute)
 	fleet.partitionHalves()
-	partitionTime := fleet.waitFor(timeout, "a partition", func() bool {
+	partitionTime := fleet.waitFor(timeout, "both halves to have their own group", func() bool {
 		for i, g := range fleet.members {
 			want := size - size/2
 			if i < size/2 {
@@ -125,14 +127,14 @@
 	})
 	time.Sleep(time.Minute)
 	fleet.heal()
-	healTime := fleet.waitFor(timeout, "healed", fleet.converged)
+	healTime := fleet.waitFor(timeout, "all members to settle after the partition", fleet.converged)
 	return fmt.Sprintf("| %d | %.1f s | %.1f s | %.1f s | %.1f s | %.1f s | %.0f | %.2f | %.0f |",
 		size, startTime.Seconds(), deathTime.Seconds(), joinTime.Seconds(),
 		partitionTime.Seconds(), healTime.Seconds(), byteRate, cpuLoad*1000, memory/1024)
 }
 
-// lossy counts for ten minutes how often a member that runs is declared gone by another, and how often the group changes. It returns a
-// line of the table.
+// measureLoss counts, over ten minutes with packet loss, how often a running member is declared gone by another, and how often a member's
+// group changes. It returns a row of the table.
 func measureLoss(t *testing.T, size int, loss float64) string {
 	t.Helper()
 	fleet := newFleet(t, size, 1)
@@ -141,14 +143,14 @@
 	for i := range size {
 		fleet.start(i, size, func(c *Config) { c.Log = logged.logger() })
 	}
-	fleet.waitFor(5*time.Minute, "start", fleet.converged)
-	time.Sleep(time.Second) // members log a view a tick after they have it
+	fleet.waitFor(5*time.Minute, "all members to settle after the start", fleet.converged)
+	time.Sleep(time.Second) // members log a share one tick after it has changed
 	fleet.net.update(func() { fleet.net.loss = loss })
 	logged.drain()
 	const length = 10 * time.Minute
 	time.Sleep(length)
 	goneChanges, shareChanges := 0, 0
-	verdicts := map[string]bool{} // one for each member that was taken for gone, whoever heard of it
+	verdicts := map[string]bool{} // one entry for each declaration that a member is gone, however many members receive it
 	for _, l := range logged.drain() {
 		if strings.Contains(l, "msg=peer ") && strings.Contains(l, "to=gone") {
 			goneChanges++
--- a/internal/network/gossip/fleet_test.go
+++ b/internal/network/gossip/fleet_test.go
@@ -15,15 +15,15 @@
 	"quincegap/internal/modules/peers"
 )
 
-// convergenceTimeout is the stated time until all views are equal and settled after the last fault: it takes up to maxJoinBackoff
-// and half as much until an address is tried again, and the damping window until a name that flapped counts.
+// convergenceTimeout is the specified time within which all views are equal and settled after the last fault. Up to maxJoinBackoff and half
+// as much passes until an address is tried again, and the damping window passes until a name that has flapped counts.
 const convergenceTimeout = 60 * time.Second
 
-// useOneProcessor gives a test in virtual time one processor under the race detector. Go 1.26 keeps one context of the detector for
-// all timers of a synctest bubble, and uses it without a lock if a goroutine receives from a ticker that is already due
+// useOneProcessor restricts a test in virtual time to one processor if the race detector is enabled. Go 1.26 uses one context of the
+// detector for all timers of a synctest bubble, and uses it without a lock if a goroutine receives from a ticker that is already due
 // (runtime.(*timer).maybeRunChan) while another timer runs. Two threads in one context make the detector itself crash, for example
-// with "CHECK failed: tsan_rtl.cpp:346". The detector goes by the order of synchronisation and not by what runs at the same moment:
-// it reports the races of goroutines that take turns on one processor as well.
+// with "CHECK failed: tsan_rtl.cpp:346". The detector examines the order of synchronisation, not what runs at the same moment, so it
+// also reports races between goroutines that take turns on one processor.
 func useOneProcessor(t *testing.T) {
 	t.Helper()
 	if !raceDetector {
@@ -38,8 +38,8 @@
 	t          *testing.T
 	net        *network
 	members    []*Group // nil for a member that is dead
-	history    []string // what was done to them, for a failure
-	began      time.Time
+	history    []string // steps of the test, printed on a failure
+	startedAt  time.Time
 	join       string
 	maxMembers int
 }
@@ -50,18 +50,18 @@
 		t:          t,
 		net:        newNetwork(seed),
 		members:    make([]*Group, n),
-		began:      time.Now(),
+		startedAt:  time.Now(),
 		join:       strings.Join([]string{address(0), address(1), address(2)}, ","),
 		maxMembers: 2000,
 	}
 }
 
-// record adds a step to the history, which a failure prints.
+// recordStep adds a step, with the time since the start, to the history that a failure prints.
 func (v *virtualFleet) recordStep(format string, args ...any) {
-	v.history = append(v.history, fmt.Sprintf("%6.2fs ", time.Since(v.began).Seconds())+fmt.Sprintf(format, args...))
+	v.history = append(v.history, fmt.Sprintf("%6.2fs ", time.Since(v.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// start starts a member, with a configuration that change may change.
+// start starts member i. expected is its ExpectedMembers; configure, unless it is nil, changes its configuration.
 func (v *virtualFleet) start(i, expected int, configure func(*Config)) {
 	v.t.Helper()
 	config := Config{
@@ -87,7 +87,7 @@
 	v.members[i] = g
 }
 
-// startAll starts all members.
+// startAll starts all members. configure, unless it is nil, changes their configurations.
 func (v *virtualFleet) startAll(configure func(*Config)) {
 	v.t.Helper()
 	for i := range v.members {
@@ -95,7 +95,7 @@
 	}
 }
 
-// kill ends a member without an announcement.
+// kill stops a member that runs, without an announcement to the others.
 func (v *virtualFleet) kill(i int) {
 	v.t.Helper()
 	g := v.members[i]
@@ -111,7 +111,7 @@
 	}
 }
 
-// addresses returns those of all members, including the dead ones.
+// addresses returns the addresses of all members, including dead ones.
 func (v *virtualFleet) addresses() (all []string) {
 	for i := range v.members {
 		all = append(all, address(i))
@@ -119,23 +119,24 @@
 	return all
 }
 
-// partition drops everything between some members and others, in both directions.
+// partition drops everything that is sent between some members and others, in both directions.
 func (v *virtualFleet) partition(some, others []string) {
 	v.net.partition(some, others)
 	v.net.partition(others, some)
 }
 
-// halve separates the first half of the members from the second.
+// partitionHalves separates the first half of the members from the second.
 func (v *virtualFleet) partitionHalves() {
 	all := v.addresses()
 	half := len(all) / 2
 	v.partition(all[:half], all[half:])
 }
 
-// heal ends all partitions.
+// heal removes all partitions.
 func (v *virtualFleet) heal() { v.net.update(func() { clear(v.net.partitioned) }) }
 
-// end kills all members. memberlist's goroutines end with their timeouts, and virtual time stops when the test returns.
+// killAll kills all members, and sleeps until the timeouts of memberlist's goroutines have expired: virtual time stops when the test
+// returns.
 func (v *virtualFleet) killAll() {
 	v.t.Helper()
 	for i := range v.members {
@@ -144,7 +145,7 @@
 	time.Sleep(time.Minute)
 }
 
-// state returns the member's present share, and false if it has none.
+// currentShare returns the member's current share, and false if it has none.
 func (g *Group) currentShare() (peers.Share, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,7 +153,7 @@
 	return s, ok
 }
 
-// agree reports whether all members that run are settled in one group, which has them and nobody else.
+// converged reports whether all running members are settled in the same group, which contains exactly them.
 func (v *virtualFleet) converged() bool {
 	var alive []*Group
 	for _, g := range v.members {
@@ -169,8 +170,8 @@
 	return true
 }
 
-// haveShares reports whether the members' shares have a confidence, a number of instances and a greatest number of instances; a
-// maxInstances of 0 matches any.
+// haveShares reports whether the shares of all members have the given Confidence, Instances and MaxInstances; a maxInstances of 0 matches
+// any.
 func haveShares(members []*Group, confidence peers.Confidence, instances, maxInstances int) bool {
 	for _, g := range members {
 		s, _ := g.currentShare()
@@ -181,7 +182,7 @@
 	return true
 }
 
-// oneSettled fails if two members are settled in groups that have nobody in common.
+// checkOneSettledGroup fails the test if a member is settled in a group that has no member in common with that of the first settled member.
 func (v *virtualFleet) checkOneSettledGroup() {
 	v.t.Helper()
 	var first []string
@@ -198,25 +199,26 @@
 			continue
 		}
 		if !slices.ContainsFunc(s.Names, func(name string) bool { return slices.Contains(first, name) }) {
-			v.t.Fatalf("%d is settled in %v, another one in %v\n%s", i, s.Names, first, strings.Join(v.history, "\n"))
+			v.t.Fatalf("member %d is settled in group %v, another member in group %v; want a common member; steps:\n%s",
+				i, s.Names, first, strings.Join(v.history, "\n"))
 		}
 	}
 }
 
-// within waits until something holds, and returns how long it took; it fails if it does not in time.
-func (v *virtualFleet) waitFor(d time.Duration, what string, condition func() bool) time.Duration {
+// waitFor waits until a condition holds, and returns how long that took. It fails the test if the condition does not hold within d.
+func (v *virtualFleet) waitFor(d time.Duration, description string, condition func() bool) time.Duration {
 	v.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	for !condition() {
-		if time.Since(began) > d {
-			v.t.Fatalf("%s: not within %v\n%s\n%s", what, d, strings.Join(v.history, "\n"), v.describeViews())
+		if time.Since(startedAt) > d {
+			v.t.Fatalf("waited for %s: not reached within %v; steps:\n%s\nviews:\n%s", description, d, strings.Join(v.history, "\n"), v.describeViews())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// views returns all members' views as text, which a failure prints.
+// describeViews returns the views of all members as text, to be printed on a failure.
 func (v *virtualFleet) describeViews() string {
 	var text strings.Builder
 	for i, g := range v.members {
--- a/internal/network/gossip/golden_log_test.go
+++ b/internal/network/gossip/golden_log_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The log lines that people and tools match on, and the reasons under which a report counts rejections.
+// The log lines that operators and tools match, and the reasons under which a report counts rejections, do not change.
 func TestGoldenLogLines(t *testing.T) {
 	var log strings.Builder
 	noTime := func(_ []string, a slog.Attr) slog.Attr {
@@ -36,7 +36,7 @@
 		"[WARN] memberlist: refuting a suspect message\n",
 	} {
 		if n, err := group.libraryLog.Write([]byte(line)); n != len(line) || err != nil {
-			t.Errorf("%q: %d, %v", line, n, err)
+			t.Errorf("Write(%q) returned %d, %v; want %d and no error", line, n, err, len(line))
 		}
 	}
 	for _, e := range []envelope{{application: "slot-keeper"}, {application: "booking-front"}} {
--- a/internal/network/gossip/golden_test.go
+++ b/internal/network/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The messages of members. A message asks for a report or answers a query, never both.
+// The encoding of the messages between members does not change. A message contains a query or an answer to one, never both.
 func TestGoldenEnvelopes(t *testing.T) {
 	records := []peers.Record{
 		{
@@ -31,11 +31,12 @@
 			golden.Hex(t, name, want.encode())
 			got, err := decode(golden.Read(t, name))
 			if err != nil || !reflect.DeepEqual(*got, want) {
-				t.Errorf("read back as %+v, %v", got, err)
+				t.Errorf("golden file decoded as %+v, error %v; want %+v", got, err, want)
 			}
 		})
 	}
 	if format != 1 || maxTextBytes != 128 || maxRecords != 4096 || maxReportBytes != 512<<10 {
-		t.Errorf("format %d, texts of %d bytes, %d records, %d bytes", format, maxTextBytes, maxRecords, maxReportBytes)
+		t.Errorf("format %d, maxTextBytes %d, maxRecords %d, maxReportBytes %d; want 1, 128, 4096, 524288",
+			format, maxTextBytes, maxRecords, maxReportBytes)
 	}
 }
--- a/internal/network/gossip/network_test.go
+++ b/internal/network/gossip/network_test.go
@@ -14,21 +14,23 @@
 // defaultMaxDelay is the longest delay of a packet, unless a test sets another.
 const defaultMaxDelay = 2 * time.Millisecond
 
-// network is a virtual network between members, with faults by pair. All draws come from one seeded source, under mu.
+// network is a virtual network between members, with faults per pair of members. All random numbers come from one seeded source, used
+// with mu held.
 type network struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
-	transports  map[string]*virtualTransport // of the members that run, by address
-	loss        float64                      // share of the packets that are lost
-	maxDelay    time.Duration                // of a packet
-	partitioned map[[2]string]bool           // from and to; nothing passes between them
-	pausedUntil map[string]time.Time         // members that stand still: what comes to them and from them waits
-	bytes       map[string]int               // sent, by address
-	recorded    map[string][]recording       // packets to replay, by destination
-	recording   bool
-}
-
-type recording struct {
+	transports  map[string]*virtualTransport // transports of the running members, by address
+	loss        float64                      // fraction of packets that are lost
+	maxDelay    time.Duration                // longest delay of a packet
+	partitioned map[[2]string]bool           // pairs of source and destination between which everything is dropped
+	pausedUntil map[string]time.Time         // ends of members' pauses, by address; packets to and from a paused member wait
+	bytes       map[string]int               // number of bytes sent, by source address
+	recorded    map[string][]recordedPacket  // packets to replay, by destination
+	recording   bool                         // whether packets are recorded
+}
+
+// recordedPacket is a packet for a later replay.
+type recordedPacket struct {
 	to     string
 	packet []byte
 }
@@ -41,11 +43,11 @@
 		partitioned: map[[2]string]bool{},
 		pausedUntil: map[string]time.Time{},
 		bytes:       map[string]int{},
-		recorded:    map[string][]recording{},
+		recorded:    map[string][]recordedPacket{},
 	}
 }
 
-// partition drops everything that goes from some members to others, in this direction only.
+// partition drops everything that is sent from some members to others, in this direction only.
 func (n *network) partition(from, to []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,14 +58,14 @@
 	}
 }
 
-// set calls f with n.mu held, for it to change the network's fields.
+// update calls f with n.mu held, so that f can access the network's fields.
 func (n *network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
 }
 
-// remove cuts a member's transport off the network: nothing more of it gets out.
+// remove disconnects a member's transport from the network: everything that it sends from now on is dropped.
 func (n *network) remove(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,7 +81,7 @@
 	address string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	closed  bool // network.mu guards it
+	closed  bool // whether everything sent is dropped; guarded by network.mu
 }
 
 // virtualAddress is an address on the virtual network.
@@ -88,8 +90,10 @@
 func (v virtualAddress) Network() string { return "udp" }
 func (v virtualAddress) String() string  { return string(v) }
 
+// address returns the address of member i.
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i>>8, i&255) }
 
+// open adds a member's transport to the network.
 func (n *network) open(address string) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,12 +126,12 @@
 	return nil
 }
 
-// pause returns how long what goes from one member to another waits for those that stand still. The caller holds n.mu.
+// pauseDelay returns for how long packets between two members are delayed because one of them is paused. The caller holds n.mu.
 func (n *network) pauseDelay(from, to string) time.Duration {
 	return max(0, time.Until(n.pausedUntil[from]), time.Until(n.pausedUntil[to]))
 }
 
-// passes reports whether anything gets from one member to another now. The caller holds n.mu.
+// connected reports whether no partition drops what is sent from one member to another. The caller holds n.mu.
 func (n *network) connected(from, to string) bool { return !n.partitioned[[2]string{from, to}] }
 
 func (v *virtualTransport) WriteTo(b []byte, to string) (time.Time, error) {
@@ -141,13 +145,13 @@
 	}
 	packet := append([]byte(nil), b...)
 	if n.recording {
-		n.recorded[to] = append(n.recorded[to], recording{to, packet})
+		n.recorded[to] = append(n.recorded[to], recordedPacket{to, packet})
 	}
 	n.deliver(v.address, to, packet)
 	return now, nil
 }
 
-// deliver delivers a packet after a random delay. The caller holds n.mu.
+// deliver delivers a packet after a random delay, or drops it if the receiver's queue is full then. The caller holds n.mu.
 func (n *network) deliver(from, to string, packet []byte) {
 	time.AfterFunc(n.pauseDelay(from, to)+time.Duration(n.rng.Float64()*float64(n.maxDelay)), func() {
 		n.mu.Lock()
@@ -165,7 +169,7 @@
 	return v.WriteTo(b, a.Addr)
 }
 
-var errUnreachable = errors.New("unreached")
+var errUnreachable = errors.New("member is unreachable")
 
 func (v *virtualTransport) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
 	n := v.network
@@ -180,7 +184,7 @@
 	}
 	time.Sleep(wait)
 	if other == nil {
-		return nil, errUnreachable // refused at once
+		return nil, errUnreachable // the connection is refused immediately
 	}
 	time.Sleep(time.Millisecond)
 	near, far := net.Pipe()
@@ -196,7 +200,7 @@
 	return v.DialTimeout(a.Addr, timeout)
 }
 
-// virtualConn is a connection that drops what is written to it across a partition.
+// virtualConn is a connection that drops what is written to it while a partition separates its ends.
 type virtualConn struct {
 	net.Conn
 	transport *virtualTransport
--- a/internal/network/gossip/schedule_test.go
+++ b/internal/network/gossip/schedule_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// soaking reports whether the long simulations run.
+// soaking reports whether the long simulations are enabled.
 func soaking() bool { return os.Getenv("SOAK") != "" }
 
-// After any schedule of partitions, delays, losses, pauses, kills and restarts all members have one settled view within a stated time;
-// and at no time are two members settled in groups without a common member, as both sides of a partition into halves would be.
+// After any schedule of partitions, delays, losses, pauses, kills and restarts all members have one settled view within convergenceTimeout.
+// At no time are two members settled in groups without a common member, as both sides of a partition into halves would be if they settled.
 func TestRandomSchedules(t *testing.T) {
 	useOneProcessor(t)
 	seeds := uint64(8)
@@ -31,10 +31,11 @@
 type schedule struct {
 	*virtualFleet
 	rng         *rand.Rand
-	shuffled    []string // the members' addresses
-	memberCount int
+	shuffled    []string // the members' addresses, in random order
+	memberCount int      // number of members, including dead ones
 }
 
+// runSchedule runs the schedule of faults that the seed determines.
 func runSchedule(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -47,7 +48,7 @@
 	defer fleet.killAll()
 	fleet.startAll(nil)
 	fleet.recordStep("%d members", n)
-	fleet.waitFor(convergenceTimeout, "the start", fleet.converged)
+	fleet.waitFor(convergenceTimeout, "all members to settle after the start", fleet.converged)
 	fleet.recordStep("settled")
 
 	s := &schedule{virtualFleet: fleet, rng: rng, shuffled: fleet.addresses(), memberCount: n}
@@ -59,11 +60,11 @@
 		}
 	}
 	s.endFaults()
-	took := fleet.waitFor(convergenceTimeout, "after the last fault", fleet.converged)
-	t.Logf("%d members: %v", n, took)
+	took := fleet.waitFor(convergenceTimeout, "all members to settle after the last fault", fleet.converged)
+	t.Logf("%d members settled %v after the last fault", n, took)
 }
 
-// fault draws one fault, or the end of all partitions.
+// injectFault injects one random fault, or removes all partitions.
 func (s *schedule) injectFault() {
 	s.t.Helper()
 	switch s.rng.IntN(7) {
@@ -71,7 +72,7 @@
 		s.partitionSome()
 	case 1:
 		i := s.rng.IntN(s.memberCount)
-		s.recordStep("%s is heard by none", s.shuffled[i])
+		s.recordStep("packets from %s are dropped", s.shuffled[i])
 		s.net.partition(s.shuffled[i:i+1], s.shuffled)
 	case 2:
 		s.loseAndDelay()
@@ -89,10 +90,10 @@
 	case 5:
 		i := s.rng.IntN(s.memberCount)
 		pause := time.Duration(s.rng.IntN(20000)) * time.Millisecond
-		s.recordStep("%s stands still for %v", address(i), pause)
+		s.recordStep("%s is paused for %v", address(i), pause)
 		s.net.update(func() { s.net.pausedUntil[address(i)] = time.Now().Add(pause) })
 	case 6:
-		s.recordStep("healed")
+		s.recordStep("all partitions are removed")
 		s.heal()
 	}
 }
@@ -105,7 +106,7 @@
 	s.partition(s.shuffled[:k], s.shuffled[k:])
 }
 
-// loseAndDelay makes the network lose and delay packets.
+// loseAndDelay sets a random packet loss and a random maximum delay.
 func (s *schedule) loseAndDelay() {
 	s.net.update(func() {
 		s.net.loss = 0.3 * s.rng.Float64()
@@ -114,7 +115,7 @@
 	s.recordStep("loss %.2f, delay up to %v", s.net.loss, s.net.maxDelay)
 }
 
-// endFaults ends all faults of the network, and starts the members that are dead.
+// endFaults removes all faults of the network, and restarts dead members.
 func (s *schedule) endFaults() {
 	s.t.Helper()
 	s.heal()
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -15,20 +15,21 @@
 	"quincegap/internal/modules/peers"
 )
 
-// Of the connections that strangers open and keep only a few are accepted, and members still exchange their records.
+// If other programs open many connections and do not close them, only maxInboundStreams of them are accepted, and members still exchange
+// their records.
 func TestConnectionsAreBounded(t *testing.T) {
 	open := func(join string) *Group {
 		t.Helper()
 		address := freeAddress(t)
-		c := Config{
+		config := Config{
 			Settings: *Table.Default(), Name: "n" + address, Application: "a", ExpectedMembers: 2, OnShare: func(peers.Share) {},
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}
-		c.Listen = address
-		c.Join = join
-		c.ProbeInterval = 100 * time.Millisecond
-		c.SettleAfter = 200 * time.Millisecond
-		g, err := Open(c)
+		config.Listen = address
+		config.Join = join
+		config.ProbeInterval = 100 * time.Millisecond
+		config.SettleAfter = 200 * time.Millisecond
+		g, err := Open(config)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,12 +45,12 @@
 		}
 		defer closeConn(t, last)
 	}
-	// Connections beyond the bound are closed: at least the last one, since the earlier ones use the room.
+	// Connections above the bound are closed: at least the last one, since the earlier ones use all slots.
 	if err := last.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := last.Read(make([]byte, 1)); err == nil {
-		t.Error("a stranger was sent something")
+		t.Error("read data from a connection above the bound; want it to be closed")
 	}
 	second := open(first.config.Listen)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -57,12 +58,12 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("a member never got in")
+			t.Fatal("a second member did not join within 30 s while other programs held the connections")
 		}
 	}
 }
 
-// freeAddress returns an address on loopback that nothing listens on.
+// freeAddress returns an address on loopback that no process listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -75,7 +76,7 @@
 	return l.Addr().String()
 }
 
-// closeConn closes a connection that may be closed already.
+// closeConn closes a connection, which may be closed already.
 func closeConn(t *testing.T, c net.Conn) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Of concurrent connections maxInboundStreams are passed on and the others closed; each that ends makes room for another.
+// Of several concurrent connections, maxInboundStreams are handed over and the others are closed. The end of one frees a slot for another.
 func TestStreamsAreBounded(t *testing.T) {
 	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{"127.0.0.1"},
@@ -108,7 +109,7 @@
 		}
 		t.Cleanup(func() { closeConn(t, c) })
 		go func() {
-			_, _ = c.Read(make([]byte, 1)) // until the other end closes
+			_, _ = c.Read(make([]byte, 1)) // returns when the other end closes
 			closed <- struct{}{}
 		}()
 	}
@@ -125,13 +126,13 @@
 	}
 	select {
 	case <-bounded.StreamCh():
-		t.Error("one beyond the bound was passed on")
+		t.Error("a connection above the bound was handed over")
 	case <-closed:
-		t.Error("one within it was closed")
+		t.Error("a connection within the bound was closed")
 	default:
 	}
 	closeConn(t, accepted[0])
-	closeConn(t, accepted[0]) // memberlist may close twice, which makes room for one connection
+	closeConn(t, accepted[0]) // memberlist may close a connection twice, which must free only one slot
 	<-closed
 	dial()
 	<-bounded.StreamCh()
--- a/internal/network/gossip/wire_test.go
+++ b/internal/network/gossip/wire_test.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// An envelope within the bounds is decoded as it was encoded.
+// Decoding an encoded envelope that is within the bounds returns an equal envelope.
 func TestEnvelopeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 30, maxTextBytes)
@@ -32,12 +32,12 @@
 		}
 		got, err := decode(e.encode())
 		if err != nil || !reflect.DeepEqual(*got, e) {
-			t.Fatalf("%+v came back as %+v, %v", e, got, err)
+			t.Fatalf("encoded %+v, decoded %+v, error %v", e, got, err)
 		}
 	})
 }
 
-// A message that is beyond the bounds, truncated or of another kind is rejected; unknown fields are skipped.
+// A message that exceeds a bound, is truncated or is not an envelope is rejected; unknown fields are skipped.
 func TestMalformedEnvelopes(t *testing.T) {
 	good := envelope{application: "a", records: []peers.Record{{Process: 1, Name: "n", State: peers.Serving}}}
 	for name, b := range map[string][]byte{
@@ -53,15 +53,16 @@
 		"a group's start": protowire.AppendTag(nil, 9, protowire.StartGroupType),
 	} {
 		if e, err := decode(b); err == nil {
-			t.Errorf("%s was taken: %+v", name, e)
+			t.Errorf("%s: decode returned %+v, want an error", name, e)
 		}
 	}
 	later := protowire.AppendVarint(protowire.AppendTag(good.encode(), 15, protowire.VarintType), 7)
 	if e, err := decode(later); err != nil || len(e.records) != 1 {
-		t.Errorf("a later version's field: %+v, %v", e, err)
+		t.Errorf("decode with an unknown field returned %+v, %v; want one record and no error", e, err)
 	}
 }
 
+// Whatever the input is, an envelope of the current format that decode returns is decoded equally after it has been encoded again.
 func FuzzDecode(f *testing.F) {
 	e := envelope{
 		application: "a", witness: "w", query: 3, report: []byte("{}"),
@@ -76,7 +77,7 @@
 		}
 		again, err := decode(e.encode())
 		if e.format == format && (err != nil || !reflect.DeepEqual(e.records, again.records)) {
-			t.Errorf("%+v came back as %+v, %v", e, again, err)
+			t.Errorf("decoded %+v, after encoding it again %+v, error %v", e, again, err)
 		}
 	})
 }
