--- a/internal/network/admin/client.go
+++ b/internal/network/admin/client.go
@@ -52,7 +52,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		message, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes)) // on an error, the part that was received
+		message, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes)) // after a read error, message is the part that was received
 		return fmt.Errorf("%s answered %s: %s", address, res.Status, strings.TrimSpace(string(message)))
 	}
 	return json.NewDecoder(io.LimitReader(res.Body, maxResponseBytes)).Decode(result)
--- a/internal/network/gossip/delegate.go
+++ b/internal/network/gossip/delegate.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// NotifyAlive returns an error, which rejects the node, if it belongs to another application or MaxMembers nodes are known already.
+// NotifyAlive returns an error, so that memberlist ignores an alive message, if its node belongs to another application or MaxMembers nodes
+// are known already, whether or not the node is one of them.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	_, rejection := d.group.decodeAndCheck(n.Meta)
 	if rejection == "" && int(d.group.nodes.Load()) >= d.group.config.MaxMembers {
--- a/internal/network/gossip/figures_test.go
+++ b/internal/network/gossip/figures_test.go
@@ -150,7 +150,7 @@
 	const length = 10 * time.Minute
 	time.Sleep(length)
 	goneChanges, shareChanges := 0, 0
-	verdicts := map[string]bool{} // one entry for each declaration that a member is gone, however many members receive it
+	verdicts := map[string]bool{} // declarations that a member is gone, each counted once however many members receive it
 	for _, l := range logged.drain() {
 		if strings.Contains(l, "msg=peer ") && strings.Contains(l, "to=gone") {
 			goneChanges++
--- a/internal/network/gossip/network_test.go
+++ b/internal/network/gossip/network_test.go
@@ -151,7 +151,8 @@
 	return now, nil
 }
 
-// deliver delivers a packet after a random delay, or drops it if the receiver's queue is full then. The caller holds n.mu.
+// deliver delivers a packet after a random delay. It drops the packet if the receiver has been removed or its queue is full by then. The
+// caller holds n.mu.
 func (n *network) deliver(from, to string, packet []byte) {
 	time.AfterFunc(n.pauseDelay(from, to)+time.Duration(n.rng.Float64()*float64(n.maxDelay)), func() {
 		n.mu.Lock()
--- a/internal/network/gossip/query.go
+++ b/internal/network/gossip/query.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// answer sends this member's view to a node that asked for it.
+// answer sends the report of this member to the node that queried it, with the token of the query.
 func (g *Group) answer(node string, token uint64) {
 	report, err := json.Marshal(g.Report())
 	if err != nil {
--- a/internal/network/gossip/schedule_test.go
+++ b/internal/network/gossip/schedule_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// partitionSome separates some members from the others.
+// partitionSome separates a random set of members from the others.
 func (s *schedule) partitionSome() {
 	k := 1 + s.rng.IntN(s.memberCount-1)
 	s.rng.Shuffle(s.memberCount, func(i, j int) { s.shuffled[i], s.shuffled[j] = s.shuffled[j], s.shuffled[i] })
--- a/internal/network/gossip/transport_test.go
+++ b/internal/network/gossip/transport_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Of several concurrent connections, maxInboundStreams are handed over and the others are closed. The end of one frees a slot for another.
+// At most maxInboundStreams concurrent connections are handed over and the others are closed. The end of one frees a slot for another.
 func TestStreamsAreBounded(t *testing.T) {
 	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{"127.0.0.1"},
