--- a/internal/network/consul/client_test.go
+++ b/internal/network/consul/client_test.go
@@ -17,7 +17,7 @@
 	"quincegap/internal/modules/endpointsource"
 )
 
-// The settings become parameters of the queries, by the names of Consul's API.
+// The settings are sent as parameters of the queries, under the names in Consul's API.
 func TestQueryParameters(t *testing.T) {
 	asked := make(chan *http.Request, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +48,7 @@
 		for len(asked) > 0 {
 			<-asked
 		}
-		watcher := watch(t, func(s *Settings) {
+		watcher := startWatcher(t, func(s *Settings) {
 			s.Agents = server.Listener.Addr().String()
 			s.Tag = "v2"
 			s.Datacenter = "east"
@@ -60,12 +60,13 @@
 		first, second := <-asked, <-asked
 		query, _ := url.QueryUnescape(first.URL.RawQuery)
 		if first.URL.Path != "/v1/health/service/x" || query != test.want || first.Header.Get("X-Consul-Token") != "s3cret" {
-			t.Errorf("asked %s?%s, want %s; token %q", first.URL.Path, query, test.want, first.Header.Get("X-Consul-Token"))
+			t.Errorf("the first query is %s?%s, want parameters %s; token %q, want s3cret",
+				first.URL.Path, query, test.want, first.Header.Get("X-Consul-Token"))
 		}
 		q := second.URL.Query()
 		wait, err := time.ParseDuration(q.Get("wait"))
 		if q.Get("index") != "7" || err != nil || wait <= 800*time.Millisecond || wait > time.Second {
-			t.Errorf("then asked %s", second.URL.RawQuery)
+			t.Errorf("the parameters of the second query are %s, want index=7 and a wait of 0.8 to 1 s", second.URL.RawQuery)
 		}
 		watcher.stop()
 	}
@@ -73,10 +74,10 @@
 
 // The token is read again before each query, from the file and not from the environment, and is never logged.
 func TestTokenIsReadAgain(t *testing.T) {
-	agent := serve(t, "a")
+	agent := startAgent(t, "a")
 	agent.SetToken("one")
 	file := filepath.Join(t.TempDir(), "token")
-	put := func(token string) {
+	writeToken := func(token string) {
 		t.Helper()
 		if err := os.WriteFile(file+".new", []byte(token+"\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -85,71 +86,71 @@
 			t.Fatal(err)
 		}
 	}
-	put("one")
+	writeToken("one")
 	t.Setenv("CONSUL_HTTP_TOKEN", "of the environment")
 	var logged lockedText
 	log.SetOutput(&logged)
 	defer log.SetOutput(os.Stderr)
-	watcher := watch(t, func(s *Settings) { s.TokenFile = file }, agent)
-	watcher.knows("a")
+	watcher := startWatcher(t, func(s *Settings) { s.TokenFile = file }, agent)
+	watcher.awaitReady("a")
 	agent.SetToken("two") // revoked
 	agent.SetStatus("a", "critical")
-	put("two")
-	watcher.knows()
+	writeToken("two")
+	watcher.awaitReady()
 	watcher.stop()
 	if strings.Contains(logged.String(), "one") || strings.Contains(logged.String(), "two") || !strings.Contains(logged.String(), "answers") {
-		t.Errorf("logged: %s", logged.String())
+		t.Errorf("the log is %q, want a line about the answer and no token", logged.String())
 	}
 }
 
 func TestTLS(t *testing.T) {
-	agent := serve(t, "a")
-	front := httptest.NewTLSServer(agent)
-	defer front.Close()
+	agent := startAgent(t, "a")
+	tlsServer := httptest.NewTLSServer(agent)
+	defer tlsServer.Close()
 	ca := filepath.Join(t.TempDir(), "ca.pem")
-	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: front.Certificate().Raw})
+	text := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: tlsServer.Certificate().Raw})
 	if err := os.WriteFile(ca, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	over := func(name string) func(s *Settings) {
+	configureTLS := func(name string) func(s *Settings) {
 		return func(s *Settings) {
 			s.TLS = true
 			s.CAFile = ca
 			s.ServerName = name
-			s.Agents = front.Listener.Addr().String()
+			s.Agents = tlsServer.Listener.Addr().String()
 		}
 	}
-	watcher := watch(t, over("example.com"), agent)
-	watcher.knows("a")
+	watcher := startWatcher(t, configureTLS("example.com"), agent)
+	watcher.awaitReady("a")
 	watcher.stop()
 	var logged lockedText
 	log.SetOutput(&logged)
 	defer log.SetOutput(os.Stderr)
-	wrong := watch(t, over("another.example"), serve(t, "a"))
-	wrong.until("a refusal", func() bool {
+	mismatched := startWatcher(t, configureTLS("another.example"), startAgent(t, "a"))
+	mismatched.waitFor("the rejection of the server's certificate", func() bool {
 		return strings.Contains(logged.String(), "certificate is valid for example.com")
 	})
-	wrong.stop()
-	if len(wrong.answers) > 0 {
-		t.Error("it believed a server by another name")
+	mismatched.stop()
+	if len(mismatched.answers) > 0 {
+		t.Error("the watcher accepted an answer of a server with another name in its certificate")
 	}
 	s := *Table.Default()
 	s.Agents = "127.0.0.1:1"
 	s.TLS = true
 	s.CAFile = filepath.Join(t.TempDir(), "none")
 	if _, err := New(s, endpointsource.ModeConsul, samePath); err == nil {
-		t.Error("a missing CA passes")
+		t.Error("New with a missing CA file did not fail")
 	}
 }
 
-// Agents that refuse connections or speak no HTTP are skipped.
-func TestNoAgent(t *testing.T) {
+// Agents that refuse connections or do not speak HTTP are skipped.
+func TestUnusableAgents(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var junk sync.WaitGroup
-	junk.Go(func() {
+	var acceptLoop sync.WaitGroup
+	acceptLoop.Go(func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
@@ -163,11 +164,11 @@
 		if err := listener.Close(); err != nil {
 			t.Error(err)
 		}
-		junk.Wait()
+		acceptLoop.Wait()
 	}()
-	agent := serve(t, "a")
-	watcher := watch(t, func(s *Settings) {
+	agent := startAgent(t, "a")
+	watcher := startWatcher(t, func(s *Settings) {
 		s.Agents = "127.0.0.1:1," + listener.Addr().String() + "," + agent.Address()
 	}, agent)
-	watcher.knows("a")
+	watcher.awaitReady("a")
 }
--- a/internal/network/gossip/golden_log_test.go
+++ b/internal/network/gossip/golden_log_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/modules/peers"
 )
 
-// The log lines that people and tools match on, and the reasons under which a report counts rejections.
+// The log lines that operators and tools match, and the reasons under which a report counts rejections, do not change.
 func TestGoldenLogLines(t *testing.T) {
 	var log strings.Builder
 	noTime := func(_ []string, a slog.Attr) slog.Attr {
@@ -20,11 +20,11 @@
 		}
 		return a
 	}
-	c := Config{
+	config := Config{
 		Settings: *Table.Default(), Name: "front-0", Application: "booking-front", Version: "1.4.2",
 		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: noTime})),
 	}
-	group := newGroup(c)
+	group := newGroup(config)
 	group.logChanges([]peers.Change{
 		{At: time.Second, Name: "front-1", Process: 2, To: peers.Serving, Witness: "front-2", Cause: "heard of"},
 		{At: time.Second, Name: "front-1", Process: 2, From: peers.Serving, To: peers.Gone, Witness: "front-0", Cause: "not reached"},
@@ -36,16 +36,16 @@
 		"[WARN] memberlist: refuting a suspect message\n",
 	} {
 		if n, err := group.libraryLog.Write([]byte(line)); n != len(line) || err != nil {
-			t.Errorf("%q: %d, %v", line, n, err)
+			t.Errorf("Write(%q) returned %d, %v; want %d and no error", line, n, err, len(line))
 		}
 	}
 	for _, e := range []envelope{{application: "slot-keeper"}, {application: "booking-front"}} {
-		_, reason := group.decodeOwn(e.encode())
+		_, reason := group.decodeAndCheck(e.encode())
 		fmt.Fprintf(&log, "%q\n", reason)
 	}
-	_, reason := group.decodeOwn([]byte("x"))
+	_, reason := group.decodeAndCheck([]byte("x"))
 	fmt.Fprintf(&log, "%q\n", reason)
-	_, reason = group.decodeOwn([]byte{0x08, 0x02})
+	_, reason = group.decodeAndCheck([]byte{0x08, 0x02})
 	fmt.Fprintf(&log, "%q\n%v\n%s\n", reason, group.rejections.counts, errMalformed)
 	golden.Text(t, "log.txt", []byte(log.String()))
 }
