--- a/internal/config/appfile/attempts.go
+++ b/internal/config/appfile/attempts.go
@@ -6,14 +6,14 @@
 	"quincegap/internal/config/schema"
 )
 
-// Attempts has the limits of attempts of a call, and what is allowed for them.
+// Attempts limits the attempts of a call, and says which techniques they may use.
 type Attempts struct {
-	Max            int // attempts of one call, the first included
+	Max            int // the most attempts of one call, including the first
 	ConnectTimeout time.Duration
-	Cancel         bool          // attempts may be cancelled by closing their connection
-	HealthChecks   bool          // endpoints may be sent GET /health
-	HedgedRequests bool          // two attempts of one call may be in flight at once
-	MaxRetryAfter  time.Duration // the longest Retry-After of a rejection; 0 for none
+	Cancel         bool          // whether an attempt may be cancelled by closing its connection
+	HealthChecks   bool          // whether endpoints may be sent GET /health
+	HedgedRequests bool          // whether two attempts of one call may be in flight at once
+	MaxRetryAfter  time.Duration // the longest Retry-After in a rejection; 0 if rejections have none
 }
 
 // AttemptsTable is [attempts].
@@ -35,12 +35,12 @@
 		"The longest Retry-After of a refusal; 0s for none."),
 )
 
-// SlowStart describes the capacity of endpoints after their start.
+// SlowStart describes how the capacity of an endpoint grows after its start.
 type SlowStart struct {
-	MinShare         float64       // the share of the capacity at the start
+	MinShare         float64       // the share of its capacity that an endpoint has at its start
 	Window           time.Duration // the time until an endpoint has its full capacity
-	OverloadMultiple float64       // the load, as a multiple of the present capacity, at which an endpoint fails
-	OverloadDuration time.Duration // the time for which it has to last
+	OverloadMultiple float64       // the load at which an endpoint fails, as a multiple of its current capacity
+	OverloadDuration time.Duration // how long that load has to last until the endpoint fails
 }
 
 // SlowStartTable is [warmup].
--- a/internal/config/appfile/calls.go
+++ b/internal/config/appfile/calls.go
@@ -10,10 +10,10 @@
 type Call struct {
 	To          string        // the application that is called
 	Class       string        // the class of this application that makes the call
-	AsClass     string        // the class of the called application; empty for the same name
-	PerRequest  int           // calls that one request makes, one after another
-	Timeout     time.Duration // of one call
-	MutualDepth int           // how often an application may occur in a chain of calls; 0 for a call that is not part of a ring
+	AsClass     string        // the class that the called application serves it as; empty if it has the same name as Class
+	PerRequest  int           // the number of sequential calls that one request makes
+	Timeout     time.Duration // how long the caller waits for one call
+	MutualDepth int           // how often an application may occur in a chain of calls; 0 for a call that is not part of a cycle
 }
 
 // CallsTable is [calls.NAME].
--- a/internal/config/appfile/class.go
+++ b/internal/config/appfile/class.go
@@ -11,21 +11,21 @@
 // Class is a class of request that the application serves.
 type Class struct {
 	LatencyTarget   time.Duration        // a response within this time has the full value
-	Deadline        time.Duration        // of the client, over all its attempts
-	Value           float64              // of a response within the latency target, relative to other classes
-	LateValueShare  float64              // the share of the value that a later response has
+	Deadline        time.Duration        // how long a client waits, over all its attempts
+	Value           float64              // the value of a response within the latency target, relative to other classes
+	LateValueShare  float64              // the share of Value that a later response has
 	Idempotency     balancer.Idempotency // whether a call may be executed more than once
-	KeyScope        balancer.KeyScope    // the endpoints that drop repeats of a key; empty if the class has no keys
-	KeyWindow       time.Duration        // how long they drop repeats, from the first attempt
-	OnMemoryFailure MemoryFailurePolicy  // for calls that are not idempotent
+	KeyScope        balancer.KeyScope    // the endpoints that deduplicate requests by idempotency key; empty if the class has no keys
+	KeyWindow       time.Duration        // how long they deduplicate them, counted from the first attempt
+	OnMemoryFailure MemoryFailurePolicy  // the policy if an attempt of a call that is not idempotent cannot be recorded on disk
 }
 
-// MemoryFailurePolicy decides what happens to requests of a class that cannot be recorded on disk.
+// MemoryFailurePolicy decides what happens to requests of a class whose attempts cannot be recorded in memory.memory_dir.
 type MemoryFailurePolicy string
 
-// The policies.
+// The values of MemoryFailurePolicy.
 const (
-	ContinueWithoutMemory MemoryFailurePolicy = "go-on"  // serve them, with a warning
+	ContinueWithoutMemory MemoryFailurePolicy = "go-on"  // serve them and log a warning
 	RejectWithoutMemory   MemoryFailurePolicy = "refuse" // reject them until the disk works again
 )
 
@@ -58,7 +58,7 @@
 			"go-on: its attempts go out all the same, and the log says so; refuse: it is refused until the disk is well."),
 ).RequireOne().CheckNames(nameFault).Check(checkClass)
 
-// checkClass checks the keys of one class against one another.
+// checkClass reports keys of one class that contradict one another.
 func checkClass(f *schema.File, name string, class *Class, report schema.Reporter) {
 	isSet := func(key string) bool { return f.Setting("class", name, key) != nil }
 	keyed := class.Idempotency == balancer.IdempotentWithKey
@@ -79,9 +79,9 @@
 	}
 }
 
-// Tenant is one of several customers that share the application.
+// Tenant is a customer that shares the application with others.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second within its share, over all sidecars
+	QuotaPerSecond float64 // the tenant's quota in requests per second, over all sidecars
 }
 
 // TenantTable is [tenant.NAME].
@@ -92,7 +92,7 @@
 		"Requests a second within its share, over all sidecars; what goes beyond is worth little."),
 ).CheckNames(nameFault)
 
-// unknownClass returns the message on a class that a file does not declare.
+// unknownClass returns the message for a class that a file does not declare.
 func unknownClass(f *schema.File, class string) string {
 	var names []string
 	for _, c := range ClassTable.All(f) {
--- a/internal/config/appfile/discovery.go
+++ b/internal/config/appfile/discovery.go
@@ -6,21 +6,21 @@
 	"quincegap/internal/config/schema"
 )
 
-// Mode is how a sidecar gets changes of the list of endpoints.
+// Mode says whether changes of the list of endpoints are pushed to the sidecar or polled by it.
 type Mode string
 
 // The modes of discovery.
 const (
-	ModePush Mode = "push" // discovery sends them
-	ModePoll Mode = "ask"  // the sidecar polls
+	ModePush Mode = "push" // discovery sends changes to the sidecar
+	ModePoll Mode = "ask"  // the sidecar polls discovery
 )
 
-// Discovery has the source of the list of endpoints.
+// Discovery describes the service that provides the list of endpoints.
 type Discovery struct {
 	Address      string // host:port
 	Mode         Mode
-	PollInterval time.Duration // with ModePoll
-	TokenFile    string        // the path of a file with a bearer token; may be empty
+	PollInterval time.Duration // the interval between polls with ModePoll
+	TokenFile    string        // the path of a file with a bearer token; empty sends none
 }
 
 // DiscoveryTable is [discovery].
@@ -37,6 +37,6 @@
 		schema.Token, "/etc/quincegap/discovery.token", schema.OnReload,
 		"A file with a token that goes to discovery as Authorization: Bearer (RFC 6750); it is read again on SIGHUP."),
 ).OptionalWhen("address", func(f *schema.File) bool {
-	s := f.Setting("membership", "source") // with Consul as the only source there is no discovery
+	s := f.Setting("membership", "source") // discovery is not used if Consul is the only source
 	return s != nil && s.Unquoted() == "consul"
 })
--- a/internal/config/appfile/faults.go
+++ b/internal/config/appfile/faults.go
@@ -10,7 +10,7 @@
 	maxSeedDigits     = 16
 )
 
-// HostNameFault returns why a text is no host name (RFC 1123, section 2.1), or "".
+// HostNameFault returns why a text is not a host name in lower case (RFC 1123, section 2.1), or "" if it is one.
 func HostNameFault(s string) string {
 	if len(s) > maxHostNameBytes {
 		return "is longer than the 253 characters of a host name"
@@ -24,7 +24,7 @@
 	return ""
 }
 
-// nameFault returns why a text is no name of a class, call or host, or "".
+// nameFault returns why a text is not a valid name of a class, call, host, instance or tenant, or "" if it is one.
 func nameFault(s string) string {
 	if len(s) > maxNameBytes || strings.Trim(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_.-") != "" || s == "" {
 		return "is no name of up to 128 letters, digits, dots, - and _"
@@ -32,7 +32,7 @@
 	return ""
 }
 
-// seedFault returns why a text is no seed, or "".
+// seedFault returns why a text is not a seed for random numbers, or "" if it is one.
 func seedFault(s string) string {
 	if len(s) > maxSeedDigits || strings.Trim(s, "0123456789abcdefABCDEF") != "" {
 		return "is no hexadecimal number of up to 16 digits"
--- a/internal/config/appfile/limits.go
+++ b/internal/config/appfile/limits.go
@@ -4,17 +4,17 @@
 	"quincegap/internal/config/schema"
 )
 
-// Limits bounds what a sidecar may use of its machine.
+// Limits bounds the resources of its machine that a sidecar may use.
 type Limits struct {
-	Cores   float64 // may be a fraction
-	Memory  int64   // bytes
-	Sockets int     // file descriptors
+	Cores   float64 // the processor cores, possibly a fraction
+	Memory  int64   // the memory in bytes
+	Sockets int     // the number of file descriptors
 }
 
-// MinSockets is the least number of file descriptors: some more than the reserved ones, for connections.
+// MinSockets is the minimum of limits.sockets. It exceeds the 32 reserved file descriptors so that some are left for connections.
 const MinSockets = 64
 
-// bytesPerSocket is the memory of a connection, with its buffers and its goroutine, in bytes.
+// bytesPerSocket is the memory that a connection takes with its buffers and its goroutine, in bytes.
 const bytesPerSocket = 16 << 10
 
 // LimitsTable is [limits].
--- a/internal/config/appfile/lists.go
+++ b/internal/config/appfile/lists.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// SplitList returns the parts of a value that commas separate, without the white space around them. Empty parts are omitted.
+// SplitList splits a value at commas, trims white space around the parts and omits empty ones.
 func SplitList(text string) (all []string) {
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
@@ -16,7 +16,8 @@
 	return all
 }
 
-// AddressListFault returns a function that returns why a text is no list of one to maxAddresses host:port, or "".
+// AddressListFault returns a check of a comma-separated list of one to maxAddresses addresses in the form host:port. The check returns what
+// is wrong with a text, or "".
 func AddressListFault(maxAddresses int) func(text string) string {
 	return func(text string) string {
 		all := SplitList(text)
@@ -32,7 +33,7 @@
 	}
 }
 
-// ServiceNameFault returns why a text is no name of a service in Consul, or "".
+// ServiceNameFault returns why a text cannot be the name of a service in Consul, or "" if it can.
 func ServiceNameFault(text string) string {
 	if strings.ContainsAny(text, "/?#% \"`\\") || len(text) > maxNameBytes {
 		return "is no name of a service"
--- a/internal/config/appfile/sidecar.go
+++ b/internal/config/appfile/sidecar.go
@@ -4,15 +4,15 @@
 	"quincegap/internal/config/schema"
 )
 
-// Sidecar identifies a sidecar.
+// Sidecar identifies a sidecar, and says where it listens.
 type Sidecar struct {
-	Application string // a host name
-	Instance    string // empty for the application's name
-	Listen      string // host:port
-	Host        string // the machine, by its name in apps.toml; may be empty
-	Instances   int    // sidecars of the application
-	Ordinal     int    // its number among them, from 0
-	Seed        string // of random numbers, hexadecimal, up to 64 bits; empty for a new one at each start
+	Application string // the application's host name
+	Instance    string // the name of this sidecar; empty for the application's name
+	Listen      string // the address for callers, host:port
+	Host        string // the name of its machine in apps.toml; may be empty
+	Instances   int    // the number of sidecars of the application
+	Ordinal     int    // the number of this sidecar among them, counted from 0
+	Seed        string // the seed of random numbers, hexadecimal, up to 64 bits; empty for a new one at each start
 }
 
 // SidecarTable is [sidecar].
--- a/internal/config/apps/address_graph.go
+++ b/internal/config/apps/address_graph.go
@@ -1,21 +1,21 @@
 package apps
 
-// addressOwner is an address that the file of an application names, to listen on or to dial.
+// addressOwner is an address with the application whose file names it, to listen on or to dial.
 type addressOwner struct {
 	addressUse
 	node *node
 }
 
-// addressPlace identifies what two addresses have in common that may be the same: a port of a host of apps.toml, or of an IP address.
+// addressPlace is an index key that two addresses share if they may be the same: a port on a host of apps.toml, or on an IP address.
 type addressPlace struct{ host, ip, network, port string }
 
-// addressIndex holds addresses by place. Those that are only dialled are kept apart, since thousands of sidecars may dial one.
+// addressIndex has addresses by place. Dialled addresses are stored separately, since thousands of sidecars may dial the same one.
 type addressIndex struct {
 	listeners, dialers map[addressPlace][]addressOwner
 }
 
-// placesOf returns the places at which an address can be the same as another: its machine and, unless it is local to the machine, the
-// address itself.
+// placesOf returns the places under which an address is indexed: its port on its machine and, unless it is local to the machine, its port
+// on its IP address.
 func placesOf(n *node, u addressUse) []addressPlace {
 	all := []addressPlace{{host: n.sidecar.Host, network: u.network, port: u.port}}
 	if !u.local {
@@ -24,10 +24,11 @@
 	return all
 }
 
-// conflict returns the first address with which an address of an application conflicts, and the reason; "" if there is none.
+// conflict returns the first indexed address with which an address of an application conflicts, and the reason, which is "" if there is
+// no conflict.
 func (a *addressIndex) conflict(n *node, u addressUse) (other addressOwner, why string) {
 	for _, place := range placesOf(n, u) {
-		// Two sidecars may dial one address.
+		// Two sidecars may dial the same address, so that dialled addresses are not compared with one another.
 		candidates := [][]addressOwner{a.listeners[place]}
 		if !u.key.dials {
 			candidates = append(candidates, a.dialers[place])
@@ -43,7 +44,7 @@
 	return addressOwner{}, ""
 }
 
-// add adds an address of an application.
+// add adds an address of an application to the index.
 func (a *addressIndex) add(n *node, u addressUse) {
 	index := a.listeners
 	if u.key.dials {
@@ -54,8 +55,8 @@
 	}
 }
 
-// checkAddresses reports addresses on which two applications would listen, and those that one application dials and another one listens
-// on for its callers. Conflicts within one file are reported by CheckAddresses.
+// checkAddresses reports addresses on which two applications would listen, and addresses that one application dials while another listens
+// on them for its callers. CheckAddresses reports conflicts within one file.
 func (g *graph) checkAddresses() {
 	index := addressIndex{listeners: map[addressPlace][]addressOwner{}, dialers: map[addressPlace][]addressOwner{}}
 	for _, n := range g.nodes {
--- a/internal/config/apps/addresses.go
+++ b/internal/config/apps/addresses.go
@@ -9,26 +9,26 @@
 	"quincegap/internal/config/schema"
 )
 
-// addressUse is one address that a file names, on which a sidecar listens or which it dials.
+// addressUse is an address on which a sidecar listens or which it dials, as its file names it.
 type addressUse struct {
 	key     addressKey
 	text    string
-	network string // tcp, udp or unix
-	host    string // "*" for all of a machine; a path with unix
+	network string // "tcp", "udp" or "unix"
+	host    string // the normalized host; "*" for all addresses of the machine; the path of a unix socket
 	port    string
-	local   bool // it is an address of the machine itself, such as a loopback address or a socket's path
+	local   bool // whether it is reachable only on its machine, such as a loopback address or the path of a socket; also set for "*"
 }
 
 // addressKey is a key of a sidecar's file that holds addresses.
 type addressKey struct {
 	table, name string
 	network     string
-	dials       bool   // the sidecar connects to the address; otherwise it listens there
-	list        bool   // the key holds several addresses, separated by commas
-	purpose     string // what a sidecar does there, in messages
+	dials       bool   // whether the sidecar connects to the address; otherwise it listens on it
+	list        bool   // whether the value is a comma-separated list of addresses
+	purpose     string // what the sidecar uses the address for, as a phrase for messages
 }
 
-// addressKeys are all keys that hold addresses of processes.
+// addressKeys has all keys whose values are addresses of processes.
 var addressKeys = []addressKey{
 	{table: "sidecar", name: "listen", network: "tcp", purpose: "takes callers"},
 	{table: "http3", name: "http3_listen", network: "udp", purpose: "takes callers over HTTP/3"},
@@ -40,7 +40,8 @@
 	{table: "consul", name: "agents", network: "tcp", dials: true, list: true, purpose: "asks Consul"},
 }
 
-// addressesOf returns the addresses of a file that can be compared: not those with port 0, which stands for any free port.
+// addressesOf returns the addresses of a file. It omits those that cannot be compared, such as those with port 0, which selects a free
+// port.
 func addressesOf(f *schema.File) (all []addressUse) {
 	for _, k := range addressKeys {
 		s := f.Setting(k.table, k.name)
@@ -60,7 +61,7 @@
 	return all
 }
 
-// newAddressUse normalizes an address; it is false for one that cannot be compared.
+// newAddressUse normalizes an address. It returns false if the address cannot be compared: it is invalid or has port 0.
 func newAddressUse(k addressKey, text string) (addressUse, bool) {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		return addressUse{key: k, text: text, network: "unix", host: path, local: true}, true
@@ -74,18 +75,18 @@
 	switch {
 	case host == "" || parsed != nil && parsed.IsUnspecified():
 		if use.host = "*"; k.dials {
-			use.host = "127.0.0.1" // the unspecified address, dialled, is the machine itself
+			use.host = "127.0.0.1" // dialling the unspecified address connects to the machine itself
 		}
 	case use.host == "localhost":
 		use.host = "127.0.0.1"
 	case parsed != nil:
-		use.host = parsed.String() // ::ffff:127.0.0.1 is 127.0.0.1
+		use.host = parsed.String() // normalizes notations: ::ffff:127.0.0.1 is 127.0.0.1
 	}
 	use.local = use.host == "*" || use.host == "::1" || strings.HasPrefix(use.host, "127.") && net.ParseIP(use.host) != nil
 	return use, true
 }
 
-// overlaps reports whether two addresses are the same if both are used on one machine.
+// overlaps reports whether two addresses have an address in common if both are used on the same machine.
 func (u addressUse) overlaps(other addressUse) bool {
 	if u.network != other.network || u.port != other.port {
 		return false
@@ -94,7 +95,7 @@
 		return true
 	}
 	switch {
-	case u.key.dials: // a listener on all addresses has this one, if that is local
+	case u.key.dials: // a listener on all addresses of the machine includes the dialled one if that is local
 		return other.host == "*" && u.local
 	case other.key.dials:
 		return u.host == "*" && other.local
@@ -102,8 +103,8 @@
 	return u.host == "*" || other.host == "*"
 }
 
-// conflict returns why two uses of one address exclude each other, or "" if they do not: two may dial the same address. whose names the
-// sidecar of the second use.
+// conflict returns why two uses of the same address exclude each other, or "" if both dial it, which is no conflict. The reason names the
+// sidecar of the second use as whose.
 func conflict(u, o addressUse, whose string) string {
 	switch {
 	case u.key.dials && o.key.dials:
@@ -114,8 +115,8 @@
 	return fmt.Sprintf("is taken by %s, which listens on %s", whose, o.text)
 }
 
-// CheckAddresses reports addresses that the file of one application uses twice: for two listeners, or for a listener and for discovery or
-// Consul.
+// CheckAddresses reports addresses that the file of one application uses twice: for two listeners, or for a listener and a peer that it
+// dials, such as discovery or Consul.
 func CheckAddresses(f *schema.File, found *finding.List) {
 	all := addressesOf(f)
 	for i, u := range all {
--- a/internal/config/apps/adopt.go
+++ b/internal/config/apps/adopt.go
@@ -7,7 +7,8 @@
 	"quincegap/internal/config/finding"
 )
 
-// Adopt applies the edits of derived files to apps.toml and returns its new text, which must not be used if there are findings.
+// Adopt applies the edits of derived files to apps.toml and returns its new text. It adds a finding for each edit that cannot be adopted;
+// the text must not be used if there are findings.
 func (m *Model) Adopt(states []*FileState, found *finding.List) []byte {
 	d := m.Doc
 	for _, state := range states {
@@ -20,15 +21,15 @@
 	return d.Text
 }
 
-// inherited returns the value of an edited key under [defaults], or nil.
+// inherited returns the entry of an edited key under [defaults], or nil if there is none.
 func inherited(d *doc.Document, e Edit) *doc.Entry {
 	return d.Root.Lookup(append([]string{layerDefaults}, e.Path...)...)
 }
 
-// ownPath returns the path of an edited key under the application's own table.
+// ownPath returns the path of an edited key in the application's table of apps.toml.
 func ownPath(app *App, e Edit) []string { return append([]string{layerApps, app.Name}, e.Path...) }
 
-// isAdoptable reports whether an edit can be adopted. If not it adds a finding.
+// isAdoptable reports whether an edit can be adopted, and adds a finding if not.
 func (m *Model) isAdoptable(d *doc.Document, app *App, e Edit, found *finding.List) bool {
 	byDefault := inherited(d, e)
 	switch {
@@ -46,16 +47,17 @@
 	return false
 }
 
-// adopt returns apps.toml with one edit applied. A key that is set to the value of [defaults] is removed from the application's own table.
+// adopt returns apps.toml with one edit applied. If the edit sets a key to its value under [defaults], the key is removed from the
+// application's table.
 func adopt(d *doc.Document, app *App, e Edit) *doc.Document {
 	path := ownPath(app, e)
 	byDefault := inherited(d, e)
 	isDefault := byDefault != nil && byDefault.Value.Text == unquoted(e.Raw)
 	if e.Raw == "" || isDefault && d.Root.Lookup(path...) != nil {
-		return readAgain(d.Delete(path))
+		return parseTOML(d.Delete(path))
 	}
-	return readAgain(d.Set(path, e.Raw))
+	return parseTOML(d.Set(path, e.Raw))
 }
 
-// unquoted returns the text of a TOML value without the quotes of a string.
+// unquoted returns the source text of a TOML value without quotes around it.
 func unquoted(raw string) string { return strings.Trim(raw, `"'`) }
--- a/internal/config/apps/attempts.go
+++ b/internal/config/apps/attempts.go
@@ -9,59 +9,59 @@
 	"quincegap/internal/config/schema"
 )
 
-// maxPathNamed bounds the number of applications of a chain of calls that a finding names.
-const maxPathNamed = 8
+// maxAppsInPath bounds the number of applications that a finding names of a chain of calls.
+const maxAppsInPath = 8
 
-// classNode is a class of an application, at which a call arrives.
+// classNode is a class of an application, which may receive calls and make others.
 type classNode struct {
 	node  *node
 	class string
 }
 
-// worstCase is the most attempts that one request from outside can become at a class of an application.
+// worstCase is the largest number of attempts that one external request can cause at a class of an application.
 type worstCase struct {
-	attempts int        // at the application's endpoints
-	call     *edge      // the last call of the chain; nil if the request comes from outside
-	previous *worstCase // the worst case of the class that makes that call
+	attempts int        // attempts at the application's endpoints
+	call     *edge      // the last call of the chain; nil if the class receives the external request itself
+	previous *worstCase // the worst case of the class that makes that call; nil without a call
 }
 
-// attemptSearch follows the attempts that multiply along chains of calls.
+// attemptSearch multiplies attempts along chains of calls, to find the worst case of each class.
 type attemptSearch struct {
 	*graph
-	maxAttempts int                      // the bound of the installation
-	frame       *schema.File             // sets the bound; may be nil
-	worst       map[classNode]*worstCase // of the chains that have been followed so far
-	calls       map[classNode][]*edge    // by the class that makes them
+	maxAttempts  int                      // the bound chain.most_attempts_in_chain
+	installation *schema.File             // the file that sets the bound; may be nil
+	worst        map[classNode]*worstCase // the worst cases over the chains that have been followed so far
+	calls        map[classNode][]*edge    // calls by the class that makes them
 }
 
-// checkAttempts reports chains of calls whose attempts multiply to more than the bound. Components are searched callers first. Within a
-// ring, mutual_depth bounds the length of a chain.
-func (g *graph) checkAttempts(chain *Chain, frame *schema.File) {
+// checkAttempts reports chains of calls whose attempts multiply to more than the bound. It processes callers before the components that
+// they call. Within a cycle, mutual_depth bounds the length of a chain.
+func (g *graph) checkAttempts(chain *Chain, installation *schema.File) {
 	search := attemptSearch{
-		graph:       g,
-		maxAttempts: chain.MaxAttempts,
-		frame:       frame,
-		worst:       map[classNode]*worstCase{},
-		calls:       map[classNode][]*edge{},
+		graph:        g,
+		maxAttempts:  chain.MaxAttempts,
+		installation: installation,
+		worst:        map[classNode]*worstCase{},
+		calls:        map[classNode][]*edge{},
 	}
 	for _, n := range g.nodes {
 		search.addNode(n)
 	}
 	for _, component := range g.components {
-		start := search.startFromOutside(component)
+		start := search.addExternalRequests(component)
 		passes, ok := passesThrough(component)
 		if !ok {
-			continue // reported by checkComponent: without a depth there is no worst case
+			continue // without a depth there is no worst case; checkComponent has reported it
 		}
 		search.followWithin(start, passes)
 		search.followOut(component)
 	}
 }
 
-// ownAttempts returns the most attempts that the sidecars of an application make for one call.
+// ownAttempts returns the maximum number of attempts that a sidecar of an application makes for one call.
 func ownAttempts(n *node) int { return appfile.AttemptsTable.In(n.File).Max }
 
-// addNode collects the calls of an application, and reports it if its own attempts exceed the bound.
+// addNode collects the calls of an application, and reports the application if its own attempts alone exceed the bound.
 func (s *attemptSearch) addNode(n *node) {
 	if own := ownAttempts(n); own > s.maxAttempts {
 		at := n.File.Location("attempts", "most_attempts")
@@ -73,8 +73,9 @@
 	}
 }
 
-// startFromOutside returns all classes of a component, with a worst case each: those that no call has reached are called from outside.
-func (s *attemptSearch) startFromOutside(component []*node) (start []classNode) {
+// addExternalRequests returns all classes of a component. A class without a worst case yet, which no call has reached, gets that of an
+// external request.
+func (s *attemptSearch) addExternalRequests(component []*node) (start []classNode) {
 	for _, n := range component {
 		for _, c := range appfile.ClassTable.All(n.File) {
 			at := classNode{n, c.Name}
@@ -87,8 +88,8 @@
 	return start
 }
 
-// passesThrough returns the most calls that a request may make one after another within a component; false for a ring in which a call does
-// not state its depth.
+// passesThrough returns the maximum length of a chain of calls within a component. It returns false for a cycle in which a call does not
+// set mutual_depth.
 func passesThrough(component []*node) (passes int, ok bool) {
 	if !component[0].cyclic {
 		return 1, true
@@ -100,14 +101,14 @@
 	return calls[0].call.MutualDepth*len(component) - 1, true
 }
 
-// followWithin follows calls that stay in a component. Each pass continues from the classes whose worst case the pass before has changed.
+// followWithin follows calls that stay in a component. Each pass continues from the classes whose worst case the previous pass has raised.
 func (s *attemptSearch) followWithin(start []classNode, passes int) {
 	type step struct {
 		call *edge
 		from *worstCase
 	}
 	for range passes {
-		var steps []step // collected before the first is followed, so that changes by this pass count from the next one on
+		var steps []step // collected before any is followed, so that changes of this pass take effect only in the next one
 		for _, at := range start {
 			for _, e := range s.calls[at] {
 				if e.staysInComponent() {
@@ -140,11 +141,11 @@
 	}
 }
 
-// follow follows a call from the class that makes it, and reports whether the worst case of the class that is called has become worse. A
-// chain that exceeds the bound is reported and not followed.
+// follow follows a call from the class that makes it, whose worst case is from. It returns the called class, and whether the worst case of
+// that has become worse. A chain that exceeds the bound is reported and not followed further.
 func (s *attemptSearch) follow(e *edge, from *worstCase) (to classNode, worse bool) {
 	to = classNode{e.to, e.targetClassName}
-	attempts := from.attempts * e.call.PerRequest * ownAttempts(e.to) // each below 1e5, so no overflow
+	attempts := from.attempts * e.call.PerRequest * ownAttempts(e.to) // each factor is at most 1e5, so the product does not overflow
 	if attempts > s.maxAttempts {
 		s.reportTooMany(e, from, attempts)
 		return to, false
@@ -165,7 +166,7 @@
 		path = append(path, call.from.Name)
 		factors = append(factors, describeFactor(c.call, call.from))
 		call = c.call
-		if call == nil || len(path) >= maxPathNamed {
+		if call == nil || len(path) >= maxAppsInPath {
 			break
 		}
 	}
@@ -175,7 +176,7 @@
 		attempts, strings.Join(factors, " x "), strings.Join(path, " -> "), s.describeBound())
 }
 
-// describeFactor describes the factor by which a call multiplies attempts at an application; the call is nil for a request from outside.
+// describeFactor describes the factor by which a call multiplies attempts at an application. The call is nil for an external request.
 func describeFactor(call *edge, n *node) string {
 	if call != nil && call.call.PerRequest > 1 {
 		return fmt.Sprintf("%d calls of %d", call.call.PerRequest, ownAttempts(n))
@@ -183,11 +184,11 @@
 	return fmt.Sprint(ownAttempts(n))
 }
 
-// describeBound names the bound on attempts, and the line that sets it.
+// describeBound returns the name and value of the bound on attempts, with the location that sets it.
 func (s *attemptSearch) describeBound() string {
 	text := fmt.Sprintf("chain.most_attempts_in_chain, %d", s.maxAttempts)
-	if s.frame != nil {
-		if setting := s.frame.Setting("chain", "most_attempts_in_chain"); setting != nil {
+	if s.installation != nil {
+		if setting := s.installation.Setting("chain", "most_attempts_in_chain"); setting != nil {
 			text += fmt.Sprintf(" (%s)", setting.Location)
 		}
 	}
--- a/internal/config/apps/check.go
+++ b/internal/config/apps/check.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/config/schema"
 )
 
-// Check checks the applications of apps.toml against one another.
+// Check checks the applications of apps.toml against one another, and adds a finding for each fault.
 func (m *Model) Check(found *finding.List) {
 	for _, a := range m.Apps {
 		CheckAddresses(a.File, found)
@@ -14,22 +14,22 @@
 	Check(m.Apps, ChainTable.In(m.Installation), HostTable.All(m.Installation), m.Installation, found)
 }
 
-// Check checks applications against one another; each must have passed its own checks. frame is the file that sets the bounds and hosts,
-// or nil if files of single applications are checked. The time is proportional to the number of applications and calls.
-func Check(apps []*App, chain *Chain, hosts []schema.Named[Host], frame *schema.File, found *finding.List) {
+// Check checks applications against one another; each must have passed its own checks. installation is the file that sets the bounds and
+// hosts, or nil if files of single applications are checked. The time is proportional to the number of applications and calls.
+func Check(apps []*App, chain *Chain, hosts []schema.Named[Host], installation *schema.File, found *finding.List) {
 	g := newGraph(apps, found)
 	g.checkAddresses()
 	g.linkCalls()
 	g.findComponents()
-	g.checkAttempts(chain, frame)
+	g.checkAttempts(chain, installation)
 	g.checkTiers(chain)
-	g.checkHosts(hosts, frame)
+	g.checkHosts(hosts, installation)
 }
 
-// idempotencyRank orders idempotency from what may be repeated to what must not.
+// idempotencyRank orders the kinds of idempotency: calls of a higher rank must meet more conditions to be repeated.
 var idempotencyRank = map[balancer.Idempotency]int{balancer.Idempotent: 0, balancer.IdempotentWithKey: 1, balancer.NonIdempotent: 2}
 
-// checkCall checks one call against the classes that make and serve it.
+// checkCall checks the times and the idempotency of one call against the classes that make and serve it.
 func (g *graph) checkCall(edge *edge) {
 	caller := edge.callerClass
 	target := edge.targetClass
@@ -62,10 +62,10 @@
 	}
 }
 
-// checkTiers reports chains of calls through more applications than chain.most_tiers, each counted once. A ring counts as all of its
-// applications, since a request can pass through all of them.
+// checkTiers reports chains of calls through more applications than chain.most_tiers, each counted once. A cycle counts as all of
+// its applications, since a request can pass through all of them.
 func (g *graph) checkTiers(chain *Chain) {
-	before := make([]int, len(g.components)) // applications on the longest path to a component, without its own
+	before := make([]int, len(g.components)) // the number of applications on the longest path to each component, without its own
 	for i, component := range g.components {
 		depth := before[i] + len(component)
 		for _, n := range component {
--- a/internal/config/apps/components.go
+++ b/internal/config/apps/components.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// maxCyclesDescribed bounds the rings of a component that are described step by step: each costs a search.
+	// maxCyclesDescribed bounds the cycles of a component that findings describe call by call, since each takes a search.
 	maxCyclesDescribed = 10
-	// maxStepsNamed bounds the calls of a ring that a finding names; of a longer ring it names the first three and the last two.
+	// maxStepsNamed bounds the calls of a cycle that a finding names; of a longer cycle it names the first three and the last two.
 	maxStepsNamed   = 6
 	firstStepsNamed = 3
 	lastStepsNamed  = 2
 )
 
-// findComponents finds the strongly connected components, and checks that each call of a ring states that it is part of one.
+// findComponents finds the strongly connected components, callers first, and checks mutual_depth of the calls in
+// each.
 func (g *graph) findComponents() {
 	search := componentSearch{index: map[*node]int{}, lowest: map[*node]int{}, onStack: map[*node]bool{}}
 	for _, n := range g.nodes {
 		if search.index[n] == 0 {
-			search.from(n)
+			search.visitFrom(n)
 		}
 	}
 	g.components = search.components
@@ -35,12 +36,12 @@
 	}
 }
 
-// componentSearch finds strongly connected components with Tarjan's algorithm. It keeps a stack of its own instead of recursion, since
-// chains of calls may have tens of thousands of applications.
+// componentSearch finds strongly connected components with Tarjan's algorithm. It uses an explicit stack instead of recursion,
+// since chains of calls may have tens of thousands of applications.
 type componentSearch struct {
-	index      map[*node]int // in the order of visits, from 1
-	lowest     map[*node]int // the least index that can be reached by way of the stack
-	stack      []*node       // visited, and not yet in a component
+	index      map[*node]int // the number of each node in the order of visits, from 1; 0 if not visited
+	lowest     map[*node]int // the least index of a node on the stack that is known to be reachable (Tarjan's low-link)
+	stack      []*node       // nodes that have been visited and are not in a component yet
 	onStack    map[*node]bool
 	visits     []visit
 	components [][]*node
@@ -49,11 +50,11 @@
 // visit is a node whose calls are being followed.
 type visit struct {
 	node *node
-	next int // index of the call that is followed next
+	next int // the index of the call that is followed next
 }
 
-// from searches everything that can be reached from a node and has not been visited.
-func (c *componentSearch) from(root *node) {
+// visitFrom visits a node, and all nodes that can be reached from it and have not been visited.
+func (c *componentSearch) visitFrom(root *node) {
 	c.visits = []visit{{node: root}}
 	for len(c.visits) > 0 {
 		v := &c.visits[len(c.visits)-1]
@@ -78,7 +79,7 @@
 	c.onStack[n] = true
 }
 
-// follow follows a call to a node, which is visited next unless it has been.
+// follow follows a call from n. The called node is visited next unless it has been visited.
 func (c *componentSearch) follow(n, to *node) {
 	if c.index[to] == 0 {
 		c.visits = append(c.visits, visit{node: to})
@@ -89,7 +90,7 @@
 	}
 }
 
-// leave ends the visit of a node. Where nothing visited before it can be reached from it, it and all above it on the stack are a
+// leave ends the visit of a node. If no earlier node on the stack can be reached from it, it and the nodes above it on the stack are a
 // component.
 func (c *componentSearch) leave(n *node) {
 	c.visits = c.visits[:len(c.visits)-1]
@@ -112,7 +113,7 @@
 	c.components = append(c.components, component)
 }
 
-// internalCalls returns the calls of a component that stay in it.
+// internalCalls returns the calls within a component.
 func internalCalls(component []*node) (all []*edge) {
 	for _, n := range component {
 		for _, e := range n.calls {
@@ -124,10 +125,10 @@
 	return all
 }
 
-// checkComponent checks that the calls of a ring, and no others, state one and the same mutual_depth.
+// checkComponent checks that all calls of a cycle set mutual_depth to the same value, and that no other calls set it.
 func (g *graph) checkComponent(component []*node) {
 	calls := internalCalls(component)
-	var first *edge // the first call that states a depth
+	var first *edge // the first call that sets a depth
 	for _, e := range calls {
 		e.from.cyclic = true
 		if e.call.MutualDepth > 0 && first == nil {
@@ -157,7 +158,7 @@
 	}
 }
 
-// describeCycle describes a shortest chain of calls that begins with the given one and returns to the application that makes it.
+// describeCycle describes a shortest cycle of calls that starts with the given one.
 func describeCycle(call *edge) string {
 	if call.to == call.from {
 		return fmt.Sprintf("%s calls itself", call.from.Name)
--- a/internal/config/apps/doc.go
+++ b/internal/config/apps/doc.go
@@ -1,17 +1,17 @@
-// Package apps reads apps.toml, which describes all applications of an installation, derives the file of each, and checks them against
-// one another: who calls whom, with which times and attempts. It also finds what was edited by hand in a derived file, merges such edits
-// and adopts them into apps.toml. It does no I/O: texts go in, texts and findings come out.
+// Package apps reads apps.toml, which describes all applications of an installation, derives the file of each application, and checks the
+// applications against one another: which calls they make, with which times and attempts. It also finds manual edits of derived files,
+// merges them with changes of apps.toml, and adopts them into apps.toml. It does no I/O: it takes texts, and returns texts and findings.
 //
 //	apps.toml --Read--> Model --Check--> findings across applications
 //	                      |
-//	                      +--Generate--> derived file, with a provenance: a digest of the text and one of each key
+//	                      +--Generate--> derived file with its provenance: a digest of the text and of each key
 //	                      |                   |
 //	                      |               edited by hand
 //	                      |                   |
-//	                      +--Compare----> FileState --Merge--> derived file with the edits kept
+//	                      +--Compare----> FileState --Merge--> derived file that keeps the edits
 //	                                          |
 //	                                          +------Adopt--> apps.toml with the edits
 //
-// Checks across applications work on the graph of calls, whose strongly connected components are the rings of applications that call
-// each other; each takes time in proportion to applications and calls.
+// Checks across applications use the graph of calls. Applications that call each other in cycles form its strongly connected components.
+// Each check takes time proportional to the number of applications and calls.
 package apps
--- a/internal/config/apps/edits.go
+++ b/internal/config/apps/edits.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/config/schema"
 )
 
-// Edit is a key that was changed by hand in a derived file.
+// Edit is a manual change of a key in a derived file.
 type Edit struct {
 	Path        []string
 	Location    schema.Location
@@ -18,16 +18,16 @@
 	Raw         string // the value in the file; empty if the key was removed
 	Previous    string // the value before the edit; empty if it is not known
 	Current     string // the value in apps.toml now; empty if it has none
-	Conflicting bool   // apps.toml has changed since as well, to another value
+	Conflicting bool   // whether apps.toml has changed the key since as well, to another value
 }
 
-// ID returns the key's path as text.
+// ID returns the key's path as a dotted text.
 func (e Edit) ID() string { return doc.DottedPath(e.Path) }
 
-// String returns the edit with its location.
+// String returns the edit's location and description.
 func (e Edit) String() string { return fmt.Sprintf("%s: %s", e.Location, e.Describe()) }
 
-// Describe returns the edit in words.
+// Describe returns a description of the edit for people.
 func (e Edit) Describe() string {
 	switch now := cmp.Or(e.Current, "nothing"); {
 	case e.Conflicting && e.Raw == "":
@@ -42,23 +42,23 @@
 	return fmt.Sprintf("%s = %s was set by hand (it was %s)", e.ID(), e.Raw, e.Previous)
 }
 
-// fileStart is the position of findings on a file as a whole.
+// fileStart is the position of findings about a derived file as a whole.
 var fileStart = finding.Pos{Line: 1, Col: 1}
 
-// FileState compares a derived file with what would be written now.
+// FileState is the state of a derived file compared with the file that would be generated now.
 type FileState struct {
-	App        *App   // as apps.toml has it
-	Path       string // of the file
-	Text       []byte // of the file; nil if there is none
-	Generated  []byte // what would be written
+	App        *App   // the application as apps.toml describes it
+	Path       string // the path of the file
+	Text       []byte // the text of the file; nil if it does not exist
+	Generated  []byte // the text that would be generated now
 	Provenance *Provenance
-	File       *schema.File // the file, decoded
+	File       *schema.File // the decoded file; nil unless it has been edited and can be read
 	Doc        *doc.Document
 	Edits      []Edit
 }
 
-// Compare compares the present text of an application's file with what would be written. It adds a finding if the file must not be
-// overwritten or cannot be read, and otherwise finds the edits. The text is nil if there is no file.
+// Compare compares the text of an application's file with the text that would be generated, and finds the edits. It adds a finding if the
+// file must not be overwritten or cannot be read. The text is nil if the file does not exist. source is the name of apps.toml.
 func Compare(tables *schema.Schema, app *App, source, path string, text []byte, found *finding.List) *FileState {
 	state := &FileState{App: app, Path: path, Text: text, Generated: Generate(app, source)}
 	if text == nil || bytes.Equal(text, state.Generated) {
@@ -88,7 +88,7 @@
 	return state
 }
 
-// findEdits finds the keys that were changed by hand.
+// findEdits adds the keys that were set or removed by hand.
 func (f *FileState) findEdits() {
 	for _, setting := range f.File.Settings() {
 		f.addEdit(setting.Path, setting.Key, setting)
@@ -100,15 +100,15 @@
 	}
 }
 
-// addEdit adds an edit if a key was changed by hand. It compares the short digests of three values: the one that was written, the one that
-// the file has (here; nil for none) and the one that apps.toml has now.
-func (f *FileState) addEdit(path []string, key *schema.Key, here *schema.Setting) {
+// addEdit adds an edit if a key was changed by hand. It compares the short digests of three values: the one that was generated, the one in
+// the file (inFile, or nil for none) and the one that apps.toml has now.
+func (f *FileState) addEdit(path []string, key *schema.Key, inFile *schema.Setting) {
 	edit := Edit{Path: path, Key: key, Location: f.File.Location(path...)}
-	hereDigest := ""
-	if here != nil {
-		edit.Raw = here.Raw
-		edit.Location = here.Location
-		hereDigest = shortDigest(here.Canonical)
+	fileDigest := ""
+	if inFile != nil {
+		edit.Raw = inFile.Raw
+		edit.Location = inFile.Location
+		fileDigest = shortDigest(inFile.Canonical)
 	}
 	currentDigest := ""
 	if current := f.App.File.Setting(path...); current != nil {
@@ -116,8 +116,8 @@
 		currentDigest = shortDigest(current.Canonical)
 	}
 	writtenDigest := f.Provenance.KeyDigests[edit.ID()]
-	if hereDigest == writtenDigest || hereDigest == currentDigest {
-		return // unchanged, or changed to the value that would be written
+	if fileDigest == writtenDigest || fileDigest == currentDigest {
+		return // the key is unchanged, or changed to the value that would be generated
 	}
 	if currentDigest == writtenDigest {
 		edit.Previous = edit.Current
@@ -127,12 +127,12 @@
 	f.Edits = append(f.Edits, edit)
 }
 
-// Edited reports whether the file has changed since it was written, if only in comments or spacing.
+// Edited reports whether the file has changed since it was generated, even if only in comments or spacing.
 func (f *FileState) Edited() bool {
 	return f.Provenance != nil && (f.Provenance.Edited || f.Provenance.Truncated)
 }
 
-// Conflicts returns the edits of keys that apps.toml has changed as well, to another value.
+// Conflicts returns the edits of keys that apps.toml has changed as well, to other values.
 func (f *FileState) Conflicts() (conflicts []Edit) {
 	for _, e := range f.Edits {
 		if e.Conflicting {
@@ -142,12 +142,12 @@
 	return conflicts
 }
 
-// Merge returns the file with the changes of apps.toml applied and the edits kept. It changes the edited text, so that comments by hand
-// are kept, and sets the header and the trailer of the generated file, so that the edits are still recognized as such. There must be no
-// conflict.
+// Merge returns the file with the changes of apps.toml applied and the edits retained. It applies the changes to the edited text, so that
+// manual comments are retained too, and replaces its header and trailer by those of the generated file, so that the edits are still
+// recognized as such. There must be no conflict.
 func (f *FileState) Merge() []byte {
 	if f.File == nil {
-		return f.Generated // the file has no edits
+		return f.Generated // the file has not been edited
 	}
 	kept := map[string]bool{}
 	for _, e := range f.Edits {
@@ -158,13 +158,13 @@
 		if kept[setting.ID()] {
 			continue
 		}
-		if here := f.File.Setting(setting.Path...); here == nil || here.Canonical != setting.Canonical {
-			merged = readAgain(merged.Set(setting.Path, setting.OneLine(), setting.Key.Help))
+		if inFile := f.File.Setting(setting.Path...); inFile == nil || inFile.Canonical != setting.Canonical {
+			merged = parseTOML(merged.Set(setting.Path, setting.OneLine(), setting.Key.Help))
 		}
 	}
 	for _, setting := range f.File.Settings() {
 		if !kept[setting.ID()] && f.App.File.Setting(setting.Path...) == nil {
-			merged = readAgain(merged.Delete(setting.Path, setting.Key.Help))
+			merged = parseTOML(merged.Delete(setting.Path, setting.Key.Help))
 		}
 	}
 	return replaceProvenance(merged.Text, f.Generated)
--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -343,7 +343,7 @@
 		if from[id] == to[id] {
 			continue
 		}
-		d := readAgain([]byte(text))
+		d := parseTOML([]byte(text))
 		path := append(slices.Clone(prefix), key...)
 		if to[id] == "" {
 			text = string(d.Delete(path, help(key)))
--- a/internal/config/apps/graph.go
+++ b/internal/config/apps/graph.go
@@ -9,11 +9,11 @@
 	"quincegap/internal/config/schema"
 )
 
-// maxNamesSearched bounds the number of names, over all calls of an installation, that are searched for one that is similar to an unknown
-// name.
+// maxNamesSearched bounds the number of names that are compared with unknown names to suggest similar ones, summed over all calls of an
+// installation.
 const maxNamesSearched = 10000
 
-// graph has the applications as nodes and their calls as edges.
+// graph is the graph of calls, with applications as nodes.
 type graph struct {
 	nodes      []*node
 	byName     map[string]*node
@@ -21,13 +21,13 @@
 	components [][]*node // the strongly connected components, callers first
 }
 
-// node is an application.
+// node is an application in the graph of calls.
 type node struct {
 	*App
 	sidecar   *appfile.Sidecar
 	calls     []*edge
-	component int  // index of its strongly connected component
-	cyclic    bool // its component has calls within itself
+	component int  // the index of its strongly connected component
+	cyclic    bool // whether its component contains a cycle, that is, calls within itself
 }
 
 // edge is a call from a class of one application to a class of another.
@@ -45,16 +45,16 @@
 	return e.from.File.Location("calls", e.name, key)
 }
 
-// report adds a finding on a key of the call.
+// report adds a finding about a key of the call.
 func (e *edge) report(found *finding.List, key, format string, args ...any) {
 	at := e.location(key)
 	found.Add(at.File, at.Pos, "%s", fmt.Sprintf("calls.%s.%s: ", e.name, key)+fmt.Sprintf(format, args...))
 }
 
-// staysInComponent reports whether the call is part of a ring.
+// staysInComponent reports whether the call is part of a cycle, so that caller and callee are in the same component.
 func (e *edge) staysInComponent() bool { return e.to.component == e.from.component }
 
-// newGraph returns a graph of the applications without their calls. Of two with the same name the second is reported and left out.
+// newGraph returns a graph of the applications without their calls. If two have the same name, the second is reported and omitted.
 func newGraph(apps []*App, found *finding.List) *graph {
 	g := &graph{byName: map[string]*node{}, found: found}
 	for _, a := range apps {
@@ -69,7 +69,7 @@
 	return g
 }
 
-// linkCalls adds the calls, and checks each against the class that makes it and the class that serves it.
+// linkCalls adds the calls to the graph, and checks each with checkCall. Calls to unknown applications or classes are reported and omitted.
 func (g *graph) linkCalls() {
 	names := make([]string, 0, len(g.nodes))
 	for _, n := range g.nodes {
@@ -95,7 +95,7 @@
 				continue
 			}
 			if link.callerClass == nil {
-				continue // reported when the application's own file is decoded
+				continue // already reported when the application's settings were decoded
 			}
 			link.targetClass = appfile.ClassTable.Get(link.to.File, link.targetClassName)
 			if link.targetClass == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// reportUnknownClass reports a call to a class that the other application does not have.
+// reportUnknownClass reports a call to a class that the called application does not have.
 func (g *graph) reportUnknownClass(e *edge) {
 	var classes []string
 	for _, c := range appfile.ClassTable.All(e.to.File) {
--- a/internal/config/apps/hosts.go
+++ b/internal/config/apps/hosts.go
@@ -9,23 +9,23 @@
 	"quincegap/internal/config/schema"
 )
 
-// maxAppsNamed bounds the number of applications that a finding on a host names.
+// maxAppsNamed bounds the number of applications that a finding about a host names.
 const maxAppsNamed = 4
 
 // roundingSlack is the relative error that rounding may add to the sum of the sidecars' cores.
 const roundingSlack = 1e-9
 
-// hostLoad is the sum of the limits of all sidecars of a host.
+// hostLoad is the sum of the limits of all sidecars on a host.
 type hostLoad struct {
 	cores   float64
-	memory  int64 // bytes
+	memory  int64 // the memory in bytes
 	sockets int
 	apps    []string
 }
 
-// checkHosts reports hosts whose sidecars may use more than the host has, and unknown hosts. Without a frame no hosts are declared, and no
-// name is unknown.
-func (g *graph) checkHosts(hosts []schema.Named[Host], frame *schema.File) {
+// checkHosts reports hosts whose sidecars may use more than the host has, and unknown hosts. If installation is nil no hosts are declared,
+// and unknown hosts are not reported.
+func (g *graph) checkHosts(hosts []schema.Named[Host], installation *schema.File) {
 	loads := map[string]*hostLoad{}
 	var names []string
 	for _, h := range hosts {
@@ -38,19 +38,19 @@
 		case host == "":
 		case loads[host] != nil:
 			loads[host].add(n)
-		case frame != nil:
+		case installation != nil:
 			at := n.File.Location("sidecar", "host")
 			g.found.Add(at.File, at.Pos, "sidecar.host: %s; hosts stand in [hosts.NAME]", finding.UnknownName("host", host, names))
 		}
 	}
 	for _, h := range hosts {
 		if load := loads[h.Name]; len(load.apps) > 0 {
-			g.checkHost(h, load, frame)
+			g.checkHost(h, load, installation)
 		}
 	}
 }
 
-// add adds the limits of an application's sidecar.
+// add adds the limits of an application's sidecar to the sum.
 func (h *hostLoad) add(n *node) {
 	limits := appfile.LimitsTable.In(n.File)
 	h.cores += limits.Cores
@@ -68,10 +68,10 @@
 	return text
 }
 
-// checkHost reports the resources of which the sidecars of one host may use more than it has.
-func (g *graph) checkHost(h schema.Named[Host], load *hostLoad, frame *schema.File) {
+// checkHost reports each resource of one host of which its sidecars may use more than the host has.
+func (g *graph) checkHost(h schema.Named[Host], load *hostLoad, installation *schema.File) {
 	report := func(key, format string, args ...any) {
-		at := frame.Location("hosts", h.Name, key)
+		at := installation.Location("hosts", h.Name, key)
 		g.found.Add(at.File, at.Pos, "hosts.%s.%s: %s (%s)", h.Name, key, fmt.Sprintf(format, args...), load.describeApps())
 	}
 	if load.cores > h.Value.Cores*(1+roundingSlack) {
--- a/internal/config/apps/model.go
+++ b/internal/config/apps/model.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// MaxBytes bounds apps.toml, in bytes: some tens of thousands of applications.
+	// MaxBytes bounds the size of apps.toml, in bytes. That is enough for tens of thousands of applications.
 	MaxBytes = 64 << 20
-	// MaxFileBytes bounds the file of one application, in bytes.
+	// MaxFileBytes bounds the size of the file of one application, in bytes.
 	MaxFileBytes = 1 << 20
 )
 
-// Chain bounds the attempts and the path of a request over all applications.
+// Chain bounds the attempts that a request causes and the applications that it passes.
 type Chain struct {
-	MaxAttempts int // the attempts that one request may cause at any application
-	MaxTiers    int // the applications that a request may pass one after another
+	MaxAttempts int // the maximum number of attempts that one request may cause at any application
+	MaxTiers    int // the maximum number of applications that a request may pass one after another
 }
 
 // ChainTable is [chain].
@@ -35,8 +35,8 @@
 // Host is a machine that sidecars run on.
 type Host struct {
 	Cores   float64
-	Memory  int64 // bytes
-	Sockets int   // file descriptors
+	Memory  int64 // the memory for sidecars, in bytes
+	Sockets int   // the number of file descriptors for sidecars
 }
 
 // HostTable is [hosts.NAME].
@@ -52,10 +52,10 @@
 		"Its file descriptors for sidecars."),
 )
 
-// InstallationSchema has the tables of apps.toml other than [defaults] and [apps.NAME].
+// InstallationSchema is the schema of the tables of apps.toml other than [defaults] and [apps.NAME].
 var InstallationSchema = schema.New(ChainTable.Table, HostTable.Table)
 
-// The tables of apps.toml that hold tables of applications.
+// The names of the tables of apps.toml that contain tables of applications.
 const (
 	layerDefaults = "defaults"
 	layerApps     = "apps"
@@ -73,26 +73,26 @@
 // Model is the content of apps.toml.
 type Model struct {
 	Schema       *schema.Schema
-	FileName     string // path of apps.toml
+	FileName     string // the path of apps.toml
 	Doc          *doc.Document
-	Installation *schema.File // its tables [chain] and [hosts.NAME]
+	Installation *schema.File // the settings of [chain] and [hosts.NAME]
 	Apps         []*App
 }
 
-// IsInstallation reports whether a document is apps.toml, and not the file of one application.
+// IsInstallation reports whether a document has the tables of apps.toml, and so is not the file of one application.
 func IsInstallation(d *doc.Document) bool {
 	return slices.ContainsFunc(append(layerNames[:2:2], "chain", "hosts"), func(name string) bool { return d.Root.Get(name) != nil })
 }
 
-// Read reads apps.toml and checks each application by itself. It returns nil if nothing could be read.
+// Read reads apps.toml and checks each application separately. It returns nil if the text could not be read at all.
 func Read(s *schema.Schema, file string, text []byte, found *finding.List) *Model {
 	before := found.Len()
 	d := doc.ReadTOML(text, MaxBytes, found.ForFile(file))
 	return FromDocument(s, file, d, found.Len() == before, found)
 }
 
-// FromDocument is like Read for a document that has been read already. Missing keys are reported only if the document is complete: they may
-// be in the lines that could not be read. It returns nil if the document is nil.
+// FromDocument is like Read for a document that has been read already. Missing keys are reported only if the document is complete, since
+// they may be in lines that could not be read. It returns nil if the document is nil.
 func FromDocument(tables *schema.Schema, file string, document *doc.Document, complete bool, found *finding.List) *Model {
 	if document == nil {
 		return nil
@@ -144,7 +144,7 @@
 	return true
 }
 
-// App returns the application of a name, or nil.
+// App returns the application with a name, or nil.
 func (m *Model) App(name string) *App {
 	for _, a := range m.Apps {
 		if a.Name == name {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// FromFiles returns the applications of files of single applications, to check them together.
+// FromFiles returns the applications that files of single applications describe, so that Check can check them together.
 func FromFiles(files []*schema.File) []*App {
 	all := make([]*App, 0, len(files))
 	for _, f := range files {
--- a/internal/config/apps/provenance.go
+++ b/internal/config/apps/provenance.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/config/schema"
 )
 
-// The header and the trailer of a derived file. Their lines are comments in TOML, and data here: this version reads files that others have
-// written.
+// The lines of the header and the trailer of a derived file. They are comments in TOML but part of the file format: this version must read
+// files that other versions have written.
 const (
 	headerBy     = "# Written by quincegapctl for "
 	headerFrom   = " from "
@@ -22,31 +22,31 @@
 	keyPrefix    = "#: "
 )
 
-// headerText explains how to change the file.
+// headerText has the lines of the header that tell people how to change the file.
 var headerText = []string{
 	"# Change it there and write again. An edit made here is never lost: quincegapctl diff shows it,",
 	"# write --keep-edits keeps it, and adopt takes it back.",
 }
 
-// headerLines is the least number of lines of a header.
+// headerLines is the minimum number of lines of a header.
 const headerLines = 4
 
-// shortDigestLength is the length of the digest of a value, in hexadecimal digits: enough against accidental collisions.
+// shortDigestLength is the length of the digest of a value, in hexadecimal digits. It makes accidental collisions improbable.
 const shortDigestLength = 12
 
 // Generate returns an application's derived file: the keys that apps.toml sets for it, each with its help, between a header with a digest
-// and a trailer with a short digest of each key. It is deterministic.
+// and a trailer with a short digest of each key. source is the name of apps.toml. The result is deterministic.
 func Generate(app *App, source string) []byte {
 	body := app.File.Text() + "\n" + trailerOf(app.File)
 	return []byte(header(app.Name, source, digest([]byte(body))) + body)
 }
 
-// header returns the first lines of a derived file; source is the name of apps.toml.
+// header returns the header of a derived file. source is the name of apps.toml, and digest that of all text after the header.
 func header(name, source, digest string) string {
 	return headerBy + name + headerFrom + source + ".\n" + strings.Join(headerText, "\n") + "\n" + headerDigest + digest + "\n"
 }
 
-// trailerOf returns the last lines of a derived file: a short digest of each key.
+// trailerOf returns the trailer of a derived file, with a short digest of each key.
 func trailerOf(f *schema.File) string {
 	var b strings.Builder
 	b.WriteString(trailer + "\n")
@@ -56,26 +56,26 @@
 	return b.String()
 }
 
-// digest returns the SHA-256 of a text, in hexadecimal.
+// digest returns the SHA-256 digest of a text in hexadecimal.
 func digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// shortDigest returns the digest of a key's value in the trailer.
+// shortDigest returns the digest of a value for the trailer.
 func shortDigest(canonical string) string { return digest([]byte(canonical))[:shortDigestLength] }
 
-// Provenance is the information in a derived file on how it was written.
+// Provenance is the information in a derived file about its generation.
 type Provenance struct {
 	App        string
-	Source     string            // name of apps.toml
-	KeyDigests map[string]string // the short digest of each key that was written, by the key's ID
-	Keys       []string          // the IDs of those keys, in order
-	Edited     bool              // the text has changed since, if only in comments
-	Truncated  bool              // its end is missing
+	Source     string            // the name of apps.toml
+	KeyDigests map[string]string // the short digests of the keys that were generated, by ID
+	Keys       []string          // the IDs of those keys, in the order of the file
+	Edited     bool              // whether the text has changed since, even if only in comments
+	Truncated  bool              // whether the trailer is missing, so that the end of the file has been lost
 }
 
-// ParseProvenance reads the header and the trailer of a file. It returns nil if quincegapctl has not written the file.
+// ParseProvenance parses the header and the trailer of a file. It returns nil if the file does not begin with a header of quincegapctl.
 func ParseProvenance(text []byte) *Provenance {
 	lines := strings.Split(strings.ReplaceAll(string(text), "\r\n", "\n"), "\n")
 	if len(lines) < headerLines || !strings.HasPrefix(lines[0], headerBy) {
@@ -87,7 +87,7 @@
 	}
 	provenance := &Provenance{App: app, Source: strings.TrimSuffix(source, "."), KeyDigests: map[string]string{}, Truncated: true}
 	wantDigest := ""
-	linesAbove := 0 // the lines up to the digest, which does not cover them
+	linesAbove := 0 // the number of lines up to and including the digest, which does not cover them
 	for i, line := range lines {
 		switch {
 		case wantDigest == "" && strings.HasPrefix(line, headerDigest):
@@ -99,7 +99,7 @@
 			provenance.addKey(strings.TrimPrefix(line, keyPrefix))
 		}
 	}
-	// The digest is that of the text itself and not of the lines above, so that a change of line ends is an edit too.
+	// The digest is that of the original bytes and not of the lines above, so that a change of line ends counts as an edit too.
 	for range linesAbove {
 		_, text, _ = bytes.Cut(text, []byte("\n"))
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// replaceProvenance returns an edited text with the header and the trailer of a generated one, in the line ends of the edited text.
+// replaceProvenance returns an edited text with the header and the trailer of a generated one. It keeps the line ends of the edited text.
 func replaceProvenance(text, generated []byte) []byte {
 	newHeader := ""
 	newDigest := ""
@@ -150,8 +150,7 @@
 	return []byte(strings.Join(lines, doc.Newline(text)))
 }
 
-// CheckLostKeys reports keys that were written and that the file no longer has. Unlike a key that was changed, such a key takes its default
-// without notice.
+// CheckLostKeys reports keys that were generated and that the file no longer has, since such a key silently takes its default.
 func CheckLostKeys(p *Provenance, f *schema.File, path string, found *finding.List) {
 	for _, id := range p.Keys {
 		if key := splitID(id); key != nil && f.Setting(key...) == nil {
@@ -161,9 +160,9 @@
 	}
 }
 
-// splitID returns the path of an ID, as doc.DottedPath has written it; nil if the text is no ID.
+// splitID returns the path of an ID that doc.DottedPath has formatted, or nil if the text is not an ID.
 func splitID(id string) (path []string) {
-	d := readAgain([]byte(id + " = 0\n"))
+	d := parseTOML([]byte(id + " = 0\n"))
 	if d == nil {
 		return nil
 	}
@@ -173,7 +172,7 @@
 	return path
 }
 
-// readAgain reads a text whose findings are known already, or do not matter.
-func readAgain(text []byte) *doc.Document {
+// parseTOML reads a text and ignores findings. Callers have reported them before, or expect none.
+func parseTOML(text []byte) *doc.Document {
 	return doc.ReadTOML(text, len(text), func(finding.Pos, string, ...any) {})
 }
--- a/internal/config/doc/document.go
+++ b/internal/config/doc/document.go
@@ -8,15 +8,15 @@
 	"quincegap/internal/config/finding"
 )
 
-// Document is a text with the tree that was read from it.
+// Document is a TOML or JSON text with the tree of its tables, keys and values.
 type Document struct {
 	Text []byte
 	Root *Table
 
-	lines []int // offset of each line's first byte
+	lines []int // the offset of the first byte of each line
 }
 
-// newDocument returns a document whose text has not been read, with an empty root.
+// newDocument returns a document with an empty root table, for a text that is still to be parsed.
 func newDocument(text []byte) *Document {
 	d := &Document{Text: text, Root: &Table{Pos: finding.Pos{Line: 1, Col: 1}}, lines: []int{0}}
 	for i, b := range text {
@@ -27,17 +27,17 @@
 	return d
 }
 
-// Pos returns the position of an offset. A byte that is not valid UTF-8 counts as one character.
+// Pos returns the line and column of an offset. A byte that is not valid UTF-8 counts as one character.
 func (d *Document) Pos(offset int) finding.Pos {
 	offset = min(max(offset, 0), len(d.Text))
 	line := d.line(offset)
 	return finding.Pos{Line: line + 1, Col: utf8.RuneCount(d.Text[d.lines[line]:offset]) + 1}
 }
 
-// line returns the number of the line of an offset, from 0.
+// line returns the number of the line that contains an offset, counted from 0.
 func (d *Document) line(offset int) int { return sort.SearchInts(d.lines, offset+1) - 1 }
 
-// lineEnd returns the offset of the first byte after the line of an offset.
+// lineEnd returns the offset of the first byte after the line that contains an offset.
 func (d *Document) lineEnd(offset int) int {
 	if n := d.line(offset) + 1; n < len(d.lines) {
 		return d.lines[n]
@@ -45,7 +45,8 @@
 	return len(d.Text)
 }
 
-// checkReadable reports whether a text can be read at all, and adds a finding if not.
+// checkReadable reports whether the text is UTF-8 without NUL bytes or a byte order mark, and has at most maxBytes bytes. If not it adds a
+// finding.
 func (d *Document) checkReadable(maxBytes int, report finding.Reporter) bool {
 	text := d.Text
 	start := finding.Pos{Line: 1, Col: 1}
@@ -67,7 +68,7 @@
 	return false
 }
 
-// firstInvalidByte returns the offset of the first byte that is not UTF-8, in a text that has one.
+// firstInvalidByte returns the offset of the first byte that is not UTF-8. The text must have one.
 func firstInvalidByte(text []byte) int {
 	at := 0
 	for {
@@ -79,7 +80,7 @@
 	}
 }
 
-// Newline returns the line end that a text uses: CR LF if it has one, else LF.
+// Newline returns the line end of a text: CR LF if it contains one, otherwise LF.
 func Newline(text []byte) string {
 	if bytes.Contains(text, []byte("\r\n")) {
 		return "\r\n"
--- a/internal/config/doc/edit.go
+++ b/internal/config/doc/edit.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Set returns the text with a key's value replaced, or with the key added: after the last key of its table, or in a new table after the
-// one whose path is most similar. The value is TOML; comment lines go above a key that is added. All other lines stay as they are. The
-// document must not have findings.
+// Set returns the text with a key's value replaced. If the key does not exist it is added with the comment lines above it: after the last
+// key of its table, or in a new table after the tables that share the longest part of its path. value is TOML. All other lines are
+// unchanged. The document must have been read without findings.
 func (d *Document) Set(path []string, value string, comment ...string) []byte {
 	if e := d.Root.Lookup(path...); e != nil {
 		return d.splice(e.Value.Start, e.Value.End, value)
@@ -29,7 +29,7 @@
 		}
 		return d.insert(at, comments+assignment)
 	case table != nil && table.dotted && len(table.Entries) > 0 && table.lastEntry().Start != generatedStart:
-		// TOML does not allow a header for this table: the key goes after its dotted keys.
+		// Dotted keys define this table, so TOML does not allow a header for it: the key is added after its dotted keys.
 		last := table.lastEntry()
 		return d.insert(last.End, comments+last.prefix+assignment)
 	}
@@ -40,7 +40,7 @@
 // lastEntry returns the last key of a table, which must not be empty.
 func (t *Table) lastEntry() *Entry { return t.Entries[len(t.Entries)-1] }
 
-// table returns the table with a path, or nil.
+// table returns the table with a path, or nil if there is none.
 func (d *Document) table(path []string) *Table {
 	t := d.Root
 	for _, name := range path {
@@ -52,7 +52,7 @@
 }
 
 // tableInsertion returns the offset at which a new table is inserted: after the tables that share the longest part of its path, or at the
-// end.
+// end of the text.
 func (d *Document) tableInsertion(path []string) int {
 	for n := len(path) - 1; n > 0; n-- {
 		if t := d.table(path[:n]); t != nil {
@@ -64,7 +64,7 @@
 	return len(d.Text)
 }
 
-// endWithSubtables returns the offset of the first byte after a table and the tables within it.
+// endWithSubtables returns the offset of the first byte after a table and its subtables.
 func (t *Table) endWithSubtables() int {
 	end := t.bodyEnd
 	for _, e := range t.Entries {
@@ -76,8 +76,8 @@
 	return end
 }
 
-// Delete returns the text without a key, and without the given comment lines if they are directly above it. It also deletes a table that
-// becomes empty, with one empty line above its header.
+// Delete returns the text without a key, and without the given comment lines if they are directly above it. It also deletes the header of a
+// table that becomes empty, with one empty line above it. If there is no such key the text is unchanged.
 func (d *Document) Delete(path []string, comment ...string) []byte {
 	e := d.Root.Lookup(path...)
 	if e == nil {
@@ -94,7 +94,8 @@
 	return d.splice(start, e.End, "")
 }
 
-// commentStart returns the offset of the given comment lines if they are directly above a line, or else that of the line.
+// commentStart returns the offset of the given comment lines if they are directly above the line that starts at an offset, otherwise that
+// offset.
 func (d *Document) commentStart(start int, comment []string) int {
 	for _, c := range slices.Backward(comment) {
 		line := d.line(start)
@@ -117,7 +118,7 @@
 	return d.splice(at, at, lines)
 }
 
-// splice replaces the bytes from start to end.
+// splice returns the text with the bytes from start up to end replaced.
 func (d *Document) splice(start, end int, replacement string) []byte {
 	return slices.Concat(d.Text[:start], []byte(replacement), d.Text[end:])
 }
--- a/internal/config/doc/json.go
+++ b/internal/config/doc/json.go
@@ -9,8 +9,8 @@
 	"quincegap/internal/config/finding"
 )
 
-// ReadJSON reads a text of at most maxBytes bytes that holds one object. If the text cannot be read it reports the first fault and returns
-// nil: unlike TOML, JSON has no lines at which reading could continue.
+// ReadJSON reads a text of at most maxBytes bytes that contains one object. If the text is invalid it reports the first fault and returns
+// nil: unlike TOML, JSON has no line structure at which parsing could resume.
 func ReadJSON(text []byte, maxBytes int, report finding.Reporter) *Document {
 	document := newDocument(text)
 	if !document.checkReadable(maxBytes, report) {
@@ -32,24 +32,24 @@
 	return document
 }
 
-// Errors that the decoder does not detect. Their texts are parts of findings.
+// The errors that this package detects in addition to the decoder's. Findings contain their texts.
 var (
 	errTrailingText = errors.New("more text behind the end of the object")
 	errTooDeep      = errors.New("too many lists and objects within one another")
 )
 
-// endedEarly is the message for a text that ends within its object.
-const endedEarly = "it ends before the object does"
+// truncatedObject is the message for a text that ends within its object.
+const truncatedObject = "it ends before the object does"
 
-// jsonReader reads one document. The decoder returns tokens; the offset of each is found in the text.
+// jsonReader reads one document. The decoder returns tokens without their offsets; skipToToken finds them in the text.
 type jsonReader struct {
 	*Document
 	report     finding.Reporter
 	decoder    *json.Decoder
-	tokenStart int // offset of the current token
+	tokenStart int // the offset of the current token
 }
 
-// document reads the only value of the text, and checks that nothing follows an object.
+// document reads the value of the text. It fails if other text follows an object.
 func (j *jsonReader) document() (*Value, error) {
 	root, err := j.value(nil, 0)
 	if err != nil || root.Kind != TableKind {
@@ -62,19 +62,19 @@
 	return root, nil
 }
 
-// locate returns the offset of an error, and its message.
+// locate returns the offset of an error in the text, and a message for it.
 func (j *jsonReader) locate(err error) (at int, message string) {
 	var syntax *json.SyntaxError
 	switch {
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-		return len(bytes.TrimRight(j.Text, " \t\r\n")), endedEarly
+		return len(bytes.TrimRight(j.Text, " \t\r\n")), truncatedObject
 	case errors.As(err, &syntax):
 		return max(j.tokenStart, int(syntax.Offset)-1), err.Error()
 	}
 	return j.tokenStart, err.Error()
 }
 
-// skipToToken moves to the next token's first byte.
+// skipToToken sets tokenStart to the offset of the next token.
 func (j *jsonReader) skipToToken() {
 	for j.tokenStart = int(j.decoder.InputOffset()); j.tokenStart < len(j.Text); j.tokenStart++ {
 		if !bytes.ContainsRune([]byte(" \t\r\n,:"), rune(j.Text[j.tokenStart])) {
@@ -83,13 +83,13 @@
 	}
 }
 
-// token reads the next token and sets tokenStart to its offset.
+// token returns the next token and sets tokenStart to its offset.
 func (j *jsonReader) token() (json.Token, error) {
 	j.skipToToken()
 	return j.decoder.Token()
 }
 
-// value reads one value. depth is the number of lists and objects around it.
+// value reads one value. depth is the number of arrays and objects that contain it.
 func (j *jsonReader) value(path []string, depth int) (*Value, error) {
 	token, err := j.token()
 	if err != nil {
@@ -122,7 +122,7 @@
 	return value, nil
 }
 
-// array reads the items of a list and its end.
+// array reads the items of an array up to its closing bracket.
 func (j *jsonReader) array(v *Value, path []string, depth int) error {
 	v.Kind = Array
 	for j.decoder.More() {
@@ -136,7 +136,7 @@
 	return err
 }
 
-// object reads the keys of an object and its end. The first of two equal keys counts.
+// object reads the keys of an object up to its closing brace. A repeated key is reported, and the first value is used.
 func (j *jsonReader) object(object *Value, path []string, depth int) error {
 	object.Kind = TableKind
 	object.Table = &Table{Path: path, Pos: object.Pos}
--- a/internal/config/doc/quote.go
+++ b/internal/config/doc/quote.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// DottedPath returns a path as in the header of a table, with quotes around the parts that are not bare keys.
+// DottedPath joins a path with dots, as in the header of a table, and quotes the parts that are not bare keys.
 func DottedPath(path []string) string {
 	parts := make([]string, len(path))
 	for i, part := range path {
@@ -11,7 +11,7 @@
 	return strings.Join(parts, ".")
 }
 
-// QuoteKey returns a key as TOML, with quotes if it needs them.
+// QuoteKey returns a key as TOML, quoted unless it is a bare key.
 func QuoteKey(key string) string {
 	if key == "" {
 		return Quote(key)
@@ -24,7 +24,7 @@
 	return key
 }
 
-// isBareKeyByte reports whether a byte may be in a key without quotes.
+// isBareKeyByte reports whether a byte is allowed in a bare key, which is one without quotes.
 func isBareKeyByte(c byte) bool {
 	switch {
 	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
@@ -33,7 +33,7 @@
 	return c == '_' || c == '-'
 }
 
-// Quote returns a text as a TOML basic string.
+// Quote returns a text as a TOML basic string, with quotes and escapes.
 func Quote(s string) string {
 	const hex = "0123456789ABCDEF"
 	var b strings.Builder
--- a/internal/config/doc/toml.go
+++ b/internal/config/doc/toml.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxUnreadableLines bounds the lines that are reported as unreadable: with more, the file is not TOML.
+	// maxUnreadableLines bounds the lines that are reported as unreadable. A file with more is probably not TOML.
 	maxUnreadableLines = 100
-	// maxParserRestarts bounds the lines that are skipped, reported or not: each costs a start of the parser.
+	// maxParserRestarts bounds the lines that are skipped, whether reported or not, since the parser is restarted after each.
 	maxParserRestarts = 1000
-	// maxDepth bounds the nesting of tables and lists, and with it the recursion here and in code that walks the tree.
+	// maxDepth bounds the nesting of tables and lists, and so the recursion depth here and in code that traverses the tree.
 	maxDepth = 16
 )
 
-// ReadTOML reads a text of at most maxBytes bytes. It reports everything that cannot be read, and returns the tree of the rest. With
-// findings the tree must only be used to look for further faults. It is nil if nothing could be read.
+// ReadTOML reads a text of at most maxBytes bytes. It reports everything that cannot be read, and returns a document with the rest. If it
+// has reported findings, the document must only be used to look for further faults. It is nil if the text could not be read at all.
 func ReadTOML(text []byte, maxBytes int, report finding.Reporter) *Document {
 	d := newDocument(text)
 	if !d.checkReadable(maxBytes, report) {
@@ -31,24 +31,24 @@
 	return d
 }
 
-// noLine is a line number that is not next to any line of a text.
+// noLine is a line number that is not adjacent to any line of a text.
 const noLine = -2
 
-// tomlReader reads one document. The parser stops at its first error, so it is started again after the line of each error.
+// tomlReader reads one document. Since the parser stops at the first error, it is restarted after the line of each error.
 type tomlReader struct {
 	*Document
 	report      finding.Reporter
 	parser      unstable.Parser
-	parserStart int    // offset of the parser's text in the document's
-	table       *Table // that keys are added to; nil after a header that cannot be read
-	readEnd     int    // offset of the first byte after the last line that could be read, except the end of a list
+	parserStart int    // the offset in the document at which the parser's text starts
+	table       *Table // the table that keys are added to; nil after a header that cannot be read
+	readEnd     int    // the offset after the last line that could be read; the lines that close a multi-line list do not count
 
-	unreadable  int // lines reported as unreadable
-	restarts    int // of the parser
-	lastSkipped int // number of the line that was skipped last
+	unreadableLines int // the number of lines reported as unreadable
+	restarts        int // the number of restarts of the parser
+	lastSkipped     int // the number of the line that was skipped last
 }
 
-// read reads all expressions, and continues after each line that cannot be read.
+// read adds all expressions of the text to the tree, and continues after each line that cannot be read.
 func (r *tomlReader) read() {
 	for r.parserStart < len(r.Text) {
 		r.parser.Reset(r.Text[r.parserStart:len(r.Text):len(r.Text)])
@@ -65,19 +65,20 @@
 	}
 }
 
-// skipUnreadable adds a finding for the parser's error and skips its line. It returns false if too much cannot be read to continue.
+// skipUnreadable adds a finding for the parser's error and skips its line. It returns false if reading stops because too many lines cannot
+// be read.
 func (r *tomlReader) skipUnreadable(err error) bool {
 	at, message := r.locate(err)
 	line := r.line(at)
 	statement := r.trimmedLine(line)
-	// If a list or a string is not closed its other lines cannot be read either. They are part of that finding, unless they look like
-	// statements.
+	// The lines after the start of an unclosed list or string cannot be read either. They get no findings of their own, unless they look
+	// like statements.
 	if line != r.lastSkipped+1 || looksLikeStatement(statement) {
-		r.unreadable++
+		r.unreadableLines++
 		r.report(r.Pos(at), "cannot be read: %s", message)
 	}
 	r.restarts++
-	if r.unreadable >= maxUnreadableLines || r.restarts >= maxParserRestarts {
+	if r.unreadableLines >= maxUnreadableLines || r.restarts >= maxParserRestarts {
 		r.report(r.Pos(at), "too many lines cannot be read; the rest is not looked at")
 		return false
 	}
@@ -99,16 +100,16 @@
 	at = min(at, len(r.Text)-1)
 	start := r.expressionStart(at)
 	if r.line(start) < r.line(at) {
-		// A list or string over several lines is not closed. Its beginning tells more than the offset at which the parser noticed, and
-		// the lines after it are read one by one.
+		// A list or string over several lines is not closed. Its start is reported, since that helps more than the offset at which the
+		// parser failed, and the lines after it are read one by one.
 		return start, "what begins here is not closed (" + err.Error() + ")"
 	}
 	lineStart := r.lines[r.line(at)]
 	return at, explainSyntaxError(err.Error(), r.Text[lineStart:r.lineEnd(at)], at-lineStart)
 }
 
-// expressionStart returns the offset of the expression that the parser could not read at an offset: the first line after readEnd that looks
-// like a statement, or else the given offset.
+// expressionStart returns the start of the expression in which the parser failed at an offset: the first line from readEnd on that looks
+// like a statement, otherwise the given offset.
 func (r *tomlReader) expressionStart(at int) int {
 	for line := r.line(min(max(r.readEnd, r.parserStart), at)); line < r.line(at); line++ {
 		if r.lines[line] >= r.readEnd && looksLikeStatement(r.trimmedLine(line)) {
@@ -119,12 +120,12 @@
 	return at
 }
 
-// trimmedLine returns the line with a number, without the white space around it.
+// trimmedLine returns the line with a number, counted from 0, without the white space around it.
 func (r *tomlReader) trimmedLine(line int) string {
 	return strings.TrimSpace(string(r.Text[r.lines[line]:r.lineEnd(r.lines[line])]))
 }
 
-// looksLikeStatement reports whether a line looks like a header or a key with a value, and not like the inside of a list.
+// looksLikeStatement reports whether a line looks like a header or a key with a value, and not like an item of a list or a comment.
 func looksLikeStatement(line string) bool {
 	return strings.HasPrefix(line, "[") || !strings.HasPrefix(line, "#") && strings.Contains(line, "=")
 }
--- a/internal/config/doc/toml_error.go
+++ b/internal/config/doc/toml_error.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxQuoted bounds the part of a text that a message quotes, in bytes.
-const maxQuoted = 40
+// maxQuotedBytes bounds the part of a text that a message quotes.
+const maxQuotedBytes = 40
 
-// explainSyntaxError returns a clearer message than the parser's if the line shows what is wrong. column is the offset of the error in the
-// line.
+// explainSyntaxError returns a clearer message than the parser's if the line shows what is wrong, otherwise the parser's. text is the line,
+// and column the offset of the error in it.
 func explainSyntaxError(message string, text []byte, column int) string {
 	line := strings.TrimSpace(string(text))
 	equals := bytes.IndexByte(text, '=')
@@ -32,7 +32,7 @@
 	return explainValueError(message, strings.TrimSpace(string(text[equals+1:])))
 }
 
-// hasStrayCarriageReturn reports whether a line has a carriage return that is not part of its CR LF.
+// hasStrayCarriageReturn reports whether a line has a carriage return that is not part of a CR LF at its end.
 func hasStrayCarriageReturn(text []byte) bool {
 	first := bytes.IndexByte(text, '\r')
 	if first < 0 {
@@ -41,7 +41,7 @@
 	return !bytes.Contains(text, []byte("\r\n")) || first < len(text)-2
 }
 
-// explainValueError is like explainSyntaxError for the text after the equals sign.
+// explainValueError is like explainSyntaxError, for an error in the value after the equals sign.
 func explainValueError(message, value string) string {
 	opensString := strings.HasPrefix(value, `"`) && !strings.HasPrefix(value, `""`)
 	if opensString && strings.Count(strings.ReplaceAll(value, `\"`, ""), `"`) == 1 {
@@ -56,10 +56,10 @@
 	return message
 }
 
-// truncated returns the beginning of a text that a message quotes.
+// truncated shortens a text to at most maxQuotedBytes for a message.
 func truncated(s string) string {
-	if len(s) > maxQuoted {
-		return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
+	if len(s) > maxQuotedBytes {
+		return strings.ToValidUTF8(s[:maxQuotedBytes], "") + "..."
 	}
 	return s
 }
--- a/internal/config/doc/toml_tree.go
+++ b/internal/config/doc/toml_tree.go
@@ -18,10 +18,10 @@
 	}
 }
 
-// offset returns the offset of a node in the document. The node must be one whose offset the parser records.
+// offset returns the offset of a node in the document. The parser does not record that of lists and inline tables.
 func (r *tomlReader) offset(n *unstable.Node) int { return r.parserStart + int(n.Raw.Offset) }
 
-// keyParts returns the parts of a dotted key with the offset of each, and the offset of the byte after the last one.
+// keyParts returns the parts of a dotted key, their offsets, and the offset of the first byte after the key.
 func (r *tomlReader) keyParts(it unstable.Iterator) (parts []string, starts []int, end int) {
 	for it.Next() {
 		n := it.Node()
@@ -32,8 +32,8 @@
 	return parts, starts, end
 }
 
-// header finds or makes the table that the next keys are added to; list is set for an element of an array of tables. If the header
-// contradicts the text above it, it is reported and the keys are ignored.
+// header finds or creates the table that the next keys are added to. list is set for the header of an array element, [[name]]. If the
+// header contradicts the text above it, it is reported, and the keys below it are ignored.
 func (r *tomlReader) header(n *unstable.Node, list bool) {
 	parts, starts, _ := r.keyParts(n.Key())
 	pos := r.Pos(starts[0])
@@ -50,7 +50,7 @@
 	}
 	if t.hasHeader || t.dotted {
 		r.report(pos, "the table [%s] stands twice: first in line %d", DottedPath(parts), t.Pos.Line)
-		// Its keys are checked nevertheless, as those of another table: in the same one each would be a duplicate.
+		// The keys below the second header are still checked. They go into a separate table, since in the same one each could be a duplicate.
 		r.table = &Table{Path: t.Path, Pos: pos}
 		return
 	}
@@ -62,8 +62,8 @@
 	r.table = t
 }
 
-// headerStep returns the table within another one that a part of a header names, and makes it if there is none. index is that of the part,
-// start the offset of the header. If the header contradicts the text above it, headerStep adds a finding and returns nil.
+// headerStep returns the subtable that the part of a header with an index names, and creates it if there is none. start is the offset of
+// the header. If the header contradicts the text above it, headerStep adds a finding and returns nil.
 func (r *tomlReader) headerStep(t *Table, parts []string, index int, list bool, start int) *Table {
 	pos := r.Pos(start)
 	last := index == len(parts)-1
@@ -91,7 +91,7 @@
 	return entry.Value.Table
 }
 
-// keyValue adds a key with its value to a table. depth is the number of tables and lists around the table.
+// keyValue adds a key with its value to a table. depth is the number of inline tables and lists that contain the key.
 func (r *tomlReader) keyValue(t *Table, node *unstable.Node, depth int) {
 	parts, starts, end := r.keyParts(node.Key())
 	pos := r.Pos(starts[0])
@@ -118,7 +118,7 @@
 		return
 	}
 	for end < len(r.Text) && (r.Text[end] == ' ' || r.Text[end] == '\t' || r.Text[end] == '=') {
-		end++ // up to the value
+		end++ // skip to the value
 	}
 	value := r.value(t.pathOf(name), node.Value(), end, depth+len(parts))
 	e := &Entry{
@@ -134,7 +134,8 @@
 	r.readEnd = max(r.readEnd, e.End)
 }
 
-// addSubtable adds a table that a header or a dotted key implies. With list it adds an array of tables with one element.
+// addSubtable adds a table that a header or a dotted key defines implicitly. If list is set it adds an array of tables with one element,
+// and returns that element.
 func (t *Table) addSubtable(name string, pos finding.Pos, list bool) *Table {
 	sub := &Table{Path: t.pathOf(name), Pos: pos, arrayElement: list}
 	v := &Value{Kind: TableKind, Pos: pos, Table: sub}
@@ -145,7 +146,7 @@
 	return sub
 }
 
-// isTableArray reports whether a value is an array of tables that headers define, and not an inline array.
+// isTableArray reports whether a value is an array of tables that headers [[name]] define, as opposed to an inline array.
 func isTableArray(v *Value) bool {
 	if v.Kind != Array || len(v.Items) == 0 {
 		return false
@@ -154,14 +155,14 @@
 	return first.Kind == TableKind && first.Table.arrayElement
 }
 
-// kindOfNode maps the parser's kinds of values to those of this package.
+// kindOfNode maps the parser's kinds of values to this package's.
 var kindOfNode = map[unstable.Kind]Kind{
 	unstable.String: String, unstable.Integer: Integer, unstable.Float: Float, unstable.Bool: Bool,
 	unstable.LocalDate: Time, unstable.LocalTime: Time, unstable.LocalDateTime: Time, unstable.DateTime: Time,
 	unstable.Array: Array, unstable.InlineTable: TableKind,
 }
 
-// value reads the value that begins at an offset. depth is the number of tables and lists around it.
+// value converts the node of a value that starts at an offset. depth is the number of tables and lists that contain it.
 func (r *tomlReader) value(path []string, node *unstable.Node, start, depth int) *Value {
 	value := &Value{Kind: kindOfNode[node.Kind], Pos: r.Pos(start), Start: start, End: start + 1}
 	if value.Kind != Array && value.Kind != TableKind {
@@ -198,8 +199,8 @@
 	return value
 }
 
-// childStart returns the offset of an item of a list. The parser does not record that of lists and tables, which take the offset of the
-// list that has them.
+// childStart returns the offset of an item of a list. The parser does not record the offsets of lists and inline tables; for these it
+// returns the offset of the list that contains them.
 func (r *tomlReader) childStart(n *unstable.Node, outer int) int {
 	if n.Raw.Length > 0 {
 		return r.offset(n)
--- a/internal/config/finding/list.go
+++ b/internal/config/finding/list.go
@@ -9,21 +9,22 @@
 	"strings"
 )
 
-// MaxFindings bounds the findings that one List keeps, so that the memory for a file of junk is bounded. Further ones are counted.
+// MaxFindings bounds the findings that one List stores, so that a file of invalid text takes bounded memory. Further findings are only
+// counted.
 const MaxFindings = 1000
 
-// List collects findings. Equal findings are kept once: many applications may inherit one wrong value.
+// List collects findings. Equal findings are stored once, since many applications may inherit one wrong value.
 // The zero List is empty and ready for use. It is not safe for concurrent use.
 type List struct {
 	findings []Finding
 	seen     map[Finding]bool
-	omitted  int // findings beyond MaxFindings
+	omitted  int // the number of findings above MaxFindings
 }
 
-// Reporter takes the findings of one file.
+// Reporter adds a finding about one file.
 type Reporter func(at Pos, format string, args ...any)
 
-// Add adds a finding whose message is formatted like fmt.Sprintf's.
+// Add adds a finding whose message is formatted as by fmt.Sprintf.
 func (l *List) Add(file string, at Pos, format string, args ...any) {
 	f := Finding{File: file, Line: at.Line, Column: at.Col, Message: fmt.Sprintf(format, args...)}
 	switch {
@@ -39,15 +40,15 @@
 	}
 }
 
-// ForFile returns a Reporter that adds findings of one file to the list.
+// ForFile returns a Reporter that adds findings about one file to the list.
 func (l *List) ForFile(file string) Reporter {
 	return func(at Pos, format string, args ...any) { l.Add(file, at, format, args...) }
 }
 
-// Len returns the number of findings, including those beyond MaxFindings.
+// Len returns the number of findings, including those above MaxFindings.
 func (l *List) Len() int { return len(l.findings) + l.omitted }
 
-// All sorts the findings by file, line, column and message, and returns them. Files keep the order in which they were first named.
+// All sorts the findings by file, line, column and message, and returns them. Files are in the order of their first findings.
 func (l *List) All() []Finding {
 	fileOrder := map[string]int{}
 	for _, f := range l.findings {
@@ -66,13 +67,14 @@
 	return l.findings
 }
 
-// Print writes one line per finding, and the number of those beyond MaxFindings. The error is that of the writer.
+// Print writes one line per finding, and a last line with the number of findings above MaxFindings if there are any. It returns the
+// writer's error.
 func (l *List) Print(w io.Writer) error {
 	_, err := io.WriteString(w, l.text())
 	return err
 }
 
-// text returns what Print writes.
+// text returns the text that Print writes.
 func (l *List) text() string {
 	var text strings.Builder
 	for _, f := range l.All() {
@@ -84,8 +86,8 @@
 	return text.String()
 }
 
-// PrintJSON writes one object {"findings":[...],"more":N} for other programs; N counts the findings beyond MaxFindings. The error
-// is that of the writer.
+// PrintJSON writes one object {"findings":[...],"more":N} for other programs; N counts the findings above MaxFindings. It returns
+// the writer's error.
 func (l *List) PrintJSON(w io.Writer) error {
 	all := l.All()
 	if all == nil {
@@ -99,7 +101,7 @@
 	}{all, l.omitted})
 }
 
-// Err returns nil for an empty list, or an Error with all findings.
+// Err returns an Error with the text of all findings, or nil if the list is empty.
 func (l *List) Err() error {
 	if l.Len() == 0 {
 		return nil
--- a/internal/config/finding/nearest.go
+++ b/internal/config/finding/nearest.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// maxNameBytes bounds the names that are compared, since the cost grows with the square of their length, and the part of a name that a
-	// message quotes.
+	// maxNameBytes bounds the length of names that are compared, since the cost grows with its square. It also bounds the part of a name
+	// that a message quotes.
 	maxNameBytes = 64
 	// maxNamesListed bounds the number of candidates that a message lists.
 	maxNamesListed = 8
 )
 
-// Nearest returns the candidate that a misspelt name most likely means, or "" if none is similar: at most a third of the letters may
-// differ, and always one. Case does not count. The first of equally similar candidates is returned.
+// Nearest returns the candidate that a misspelt name most likely means, or "" if none is similar enough. Their edit distance
+// may be up to a third of the longer name's length, or 1 if that is more. Case is ignored. Of equally similar candidates it returns the
+// first.
 func Nearest(name string, candidates []string) string {
 	if len(name) > maxNameBytes {
 		return ""
@@ -36,7 +37,8 @@
 	return nearest
 }
 
-// UnknownName returns the message on a name that is not among the candidates. It proposes the nearest one, or lists all if there are few.
+// UnknownName returns the message for a name that is not among the candidates. It suggests the nearest candidate, or lists all if there
+// are at most maxNamesListed.
 func UnknownName(what, name string, candidates []string) string {
 	text := fmt.Sprintf("unknown %s %q", what, truncate(name))
 	if nearest := Nearest(name, candidates); nearest != "" {
@@ -48,7 +50,7 @@
 	return text
 }
 
-// truncate returns a name, or its beginning, as messages quote it.
+// truncate shortens a name to at most maxNameBytes for a message.
 func truncate(s string) string {
 	if len(s) <= maxNameBytes {
 		return s
@@ -56,12 +58,12 @@
 	return strings.ToValidUTF8(s[:maxNameBytes], "") + "..."
 }
 
-// editDistance returns the least number of letters to insert, drop, replace or swap with their neighbour to turn one text into the other
-// (optimal string alignment distance).
+// editDistance returns the optimal string alignment distance of two texts: the least number of insertions, deletions, substitutions and
+// transpositions of adjacent characters that turn one into the other.
 func editDistance(from, to string) int {
 	source := []rune(from)
 	target := []rune(to)
-	// Three rows of the table of distances between prefixes are enough.
+	// Only three rows of the table of distances between prefixes are needed at a time.
 	beforeLast := make([]int, len(target)+1)
 	last := make([]int, len(target)+1)
 	row := make([]int, len(target)+1)
--- a/internal/config/schema/address.go
+++ b/internal/config/schema/address.go
@@ -12,8 +12,8 @@
 	maxHostBytes = 255
 )
 
-// Address declares a key whose value is host:port with a numeric port. listen is set for an address to listen on, whose host may be empty
-// and whose port may be 0.
+// Address declares a key whose value is host:port with a numeric port. listen says that the sidecar listens on the address; its host may
+// then be empty and its port 0.
 func Address[T any](name string, field func(*T) *string, s StringOptions, listen bool, change Change, help string) KeyOf[T] {
 	s.Type = "address"
 	s.Bounds = "host:port"
@@ -21,7 +21,7 @@
 	return String(name, field, s, change, help)
 }
 
-// addressFault returns what is wrong with an address, or "".
+// addressFault returns what is wrong with an address, or "" if it is valid. See Address for listen.
 func addressFault(text string, listen bool) string {
 	host, port, err := net.SplitHostPort(text)
 	switch {
--- a/internal/config/schema/decode.go
+++ b/internal/config/schema/decode.go
@@ -8,16 +8,16 @@
 	"quincegap/internal/config/finding"
 )
 
-// Layer is a table of a document that has tables of the schema. If several layers are decoded together the later ones take precedence, key
-// by key.
+// Layer is a table of a document that contains tables of the schema. If several layers are decoded together, the later ones take
+// precedence, key by key.
 type Layer struct {
 	Doc   *doc.Document
 	Table *doc.Table
 	File  string
-	Pos   *finding.Pos // replaces the positions in a layer that is not in a file; may be nil
+	Pos   *finding.Pos // if not nil, the position of all settings of a layer whose text is not in the file
 }
 
-// location returns the location of a position in the layer.
+// location returns the location that is reported for a position in the layer.
 func (l Layer) location(pos finding.Pos) Location {
 	if l.Pos != nil {
 		pos = *l.Pos
@@ -25,25 +25,26 @@
 	return Location{l.File, pos}
 }
 
-// Options of Decode.
+// Options configures Decode.
 type Options struct {
-	// Partial omits the checks for missing keys and over several keys, for a layer by itself.
+	// Partial skips the checks for missing keys and over several keys. It is set for a layer that is decoded alone, and for a document
+	// that could not be read completely.
 	Partial bool
-	// RequiredElsewhere are the names of tables whose missing keys come from another source.
+	// RequiredElsewhere has the names of tables whose required keys may be missing, since another source provides them.
 	RequiredElsewhere []string
-	// OtherTables are the names of tables that are allowed and not of the schema.
+	// OtherTables has the names of tables that are allowed but not part of the schema.
 	OtherTables []string
 }
 
-// decoding is one run of Decode.
+// decoding is the state of one call of Decode.
 type decoding struct {
 	*File
 	options Options
 	found   *finding.List
 }
 
-// Decode reads layers, the lowest first, and reports all faults. With findings the file must only be used to look for further faults.
-// Layers without a table are ignored.
+// Decode decodes layers, in order of increasing precedence, and adds a finding for each fault. If it has added any, the file must only be
+// used to look for further faults. Layers without a table are ignored.
 func (s *Schema) Decode(found *finding.List, options Options, layers ...Layer) *File {
 	run := decoding{
 		File: &File{
@@ -72,7 +73,7 @@
 		}
 	}
 	if found.Len() > before {
-		return run.File // a check over keys that could not be read would mislead
+		return run.File // checks over keys that could not be read would report misleading findings
 	}
 	for _, t := range s.Tables {
 		if t.check != nil {
@@ -82,7 +83,7 @@
 	return run.File
 }
 
-// layer reads the tables of one layer.
+// layer decodes the tables of one layer.
 func (d *decoding) layer(layer Layer) {
 	report := d.found.ForFile(layer.File)
 	for _, e := range layer.Table.Entries {
@@ -101,7 +102,7 @@
 	}
 }
 
-// reportUnknown reports a top-level entry of a layer that is not a table of the schema.
+// reportUnknown reports a top-level entry of a layer that is not a table of the schema, unless it is in OtherTables.
 func (d *decoding) reportUnknown(e *doc.Entry, report finding.Reporter) {
 	if slices.Contains(d.options.OtherTables, e.Name) {
 		return
@@ -117,7 +118,7 @@
 	report(e.Pos, "%s", finding.UnknownName("key", e.Name, append(d.schema.tableNames(), d.schema.keyNames()...)))
 }
 
-// namedTables reads the tables [NAME.ANY] of one layer.
+// namedTables decodes the tables [NAME.ANY] of one layer.
 func (d *decoding) namedTables(layer Layer, t *Table, all *doc.Table, report finding.Reporter) {
 	for _, entry := range all.Entries {
 		if entry.Value.Kind != doc.TableKind {
@@ -137,7 +138,7 @@
 	}
 }
 
-// table fills the value of one table.
+// table decodes one table of a layer into the struct of that table.
 func (d *decoding) table(layer Layer, t *Table, path []string, table *doc.Table, report finding.Reporter) {
 	id := valueID(path...)
 	value := d.values[id]
@@ -161,12 +162,12 @@
 		if entry.Value.End > entry.Value.Start {
 			setting.Raw = string(layer.Doc.Text[entry.Value.Start:entry.Value.End])
 		}
-		// A key with a fault is kept, so that it is not reported as missing.
+		// A key with a fault is recorded too, so that it is not reported as missing.
 		d.settings[setting.ID()] = setting
 	}
 }
 
-// reportUnknownKey reports a key that the table does not have.
+// reportUnknownKey reports a key that the table does not declare.
 func (d *decoding) reportUnknownKey(t *Table, path []string, e *doc.Entry, report finding.Reporter) {
 	if header := d.schema.tableOfKey(e.Name); header != "" {
 		report(e.Pos, "%s has no key %s; it belongs under [%s]", tableHeader(path), e.Name, header)
@@ -175,7 +176,7 @@
 	report(e.Pos, "%s", finding.UnknownName("key", e.Name, t.keyNames())+" in "+tableHeader(path))
 }
 
-// reportMissing reports required keys of a table that no layer has.
+// reportMissing reports required keys of a table that no layer sets, and a required named table that no layer has.
 func (d *decoding) reportMissing(t *Table) {
 	if t.Required && len(d.names[t.Name]) == 0 {
 		d.found.Add(d.root.File, d.root.Pos, "there is no [%s]: at least one is needed", t.headerName())
@@ -189,7 +190,7 @@
 	}
 }
 
-// isMissing reports whether a key is required and no layer has it.
+// isMissing reports whether a key is required and no layer sets it.
 func (d *decoding) isMissing(table []string, k *Key) bool {
 	if !k.Required || d.settings[keyID(table, k)] != nil {
 		return false
@@ -197,7 +198,7 @@
 	return k.optionalWhen == nil || !k.optionalWhen(d.File)
 }
 
-// reportMissingKey reports a missing key at the header of its table, or at the file if there is no header.
+// reportMissingKey reports a missing key at the header of its table, or at the start of the file if there is no header.
 func (d *decoding) reportMissingKey(table string, k *Key) {
 	location, ok := d.tables[table]
 	if !ok {
@@ -207,7 +208,7 @@
 	d.found.Add(location.File, location.Pos, "[%s] lacks the key %s, like %s = %s", table, k.Name, k.Name, k.Example)
 }
 
-// check runs the check over several keys of a table, even if the file does not have the table.
+// check runs a table's check over several keys. A table that is not named is checked even if the file does not have it.
 func (d *decoding) check(t *Table) {
 	if !t.Named {
 		value, ok := d.values[valueID(t.Name)]
@@ -232,7 +233,7 @@
 	}
 }
 
-// messagePrefix returns the beginning of a message on a setting.
+// messagePrefix returns the beginning of a message about a setting.
 func messagePrefix(path []string) string { return doc.DottedPath(path) + ": " }
 
 // tableHeader returns the header of a table.
--- a/internal/config/schema/doc.go
+++ b/internal/config/schema/doc.go
@@ -1,6 +1,6 @@
-// Package schema declares the keys of a configuration file, each once: its type, default, bounds, help and when a change of it takes
-// effect. Decoding, checks, the reference page, the sample file and the comments in derived files all come from these declarations.
-// The package does no I/O and holds no state: a Schema is made at the start of a program and not changed after.
+// Package schema declares the keys of a configuration file, each once, with its type, default, bounds, help, and when a change of it
+// takes effect. Decoding, checks, the reference page, the sample file and the comments in derived files all use these declarations.
+// The package does no I/O and has no state: a Schema is created when a program starts, and does not change afterwards.
 //
 // A subsystem declares a table with the struct that it fills:
 //
@@ -9,9 +9,9 @@
 //	var CallersTable = schema.NewTable("callers", "Connections from callers.",
 //		schema.Duration("idle_timeout", func(c *Callers) *time.Duration { return &c.IdleTimeout },
 //			schema.Bounds[time.Duration]{Default: 30 * time.Second, Min: time.Second, Max: time.Hour},
-//			schema.AtStart, "How long a connection may stand idle."))
+//			schema.AtStart, "How long a connection may be idle."))
 //
-// and after file := s.Decode(...) reads it with CallersTable.In(file). A file has layers; later ones take precedence, key by key:
+// and after file := s.Decode(...) reads the struct with CallersTable.In(file). A file has layers; later ones take precedence, key by key:
 //
 //	documents --> Decode: each layer's keys --> missing keys --> checks over several keys --> File
 //	                         |                      |                     |
--- a/internal/config/schema/duration.go
+++ b/internal/config/schema/duration.go
@@ -8,14 +8,14 @@
 	"quincegap/internal/config/doc"
 )
 
-// Duration declares a key whose value is a time with its unit.
+// Duration declares a key whose value is a duration with a unit.
 func Duration[T any](name string, field func(*T) *time.Duration, b Bounds[time.Duration], change Change, help string) KeyOf[T] {
 	return numberKey(name, "duration", field, b, change, help, readDuration, func(d time.Duration) string {
 		return doc.Quote(FormatDuration(d))
 	})
 }
 
-// FormatDuration returns a duration without the units that are 0: "1m", not "1m0s".
+// FormatDuration formats a duration without trailing units that are 0: "1m", not "1m0s".
 func FormatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -27,7 +27,7 @@
 	return text
 }
 
-// misspeltDurationUnits maps frequent misspellings of units to the units.
+// misspeltDurationUnits maps frequent misspellings of units to the correct units.
 var misspeltDurationUnits = map[string]string{
 	"usec": "us", "micros": "us",
 	"msec": "ms", "millis": "ms", "MS": "ms",
@@ -36,7 +36,7 @@
 	"hour": "h", "hours": "h",
 }
 
-// readDuration returns a duration, or what is wrong with the text.
+// readDuration returns the duration, or else what is wrong with the value.
 func readDuration(value *doc.Value) (time.Duration, string) {
 	const want = `a time with its unit (like "2500ms" or "2.5s")`
 	switch value.Kind {
@@ -69,9 +69,9 @@
 	return 0, fmt.Sprintf("%s is no time; units are us, ms, s, m, h, as in \"2500ms\"", quoteValue(value))
 }
 
-// looksLikeDuration reports whether a text has numbers with known units, even if they are too large.
+// looksLikeDuration reports whether a text consists of numbers with known units, even if the numbers are too large for a duration.
 func looksLikeDuration(text string) bool {
-	shortened := "" // one digit of each number is enough
+	shortened := "" // the text with one digit of each number, which cannot overflow
 	for _, r := range text {
 		if !isDigit(r) || shortened == "" || !isDigit(rune(shortened[len(shortened)-1])) {
 			shortened += string(r)
--- a/internal/config/schema/number.go
+++ b/internal/config/schema/number.go
@@ -10,16 +10,17 @@
 	"quincegap/internal/config/doc"
 )
 
-// Bounds is the default and the range of a number. A key without a default that is not Required is 0 if it is missing.
+// Bounds has the default and the range of a number. An Optional key is 0 if it is missing.
 type Bounds[N cmp.Ordered] struct {
 	Default  N
-	Min, Max N    // inclusive
-	Optional bool // there is no default
+	Min, Max N    // the inclusive range
+	Optional bool // whether the key may be missing although it has no default
 	Required bool
-	Example  string // as TOML, for an optional or required key
+	Example  string // an example as TOML, for an optional or required key
 }
 
-// numberKey declares a key of an ordered type.
+// numberKey declares a key whose value is a number. read returns the number, or else what is wrong with the value; write formats it as
+// TOML.
 func numberKey[T any, N cmp.Ordered](name, typeName string, field func(*T) *N, b Bounds[N], change Change, help string,
 	read func(*doc.Value) (N, string), write func(N) string,
 ) KeyOf[T] {
@@ -75,7 +76,7 @@
 		n, err := strconv.ParseFloat(text, 64)
 		if v.Kind == doc.Integer && err != nil {
 			var i int64
-			i, err = strconv.ParseInt(v.Text, 0, 64) // hexadecimal, octal and binary too
+			i, err = strconv.ParseInt(v.Text, 0, 64) // accepts hexadecimal, octal and binary integers
 			n = float64(i)
 		}
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
--- a/internal/config/schema/render.go
+++ b/internal/config/schema/render.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/config/doc"
 )
 
-// Reference returns the reference page of all tables, in Markdown.
+// Reference returns the reference documentation of all tables, in Markdown.
 func (s *Schema) Reference() string {
 	var page strings.Builder
 	for _, t := range s.Tables {
@@ -36,7 +36,7 @@
 	return page.String()
 }
 
-// Sample returns a file with all keys: those that are required with an example, the others as comments with their default or an example. It
+// Sample returns a file with all keys: required ones with an example, the others as comments with their default or an example. The file
 // decodes without findings.
 func (s *Schema) Sample() string {
 	var file strings.Builder
@@ -69,7 +69,7 @@
 	return file.String()
 }
 
-// Text returns the settings of a file as TOML, in the order of the schema, each with its help above.
+// Text returns the settings of a file as TOML, in the order of the schema, each with its help as a comment above it.
 func (f *File) Text() string {
 	var b strings.Builder
 	lastHeader := ""
@@ -83,7 +83,7 @@
 	return b.String()
 }
 
-// OneLine returns the value as TOML: as it is written, or its canonical form if that takes several lines.
+// OneLine returns the value as TOML on one line: as the file has it, or the normalized form if the file's takes several lines.
 func (s *Setting) OneLine() string {
 	if s.Raw == "" || strings.ContainsAny(s.Raw, "\r\n") {
 		return s.Canonical
--- a/internal/config/schema/size.go
+++ b/internal/config/schema/size.go
@@ -9,13 +9,13 @@
 	"quincegap/internal/config/doc"
 )
 
-// sizeUnits are the units of sizes, the largest first.
+// sizeUnits has the units of sizes, in descending order.
 var sizeUnits = []struct {
 	unit  string
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// Size declares a key whose value is a number of bytes with its unit.
+// Size declares a key whose value is a size with a unit; its field is the number of bytes.
 func Size[T any](name string, field func(*T) *int64, b Bounds[int64], change Change, help string) KeyOf[T] {
 	return numberKey(name, "size", field, b, change, help, readSize, func(n int64) string {
 		for _, s := range sizeUnits {
@@ -27,7 +27,7 @@
 	})
 }
 
-// misspeltSizeUnits maps frequent misspellings of units to the units.
+// misspeltSizeUnits maps frequent misspellings of units to the correct units.
 var misspeltSizeUnits = map[string]string{
 	"b": "B",
 	"K": "KiB", "KB": "KiB", "k": "KiB", "kB": "KiB", "kb": "KiB", "kib": "KiB",
@@ -35,7 +35,7 @@
 	"G": "GiB", "GB": "GiB", "g": "GiB", "gb": "GiB", "gib": "GiB",
 }
 
-// readSize returns a number of bytes, or what is wrong with the text.
+// readSize returns the number of bytes, or else what is wrong with the value.
 func readSize(value *doc.Value) (int64, string) {
 	const want = `a size with its unit (like "64KiB" or "32MiB")`
 	switch value.Kind {
--- a/internal/config/schema/text.go
+++ b/internal/config/schema/text.go
@@ -9,18 +9,18 @@
 	"quincegap/internal/config/finding"
 )
 
-// StringOptions has the default of a string and the values that it may have.
+// StringOptions describes a string: its default and its valid values.
 type StringOptions struct {
 	Default  string
 	Required bool
-	Example  string // without quotes
-	Type     string // in words; "string" if empty
-	Bounds   string // in words
-	// Fault returns what is wrong with a value, or "". It may be nil.
+	Example  string // an example, without quotes
+	Type     string // the type as a phrase; "string" if empty
+	Bounds   string // the valid values as a phrase; may be empty
+	// Fault returns what is wrong with a value, or "". It may be nil, which accepts all values.
 	Fault func(string) string
 }
 
-// MaxStringBytes bounds a string, in bytes.
+// MaxStringBytes bounds the length of a string, in bytes.
 const MaxStringBytes = 4096
 
 // String declares a key whose value is a string that is not empty and has no control characters.
@@ -61,27 +61,29 @@
 	return KeyOf[T]{key}
 }
 
-// Choice declares a key whose value is one of several words. With required it has to be set.
-func Choice[T any, S ~string](name string, field func(*T) *S, words []S, preset S, required bool, change Change, help string) KeyOf[T] {
-	names := make([]string, len(words))
-	for i, w := range words {
-		names[i] = string(w)
+// Choice declares a key whose value is one of several strings. If defaultValue is "" the key has no default. If required is set the key
+// must not be missing.
+func Choice[T any, S ~string](name string, field func(*T) *S, values []S, defaultValue S, required bool, change Change, help string,
+) KeyOf[T] {
+	names := make([]string, len(values))
+	for i, value := range values {
+		names[i] = string(value)
 	}
 	key := &Key{
 		Name: name, Type: "word", Bounds: strings.Join(names, ", "), Help: help, Change: change, Required: required,
 		Example: doc.Quote(names[0]),
 	}
-	if preset != "" {
-		key.Default = doc.Quote(string(preset))
+	if defaultValue != "" {
+		key.Default = doc.Quote(string(defaultValue))
 	}
-	key.setDefault = func(target any) { *field(target.(*T)) = preset }
+	key.setDefault = func(target any) { *field(target.(*T)) = defaultValue }
 	key.decode = func(target any, v *doc.Value) (string, string) {
 		if v.Kind != doc.String {
 			return "", wrongKind(v, "one of "+strings.Join(names, ", "))
 		}
-		for _, w := range words {
-			if v.Text == string(w) {
-				*field(target.(*T)) = w
+		for _, value := range values {
+			if v.Text == string(value) {
+				*field(target.(*T)) = value
 				return doc.Quote(v.Text), ""
 			}
 		}
--- a/internal/config/schema/value.go
+++ b/internal/config/schema/value.go
@@ -11,7 +11,7 @@
 // maxQuotedBytes bounds the part of a value that a message quotes.
 const maxQuotedBytes = 40
 
-// quoteValue returns a value, or its beginning, as messages quote it.
+// quoteValue returns the text of a value for a message, truncated to maxQuotedBytes.
 func quoteValue(v *doc.Value) string {
 	text := v.Text
 	if len(text) > maxQuotedBytes {
@@ -23,7 +23,7 @@
 	return text
 }
 
-// wrongKind returns the message on a value that is not of the key's type.
+// wrongKind returns the message for a value that is not of the key's type; want describes that type.
 func wrongKind(v *doc.Value, want string) string {
 	if v.Kind == doc.Array || v.Kind == doc.TableKind {
 		return fmt.Sprintf("%s, not %s, is wanted", want, v.Kind)
@@ -32,10 +32,10 @@
 }
 
 // Bool declares a key whose value is true or false.
-func Bool[T any](name string, field func(*T) *bool, preset bool, change Change, help string) KeyOf[T] {
+func Bool[T any](name string, field func(*T) *bool, defaultValue bool, change Change, help string) KeyOf[T] {
 	return KeyOf[T]{&Key{
-		Name: name, Type: "true or false", Help: help, Change: change, Default: strconv.FormatBool(preset),
-		setDefault: func(target any) { *field(target.(*T)) = preset },
+		Name: name, Type: "true or false", Help: help, Change: change, Default: strconv.FormatBool(defaultValue),
+		setDefault: func(target any) { *field(target.(*T)) = defaultValue },
 		decode: func(target any, v *doc.Value) (string, string) {
 			if v.Kind != doc.Bool {
 				return "", wrongKind(v, "true or false")
--- a/internal/config/settings/load.go
+++ b/internal/config/settings/load.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/balancer"
 )
 
-// The names of figures in a load report. Others are ignored.
+// The names of the figures in a load report. Figures with other names are ignored.
 const (
 	loadInFlight    = "inflight"
 	loadQueue       = "queue"
@@ -18,20 +18,21 @@
 )
 
 const (
-	// maxLoadFigure is more than any figure of a load report can be.
+	// maxLoadFigure is the largest value that a figure of a load report may have.
 	maxLoadFigure = 1e9
-	// loadUnknown is the value of a figure that a report does not have.
+	// loadUnknown is the value of a figure that a report does not contain.
 	loadUnknown = -1
 )
 
-// ParseLoad reads a load report: pairs of a name of feedback.fields and a number, separated by commas, with separator between name and
-// number ("=" in headers of HTTP, ":" on the simulator's wire). Figures that it does not have are -1.
+// ParseLoad parses a load report: comma-separated pairs of a name of feedback.fields and a number, with separator between name and number
+// ("=" in HTTP headers, ":" in the simulator's protocol). Figures that the report does not contain are -1. It fails if a pair has no
+// separator, or no number from 0 to maxLoadFigure.
 func ParseLoad(text, separator string) (*balancer.Load, error) {
 	load := &balancer.Load{InFlight: loadUnknown, Queue: loadUnknown, Utilization: loadUnknown, ServiceTime: loadUnknown}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, number, ok := strings.Cut(strings.TrimSpace(pair), separator)
 		figure, err := strconv.ParseFloat(number, 64)
-		if !ok || err != nil || !(figure >= 0 && figure <= maxLoadFigure) { // not a number fails both comparisons
+		if !ok || err != nil || !(figure >= 0 && figure <= maxLoadFigure) { // both comparisons are false for NaN
 			return nil, fmt.Errorf("%q is not a load report", text)
 		}
 		switch name {
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings decodes the JSON object that starts an instance of the load balancer, and load reports of endpoints. The
-// simulator's adapter and the standalone sidecar share it.
+// Package settings decodes the JSON object with the settings of an instance of the load balancer, and load reports of endpoints. The
+// simulator's adapter and the standalone sidecar both use it.
 //
-// Times in the object are whole microseconds. Keys keep the words of the users' pages; the Go names are the standard terms.
+// Times in the object are whole microseconds. Its keys keep the terms of the user documentation; Go names use the standard terms.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 	"quincegap/internal/balancer"
 )
 
-// config mirrors the JSON object. Its keys are data, and so are the names of the type and the fields, which errors of encoding/json have.
+// config mirrors the JSON object. The names of the type and its fields must not change, since they appear in errors of encoding/json.
 // Keys that are not listed here are ignored.
 type config struct {
 	Allowed struct {
@@ -74,7 +74,7 @@
 	} `json:"tenants"`
 }
 
-// knownKeys are the top-level keys that config reads, and those that are ignored without a warning.
+// knownKeys has the top-level keys that config reads, and keys that are ignored without a warning.
 var knownKeys = map[string]bool{
 	"allowed": true, "clientHabits": true, "discovery": true, "family": true, "familyInfo": true,
 	"feedback": true, "goal": true, "instances": true, "models": true, "myZone": true, "ordinal": true,
@@ -82,36 +82,36 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// Values of the keys discovery and worthBy.
+// The values of the keys discovery and worthBy.
 const (
-	discoveryPush = "push" // discovery sends the list of endpoints
-	discoveryAsk  = "ask"  // the list has to be polled
+	discoveryPush = "push" // discovery pushes the list of endpoints
+	discoveryAsk  = "ask"  // the list of endpoints has to be polled
 	worthByWork   = "work" // the value of a response is proportional to its work units
 )
 
-// idempotencyByWord and keyScopeByWord map values of effect and keyScope. An unknown value is passed on unchanged, and the Balancer rejects
-// it by name.
+// idempotencyByName and keyScopeByName map the values of the keys effect and keyScope. An unknown value is passed on unchanged, so that the
+// Balancer's error names it.
 var (
-	idempotencyByWord = map[string]balancer.Idempotency{
+	idempotencyByName = map[string]balancer.Idempotency{
 		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NonIdempotent,
 	}
-	keyScopeByWord = map[string]balancer.KeyScope{
+	keyScopeByName = map[string]balancer.KeyScope{
 		"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell,
 	}
 )
 
-// Settings has the settings of a Balancer, and those that only the program around it needs.
+// Settings has the settings of a Balancer, and further settings that only the program that runs it needs.
 type Settings struct {
 	balancer.Settings
-	Zones         []string      // the names of the zones, by the Balancer's indexes
-	Models        []string      // names of the endpoints' models
+	Zones         []string      // the names of the zones, indexed by the Balancer's zone numbers
+	Models        []string      // the names of the endpoints' models
 	ConnIdle      time.Duration // the time after which an endpoint closes an idle connection; 0 if unknown
 	GraceToAnswer time.Duration // the time after the client's deadline in which a response still counts
-	OpenCap       int           // the most requests in flight; 0 for no limit
+	OpenCap       int           // the limit on requests in flight; 0 for none
 }
 
-// Parse reads the object and returns the top-level keys that it ignored, sorted. It fails if the text is no such object, or has an unknown
-// value of discovery. The Balancer checks everything else.
+// Parse decodes the object, and also returns the unknown top-level keys that it ignored, sorted. It fails if the text is not such an object
+// or has an unknown value of discovery. The Balancer checks everything else.
 func Parse(text []byte) (settings Settings, unknown []string, err error) {
 	var object config
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -139,7 +139,7 @@
 	}, unknown, nil
 }
 
-// balancerSettings returns the part of the object that the Balancer is started with.
+// balancerSettings converts the part of the object that configures the Balancer.
 func (c *config) balancerSettings() balancer.Settings {
 	settings := balancer.Settings{
 		Instances:           c.Instances,
@@ -176,8 +176,8 @@
 			Deadline:       Microseconds(service.Deadline),
 			Value:          service.Gain,
 			LateValueShare: service.LateValue,
-			Idempotency:    translate(idempotencyByWord, service.Effect),
-			KeyScope:       translate(keyScopeByWord, service.KeyScope),
+			Idempotency:    translate(idempotencyByName, service.Effect),
+			KeyScope:       translate(keyScopeByName, service.KeyScope),
 			KeyWindow:      Microseconds(service.Window),
 			Streaming:      service.Streamed,
 		})
@@ -188,13 +188,13 @@
 	return settings
 }
 
-// translate looks a word up, and passes an unknown one on unchanged.
-func translate[T ~string](words map[string]T, word string) T {
-	if v, ok := words[word]; ok {
+// translate returns the value that a name stands for, or the name itself if it is unknown.
+func translate[T ~string](byName map[string]T, name string) T {
+	if v, ok := byName[name]; ok {
 		return v
 	}
-	return T(word)
+	return T(name)
 }
 
-// Microseconds returns a duration of n microseconds, the unit of all times in the settings.
+// Microseconds converts a number of microseconds, the unit of all times in the settings object, to a Duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/product/load.go
+++ b/internal/product/load.go
@@ -18,8 +18,8 @@
 // errNotRegular is the error for directories, pipes and devices.
 var errNotRegular = errors.New("is no regular file")
 
-// Read reads a file of at most maxBytes bytes. Only regular files are read: reading a pipe could block forever. Errors do not have the
-// path, since findings name it already.
+// Read reads a file of at most maxBytes bytes. It fails for files that are not regular, since reading a pipe could block
+// forever. Errors do not contain the path, since findings name it already.
 func Read(path string, maxBytes int64) (text []byte, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return text, nil
 }
 
-// withoutPath removes the path from an error that is printed after it.
+// withoutPath removes the path from an error, since messages name it before the error.
 func withoutPath(err error) error {
 	var path *fs.PathError
 	if errors.As(err, &path) {
@@ -53,7 +53,7 @@
 }
 
 // Load reads the file of one application and checks the secrets that it names. With overlay, keys that a platform's configuration sets may
-// be missing. It returns nil if the file cannot be read. With findings the result must not be used.
+// be missing. It returns nil if the file cannot be read. If there are findings the result must not be used.
 func Load(path string, overlay bool, found *finding.List) *schema.File {
 	text, err := Read(path, apps.MaxFileBytes)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return f
 }
 
-// Decode is like Load for a document that has been read already, and does not check secrets. Missing keys are reported only if the document
-// is complete: they may be in the lines that could not be read.
+// Decode is like Load for a document that has been read already, but does not check secrets. Missing keys are reported only if the document
+// is complete, since they may be in lines that could not be read.
 func Decode(path string, d *doc.Document, overlay, complete bool, found *finding.List) *schema.File {
 	options := schema.Options{Partial: !complete}
 	if overlay {
@@ -86,7 +86,7 @@
 	return f
 }
 
-// Resolve returns a path that a file names; a relative one is relative to the directory of the file.
+// Resolve returns a path that a file names. If it is relative, it is joined to the directory of the file.
 func Resolve(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/product/peer_group.go
+++ b/internal/product/peer_group.go
@@ -12,8 +12,8 @@
 	"quincegap/internal/standalone"
 )
 
-// peersOpener returns a function that joins the group of sidecars that a file configures; nil if it configures none. It fails if the
-// settings contradict one another or the keys cannot be read.
+// peersOpener returns a function that joins the group of sidecars that a file configures, or nil if the file configures none. It fails if
+// the settings contradict one another or the keys cannot be read.
 func peersOpener(file *schema.File, resolve func(string) string) (standalone.PeersOpener, error) {
 	settings := *gossip.Table.In(file)
 	if settings.Listen == "" {
@@ -63,7 +63,7 @@
 	}, nil
 }
 
-// readPeerKeys reads the keys of the group from the file that the settings name. Without a file there are no keys.
+// readPeerKeys reads the keys of the group from the file that the settings name. It returns no keys if they name no file.
 func readPeerKeys(f *schema.File, keyFile string, resolve func(string) string) ([][]byte, error) {
 	if keyFile == "" {
 		return nil, nil
@@ -79,13 +79,13 @@
 	return keys, nil
 }
 
-// reloadableGroup is a group whose keys are read again from their file.
+// reloadableGroup is a group whose keys can be reloaded from their file.
 type reloadableGroup struct {
 	*gossip.Group
 	readKeys func() ([][]byte, error)
 }
 
-// Reload reads the keys again. It does nothing if there is no file.
+// Reload reads the keys again and replaces those of the group. It does nothing if the settings name no file with keys.
 func (r *reloadableGroup) Reload() error {
 	keys, err := r.readKeys()
 	if err != nil || keys == nil {
--- a/internal/product/platform.go
+++ b/internal/product/platform.go
@@ -10,10 +10,10 @@
 	"quincegap/internal/standalone"
 )
 
-// MaxPlatformBytes bounds the platform's JSON configuration, its list of endpoints included.
+// MaxPlatformBytes bounds the size of the platform's JSON configuration, including its list of endpoints.
 const MaxPlatformBytes = 16 << 20
 
-// CheckPlatform reports the faults of a platform's JSON configuration for which the sidecar would not start.
+// CheckPlatform reports the faults of a platform's JSON configuration that would keep the sidecar from starting.
 func CheckPlatform(path string, found *finding.List) {
 	text, err := Read(path, MaxPlatformBytes)
 	if err != nil {
@@ -30,27 +30,27 @@
 	if found.Len() > before {
 		return
 	}
-	// The sidecar checks the rest. Its errors name a key, whose position is looked up.
+	// The sidecar's own check covers the rest. Its errors begin with a key, whose position in the document is looked up.
 	if err := standalone.CheckPlatform(text); err != nil {
 		report(locate(d, err.Error()), "%s", platformNames.Replace(err.Error()))
 	}
 }
 
-// platformNames replaces the sidecar's names of keys in messages by the platform's.
+// platformNames replaces the sidecar's names of keys in messages with the platform's.
 var platformNames = strings.NewReplacer("classes", "services", "].scope:", "].keyScope:")
 
-// keyPath matches a path of keys, with indexes of lists, as the sidecar's errors have it.
+// keyPath matches a path of keys and list indexes in the form that the sidecar's errors use.
 var keyPath = regexp.MustCompile(`[A-Za-z_]+(\[\d+\])?(\.[A-Za-z_]+(\[\d+\])?)*`)
 
-// platformPaths maps the sidecar's names of keys to the platform's paths.
+// platformPaths maps the sidecar's names of keys to paths in the platform's configuration, where they differ.
 var platformPaths = map[string]string{
 	"classes": "services", "scope": "keyScope", "maxRetryAfter": "allowed.maxRetryAfter",
 	"connectTimeout": "allowed.connectTimeout", "cold": "rules.cold", "coldFrom": "rules.coldFrom", "fall": "rules.fall",
 	"tipMultiple": "rules.tipMultiple", "askEvery": "rules.askEvery", "goalWhole": "goal.whole", "goalWorstClass": "goal.worstClass",
 }
 
-// locate returns the position of the key with which an error of the sidecar begins, or of the deepest part of its path that the document
-// has.
+// locate returns the position of the key with which an error of the sidecar begins, or of the deepest part of its path that exists in the
+// document.
 func locate(d *doc.Document, message string) finding.Pos {
 	walk := keyWalk{table: d.Root, pos: d.Root.Pos}
 	for part := range strings.SplitSeq(message, ": ") {
@@ -66,13 +66,14 @@
 	return walk.pos
 }
 
-// keyWalk follows keys from the root of a document.
+// keyWalk follows a path of keys from the root of a document.
 type keyWalk struct {
 	table *doc.Table
 	pos   finding.Pos
 }
 
-// step follows one key, with or without an index, by the sidecar's name of it. It returns false if the document has no such key.
+// step follows one key, with or without a list index. name is the sidecar's name of the key. It returns false if the document has no such
+// key.
 func (k *keyWalk) step(name string) bool {
 	key, index, isIndexed := strings.Cut(strings.TrimSuffix(name, "]"), "[")
 	for key := range strings.SplitSeq(platformPath(key), ".") {
@@ -91,7 +92,7 @@
 	return true
 }
 
-// platformPath returns the platform's path of a key, by the sidecar's name of it.
+// platformPath returns the path in the platform's configuration of a key with the sidecar's name.
 func platformPath(name string) string {
 	if path := platformPaths[name]; path != "" {
 		return path
--- a/internal/product/platform_shape.go
+++ b/internal/product/platform_shape.go
@@ -8,27 +8,27 @@
 	"quincegap/internal/config/finding"
 )
 
-// maxNumber bounds the magnitude of numbers in the platform's JSON.
+// maxNumber bounds the magnitude of numbers in the platform's JSON configuration.
 const maxNumber = 1e18
 
-// shape describes the valid values of a part of the platform's JSON. Unknown keys are allowed, since the platform may add some, unless one
-// is similar to a known key that is missing.
+// shape describes the valid values of a part of the platform's JSON configuration. Unknown keys are allowed, since the platform may add
+// some, unless one is similar to a known key that is missing.
 type shape struct {
-	kind     doc.Kind          // of the value
-	number   bool              // any number is valid, whole or not
-	keys     map[string]*shape // of an object
-	item     *shape            // of a list
-	required []string          // the keys that an object must have
+	kind     doc.Kind          // the kind of the value, unless number is set
+	number   bool              // whether any number is valid, integer or not
+	keys     map[string]*shape // the shapes of the keys of an object
+	item     *shape            // the shape of the items of a list
+	required []string          // the names of keys that an object must have
 }
 
-// The shapes of values.
+// The constructors of shapes.
 
 func stringShape() *shape          { return &shape{kind: doc.String} }
 func numberShape() *shape          { return &shape{kind: doc.Integer, number: true} }
 func boolShape() *shape            { return &shape{kind: doc.Bool} }
 func listShape(item *shape) *shape { return &shape{kind: doc.Array, item: item} }
 
-// objectShape returns the shape of an object with the given keys, of which some are required.
+// objectShape returns the shape of an object with the given keys. required has the names of those that it must have.
 func objectShape(keys map[string]*shape, required ...string) *shape {
 	return &shape{kind: doc.TableKind, keys: keys, required: required}
 }
@@ -38,7 +38,7 @@
 	return withShapes(map[string]*shape{}, numberShape, names...)
 }
 
-// withShapes adds keys of the same shape to a map, and returns the map.
+// withShapes adds keys with new, equal shapes to a map, and returns the map.
 func withShapes(keys map[string]*shape, newShape func() *shape, names ...string) map[string]*shape {
 	for _, name := range names {
 		keys[name] = newShape()
@@ -46,7 +46,7 @@
 	return keys
 }
 
-// platformShape is the shape of the configuration.
+// platformShape is the shape of the platform's JSON configuration.
 var platformShape = objectShape(
 	withShapes(map[string]*shape{
 		"peers":    listShape(stringShape()),
@@ -67,7 +67,7 @@
 	})
 }
 
-// settingsShape returns the shape of the settings of the balancer.
+// settingsShape returns the shape of the load balancer's settings.
 func settingsShape() *shape {
 	keys := map[string]*shape{
 		"allowed":      allowedShape(),
@@ -89,7 +89,7 @@
 	return objectShape(keys, "discovery", "services", "instances")
 }
 
-// allowedShape returns the shape of the limits of what the balancer may do.
+// allowedShape returns the shape of the object that limits what the load balancer may do.
 func allowedShape() *shape {
 	keys := numberShapes("connIdle", "connectTimeout", "cpuUsPerRequest", "cpuUsPerS", "maxRetryAfter", "maxStreams", "openCap", "sendCap")
 	withShapes(keys, boolShape, "cancel", "mayProbe", "peers", "retryAfter", "secondCopies")
@@ -104,7 +104,7 @@
 	return objectShape(keys, "name", "aim", "deadline", "effect")
 }
 
-// check checks a value against a shape. path names the value in findings.
+// check reports values that do not match the shape. path names the value in findings.
 func (s *shape) check(value *doc.Value, path string, report finding.Reporter) {
 	if s.number && (value.Kind == doc.Integer || value.Kind == doc.Float) {
 		if n, err := strconv.ParseFloat(value.Text, 64); err != nil || n > maxNumber || n < -maxNumber {
@@ -126,7 +126,7 @@
 	}
 }
 
-// checkKeys checks the keys of an object.
+// checkKeys checks the keys of an object against the shape, and reports required keys that are missing.
 func (s *shape) checkKeys(object *doc.Value, path string, report finding.Reporter) {
 	keyPrefix := path
 	if keyPrefix != "" {
@@ -152,7 +152,7 @@
 	}
 }
 
-// pathPrefix returns the beginning of a message on a value; "" for the object as a whole.
+// pathPrefix returns the beginning of a message about the value with a path; "" for the root object.
 func pathPrefix(path string) string {
 	if path == "" {
 		return ""
--- a/internal/product/product.go
+++ b/internal/product/product.go
@@ -14,14 +14,14 @@
 	"quincegap/internal/standalone"
 )
 
-// Schema has the tables of a sidecar's file: those of the application and those of the sidecar's parts.
+// Schema is the schema of a sidecar's file: the tables that describe the application, and those of the sidecar's subsystems.
 var Schema = schema.New(slices.Concat(appfile.Tables(), standalone.Tables(),
 	[]*schema.Table{endpointsource.SettingsTable.Table, route.Rules.Table, consul.Table.Table, gossip.Table.Table, admin.Table.Table})...)
 
-// versionDigits is the length of a version, in hexadecimal digits of the commit's hash.
+// versionDigits is the number of hexadecimal digits of the commit's hash in a version.
 const versionDigits = 12
 
-// Version returns the commit from which the program was built, or "" if the build does not record it.
+// Version returns the abbreviated hash of the commit from which the program was built, or "" if the build did not record it.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/product/secrets.go
+++ b/internal/product/secrets.go
@@ -11,8 +11,8 @@
 	"quincegap/internal/network/http3"
 )
 
-// CheckSecrets reports files with secrets and certificates that cannot be used. Relative paths are relative to the directory of the file
-// that names them.
+// CheckSecrets reports files with secrets and certificates that cannot be used. path is that of f; relative paths of secrets are relative
+// to its directory.
 func CheckSecrets(f *schema.File, path string, found *finding.List) {
 	for _, s := range f.Secrets() {
 		secret := Resolve(path, s.Unquoted())
@@ -27,8 +27,8 @@
 	checkCertificates(f, path, time.Now(), found)
 }
 
-// checkCertificates reports certificates with which HTTP/3 could not start: files that are missing, a key of another certificate, one that
-// is not valid now.
+// checkCertificates reports certificates with which HTTP/3 could not start: missing files, a key that does not match its certificate, and
+// certificates that are not valid now.
 func checkCertificates(file *schema.File, path string, now time.Time, found *finding.List) {
 	report := func(table, key string, err error) {
 		if err != nil {
@@ -48,16 +48,18 @@
 	}
 }
 
-// checkCertificate returns what is wrong with a certificate and its key. A key that cannot be read is reported with the secrets.
+// checkCertificate returns what is wrong with a certificate and its key. It returns nil if the key cannot be read, since CheckSecrets
+// reports that itself.
 func checkCertificate(certificate, key string, now time.Time) error {
 	if _, err := secretfile.ReadPrivateKey(key); err != nil {
-		return nil // reported already
+		return nil // CheckSecrets has reported it
 	}
 	_, err := certfile.LoadValid(certificate, key, now)
 	return err
 }
 
-// checkSecretLength returns an error if a secret is too short. One that cannot be read is reported with the secrets.
+// checkSecretLength returns an error if a secret is too short. It returns nil if the secret cannot be read, since CheckSecrets reports that
+// itself.
 func checkSecretLength(path string) error {
 	text, err := secretfile.ReadToken(path)
 	if err == nil && len(text) < http3.MinSecretChars {
--- a/internal/product/sidecar.go
+++ b/internal/product/sidecar.go
@@ -13,8 +13,8 @@
 	"quincegap/internal/standalone"
 )
 
-// SidecarConfig returns the configuration of a standalone sidecar: the file at a path, unless that is empty, with a platform's
-// configuration taking precedence. getenv looks up environment variables, as os.Getenv does.
+// SidecarConfig returns the configuration of a standalone sidecar from the file at a path, unless that is empty, and from a platform's
+// configuration, which takes precedence. getenv looks up environment variables, as os.Getenv does.
 func SidecarConfig(path string, getenv func(string) string) (*standalone.Config, error) {
 	if path == "" {
 		return standalone.LoadConfig(getenv)
@@ -37,8 +37,8 @@
 	})
 }
 
-// endpointFollower returns a function that follows the source of endpoints that a file configures beside discovery; nil if it configures
-// none.
+// endpointFollower returns a function that watches the source of endpoints that a file configures in addition to discovery, or nil if the
+// file configures none. It fails if the settings of the source are invalid.
 func endpointFollower(f *schema.File, resolve func(string) string) (standalone.Follower, error) {
 	mode := endpointsource.SettingsTable.In(f).Mode
 	if mode == endpointsource.ModePlatform {
@@ -50,7 +50,7 @@
 	}
 	return func(ctx context.Context, onAnswer func(endpointsource.ConsulAnswer), onUnchanged func()) {
 		watcher, err := consul.New(settings, mode, resolve)
-		if err != nil { // the check above has passed: a file has been removed since
+		if err != nil { // the check above has passed, so a file must have been removed since
 			log.Printf("consul: %v", err)
 			return
 		}
@@ -60,7 +60,7 @@
 	}, nil
 }
 
-// adminOpener returns a function that serves the admin views at the address that a file configures; nil if it configures none.
+// adminOpener returns a function that serves the admin views at the address that a file configures, or nil if the file configures none.
 func adminOpener(f *schema.File, name string) standalone.Admin {
 	address := admin.Table.In(f).Listen
 	if address == "" {
