--- a/internal/config/appfile/lists.go
+++ b/internal/config/appfile/lists.go
@@ -22,11 +22,11 @@
 	return func(text string) string {
 		all := SplitList(text)
 		if len(all) == 0 || len(all) > maxAddresses {
-			return fmt.Sprintf("names no address, or more than %d", maxAddresses)
+			return fmt.Sprintf("is not a list of 1 to %d addresses", maxAddresses)
 		}
 		for _, a := range all {
 			if host, port, err := net.SplitHostPort(a); err != nil || host == "" || strings.Trim(port, "0123456789") != "" || port == "" {
-				return "is no list of host:port divided by commas"
+				return "is not a comma-separated list of host:port"
 			}
 		}
 		return ""
@@ -36,7 +36,7 @@
 // ServiceNameFault returns why a text cannot be the name of a service in Consul, or "" if it can.
 func ServiceNameFault(text string) string {
 	if strings.ContainsAny(text, "/?#% \"`\\") || len(text) > maxNameBytes {
-		return "is no name of a service"
+		return "is not a valid service name"
 	}
 	return ""
 }
--- a/internal/config/apps/addresses_test.go
+++ b/internal/config/apps/addresses_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each pair of keys with addresses, with values that may be the same and that may not.
+// Conflicts between addresses of each pair of keys. Each pair is checked in both orders.
 func TestPairsOfAddresses(t *testing.T) {
 	key := func(table string) addressKey {
 		for _, k := range addressKeys {
@@ -10,12 +10,12 @@
 				return k
 			}
 		}
-		t.Fatal(table)
+		t.Fatalf("no key with addresses in table %s", table)
 		return addressKey{}
 	}
-	for _, tc := range []struct {
-		keyA, addressA string // of the first use
-		keyB, addressB string // of the second use
+	for _, test := range []struct {
+		keyA, addressA string // the key and address of the first use
+		keyB, addressB string // the key and address of the second use
 		conflict       bool
 	}{
 		{"sidecar", "127.0.0.1:80", "admin", "127.0.0.1:80", true},
@@ -29,22 +29,23 @@
 		{"admin", "unix:/run/a", "sidecar", "127.0.0.1:80", false},
 		{"sidecar", "localhost:80", "discovery", "127.0.0.1:80", true},
 		{"sidecar", ":80", "discovery", "127.0.0.1:80", true},
-		{"sidecar", ":80", "discovery", "10.0.0.1:80", false}, // which may be another machine
+		{"sidecar", ":80", "discovery", "10.0.0.1:80", false}, // 10.0.0.1 may be another machine
 		{"sidecar", "10.0.0.1:80", "discovery", "10.0.0.1:80", true},
 		{"sidecar", "127.0.0.1:80", "discovery", "0.0.0.0:80", true},
 		{"sidecar", "127.0.0.1:80", "discovery", "[::ffff:127.0.0.1]:80", true},
 		{"http3", "127.0.0.1:443", "discovery", "127.0.0.1:443", false},
 		{"admin", "127.0.0.1:80", "consul", "127.0.0.1:80", true},
 		{"admin", "127.0.0.1:80", "consul", "127.0.0.1:81", false},
-		{"discovery", "127.0.0.1:80", "consul", "127.0.0.1:80", false}, // one agent may serve both
+		{"discovery", "127.0.0.1:80", "consul", "127.0.0.1:80", false}, // two keys may dial the same agent
 		{"sidecar", "front.example.org:80", "discovery", "Front.example.org.:80", true},
 	} {
-		a, okA := newAddressUse(key(tc.keyA), tc.addressA)
-		b, okB := newAddressUse(key(tc.keyB), tc.addressB)
+		a, okA := newAddressUse(key(test.keyA), test.addressA)
+		b, okB := newAddressUse(key(test.keyB), test.addressB)
 		got := okA && okB && a.overlaps(b) && conflict(a, b, "") != ""
 		mirrored := okA && okB && b.overlaps(a) && conflict(b, a, "") != ""
-		if got != tc.conflict || mirrored != tc.conflict {
-			t.Errorf("%s %s and %s %s: %v, %v", tc.keyA, tc.addressA, tc.keyB, tc.addressB, got, mirrored)
+		if got != test.conflict || mirrored != test.conflict {
+			t.Errorf("conflict of %s %s and %s %s: got %v, in reverse order %v, want %v",
+				test.keyA, test.addressA, test.keyB, test.addressB, got, mirrored, test.conflict)
 		}
 	}
 }
--- a/internal/config/apps/adopt.go
+++ b/internal/config/apps/adopt.go
@@ -36,7 +36,7 @@
 	case e.Conflicting:
 		found.Add(e.Location.File, e.Location.Pos, "%s: edited by hand, and changed in %s since; settle it in one of the two", e.ID(), m.FileName)
 	case e.ID() == "sidecar.application":
-		found.Add(e.Location.File, e.Location.Pos, "the application's name cannot be adopted: it is its table's in %s", m.FileName)
+		found.Add(e.Location.File, e.Location.Pos, "the application's name cannot be adopted: it is set by the table's header in %s", m.FileName)
 	case e.Raw == "" && d.Root.Lookup(ownPath(app, e)...) == nil && byDefault != nil:
 		found.Add(e.Location.File, e.Location.Pos,
 			"%s comes from [defaults] in line %d of %s and cannot be taken away for one application; set it to another value",
--- a/internal/config/apps/attempts.go
+++ b/internal/config/apps/attempts.go
@@ -65,7 +65,7 @@
 func (s *attemptSearch) addNode(n *node) {
 	if own := ownAttempts(n); own > s.maxAttempts {
 		at := n.File.Location("attempts", "most_attempts")
-		s.found.Add(at.File, at.Pos, "attempts.most_attempts: %d, by itself above %s", own, s.describeBound())
+		s.found.Add(at.File, at.Pos, "attempts.most_attempts: %d, which alone exceeds %s", own, s.describeBound())
 	}
 	for _, e := range n.calls {
 		from := classNode{n, e.call.Class}
--- a/internal/config/apps/edits.go
+++ b/internal/config/apps/edits.go
@@ -149,13 +149,13 @@
 	if f.File == nil {
 		return f.Generated // the file has not been edited
 	}
-	kept := map[string]bool{}
+	editedKeys := map[string]bool{}
 	for _, e := range f.Edits {
-		kept[e.ID()] = true
+		editedKeys[e.ID()] = true
 	}
 	merged := f.Doc
 	for _, setting := range f.App.File.Settings() {
-		if kept[setting.ID()] {
+		if editedKeys[setting.ID()] {
 			continue
 		}
 		if inFile := f.File.Setting(setting.Path...); inFile == nil || inFile.Canonical != setting.Canonical {
@@ -163,7 +163,7 @@
 		}
 	}
 	for _, setting := range f.File.Settings() {
-		if !kept[setting.ID()] && f.App.File.Setting(setting.Path...) == nil {
+		if !editedKeys[setting.ID()] && f.App.File.Setting(setting.Path...) == nil {
 			merged = parseTOML(merged.Delete(setting.Path, setting.Key.Help))
 		}
 	}
--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -43,7 +43,7 @@
 	return m
 }
 
-// compare compares a file with an apps.toml.
+// compare compares a file with the first application of an apps.toml. There must be no findings.
 func compare(t interface{ Fatal(...any) }, apps, file string) *FileState {
 	var found finding.List
 	state := Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
@@ -53,7 +53,7 @@
 	return state
 }
 
-// generate returns the derived file of the first application.
+// generate returns the derived file of the first application of an apps.toml.
 func generate(t interface{ Fatal(...any) }, apps string) string {
 	return string(Generate(model(t, apps).Apps[0], "apps.toml"))
 }
@@ -62,175 +62,175 @@
 func TestGenerateIsTheSameEveryTime(t *testing.T) {
 	file := generate(t, base)
 	if file != generate(t, base) {
-		t.Error("two texts of one model")
+		t.Error("the same apps.toml gave two different files")
 	}
 	p := ParseProvenance([]byte(file))
 	if p == nil || p.App != "a" || p.Source != "apps.toml" || p.Edited || p.Truncated || len(p.KeyDigests) != 10 {
-		t.Errorf("got %+v", p)
+		t.Errorf("provenance of a generated file: got %+v, want that of an unedited file of a from apps.toml with 10 keys", p)
 	}
 	if state := compare(t, base, file); state.Edited() || len(state.Edits) > 0 {
-		t.Errorf("got %+v", state.Edits)
+		t.Errorf("generated file: got edits %+v, edited %v, want none", state.Edits, state.Edited())
 	}
 }
 
-// mergeCase is an edit of a derived file beside a change of apps.toml.
+// mergeCase is an edit of a derived file combined with a change of apps.toml.
 type mergeCase struct {
-	name       string
-	here, apps [2]string // what is replaced, and by what
-	conflict   bool
-	want       []string // in the merged file
+	name               string
+	fileEdit, appsEdit [2]string // the text that is replaced in the derived file and in apps.toml, and its replacement
+	conflict           bool
+	want               []string // texts that the merged file contains
 }
 
 var mergeCases = []mergeCase{
 	{
-		name: "above",
-		here: [2]string{"cores = 1.0", "cores = 2"},
-		apps: [2]string{`"192MiB"`, `"256MiB"`},
-		want: []string{"cores = 2\n", `memory = "256MiB"`},
+		name:     "above",
+		fileEdit: [2]string{"cores = 1.0", "cores = 2"},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		want:     []string{"cores = 2\n", `memory = "256MiB"`},
 	},
 	{
-		name: "below",
-		here: [2]string{"sockets = 1024", "sockets = 512"},
-		apps: [2]string{`"192MiB"`, `"256MiB"`},
-		want: []string{"sockets = 512\n", `memory = "256MiB"`},
+		name:     "below",
+		fileEdit: [2]string{"sockets = 1024", "sockets = 512"},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		want:     []string{"sockets = 512\n", `memory = "256MiB"`},
 	},
 	{
 		name:     "on it",
-		here:     [2]string{`"192MiB"`, `"128MiB"`},
-		apps:     [2]string{`"192MiB"`, `"256MiB"`},
+		fileEdit: [2]string{`"192MiB"`, `"128MiB"`},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
 		conflict: true,
 	},
 	{
-		name: "on it, the same",
-		here: [2]string{`"192MiB"`, `"256MiB"`},
-		apps: [2]string{`"192MiB"`, `"256MiB"`},
-		want: []string{`memory = "256MiB"`},
+		name:     "on it, the same",
+		fileEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		want:     []string{`memory = "256MiB"`},
 	},
 	{
-		name: "on it, the same otherwise written",
-		here: [2]string{`"1s"`, `"2000ms"`},
-		apps: [2]string{`"1s"`, `"2s"`},
-		want: []string{`aim = "2000ms"`},
+		name:     "on it, the same otherwise written",
+		fileEdit: [2]string{`"1s"`, `"2000ms"`},
+		appsEdit: [2]string{`"1s"`, `"2s"`},
+		want:     []string{`aim = "2000ms"`},
 	},
 	{
-		name: "a comment on it",
-		here: [2]string{`memory = "192MiB"`, "# why\nmemory = \"192MiB\" # so"},
-		apps: [2]string{`"192MiB"`, `"256MiB"`},
-		want: []string{"# why\nmemory = \"256MiB\" # so"},
+		name:     "a comment on it",
+		fileEdit: [2]string{`memory = "192MiB"`, "# why\nmemory = \"192MiB\" # so"},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		want:     []string{"# why\nmemory = \"256MiB\" # so"},
 	},
 	{
 		name:     "taken away here, changed there",
-		here:     [2]string{"sockets = 1024\n", ""},
-		apps:     [2]string{"sockets = 1024", "sockets = 99"},
+		fileEdit: [2]string{"sockets = 1024\n", ""},
+		appsEdit: [2]string{"sockets = 1024", "sockets = 99"},
 		conflict: true,
 	},
 	{
 		name:     "changed here, taken away there",
-		here:     [2]string{"sockets = 1024", "sockets = 512"},
-		apps:     [2]string{"sockets = 1024\n", ""},
+		fileEdit: [2]string{"sockets = 1024", "sockets = 512"},
+		appsEdit: [2]string{"sockets = 1024\n", ""},
 		conflict: true,
 	},
 	{
-		name: "taken away here",
-		here: [2]string{"sockets = 1024\n", ""},
-		apps: [2]string{`"192MiB"`, `"256MiB"`},
-		want: []string{`memory = "256MiB"`},
+		name:     "taken away here",
+		fileEdit: [2]string{"sockets = 1024\n", ""},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		want:     []string{`memory = "256MiB"`},
 	},
 	{
-		name: "taken away there",
-		here: [2]string{"cores = 1.0", "cores = 2"},
-		apps: [2]string{"sockets = 1024\n", ""},
-		want: []string{"cores = 2"},
+		name:     "taken away there",
+		fileEdit: [2]string{"cores = 1.0", "cores = 2"},
+		appsEdit: [2]string{"sockets = 1024\n", ""},
+		want:     []string{"cores = 2"},
 	},
 	{
-		name: "taken away on both",
-		here: [2]string{"sockets = 1024\n", ""},
-		apps: [2]string{"sockets = 1024\n", ""},
+		name:     "taken away on both",
+		fileEdit: [2]string{"sockets = 1024\n", ""},
+		appsEdit: [2]string{"sockets = 1024\n", ""},
 	},
 	{
-		name: "added on both, the same",
-		here: [2]string{"[discovery]", "[discovery]\nmode = \"ask\""},
-		apps: [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"ask\""},
-		want: []string{"mode = \"ask\""},
+		name:     "added on both, the same",
+		fileEdit: [2]string{"[discovery]", "[discovery]\nmode = \"ask\""},
+		appsEdit: [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"ask\""},
+		want:     []string{"mode = \"ask\""},
 	},
 	{
 		name:     "added on both, otherwise",
-		here:     [2]string{"[discovery]", "[discovery]\nmode = \"ask\""},
-		apps:     [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"push\""},
+		fileEdit: [2]string{"[discovery]", "[discovery]\nmode = \"ask\""},
+		appsEdit: [2]string{"[apps.a.discovery]", "[apps.a.discovery]\nmode = \"push\""},
 		conflict: true,
 	},
 	{
-		name: "a table here",
-		here: [2]string{"[discovery]", "[tenant.x]\nquota_per_s = 5\n[discovery]"},
-		apps: [2]string{`"192MiB"`, `"256MiB"`},
-		want: []string{"[tenant.x]\nquota_per_s = 5\n", `memory = "256MiB"`},
+		name:     "a table here",
+		fileEdit: [2]string{"[discovery]", "[tenant.x]\nquota_per_s = 5\n[discovery]"},
+		appsEdit: [2]string{`"192MiB"`, `"256MiB"`},
+		want:     []string{"[tenant.x]\nquota_per_s = 5\n", `memory = "256MiB"`},
 	},
 	{
-		name: "a table there",
-		here: [2]string{"cores = 1.0", "cores = 2"},
-		apps: [2]string{"[apps.a.discovery]", "[apps.a.tenant.x]\nquota_per_s = 5\n[apps.a.discovery]"},
-		want: []string{"[tenant.x]\n", "quota_per_s = 5\n", "cores = 2"},
+		name:     "a table there",
+		fileEdit: [2]string{"cores = 1.0", "cores = 2"},
+		appsEdit: [2]string{"[apps.a.discovery]", "[apps.a.tenant.x]\nquota_per_s = 5\n[apps.a.discovery]"},
+		want:     []string{"[tenant.x]\n", "quota_per_s = 5\n", "cores = 2"},
 	},
 	{
-		name: "a table gone there",
-		here: [2]string{"cores = 1.0", "cores = 2"},
-		apps: [2]string{"instances = 3\n", ""},
-		want: []string{"cores = 2"},
+		name:     "a table gone there",
+		fileEdit: [2]string{"cores = 1.0", "cores = 2"},
+		appsEdit: [2]string{"instances = 3\n", ""},
+		want:     []string{"cores = 2"},
 	},
 }
 
-// An edit on a line above, below or beside one that write changes is merged. On the same key it conflicts unless both values are the same.
+// An edit of another key than those that apps.toml has changed is merged. An edit of the same key conflicts unless both values are equal.
 func TestMerge(t *testing.T) {
-	for _, c := range mergeCases {
-		t.Run(c.name, func(t *testing.T) {
-			checkMerge(t, c, "\n")
-			checkMerge(t, c, "\r\n")
+	for _, test := range mergeCases {
+		t.Run(test.name, func(t *testing.T) {
+			checkMerge(t, test, "\n")
+			checkMerge(t, test, "\r\n")
 		})
 	}
 }
 
-// checkMerge checks a case in files with the given line ends.
-func checkMerge(t *testing.T, tc mergeCase, newline string) {
+// checkMerge checks a merge of files with the given line ends.
+func checkMerge(t *testing.T, test mergeCase, newline string) {
 	t.Helper()
 	written := generate(t, base)
-	edited := strings.Replace(written, tc.here[0], tc.here[1], 1)
-	apps := strings.Replace(base, tc.apps[0], tc.apps[1], 1)
+	edited := strings.Replace(written, test.fileEdit[0], test.fileEdit[1], 1)
+	apps := strings.Replace(base, test.appsEdit[0], test.appsEdit[1], 1)
 	if edited == written || apps == base {
-		t.Fatal("replaces nothing")
+		t.Fatal("the test case does not change both the derived file and apps.toml")
 	}
 	state := compare(t, apps, strings.ReplaceAll(edited, "\n", newline))
-	if !state.Edited() || (len(state.Conflicts()) > 0) != tc.conflict {
-		t.Fatalf("edits %v", state.Edits)
+	if !state.Edited() || (len(state.Conflicts()) > 0) != test.conflict {
+		t.Fatalf("edited %v, edits %v; want an edited file, conflict %v", state.Edited(), state.Edits, test.conflict)
 	}
-	if tc.conflict {
+	if test.conflict {
 		return
 	}
 	merged := string(state.Merge())
 	if newline == "\r\n" && strings.Count(merged, "\n") != strings.Count(merged, "\r\n") {
-		t.Error("line ends are mixed")
+		t.Error("the merged file mixes line ends")
 	}
 	plain := strings.ReplaceAll(merged, "\r", "")
-	for _, want := range tc.want {
+	for _, want := range test.want {
 		if !strings.Contains(plain, want) {
-			t.Errorf("%q is missing in\n%s", want, plain)
+			t.Errorf("%q is missing in the merged file\n%s", want, plain)
 		}
 	}
 	// Merging again changes nothing, and the edits are still recognized.
 	again := compare(t, apps, merged)
 	if got := string(again.Merge()); got != merged {
-		t.Errorf("no fixed point:\n%s", got)
+		t.Errorf("merging again changed the file to\n%s", got)
 	}
 	for _, edit := range state.Edits {
 		if !slices.ContainsFunc(again.Edits, func(other Edit) bool { return other.ID() == edit.ID() }) {
-			t.Errorf("the edit of %s is lost", edit.ID())
+			t.Errorf("the merged file no longer has the edit of %s", edit.ID())
 		}
 	}
 }
 
-// Files that must not be overwritten, or cannot be read, have a finding.
-func TestFilesThatAreNotOurs(t *testing.T) {
+// Compare adds a finding for a file that must not be overwritten or cannot be read.
+func TestCompareReportsFilesItMustNotOverwrite(t *testing.T) {
 	file := generate(t, base)
-	for name, c := range map[string][2]string{
+	for name, test := range map[string][2]string{
 		"no header":   {"[sidecar]\n", "was not written by quincegapctl"},
 		"another app": {strings.Replace(file, " for a from", " for b from", 1), "was written for b, not for a"},
 		"truncated":   {file[:len(file)/2], "its end is missing"},
@@ -238,30 +238,30 @@
 		"invalid":     {strings.Replace(file, "cores = 1.0", "cores = -1.0", 1), "is below"},
 	} {
 		var found finding.List
-		Compare(testSchema, model(t, base).Apps[0], "apps.toml", "a.toml", []byte(c[0]), &found)
-		if found.Len() != 1 || !strings.Contains(found.All()[0].Message, c[1]) {
-			t.Errorf("%s: %v", name, found.Err())
+		Compare(testSchema, model(t, base).Apps[0], "apps.toml", "a.toml", []byte(test[0]), &found)
+		if found.Len() != 1 || !strings.Contains(found.All()[0].Message, test[1]) {
+			t.Errorf("file with fault %q: got findings %v, want one that contains %q", name, found.Err(), test[1])
 		}
 	}
 }
 
-// A written file that is truncated at any byte is recognized.
-func TestEveryCutIsSeen(t *testing.T) {
+// A generated file that is truncated at any byte is recognized as edited or truncated.
+func TestTruncationIsDetected(t *testing.T) {
 	file := generate(t, base)
 	for n := range len(file) {
 		if p := ParseProvenance([]byte(file[:n])); p != nil && !p.Edited && !p.Truncated {
-			t.Fatalf("truncated at %d: read as unedited", n)
+			t.Fatalf("file truncated to %d bytes: recognized as unedited and complete", n)
 		}
 	}
 }
 
-// Adopting an edit changes just the lines of apps.toml that it has to, and leaves no edit.
+// Adopting an edit changes only the lines of apps.toml that it has to, and the derived file then has no edits.
 func TestAdopt(t *testing.T) {
 	withDefaults := "[defaults.attempts]\nmost_attempts = 3 # all\n\n" + base
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name, apps string
-		here       [2]string
-		want       string // the lines of apps.toml that are removed and added, or the finding
+		fileEdit   [2]string // the text that is replaced in the derived file, and its replacement
+		want       string    // the lines of apps.toml that are removed and added, or the finding
 		fault      bool
 	}{
 		{"set", base, [2]string{"cores = 1.0", "cores = 2"}, "-cores = 1.0 # one +cores = 2 # one", false},
@@ -272,27 +272,27 @@
 		{"take a default away", withDefaults, [2]string{"most_attempts = 3\n", ""}, "comes from [defaults] in line 2", true},
 		{"rename", base, [2]string{`application = "a"`, `application = "b"`}, "cannot be adopted", true},
 	} {
-		edited := strings.Replace(generate(t, tc.apps), tc.here[0], tc.here[1], 1)
-		state := compare(t, tc.apps, edited)
+		edited := strings.Replace(generate(t, test.apps), test.fileEdit[0], test.fileEdit[1], 1)
+		state := compare(t, test.apps, edited)
 		var found finding.List
-		after := string(model(t, tc.apps).Adopt([]*FileState{state}, &found))
-		if tc.fault {
-			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, tc.want) {
-				t.Errorf("%s: %v", tc.name, found.Err())
+		after := string(model(t, test.apps).Adopt([]*FileState{state}, &found))
+		if test.fault {
+			if found.Len() != 1 || !strings.Contains(found.All()[0].Message, test.want) {
+				t.Errorf("%s: got findings %v, want one that contains %q", test.name, found.Err(), test.want)
 			}
 			continue
 		}
-		if got := lines(tc.apps, after); got != tc.want || found.Len() > 0 {
-			t.Errorf("%s: got %q, want %q, %v", tc.name, got, tc.want, found.Err())
+		if got := lines(test.apps, after); got != test.want || found.Len() > 0 {
+			t.Errorf("%s: changed lines: got %q, want %q; findings %v", test.name, got, test.want, found.Err())
 		}
 		// apps.toml now has the values of the file: no edit is left.
 		if state := compare(t, after, edited); len(state.Edits) > 0 {
-			t.Errorf("%s: left over: %v", tc.name, state.Edits)
+			t.Errorf("%s: edits remain after adoption: %v", test.name, state.Edits)
 		}
 	}
 }
 
-// lines lists the lines that were removed and those that were added.
+// lines lists the lines that were removed, then those that were added.
 func lines(before, after string) string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	var out []string
@@ -322,7 +322,7 @@
 	{"tenant", "y", "quota_per_s"},
 }
 
-// drawChanges keeps, sets or drops each key of a map.
+// drawChanges returns a copy of a map in which each key is randomly left alone, set or deleted.
 func drawChanges(rt *rapid.T, name string, from map[string]string) map[string]string {
 	to := maps.Clone(from)
 	for _, key := range mergedKeys {
@@ -336,7 +336,7 @@
 	return to
 }
 
-// applyChanges changes a text so that it has the values of a map.
+// applyChanges changes a text that has the values of the map from, so that it has those of the map to.
 func applyChanges(text string, prefix []string, from, to map[string]string) string {
 	for _, key := range mergedKeys {
 		id := doc.DottedPath(key)
@@ -354,16 +354,16 @@
 	return text
 }
 
-// mergeMaps returns the result that Merge should have, and the keys that conflict.
-func mergeMaps(first, here, there map[string]string) (want map[string]string, conflicts map[string]bool) {
-	want = maps.Clone(there)
+// mergeMaps returns the values that a merged file should have, and the keys that conflict.
+func mergeMaps(initial, inFile, inApps map[string]string) (want map[string]string, conflicts map[string]bool) {
+	want = maps.Clone(inApps)
 	conflicts = map[string]bool{}
 	for _, key := range mergedKeys {
 		id := doc.DottedPath(key)
 		switch {
-		case here[id] == first[id] || here[id] == there[id]:
-		case there[id] == first[id]:
-			want[id] = here[id]
+		case inFile[id] == initial[id] || inFile[id] == inApps[id]:
+		case inApps[id] == initial[id]:
+			want[id] = inFile[id]
 		default:
 			conflicts[id] = true
 		}
@@ -371,27 +371,27 @@
 	return want, conflicts
 }
 
-// Random edits on both sides are compared with maps: a merge takes each key from the side that has changed it, and conflicts only if both
-// sides have set it to different values. It loses no comment, and adopting leaves no edit.
-func TestMergeFollowsMaps(t *testing.T) {
+// Random edits of the derived file and of apps.toml are compared with a merge of maps: each key comes from the side that has changed it,
+// and conflicts only if both sides have changed it to different values. Comments are retained, and no edits remain after adoption.
+func TestRandomMergesMatchMaps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := strings.Replace(strings.Replace(base, "instances = 3\n", "", 1), "sockets = 1024\n", "", 1)
-		first := drawChanges(rt, "base", map[string]string{})
-		appsText := applyChanges(start, []string{"apps", "a"}, nil, first)
-		here := drawChanges(rt, "here", first)
-		there := drawChanges(rt, "there", first)
-		edited := applyChanges(generate(rt, appsText), nil, first, here)
+		initial := drawChanges(rt, "base", map[string]string{})
+		appsText := applyChanges(start, []string{"apps", "a"}, nil, initial)
+		inFile := drawChanges(rt, "here", initial)
+		inApps := drawChanges(rt, "there", initial)
+		edited := applyChanges(generate(rt, appsText), nil, initial, inFile)
 		edited = strings.Replace(edited, "[limits]", "# by hand\n[limits]", 1)
-		nowText := applyChanges(appsText, []string{"apps", "a"}, first, there)
+		nowText := applyChanges(appsText, []string{"apps", "a"}, initial, inApps)
 
 		state := compare(rt, nowText, edited)
-		want, conflicts := mergeMaps(first, here, there)
+		want, conflicts := mergeMaps(initial, inFile, inApps)
 		got := map[string]bool{}
 		for _, e := range state.Conflicts() {
 			got[e.ID()] = true
 		}
 		if !maps.Equal(got, conflicts) {
-			rt.Fatalf("conflicts %v, want %v\nbase %v here %v there %v", got, conflicts, first, here, there)
+			rt.Fatalf("conflicts: got %v, want %v\nbase %v, derived file %v, apps.toml %v", got, conflicts, initial, inFile, inApps)
 		}
 		if len(conflicts) > 0 {
 			return
@@ -411,11 +411,11 @@
 			value = s.Canonical
 		}
 		if id := doc.DottedPath(key); value != want[id] {
-			rt.Fatalf("%s is %q, want %q\n%s", id, value, want[id], merged)
+			rt.Fatalf("%s in the merged file: got %q, want %q\n%s", id, value, want[id], merged)
 		}
 	}
 	if strings.Count(merged, "# by hand") != 1 {
-		rt.Fatalf("a comment is lost:\n%s", merged)
+		rt.Fatalf("the merged file does not have the manual comment exactly once:\n%s", merged)
 	}
 }
 
@@ -424,14 +424,14 @@
 	var found finding.List
 	after := string(model(rt, appsText).Adopt([]*FileState{state}, &found))
 	if found.Len() > 0 || strings.Count(after, "# ours") != 1 || strings.Count(after, "# one") != 1 {
-		rt.Fatalf("adopt: %v\n%s", found.Err(), after)
+		rt.Fatalf("adopting the edits: findings %v, want none and both comments in\n%s", found.Err(), after)
 	}
 	if left := compare(rt, after, merged); len(left.Edits) > 0 {
-		rt.Fatalf("adopt leaves %v", left.Edits)
+		rt.Fatalf("edits remain after adoption: %v", left.Edits)
 	}
 }
 
-// help returns the comment above a key in a written file.
+// help returns the comment above a key in a generated file.
 func help(path []string) string {
 	for _, k := range testSchema.Table(path[0]).Keys {
 		if k.Name == path[len(path)-1] {
@@ -441,7 +441,7 @@
 	return ""
 }
 
-// Whatever a file's header holds, reading it ends.
+// Comparing and merging terminate for any content of a file, including its header and trailer.
 func FuzzParseWritten(f *testing.F) {
 	var found finding.List
 	m := Read(testSchema, "apps.toml", []byte(base), &found)
--- a/internal/config/apps/golden_test.go
+++ b/internal/config/apps/golden_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/golden"
 )
 
-// A derived file with header, digests, help and trailer: other versions must read it.
+// A derived file with its header, digests, help and trailer, which other versions must be able to read.
 func TestGoldenDerivedFile(t *testing.T) {
 	golden.Text(t, "derived.toml", []byte(generate(t, base)))
 
@@ -24,21 +24,21 @@
 	}
 	p := ParseProvenance(text)
 	if p == nil || p.App != "a" || p.Source != "apps.toml" || p.Edited || p.Truncated {
-		t.Fatalf("read back as %+v", p)
+		t.Fatalf("provenance of derived.toml: got %+v, want that of an unedited file of a from apps.toml", p)
 	}
 	wantKeys := []string{
 		"sidecar.application", "sidecar.listen", "sidecar.instances", "discovery.address", "limits.cores", "limits.memory", "limits.sockets",
 		"class.c.aim", "class.c.deadline", "class.c.effect",
 	}
 	if !slices.Equal(p.Keys, wantKeys) {
-		t.Errorf("keys %v", p.Keys)
+		t.Errorf("keys of derived.toml: got %v, want %v", p.Keys, wantKeys)
 	}
 	if state := compare(t, base, string(text)); state.Edited() || len(state.Edits) > 0 {
-		t.Errorf("edits %v", state.Edits)
+		t.Errorf("unedited file: got edits %v, edited %v, want none", state.Edits, state.Edited())
 	}
 }
 
-// The descriptions of edits by hand, and the results of merging and adopting them, with both line ends.
+// The descriptions of manual edits and the results of merging and adopting them, in files with LF and with CR LF.
 func TestGoldenEdits(t *testing.T) {
 	now := strings.NewReplacer(`"192MiB"`, `"256MiB"`, "instances = 3\n", "", "cores = 1.0 # one", "cores = 4").Replace(base)
 	hand := strings.NewReplacer("sockets = 1024\n", "", `aim = "1s"`, "# why\naim = \"1500ms\" # so",
@@ -61,15 +61,15 @@
 	golden.Text(t, "edits.txt", []byte(all.String()))
 }
 
-// compareLoosely is like compare for a file whose findings do not matter.
+// compareLoosely is like compare, but ignores findings.
 func compareLoosely(t *testing.T, apps, file string) *FileState {
 	t.Helper()
 	var found finding.List
 	return Compare(testSchema, model(t, apps).Apps[0], "apps.toml", "a.toml", []byte(file), &found)
 }
 
-// The findings on files that must not be overwritten.
-func TestGoldenFilesInTheWay(t *testing.T) {
+// The findings about files that must not be overwritten.
+func TestGoldenFilesNotOverwritten(t *testing.T) {
 	written := generate(t, base)
 	var found finding.List
 	for _, text := range []string{
@@ -85,8 +85,8 @@
 	golden.Text(t, "in-the-way.txt", []byte(found.Err().Error()+"\n"))
 }
 
-// randomInstallation returns an apps.toml whose calls, rings, attempts, hosts and addresses come from a seed. Each application is valid by
-// itself.
+// randomInstallation returns an apps.toml with calls, cycles, attempts, hosts and addresses that depend on a seed. Each application alone
+// is valid.
 func randomInstallation(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 50))
 	size := 2 + random.IntN(7)
@@ -97,9 +97,9 @@
 			if random.IntN(size) > 1 {
 				continue
 			}
-			c := call{to: fmt.Sprintf("n%d", j), per: 1 + random.IntN(2)}
+			c := call{to: fmt.Sprintf("n%d", j), perRequest: 1 + random.IntN(2)}
 			if j <= i || random.IntN(4) == 0 {
-				c.mutual = random.IntN(3)
+				c.mutualDepth = random.IntN(3)
 			}
 			if random.IntN(20) == 0 {
 				c.to = fmt.Sprintf("m%d", j)
@@ -108,7 +108,7 @@
 		}
 		all = append(all, drawn)
 	}
-	file := text(4+random.IntN(30), 2+random.IntN(5), all...)
+	file := installationText(4+random.IntN(30), 2+random.IntN(5), all...)
 	for i := range size {
 		listen := fmt.Sprintf("[apps.n%d.sidecar]\nlisten = \"127.0.0.1:%d\"\n", i, 10000+i)
 		now := fmt.Sprintf("[apps.n%d.sidecar]\nlisten = \"%s:%d\"\nhost = \"h%d\"\n",
@@ -122,13 +122,13 @@
 	return file
 }
 
-// The findings across applications, in order: in full for the first installations, as a digest for the others.
+// The findings across applications in order: their text for the first installations, and one digest for all others.
 func TestGoldenFindingsAcrossApplications(t *testing.T) {
 	const inFull, installations = 12, 600
 	var all strings.Builder
 	rest := sha256.New()
 	for seed := range uint64(installations) {
-		lines := messages(checked(t, randomInstallation(seed)))
+		lines := messages(findingsAcross(t, randomInstallation(seed)))
 		if seed < inFull {
 			fmt.Fprintf(&all, "-- %d --\n%s\n", seed, lines)
 			continue
--- a/internal/config/doc/doc_test.go
+++ b/internal/config/doc/doc_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// read reads TOML and returns the document and the positions of the findings, as line:column.
+// read reads TOML, and returns the document and the positions of the findings as line:column.
 func read(t *testing.T, text string) (*Document, []string) {
 	t.Helper()
 	var found finding.List
@@ -23,7 +23,7 @@
 	return d, positions
 }
 
-// Each text is read to its end: all of its faults are found, each at its position, and nothing else.
+// Each text is read to its end. All of its faults are found at their positions, and nothing else is reported.
 func TestAllMistakesAreFound(t *testing.T) {
 	for text, want := range map[string]string{
 		"a = 1\nb = \"x\"\n[t]\nc = true # so\n": "",
@@ -47,21 +47,21 @@
 		"a={b={c={d={e={f={g={h={i={j={k={l={m={n={o={p={q=1}}}}}}}}}}}}}}}}": "1:48",
 	} {
 		if _, at := read(t, text); strings.Join(at, " ") != want {
-			t.Errorf("%.60q: found at %v, want %s", text, at, want)
+			t.Errorf("findings on %.60q: got positions %v, want %s", text, at, want)
 		}
 	}
 }
 
 // Keys after a header that cannot be read are not added to another table.
-func TestKeysBehindABrokenHeaderGoNowhere(t *testing.T) {
+func TestKeysAfterUnreadableHeaderAreIgnored(t *testing.T) {
 	d, _ := read(t, "[t]\na = 1\n[u\na = 2\nb = 3\n[v]\nc = 4\n")
 	if d.Root.Subtable("t").Get("b") != nil || d.Root.Lookup("v", "c") == nil || d.Root.Subtable("t").Get("a").Value.Text != "1" {
-		t.Error("keys went to the wrong table")
+		t.Error("keys after an unreadable header were added to another table, or later keys are missing")
 	}
 }
 
-// Reading junk of any size stops early.
-func TestJunkIsBounded(t *testing.T) {
+// The number of findings on an invalid text is bounded, whatever its size.
+func TestFindingsOnInvalidTextAreBounded(t *testing.T) {
 	for _, line := range []string{"x = [\n", "%$ nonsense\n", "[[[\n", "\"\"\"\n", "= = =\n", "a = '''\n"} {
 		var found finding.List
 		size := 1 << 20
@@ -70,38 +70,38 @@
 		}
 		ReadTOML([]byte(strings.Repeat(line, size/len(line))), 16<<20, found.ForFile("f"))
 		if n := found.Len(); n == 0 || line != "a = '''\n" && n > maxUnreadableLines+1 || len(found.All()) > finding.MaxFindings {
-			t.Errorf("%q: %d findings", line, n)
+			t.Errorf("text that repeats %q: got %d findings, want between 1 and the bound", line, n)
 		}
 	}
 	var found finding.List
 	if ReadTOML(make([]byte, 101), 100, found.ForFile("f")) != nil || found.Len() != 1 {
-		t.Error("a text over its bound was read")
+		t.Error("a text of 101 bytes was read with a limit of 100")
 	}
 }
 
-// Entries and values have the positions and offsets of the text.
-func TestPlaces(t *testing.T) {
+// Entries and values have the correct positions and offsets in the text.
+func TestPositions(t *testing.T) {
 	d, _ := read(t, "# first\n[t]\n  key = \"välue\" # so\nü = 3\n")
 	e := d.Root.Lookup("t", "key")
 	text := string(d.Text[e.Value.Start:e.Value.End])
 	if e.Pos != (finding.Pos{Line: 3, Col: 3}) || e.Value.Pos != (finding.Pos{Line: 3, Col: 9}) || text != `"välue"` {
-		t.Errorf("got %+v %+v", e, e.Value)
+		t.Errorf("TOML key t.key: got entry %+v with value %+v, want positions 3:3 and 3:9, and the value's text at its offsets", e, e.Value)
 	}
 	report := func(_ finding.Pos, format string, args ...any) { t.Errorf(format, args...) }
 	j := ReadJSON([]byte("{\n \"a\": [1, {\"b\": true}],\n \"ü\": null}"), 100, report)
 	b := j.Root.Get("a").Value.Items[1].Table.Get("b")
 	if b.Pos != (finding.Pos{Line: 2, Col: 12}) || b.Value.Pos != (finding.Pos{Line: 2, Col: 17}) {
-		t.Errorf("got %+v %+v", b, b.Value)
+		t.Errorf("JSON key b: got entry %+v with value %+v, want positions 2:12 and 2:17", b, b.Value)
 	}
 	if u := j.Root.Get("ü"); u.Value.Kind != Null || u.Value.Pos != (finding.Pos{Line: 3, Col: 7}) {
-		t.Errorf("got %+v", u.Value)
+		t.Errorf("JSON key ü: got value %+v, want null at 3:7", u.Value)
 	}
 }
 
-// Each edit changes just the lines that it has to, with both line ends.
+// Each edit changes only the lines that it has to, in texts with LF and with CR LF.
 func TestEdits(t *testing.T) {
 	const text = "# head\ntop = 1\n\n[t] # the table\n# about a\na = 1 # so\nb = 2\n\n[t.u]\nc = 3\n\n[z]\nd = 4\nx.y = 5\n"
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name string
 		edit func(d *Document) []byte
 		want string // the lines that are removed and added
@@ -121,21 +121,21 @@
 		for _, nl := range []string{"\n", "\r\n"} {
 			before := strings.ReplaceAll(text, "\n", nl)
 			d, _ := read(t, before)
-			after := string(tc.edit(d))
+			after := string(test.edit(d))
 			if _, at := read(t, after); len(at) > 0 {
-				t.Errorf("%s: cannot be read at %v:\n%s", tc.name, at, after)
+				t.Errorf("%s: the edited text cannot be read at %v:\n%s", test.name, at, after)
 			}
 			if nl == "\r\n" && strings.Count(after, "\n") != strings.Count(after, "\r\n") {
-				t.Errorf("%s: line ends are mixed: %q", tc.name, after)
+				t.Errorf("%s: the edited text mixes line ends: %q", test.name, after)
 			}
-			if got := lineDiff(strings.ReplaceAll(before, "\r", ""), strings.ReplaceAll(after, "\r", "")); got != tc.want {
-				t.Errorf("%s: got %q, want %q", tc.name, got, tc.want)
+			if got := lineDiff(strings.ReplaceAll(before, "\r", ""), strings.ReplaceAll(after, "\r", "")); got != test.want {
+				t.Errorf("%s: changed lines: got %q, want %q", test.name, got, test.want)
 			}
 		}
 	}
 	d, _ := read(t, "[t]\na = 1")
 	if got := string(d.Set([]string{"t", "b"}, "2")); got != "[t]\na = 1\nb = 2\n" {
-		t.Errorf("behind a line without an end: %q", got)
+		t.Errorf("key added after a line without a line end: got %q", got)
 	}
 }
 
@@ -158,8 +158,8 @@
 	return strings.Join(out, " ")
 }
 
-// Random edits of a text and a map: the text always has the values of the map, and all comments are kept.
-func TestEditsFollowAMap(t *testing.T) {
+// Random edits are applied to a text and to a map: the text always has the values of the map and all its comments.
+func TestRandomEditsMatchMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(rt, "nl")
 		text := strings.ReplaceAll("# one\n[a]\nk = 0 # two\n# three\n[a.b]\nk = 0\n", "\n", newline)
@@ -170,27 +170,27 @@
 		got := map[string]string{}
 		leaves(mustRead(t, rt, text).Root, got)
 		if fmt.Sprint(got) != fmt.Sprint(model) {
-			rt.Fatalf("text says %v, map %v:\n%s", got, model, text)
+			rt.Fatalf("values after the edits: text has %v, map has %v:\n%s", got, model, text)
 		}
 		for _, comment := range []string{"# one", "# two", "# three"} {
 			if strings.Count(text, comment) != 1 {
-				rt.Fatalf("%s is lost:\n%s", comment, text)
+				rt.Fatalf("comment %q is not in the edited text exactly once:\n%s", comment, text)
 			}
 		}
 	})
 }
 
-// mustRead reads a text that has no findings.
+// mustRead reads a text, and fails the test if there are findings.
 func mustRead(t *testing.T, rt *rapid.T, text string) *Document {
 	t.Helper()
 	d, at := read(t, text)
 	if len(at) > 0 {
-		rt.Fatalf("unreadable at %v:\n%s", at, text)
+		rt.Fatalf("the text cannot be read at %v:\n%s", at, text)
 	}
 	return d
 }
 
-// randomEdit sets or deletes a key of a text and of a map.
+// randomEdit sets or deletes a random key in both a text and a map, and returns the text.
 func randomEdit(t *testing.T, rt *rapid.T, text string, model map[string]string) string {
 	t.Helper()
 	name := rapid.SampledFrom([]string{"a", "b", "k", "with space", "q\"uote", "d.ot"})
@@ -203,14 +203,14 @@
 	}
 	value := fmt.Sprint(rapid.IntRange(0, 9).Draw(rt, "value"))
 	if path[1] == "k" {
-		delete(model, id) // a.k has a value, and can have no keys
+		delete(model, id) // a.k has a value, so it cannot be a table
 		return text
 	}
 	model[id] = value
 	return string(document.Set(path, value))
 }
 
-// leaves adds all keys of a table and its tables to a map.
+// leaves adds all keys of a table and its subtables to a map, by dotted path.
 func leaves(t *Table, into map[string]string) {
 	for _, e := range t.Entries {
 		if e.Value.Kind == TableKind {
@@ -221,7 +221,7 @@
 	}
 }
 
-// For any text, reading ends, positions are within the text, and a value that was set is read back.
+// For any text, reading terminates, positions are within the text, and a value that was set is read back.
 func FuzzTOML(f *testing.F) {
 	for _, seed := range []string{
 		"[t]\na = 1\n",
@@ -240,7 +240,7 @@
 		checkPositions(t, text, &found)
 		for _, x := range found.All() {
 			if strings.Contains(x.Message, "\n") {
-				t.Errorf("finding %q is not one line", x)
+				t.Errorf("finding %q has more than one line", x)
 			}
 		}
 		path := []string{"t", "a"}
@@ -250,7 +250,7 @@
 		after := d.Set(path, "42")
 		again := ReadTOML(after, 1<<17, found.ForFile("f"))
 		if again == nil || found.Len() > 0 || again.Root.Lookup(path...) == nil || again.Root.Lookup(path...).Value.Text != "42" {
-			t.Errorf("%q became %q: %v", text, after, found.Err())
+			t.Errorf("t.a is not read back as 42: %q became %q, findings %v", text, after, found.Err())
 		}
 	})
 }
@@ -261,15 +261,15 @@
 	lines := strings.Count(string(text), "\n") + 1
 	for _, x := range found.All() {
 		if x.Line < 0 || x.Line > lines || x.Message == "" {
-			t.Errorf("finding %q in a text of %d lines", x, lines)
+			t.Errorf("finding %q has no message, or its line is not in the text of %d lines", x, lines)
 		}
 	}
 }
 
-// editable reports whether a key can be set as a scalar in a table with lines of its own.
+// editable reports whether a key can be set as a scalar in a table that is not inline.
 func editable(d *Document, path []string) bool {
 	if e := d.Root.Get(path[0]); e != nil && (e.Value.Kind != TableKind || e.Value.Start > 0) {
-		return false // no table with lines of its own
+		return false // a scalar, a list or an inline table
 	}
 	e := d.Root.Lookup(path...)
 	return e == nil || e.Value.Kind != TableKind && e.Value.Kind != Array
@@ -284,7 +284,7 @@
 		var found finding.List
 		d := ReadJSON(text, 1<<16, found.ForFile("f"))
 		if d == nil && found.Len() == 0 {
-			t.Errorf("%q: neither read nor rejected", text)
+			t.Errorf("%q: got neither a document nor a finding", text)
 		}
 		checkPositions(t, text, &found)
 	})
--- a/internal/config/doc/toml.go
+++ b/internal/config/doc/toml.go
@@ -79,7 +79,7 @@
 	}
 	r.restarts++
 	if r.unreadableLines >= maxUnreadableLines || r.restarts >= maxParserRestarts {
-		r.report(r.Pos(at), "too many lines cannot be read; the rest is not looked at")
+		r.report(r.Pos(at), "too many lines cannot be read; the rest is skipped")
 		return false
 	}
 	if strings.HasPrefix(statement, "[") {
--- a/internal/config/doc/toml_tree.go
+++ b/internal/config/doc/toml_tree.go
@@ -107,7 +107,7 @@
 			e = t.Get(part)
 		}
 		if e.Value.Kind != TableKind || e.Value.Table.hasHeader {
-			r.report(pos, "%s cannot be set here: %s is set in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
+			r.report(pos, "%s cannot be set here: %s is already set in line %d", DottedPath(parts), DottedPath(parts[:i+1]), e.Pos.Line)
 			return
 		}
 		t = e.Value.Table
--- a/internal/config/finding/finding_test.go
+++ b/internal/config/finding/finding_test.go
@@ -16,23 +16,23 @@
 		"cors": "cores", "ot": "to", "sockets": "", "": "", strings.Repeat("x", 10000): "",
 	} {
 		if got := Nearest(name, names); got != want {
-			t.Errorf("%.20q: got %q, want %q", name, got, want)
+			t.Errorf("nearest candidate to %.20q: got %q, want %q", name, got, want)
 		}
 	}
 }
 
 func TestDistance(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		from, to string
 		want     int
 	}{{"", "", 0}, {"a", "", 1}, {"", "ab", 2}, {"ab", "ba", 1}, {"kitten", "sitting", 3}, {"über", "uber", 1}, {"abcd", "acbd", 1}} {
-		if got := editDistance(c.from, c.to); got != c.want {
-			t.Errorf("%q, %q: %d, want %d", c.from, c.to, got, c.want)
+		if got := editDistance(test.from, test.to); got != test.want {
+			t.Errorf("distance from %q to %q: got %d, want %d", test.from, test.to, got, test.want)
 		}
 	}
 }
 
-// Findings are ordered by position, each is kept once, and their number is bounded; those beyond are counted.
+// Findings are ordered by position, equal ones are stored once, and at most MaxFindings are stored. Further ones are counted.
 func TestList(t *testing.T) {
 	var list List
 	list.Add("b", Pos{2, 1}, "late")
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if want := "b:1:9: early\nb:2:1: late\na: whole\n"; out.String() != want {
-		t.Errorf("got %q, want %q", out.String(), want)
+		t.Errorf("printed list: got %q, want %q", out.String(), want)
 	}
 	for i := range 2 * MaxFindings {
 		list.Add("c", Pos{i + 1, 1}, "x")
@@ -59,12 +59,13 @@
 	}
 	err := json.Unmarshal(out.Bytes(), &got)
 	if err != nil || len(got.Findings) != MaxFindings || got.More != MaxFindings+3 || list.Len() != 2*MaxFindings+3 {
-		t.Error(err, len(got.Findings), got.More, list.Len())
+		t.Errorf("bounded list: error %v, %d findings (want %d), %d more (want %d), length %d (want %d)",
+			err, len(got.Findings), MaxFindings, got.More, MaxFindings+3, list.Len(), 2*MaxFindings+3)
 	}
 	if !strings.HasSuffix(list.Err().Error(), fmt.Sprintf("and %d more findings", MaxFindings+3)) {
-		t.Error("the number of those beyond is missing")
+		t.Error("the error of a full list does not end with the number of omitted findings")
 	}
 	if (&List{}).Err() != nil {
-		t.Error("an empty list is an error")
+		t.Error("an empty list returned an error")
 	}
 }
--- a/internal/config/finding/golden_test.go
+++ b/internal/config/finding/golden_test.go
@@ -18,7 +18,7 @@
 	return &l
 }
 
-// Other programs depend on FILE:LINE:COLUMN: message and on the keys of the JSON object.
+// Other programs depend on the form FILE:LINE:COLUMN: message and on the keys of the JSON object.
 func TestGoldenForms(t *testing.T) {
 	l := goldenList()
 	var text, object strings.Builder
@@ -31,7 +31,7 @@
 	golden.Text(t, "findings.txt", []byte(text.String()))
 	golden.Text(t, "findings.json", []byte(object.String()))
 	if got := l.Err().Error(); got+"\n" != text.String() {
-		t.Errorf("as an error %q, printed %q", got, text.String())
+		t.Errorf("text of the error: got %q, want the printed %q", got, text.String())
 	}
 
 	var read struct {
@@ -50,11 +50,11 @@
 		t.Fatal(err)
 	}
 	if reprinted.String() != text.String() {
-		t.Errorf("read back as %q", reprinted.String())
+		t.Errorf("findings read back from JSON are printed as %q, want %q", reprinted.String(), text.String())
 	}
 }
 
-// The JSON object without findings, and with more than are kept.
+// The JSON object of an empty list, and the printed form of a list with more findings than are stored.
 func TestGoldenBounds(t *testing.T) {
 	var none, bounded strings.Builder
 	if err := (&List{}).PrintJSON(&none); err != nil {
@@ -71,11 +71,11 @@
 	lines := strings.SplitAfter(bounded.String(), "\n")
 	golden.Text(t, "bounded.txt", []byte(strings.Join(lines[len(lines)-4:], "")))
 	if len(lines) != 1000+2 { // the line with the number of further findings, and the text after the last line end
-		t.Errorf("%d lines", len(lines))
+		t.Errorf("printed list of 1003 findings: got %d lines, want %d", len(lines), 1000+2)
 	}
 }
 
-// The messages on unknown names.
+// The messages for unknown names.
 func TestGoldenUnknown(t *testing.T) {
 	var all strings.Builder
 	for _, name := range []string{"idel", "zz", strings.Repeat("y", 100)} {
--- a/internal/config/schema/schema_test.go
+++ b/internal/config/schema/schema_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// things is filled by a table of the test.
+// things is the struct of a table that the tests declare.
 type things struct {
 	Wait  time.Duration
 	Count int
@@ -38,7 +38,7 @@
 	}
 })
 
-// part is filled by named tables of the test.
+// part is the struct of named tables that the tests declare.
 type part struct{ Size int }
 
 var partTable = NewNamed("part", "part", "p", "Parts.",
@@ -46,7 +46,7 @@
 
 var testSchema = New(thingsTable.Table, partTable.Table)
 
-// decode decodes a text, and returns the file and the findings as text.
+// decode decodes a TOML text with testSchema, and returns the file and the text of its findings.
 func decode(text string, options Options) (*File, string) {
 	var found finding.List
 	d := doc.ReadTOML([]byte(text), 1<<20, found.ForFile("f"))
@@ -60,7 +60,7 @@
 	return f, ""
 }
 
-// Values of each type are read in each way to write them, and defaults are set.
+// Values of each type are read in different notations, and missing keys have their defaults.
 func TestValues(t *testing.T) {
 	file, fault := decode(`[things]
 who = "w"
@@ -80,23 +80,23 @@
 		t.Fatal(fault)
 	}
 	if got := *thingsTable.In(file); got != (things{90 * time.Second, 16, 1, 3 << 10, false, "green", "w", "[::1]:80"}) {
-		t.Errorf("got %+v", got)
+		t.Errorf("values of [things]: got %+v", got)
 	}
 	all := partTable.All(file)
 	if len(all) != 2 || all[0].Name != "x" || all[1].Name != "y z" || all[1].Value.Size != 3 || partTable.Get(file, "no") != nil {
-		t.Errorf("got %+v", all)
+		t.Errorf("tables [part.PART]: got %+v, want x and \"y z\", the second with size 3", all)
 	}
 	file, fault = decode("[things]\nwho = \"w\"\n", Options{})
 	if got := *thingsTable.In(file); fault != "" || got != (things{time.Second, 3, 0.5, 1 << 10, true, "red", "w", ""}) {
-		t.Errorf("defaults: %+v, %s", got, fault)
+		t.Errorf("file with the required key only: got %+v and findings %q, want the defaults", got, fault)
 	}
 	if got := *thingsTable.Default(); got.Count != 3 {
-		t.Errorf("got %+v", got)
+		t.Errorf("defaults without a file: got %+v, want a count of 3", got)
 	}
 }
 
-// Each bad value is rejected with a message that tells which values are valid.
-func TestRefusals(t *testing.T) {
+// Each invalid value is rejected with a message that tells which values are valid.
+func TestInvalidValuesAreRejected(t *testing.T) {
 	for line, want := range map[string]string{
 		"wait = 5":                    `5 has no unit; write "5ms" or "5s"`,
 		`wait = "5"`:                  `"5" has no unit`,
@@ -139,21 +139,21 @@
 	} {
 		_, fault := decode("[things]\nwho = \"w\"\n"+line+"\n", Options{})
 		if !strings.Contains(fault, want) || strings.Count(fault, "\n") > 0 || !strings.HasPrefix(fault, "f:") {
-			t.Errorf("%s: got %q, want %q", line, fault, want)
+			t.Errorf("findings on %s: got %q, want one that contains %q", line, fault, want)
 		}
 	}
 	if _, fault := decode("", Options{}); fault != `f:1:1: there is no [things], whose key who is needed, like who = "me"` {
-		t.Errorf("got %q", fault)
+		t.Errorf("empty file: got %q, want that [things] with its key who is missing", fault)
 	}
 	if _, fault := decode("", Options{RequiredElsewhere: []string{"things"}}); fault != "" {
-		t.Errorf("got %q", fault)
+		t.Errorf("empty file whose required keys come from elsewhere: got %q, want no findings", fault)
 	}
 	if _, fault := decode("who = \"x\"\n", Options{Partial: true}); fault != "f:1:1: who belongs under [things]" {
-		t.Errorf("got %q", fault)
+		t.Errorf("key above all headers: got %q, want the table to which it belongs", fault)
 	}
 }
 
-// Later layers take precedence, key by key, and each setting has the line that sets it.
+// Later layers take precedence, key by key, and each setting has the location that sets it.
 func TestLayers(t *testing.T) {
 	var found finding.List
 	var layers []Layer
@@ -163,17 +163,18 @@
 	}
 	f := testSchema.Decode(&found, Options{}, layers...)
 	if got := thingsTable.In(f); found.Err() != nil || got.Who != "low" || got.Count != 2 || len(partTable.All(f)) != 2 {
-		t.Errorf("got %+v, %v", got, found.Err())
+		t.Errorf("two layers: got %+v, %d parts, findings %v; want who low, count 2, two parts and no findings",
+			got, len(partTable.All(f)), found.Err())
 	}
 	if location := f.Location("things", "count"); location.String() != "layer1:2" {
-		t.Errorf("got %v", location)
+		t.Errorf("location of things.count: got %v, want layer1:2", location)
 	}
 	if location := f.Location("things", "who"); location.String() != "layer0:2" {
-		t.Errorf("got %v", location)
+		t.Errorf("location of things.who: got %v, want layer0:2", location)
 	}
 }
 
-// Only changes of values are changes, and those of order, comments and notation are not.
+// Changed returns settings whose values differ, and ignores differences of order, comments and notation.
 func TestChanged(t *testing.T) {
 	base := "[things]\nwho = \"w\"\nwait = \"90s\"\n[part.a]\nsize = 1\n"
 	for text, want := range map[string]string{
@@ -194,11 +195,11 @@
 		for _, s := range Changed(before, after) {
 			ids = append(ids, s.ID())
 			if s.Location.Line == 0 {
-				t.Errorf("%s has no line", s.ID())
+				t.Errorf("changed setting %s has no line", s.ID())
 			}
 		}
 		if got := strings.Join(ids, " "); got != want {
-			t.Errorf("%q: got %q, want %q", text, got, want)
+			t.Errorf("changed settings of %q: got %q, want %q", text, got, want)
 		}
 	}
 }
@@ -206,21 +207,21 @@
 // The sample and the text of a file decode to the same settings.
 func TestTextsDecode(t *testing.T) {
 	if _, fault := decode(testSchema.Sample(), Options{}); fault != "" {
-		t.Error(fault)
+		t.Errorf("findings on the sample: %s", fault)
 	}
 	f, _ := decode("[part.\"y z\"]\nsize = 3\n[things]\nwho = '''w\"x'''\nwait = \"90s\"\n", Options{})
 	again, fault := decode(f.Text(), Options{})
 	if fault != "" || len(Changed(f, again)) > 0 || len(again.Settings()) != 3 {
-		t.Errorf("%s\n%s", f.Text(), fault)
+		t.Errorf("text of a file does not decode to its 3 settings:\n%s\nfindings: %s", f.Text(), fault)
 	}
 	r := testSchema.Reference()
 	if !strings.Contains(r, "## [part.PART]") || !strings.Contains(r, "| `wait` | duration, 1ms to 1h | `\"1s\"` | SIGHUP | Wait. |") {
-		t.Error(r)
+		t.Errorf("reference page lacks the header of [part.PART] or the row of wait:\n%s", r)
 	}
 }
 
-// Declarations with a name twice panic.
-func TestDeclarationsThatClash(t *testing.T) {
+// Declaring the same name twice panics.
+func TestDuplicateDeclarationsPanic(t *testing.T) {
 	for name, declare := range map[string]func(){
 		"table twice": func() { New(thingsTable.Table, thingsTable.Table) },
 		"key in two tables": func() {
@@ -234,7 +235,7 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s: does not panic", name)
+					t.Errorf("%s: the declaration does not panic", name)
 				}
 			}()
 			declare()
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -11,7 +11,8 @@
 	"quincegap/internal/balancer"
 )
 
-// The object with all keys that are read: testdata/golden/settings.json is what an older program was started with.
+// testdata/golden/settings.json is an object with all keys that are read, in the form that older versions used. It must be read the same
+// way.
 func TestGoldenSettings(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", "settings.json"))
 	if err != nil {
@@ -19,7 +20,7 @@
 	}
 	got, unknown, err := Parse(text)
 	if err != nil || !slices.Equal(unknown, []string{"another", "novelty"}) {
-		t.Fatal(unknown, err)
+		t.Fatalf("parse settings.json: error %v, unknown keys %q; want no error, and another and novelty", err, unknown)
 	}
 	want := Settings{
 		Settings: balancer.Settings{
@@ -62,11 +63,11 @@
 		ConnIdle: 30 * time.Second, GraceToAnswer: 20 * time.Millisecond, OpenCap: 7,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("settings\ngot  %+v\nwant %+v", got, want)
 	}
 }
 
-// Texts that are refused, and with what words.
+// The errors for texts that are rejected.
 func TestGoldenRefusals(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"discovery":"shout"}`:           `discovery: unknown word "shout"`,
@@ -79,11 +80,11 @@
 		}
 	}
 	if _, err := ParseLoad("queue=x", "="); err == nil || err.Error() != `"queue=x" is not a load report` {
-		t.Errorf("got %v", err)
+		t.Errorf("load report with an invalid number: got error %v, want that it is not a load report", err)
 	}
 	l, err := ParseLoad("inflight:7,queue:2,util:0.5,latency_ms:20", ":")
 	want := balancer.Load{InFlight: 7, Queue: 2, Utilization: 0.5, ServiceTime: 20 * time.Millisecond}
 	if err != nil || *l != want {
-		t.Errorf("got %+v, %v", l, err)
+		t.Errorf("load report: got %+v, %v, want %+v", l, err, want)
 	}
 }
--- a/internal/product/golden_test.go
+++ b/internal/product/golden_test.go
@@ -38,7 +38,7 @@
 	golden.Text(t, "keys.txt", []byte(all.String()))
 }
 
-// The findings on bad files: file, line, column and message. (TestMistakes of internal/tool has some 180 more.)
+// The findings about invalid files: file, line, column and message. (TestMistakes of internal/tool has some 180 more.)
 func TestGoldenFindings(t *testing.T) {
 	dir := t.TempDir()
 	var found finding.List
@@ -52,7 +52,7 @@
 	} {
 		text := strings.Replace(Sample(), edit[0], edit[1], 1)
 		if text == Sample() {
-			t.Fatalf("%s: nothing replaced", name)
+			t.Fatalf("%s: the text to replace is not in the sample", name)
 		}
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -82,11 +82,11 @@
 		More     int
 	}
 	if err := json.Unmarshal([]byte(text), &got); err != nil || len(got.Findings) < 8 || got.More != 0 {
-		t.Errorf("read back as %+v, %v", got, err)
+		t.Errorf("findings read back: got %+v, error %v, want at least 8 findings and none omitted", got, err)
 	}
 	for _, f := range got.Findings {
 		if f.File == "" || f.Line == 0 || f.Column == 0 || f.Message == "" {
-			t.Errorf("a finding without a place: %+v", f)
+			t.Errorf("finding without file, line, column or message: %+v", f)
 		}
 	}
 }
--- a/internal/product/load.go
+++ b/internal/product/load.go
@@ -38,7 +38,7 @@
 		return nil, withoutPath(err)
 	}
 	if int64(len(text)) > maxBytes {
-		return nil, fmt.Errorf("has more than %d bytes; that is too large for a file of this sort", maxBytes)
+		return nil, fmt.Errorf("has more than %d bytes, the limit for a file of this kind", maxBytes)
 	}
 	return text, nil
 }
--- a/internal/product/peer_group.go
+++ b/internal/product/peer_group.go
@@ -21,7 +21,7 @@
 	}
 	application := appfile.SidecarTable.In(file).Application
 	if application == "" {
-		return nil, fmt.Errorf("%s: peers_listen is set, and sidecar.application is not: others could not be told from another application's",
+		return nil, fmt.Errorf("%s: peers_listen is set, and sidecar.application is not: sidecars of other applications could not be told apart",
 			file.Location("peers", "peers_listen"))
 	}
 	if settings.Service != "" && consul.Table.In(file).Agents == "" {
--- a/internal/product/peers_test.go
+++ b/internal/product/peers_test.go
@@ -22,7 +22,7 @@
 [peers]
 `
 
-// peersCases are the lines of [peers], and a part of the finding on them; "" for none.
+// peersCases has lines of [peers], and a part of the error that they cause; "" for none.
 var peersCases = []struct{ lines, want string }{
 	{
 		lines: `peers_listen = "127.0.0.1:7946"`,
@@ -92,7 +92,7 @@
 	},
 }
 
-// Settings that cannot work are found at load, with their line.
+// Settings of [peers] that cannot work are reported when the file is loaded, with their location.
 func TestPeersAreChecked(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -105,16 +105,16 @@
 		}
 	}
 	path := filepath.Join(dir, "f.toml")
-	for _, c := range peersCases {
-		if err := os.WriteFile(path, []byte(peersFile+c.lines+"\n"), 0o600); err != nil {
+	for _, test := range peersCases {
+		if err := os.WriteFile(path, []byte(peersFile+test.lines+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := SidecarConfig(path, func(string) string { return "" })
 		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", c.lines, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s:\n%v\nshould say %q", c.lines, err, c.want)
+		case test.want == "" && err != nil:
+			t.Errorf("%s:\ngot error %v, want none", test.lines, err)
+		case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)):
+			t.Errorf("%s:\ngot error %v\nwant one that contains %q", test.lines, err, test.want)
 		}
 	}
 }
--- a/internal/product/product_test.go
+++ b/internal/product/product_test.go
@@ -11,7 +11,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// The generated pages are those of the declarations; go generate ./docs writes them.
+// The generated pages in the repository match the declarations. go generate ./docs writes them.
 func TestGeneratedPagesDoNotDrift(t *testing.T) {
 	for path, want := range map[string]string{"docs/reference.md": Reference(), "deploy/sidecar.toml": Sample()} {
 		got, err := os.ReadFile(filepath.Join("..", "..", path))
@@ -21,7 +21,7 @@
 	}
 }
 
-// Each key has what the reference page needs.
+// Each key has the help, type and example that the reference page needs.
 func TestDeclarations(t *testing.T) {
 	for _, table := range Schema.Tables {
 		for _, k := range table.Keys {
@@ -35,7 +35,7 @@
 	}
 }
 
-// The sample has all keys, and the default or the example of each is valid.
+// The sample has all keys, and the default or example of each is valid.
 func TestSampleHasAllKeys(t *testing.T) {
 	text := strings.NewReplacer("\n# ", "\n").Replace(Sample())
 	var lines []string
@@ -50,11 +50,12 @@
 	}
 	var found finding.List
 	file := Load(path, false, &found)
-	// In the sample a safe class has the keys of a keyed one, a call names another class, and the files of secrets are missing.
+	// These findings are expected: with all comments removed, a safe class has the keys of a keyed one, a call names a class that does not
+	// exist, and the files of secrets are missing.
 	expected := []string{"means nothing", "for_class", "_file", "settings for TLS", "second_copies is false"}
 	for _, x := range found.All() {
 		if !slices.ContainsFunc(expected, func(part string) bool { return strings.Contains(x.Message, part) }) {
-			t.Error(x)
+			t.Errorf("unexpected finding on the sample: %v", x)
 		}
 	}
 	for _, table := range Schema.Tables {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Only regular files up to a bound are read, and errors do not have the path.
+// Only regular files up to a given size are read, and errors do not contain the path.
 func TestRead(t *testing.T) {
 	dir := t.TempDir()
 	pipe := filepath.Join(dir, "pipe")
@@ -79,7 +80,7 @@
 	}
 	for path, want := range map[string]string{pipe: "no regular file", dir: "no regular file", filepath.Join(dir, "none"): "no such file"} {
 		if _, err := Read(path, 10); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), dir) {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("read %s: got error %v, want one that contains %q and not the path", path, err, want)
 		}
 	}
 	large := filepath.Join(dir, "large")
@@ -87,14 +88,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(large, 10); err == nil {
-		t.Error("a file over its bound was read")
+		t.Error("a file of 11 bytes was read with a limit of 10")
 	}
 	if text, err := Read(large, 11); err != nil || len(text) != 11 {
-		t.Error(err)
+		t.Errorf("read a file of 11 bytes with a limit of 11: got %d bytes, error %v", len(text), err)
 	}
 }
 
-// The path of a secret is relative to the file that names it, and the secret must be valid.
+// The path of a secret is relative to the directory of the file that names it, and the permissions of the secret are checked.
 func TestSecrets(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sidecar.toml")
@@ -102,24 +103,24 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		mode os.FileMode
 		want string
 	}{{0o600, ""}, {0o622, "written by everybody"}, {0o644, "read by everybody"}} {
 		if err := os.WriteFile(filepath.Join(dir, "token"), []byte("t0ken"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Chmod(filepath.Join(dir, "token"), tc.mode); err != nil {
+		if err := os.Chmod(filepath.Join(dir, "token"), test.mode); err != nil {
 			t.Fatal(err)
 		}
 		var found finding.List
 		Load(path, false, &found)
 		asWanted := found.Len() == 0
-		if tc.want != "" {
-			asWanted = found.Len() == 1 && strings.Contains(found.All()[0].Message, tc.want) && found.All()[0].Line > 0
+		if test.want != "" {
+			asWanted = found.Len() == 1 && strings.Contains(found.All()[0].Message, test.want) && found.All()[0].Line > 0
 		}
 		if !asWanted {
-			t.Errorf("%v: %v", tc.mode, found.Err())
+			t.Errorf("secret with mode %v: got findings %v, want %q", test.mode, found.Err(), test.want)
 		}
 	}
 }
--- a/internal/product/secrets.go
+++ b/internal/product/secrets.go
@@ -63,7 +63,7 @@
 func checkSecretLength(path string) error {
 	text, err := secretfile.ReadToken(path)
 	if err == nil && len(text) < http3.MinSecretChars {
-		return fmt.Errorf("has %d characters; %d are the least that nobody guesses", len(text), http3.MinSecretChars)
+		return fmt.Errorf("has %d characters; at least %d are required", len(text), http3.MinSecretChars)
 	}
 	return nil
 }
