--- a/internal/config/appfile/class.go
+++ b/internal/config/appfile/class.go
@@ -15,8 +15,8 @@
 	Value           float64              // the value of a response within the latency target, relative to other classes
 	LateValueShare  float64              // the share of Value that a later response has
 	Idempotency     balancer.Idempotency // whether a call may be executed more than once
-	KeyScope        balancer.KeyScope    // the endpoints that deduplicate requests by idempotency key; empty if the class has no keys
-	KeyWindow       time.Duration        // how long they deduplicate them, counted from the first attempt
+	KeyScope        balancer.KeyScope    // the endpoints that drop repeats of an idempotency key; empty if the class has no keys
+	KeyWindow       time.Duration        // how long endpoints drop repeats of a key, counted from the first attempt
 	OnMemoryFailure MemoryFailurePolicy  // the policy if an attempt of a call that is not idempotent cannot be recorded on disk
 }
 
--- a/internal/config/apps/edits_test.go
+++ b/internal/config/apps/edits_test.go
@@ -179,7 +179,7 @@
 	},
 }
 
-// An edit of another key than those that apps.toml has changed is merged. An edit of the same key conflicts unless both values are equal.
+// An edit is merged with a change of apps.toml above, below or beside it. Changes of the same key conflict unless both values are equal.
 func TestMerge(t *testing.T) {
 	for _, test := range mergeCases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/config/schema/schema.go
+++ b/internal/config/schema/schema.go
@@ -22,7 +22,7 @@
 // Key is the declaration of one key of a table.
 type Key struct {
 	Name     string
-	Help     string // one sentence that explains the key
+	Help     string // the meaning of the key in one sentence
 	Type     string // the type as a phrase for the reference page
 	Bounds   string // the valid values as a phrase; may be empty
 	Default  string // the default as TOML; empty if there is none
