--- a/internal/standin/booking/discovery.go
+++ b/internal/standin/booking/discovery.go
@@ -10,45 +10,46 @@
 	"time"
 )
 
-// Target is one endpoint in discovery's list, as the platform's protocol has it.
+// Target is one endpoint in the discovery list, in the format of the platform's protocol.
 type Target struct {
 	UID     string  `json:"uid"`
-	Address string  `json:"endpoint"` // host:port
+	Address string  `json:"endpoint"` // network address as host:port
 	Zone    string  `json:"az"`
-	Model   string  `json:"model"` // kind of machine
+	Model   string  `json:"model"` // machine type
 	Cell    int     `json:"pod_group"`
-	State   string  `json:"state"`         // Ready, Terminating or Gone
-	Weight  float64 `json:"capacity_hint"` // relative to 1
-	BootMS  int64   `json:"boot_ms"`       // milliseconds since 1970; 0 for not known
+	State   string  `json:"state"`         // lifecycle state: Ready, Terminating or Gone
+	Weight  float64 `json:"capacity_hint"` // capacity relative to a target of weight 1
+	BootMS  int64   `json:"boot_ms"`       // boot time in milliseconds since 1970; 0 if unknown
 }
 
-// stateGone is the state of a target that has left the list.
+// stateGone marks a target that Discovery omits from its list.
 const stateGone = "Gone"
 
-// list is an answer of discovery: always complete here, never only a change.
+// list is the body of a discovery response. This server always sends complete lists, never deltas.
 type list struct {
 	Revision uint64   `json:"rev"`
 	Complete bool     `json:"all"`
 	Targets  []Target `json:"targets"`
 }
 
-// watchInterval is how often a watch sends an empty line if nothing has changed.
+// watchInterval is the interval at which a watch sends an empty line while the list is unchanged.
 const watchInterval = 2 * time.Second
 
-// Discovery serves the list of endpoints. Use StartDiscovery to get one.
+// Discovery is an HTTP server for the list of endpoints. Create one with StartDiscovery. Apart from Token, it is safe for concurrent use.
 type Discovery struct {
-	// Token is the bearer token that callers must show; none if empty.
+	// Token is the bearer token that callers must send; if it is empty, no token is required. Set it before the first request.
 	Token string
 
 	mu       sync.Mutex
 	revision uint64
 	targets  map[string]Target
-	order    []string
-	changed  chan struct{} // closed at the next change
+	order    []string      // UIDs in the order in which they were first added
+	changed  chan struct{} // closed and replaced at each change
 	server   *server
 }
 
-// StartDiscovery serves on a loopback address, or on a free port if it is empty.
+// StartDiscovery starts a discovery server with the given targets. It listens on address (host:port), or on a free loopback port if
+// address is empty, and fails if it cannot listen.
 func StartDiscovery(address string, targets ...Target) (*Discovery, error) {
 	d := newDiscovery()
 	for _, t := range targets {
@@ -56,22 +57,23 @@
 	}
 	var err error
 	if d.server, err = start(address, d); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return nil, fmt.Errorf("start discovery server: %w", err)
 	}
 	return d, nil
 }
 
+// newDiscovery returns an empty Discovery that does not listen.
 func newDiscovery() *Discovery {
 	return &Discovery{targets: map[string]Target{}, changed: make(chan struct{}), revision: 1}
 }
 
-// Address returns the host:port where it serves.
+// Address returns the host:port that the discovery listens on.
 func (d *Discovery) Address() string { return d.server.Address() }
 
-// Close ends the discovery and all watches.
+// Close stops the discovery and ends all watches.
 func (d *Discovery) Close() { d.server.Close() }
 
-// put adds or replaces an entry. The caller holds d.mu, or is alone.
+// put adds or replaces the target with the same UID. The caller holds d.mu, unless d is not shared yet.
 func (d *Discovery) put(t Target) {
 	if _, ok := d.targets[t.UID]; !ok {
 		d.order = append(d.order, t.UID)
@@ -79,7 +81,7 @@
 	d.targets[t.UID] = t
 }
 
-// Set changes entries; one that is Gone leaves the list.
+// Set adds or replaces targets and notifies watches. Targets in state Gone are omitted from the list.
 func (d *Discovery) Set(targets ...Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +93,7 @@
 	d.changed = make(chan struct{})
 }
 
-// snapshot returns the complete list, and a channel that is closed at the next change.
+// snapshot returns the complete list and a channel that is closed at the next change.
 func (d *Discovery) snapshot() (list, chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,7 +106,8 @@
 	return current, d.changed
 }
 
-// ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch that sends complete lists.
+// ServeHTTP answers GET /v1/endpoints with the list. If the follow parameter is not empty, the response is a watch: a stream of complete
+// lists.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if d.Token != "" && r.Header.Get("Authorization") != "Bearer "+d.Token {
 		http.Error(w, "who are you?", http.StatusUnauthorized)
@@ -122,13 +125,13 @@
 	d.watch(r.Context(), w, encoder, changed)
 }
 
-// watch sends the list after each change, and an empty line each watchInterval, until the caller has gone.
+// watch sends the list after each change, and an empty line every watchInterval, until the client disconnects.
 func (d *Discovery) watch(ctx context.Context, w http.ResponseWriter, encoder *json.Encoder, changed chan struct{}) {
-	control := http.NewResponseController(w)
-	unchanged := time.NewTicker(watchInterval)
-	defer unchanged.Stop()
+	controller := http.NewResponseController(w)
+	keepalive := time.NewTicker(watchInterval)
+	defer keepalive.Stop()
 	for {
-		if control.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
 		var err error
@@ -137,7 +140,7 @@
 			var current list
 			current, changed = d.snapshot()
 			err = encoder.Encode(current)
-		case <-unchanged.C:
+		case <-keepalive.C:
 			_, err = io.WriteString(w, "\n")
 		case <-ctx.Done():
 			return
--- a/internal/standin/booking/doc.go
+++ b/internal/standin/booking/doc.go
@@ -1,4 +1,4 @@
-// Package booking has small servers that stand in for an installation on loopback: a discovery that speaks the platform's
-// protocol (GET /v1/endpoints, as a single list or as a watch), and endpoints that serve bookings. They are for tests and for the
-// demonstration. The discovery sends complete lists only, never changes.
+// Package booking provides small servers that simulate an installation on loopback, for tests and the demonstration: a discovery
+// server for the platform's protocol (GET /v1/endpoints, as a single list or as a watch), and endpoints that answer booking
+// requests. The discovery server sends complete lists only, never deltas.
 package booking
--- a/internal/standin/booking/example_test.go
+++ b/internal/standin/booking/example_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/standin/booking"
 )
 
-// A discovery that lists one endpoint, which is then asked.
+// Starts an endpoint and a discovery that lists it, and sends a request to the endpoint.
 func Example() {
 	endpoint, err := booking.StartEndpoint("box-1", nil)
 	if err != nil {
--- a/internal/standin/booking/server.go
+++ b/internal/standin/booking/server.go
@@ -10,10 +10,10 @@
 type server struct {
 	listener net.Listener
 	http     http.Server
-	ended    chan struct{} // closed when nothing is accepted any more
+	stopped  chan struct{} // closed when the server has stopped accepting connections
 }
 
-// start serves on an address; a free loopback port if it is empty.
+// start starts a server that listens on address, or on a free loopback port if address is empty. It fails if it cannot listen.
 func start(address string, handler http.Handler) (*server, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -22,20 +22,20 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{listener: listener, ended: make(chan struct{})}
+	s := &server{listener: listener, stopped: make(chan struct{})}
 	s.http.Handler = handler
 	go func() {
-		defer close(s.ended)
-		_ = s.http.Serve(listener) // ends with http.ErrServerClosed, for nothing else closes the listener
+		defer close(s.stopped)
+		_ = s.http.Serve(listener) // always http.ErrServerClosed: only Close closes the listener
 	}()
 	return s, nil
 }
 
-// Address returns the host:port where it serves.
+// Address returns the host:port that the server listens on.
 func (s *server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server and its connections.
+// Close stops the server, closes its connections and waits until it accepts no more.
 func (s *server) Close() {
-	_ = s.http.Close() // of the listener and its connections, which have no data that could be lost
-	<-s.ended
+	_ = s.http.Close() // an error is harmless: the listener and connections hold no data to lose
+	<-s.stopped
 }
--- a/internal/standin/consul/encode.go
+++ b/internal/standin/consul/encode.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// object is a JSON object. The fields are those of Consul's pages.
+// object is a JSON object. Field names follow Consul's API documentation.
 type object = map[string]any
 
-// contentHash stands for the hash of what an index has: all that matters is that it changes with it.
+// contentHash returns a value in place of the hash of the content at an index. Clients need only that it differs between indexes.
 func contentHash(index uint64) string { return fmt.Sprintf("%016x", index*0x9e3779b97f4a7c15) }
 
-// encode writes instances as a resource lists them.
+// encode returns the JSON list of instances in the format of a resource: resourceCatalog or resourceHealth.
 func encode(resource string, instances []Instance) []byte {
 	list := []object{}
 	for i := range instances {
@@ -23,11 +23,12 @@
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(fmt.Sprint(err)) // there is nothing in it that can't be encoded
+		panic(fmt.Sprint(err)) // unreachable: all values in the list can be encoded
 	}
 	return text
 }
 
+// catalogEntry returns the entry of an instance in a catalog response.
 func catalogEntry(instance *Instance) object {
 	return object{
 		"Node": instance.Node, "Address": instance.Address, "Datacenter": "dc1", "ServiceID": instance.ID, "ServiceAddress": instance.Address,
@@ -35,6 +36,7 @@
 	}
 }
 
+// healthEntry returns the entry of an instance in a health response, with a passing check of its node.
 func healthEntry(instance *Instance) object {
 	checks := []object{{
 		"Node": instance.Node, "CheckID": "serfHealth", "Name": "Serf Health Status", "Status": "passing",
--- a/internal/standin/consul/example_test.go
+++ b/internal/standin/consul/example_test.go
@@ -9,24 +9,24 @@
 	"quincegap/internal/standin/consul"
 )
 
-// A query gets the newest index; with a fault it gets that instead.
+// Queries return the newest index, until a fault replaces the response.
 func Example() {
 	server, err := consul.Start("", consul.Instance{ID: "i1"}.WithAddress("127.0.0.1:81"))
 	if err != nil {
 		panic(err)
 	}
 	defer server.Close()
-	ask := func() {
+	printResponse := func() {
 		answer := httptest.NewRecorder()
 		query := httptest.NewRequestWithContext(context.Background(), http.MethodGet, "/v1/catalog/service/trips", nil)
 		server.ServeHTTP(answer, query)
 		fmt.Println(answer.Code, answer.Header().Get("X-Consul-Index"))
 	}
-	ask()
+	printResponse()
 	server.SetStatus("i1", "critical")
-	ask()
+	printResponse()
 	server.SetFault(consul.Fault{Status: http.StatusInternalServerError})
-	ask()
+	printResponse()
 	// Output:
 	// 200 11
 	// 200 12
--- a/internal/standin/consul/golden_test.go
+++ b/internal/standin/consul/golden_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/golden"
 )
 
-// The answers of the two reads have the form that Consul's pages give them.
+// Checks that health and catalog responses have the format of Consul's API documentation, and that the content hash is unchanged.
 func TestGoldenAnswers(t *testing.T) {
 	instances := []Instance{
 		{
--- a/internal/standin/consul/query.go
+++ b/internal/standin/consul/query.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// The resources that can be read, as the path names them.
+// Resources that can be read, as named in the path.
 const (
 	resourceHealth  = "health"
 	resourceCatalog = "catalog"
 )
 
-// How long a query blocks by default, and at most. Consul adds up to a sixteenth.
+// Default and maximum time that a query blocks. Like Consul, the server adds a random delay of up to a sixteenth of it.
 const (
-	defaultWait  = 5 * time.Minute
-	maxWait      = 10 * time.Minute
-	jitterDivide = 16
+	defaultWait   = 5 * time.Minute
+	maxWait       = 10 * time.Minute
+	jitterDivisor = 16
 )
 
-// query is one read of a service.
+// query is the parsed request for the instances of one service.
 type query struct {
 	resource string
 	service  string
-	index    uint64 // block while it is the newest; 0 to not block
-	hash     string // the same, by content hash
-	wait     time.Duration
-	stale    bool
+	index    uint64        // the query blocks while this is the newest index; 0 for a query that does not block
+	hash     string        // the query blocks while this is the newest content hash; empty for none
+	wait     time.Duration // maximum time to block
+	stale    bool          // the client accepts a stale response
 }
 
-// parseQuery reads a path like /v1/health/service/NAME; false if it is none that is served.
+// parseQuery parses a URL such as /v1/health/service/NAME. It returns false if the path is not a supported one.
 func parseQuery(u *url.URL) (query, bool) {
 	parts := strings.Split(strings.Trim(u.Path, "/"), "/")
 	if len(parts) != 4 || parts[0] != "v1" || parts[2] != "service" {
@@ -57,15 +57,15 @@
 	return q, true
 }
 
-// unchanged reports whether the client has the view already, so that the query blocks.
-func (q *query) unchanged(view *view) bool {
+// unchanged reports whether the client already has the content of the view, in which case the query blocks.
+func (q *query) unchanged(view *serverView) bool {
 	if q.hash != "" && q.hash == contentHash(view.index) {
 		return true
 	}
 	return q.index > 0 && view.index <= q.index && view.fault.IndexBack == 0
 }
 
-// hangs reports whether a fault keeps a query from being answered.
+// hangs reports whether a fault withholds the response to the query.
 func (q *query) hangs(f *Fault) bool {
 	return f.Hang || f.CatalogHangs && q.resource == resourceCatalog
 }
@@ -80,10 +80,10 @@
 	s.mu.Lock()
 	s.queries[query.resource]++
 	s.mu.Unlock()
-	deadline := time.NewTimer(query.wait + rand.N(query.wait/jitterDivide+1))
+	deadline := time.NewTimer(query.wait + rand.N(query.wait/jitterDivisor+1))
 	defer deadline.Stop()
 	for {
-		view := s.view()
+		view := s.currentView()
 		if view.token != "" && r.Header.Get("X-Consul-Token") != view.token {
 			http.Error(w, "Permission denied: token lacks permission 'service:read'", http.StatusForbidden)
 			return
@@ -108,8 +108,8 @@
 	}
 }
 
-// answer writes the answer of a view, with its faults.
-func (s *Server) answer(w http.ResponseWriter, query *query, view *view) {
+// answer writes the response for a view, with the view's faults applied.
+func (s *Server) answer(w http.ResponseWriter, query *query, view *serverView) {
 	fault := &view.fault
 	if fault.Refuse {
 		panic(http.ErrAbortHandler)
@@ -126,21 +126,21 @@
 	switch {
 	case fault.Reset:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		_, _ = w.Write(body[:len(body)/2])        // the connection is about to be reset in any case,
-		_ = http.NewResponseController(w).Flush() // once half of the answer is out
+		_, _ = w.Write(body[:len(body)/2])        // errors are ignored: the connection is reset next,
+		_ = http.NewResponseController(w).Flush() // after half of the body has been sent
 		panic(http.ErrAbortHandler)
 	case fault.Truncate:
-		_, _ = w.Write(body[:len(body)/2]) // a caller that has gone misses it either way
+		_, _ = w.Write(body[:len(body)/2]) // fails if the client has disconnected
 	default:
-		_, _ = w.Write(body) // the same
+		_, _ = w.Write(body) // fails if the client has disconnected
 		if query.resource == resourceHealth {
 			s.recordAnswer(view.index)
 		}
 	}
 }
 
-// instances returns the instances of the service that the fault leaves.
-func (q *query) instances(view *view) []Instance {
+// instances returns the instances of the queried service that remain in the response under the view's fault.
+func (q *query) instances(view *serverView) []Instance {
 	all := slices.DeleteFunc(slices.Clone(view.instances), func(i Instance) bool { return i.Service != "" && i.Service != q.service })
 	if q.resource == resourceCatalog && view.fault.CatalogUnaffected {
 		return all
@@ -154,8 +154,8 @@
 	return all
 }
 
-// writeHeader sets the fields that Consul sends with a list.
-func writeHeader(header http.Header, query *query, view *view) {
+// writeHeader sets the header fields that Consul sends with a list.
+func writeHeader(header http.Header, query *query, view *serverView) {
 	fault := &view.fault
 	header.Set("Content-Type", "application/json")
 	switch {
