--- a/internal/standin/application/application.go
+++ b/internal/standin/application/application.go
@@ -1,10 +1,10 @@
-// Package application stands in for an application endpoint beside a sidecar, for tests. It works on requests in slots, sends
-// heartbeats to the sidecar's control address, drains and deregisters, and counts how often each attempt ran.
+// Package application simulates an application endpoint that runs beside a sidecar, for tests. It serves requests in a limited number
+// of slots, sends heartbeats to the sidecar's control address, drains and deregisters, and counts the executions of each attempt.
 //
 //	Start ── in_service ── Drain ── draining ── Deregister ── stopped
 //	             └──────────── Crash ────────────────────────────┘
 //
-// It keeps no configuration and checks no certificate: all of it is plain HTTP on loopback.
+// It stores no configuration and verifies no certificates: all communication is plain HTTP on loopback.
 package application
 
 import (
@@ -20,50 +20,51 @@
 	"time"
 )
 
-// ownCallTimeout bounds a call that an endpoint makes itself.
-const ownCallTimeout = 2 * time.Second
+// outboundCallTimeout is the timeout of a call that an endpoint makes through its sidecar.
+const outboundCallTimeout = 2 * time.Second
 
-// Options are the options of an endpoint. HeartbeatInterval must be above 0.
+// Options configures an endpoint. HeartbeatInterval must be above 0.
 type Options struct {
-	ID, Service, Zone string        // as its heartbeats have them
-	Address           string        // host:port to listen on
-	Control           []string      // addresses that take heartbeats, in the order in which they are tried: its own sidecar first
-	Outbound          string        // address of its sidecar for its own calls; empty if it makes none
-	Slots             int           // requests that it works on at once; further ones are rejected
-	ServiceTime       time.Duration // of a request
-	HeartbeatInterval time.Duration
+	ID, Service, Zone string        // identity reported in heartbeats
+	Address           string        // host:port to listen on, also reported in heartbeats
+	Control           []string      // addresses that accept heartbeats, in the order of attempts: the endpoint's own sidecar first
+	Outbound          string        // address of the sidecar for calls by the endpoint; empty if it makes none
+	Slots             int           // maximum number of concurrent requests, above which requests are rejected
+	ServiceTime       time.Duration // time that each request takes
+	HeartbeatInterval time.Duration // interval between heartbeats
 }
 
 // Endpoint is one process of an application, from its start to its end.
 type Endpoint struct {
 	options      Options
 	server       *http.Server
-	slots        chan struct{}
-	acknowledged chan struct{} // gets a value when a heartbeat was acknowledged
+	slots        chan struct{} // holds a value for each request being served
+	acknowledged chan struct{} // receives a value when a heartbeat has been acknowledged
 	context      context.Context
 	cancel       context.CancelFunc
-	running      sync.WaitGroup // the server and the heartbeats
+	running      sync.WaitGroup // goroutines of the server and the heartbeats
 
 	mu         sync.Mutex
-	executions map[string]int // by attempt
-	sequence   uint64         // of heartbeats
+	executions map[string]int // number of executions by attempt ID
+	sequence   uint64         // sequence number of the latest heartbeat
 	draining   bool
-	gate       chan struct{} // requests wait for it to be closed; nil for none
-	abandoned  int           // requests whose connections were closed while they waited at the gate
+	gate       chan struct{} // channel on whose close requests wait; nil if requests are not held
+	abandoned  int           // number of requests whose connections were closed while they waited for gate
 }
 
-// Start listens, and begins to serve and to send heartbeats. Deregister or Crash ends it.
+// Start starts an endpoint that serves requests and sends heartbeats. It fails if the endpoint cannot listen. Stop the endpoint with
+// Deregister or Crash.
 func Start(options Options) (*Endpoint, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", options.Address)
 	if err != nil {
 		cancel()
-		return nil, fmt.Errorf("endpoint %s: %w", options.ID, err)
+		return nil, fmt.Errorf("start endpoint %s: %w", options.ID, err)
 	}
 	e := newEndpoint(ctx, cancel, options)
 	e.running.Go(func() {
 		if err := e.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			panic(fmt.Sprintf("endpoint %s: %v", options.ID, err))
+			panic(fmt.Sprintf("endpoint %s: serve: %v", options.ID, err))
 		}
 	})
 	e.running.Go(e.sendHeartbeats)
@@ -80,7 +81,7 @@
 	return e
 }
 
-// serve works on one request.
+// serve handles one request. It rejects requests for other endpoints, and requests that arrive while all slots are occupied.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	attempt := r.Header.Get("Attempt-Id")
 	w.Header().Set("Attempt-Id", attempt)
@@ -104,17 +105,18 @@
 	if !e.execute(r.Context(), attempt) {
 		return
 	}
-	if path := r.URL.Query().Get("call"); path != "" && !e.ownCall(r.Context(), r.Host, path, attempt) {
+	if path := r.URL.Query().Get("call"); path != "" && !e.callOutbound(r.Context(), r.Host, path, attempt) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Endpoint-Seal", e.options.ID+"."+attempt)
 	defer writePadding(w, r.URL.Query().Get("bytes"))
 	_, _ = fmt.Fprintf(w, "%s %s %s %s from %s for %q: %d bytes", e.options.ID, e.options.Service, r.Method, r.RequestURI,
-		r.Header.Get("Calling-Service"), r.Header.Get("Subscriber-Id"), len(body)) // the client may be gone: the run counts
+		r.Header.Get("Calling-Service"), r.Header.Get("Subscriber-Id"), len(body)) // fails if the client has disconnected; the execution counts
 }
 
-// execute counts an attempt and works on it; false if its connection was closed while it waited at the gate.
+// execute counts an execution of an attempt, and takes the service time for it. It returns false if the connection was closed while the
+// request waited for gate.
 func (e *Endpoint) execute(ctx context.Context, attempt string) bool {
 	e.mu.Lock()
 	e.executions[attempt]++
@@ -136,9 +138,10 @@
 	return true
 }
 
-// ownCall makes a call of the endpoint's own, without a tenant's key, amid a request; it reports whether the call was served.
-func (e *Endpoint) ownCall(ctx context.Context, host, path, attempt string) bool {
-	// The call goes on if the request that it belongs to is canceled, as in a server that ignores cancellation.
+// callOutbound makes a call through the sidecar while the endpoint serves a request. The call carries no tenant key. callOutbound
+// reports whether the call succeeded with status 200.
+func (e *Endpoint) callOutbound(ctx context.Context, host, path, attempt string) bool {
+	// The call continues if the request that caused it is canceled, as in a server that ignores cancellation.
 	ctx = context.WithoutCancel(ctx)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.options.Outbound+path, nil)
 	if err != nil {
@@ -147,7 +150,7 @@
 	request.Host = host
 	request.Header.Set("Attempt-Id", attempt+"-call")
 	request.Header.Set("Time-Remaining", "1000")
-	client := http.Client{Timeout: ownCallTimeout}
+	client := http.Client{Timeout: outboundCallTimeout}
 	answer, err := client.Do(request)
 	if err != nil {
 		return false
@@ -155,14 +158,14 @@
 	return answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
 }
 
-// writePadding appends the number of bytes to an answer that a request's query asks for.
+// writePadding appends zero bytes to a response. Their number is the decimal text bytes, a query parameter; invalid text counts as 0.
 func writePadding(w io.Writer, bytes string) {
 	if n, err := strconv.Atoi(bytes); err == nil && n > 0 {
-		_, _ = w.Write(make([]byte, n)) // the client may be gone
+		_, _ = w.Write(make([]byte, n)) // fails if the client has disconnected
 	}
 }
 
-// Hold makes requests that come from now on wait until the function that it returns is called.
+// Hold makes requests that arrive from now on wait until release is called.
 func (e *Endpoint) Hold() (release func()) {
 	gate := make(chan struct{})
 	e.mu.Lock()
@@ -176,23 +179,23 @@
 	})
 }
 
-// Abandoned returns how many requests were given up while Hold kept them: their connections were closed.
+// Abandoned returns the number of requests that ended while Hold made them wait, because their connections were closed.
 func (e *Endpoint) Abandoned() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.abandoned
 }
 
-// Executions returns how often each attempt ran.
+// Executions returns the number of executions of each attempt, by attempt ID.
 func (e *Endpoint) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.executions)
 }
 
-// Crash ends the endpoint without a message to anybody: its listener and connections are closed.
+// Crash stops the endpoint without notifying the control addresses: it closes the listener and all connections.
 func (e *Endpoint) Crash() {
 	e.cancel()
-	_ = e.server.Close() // a listener that can't be closed again has been closed before
+	_ = e.server.Close() // fails if the listener is closed already
 	e.running.Wait()
 }
--- a/internal/standin/application/example_test.go
+++ b/internal/standin/application/example_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/standin/application"
 )
 
-// An endpoint sends a heartbeat when it starts, and deregisters when it leaves.
+// Starts an endpoint, which sends a heartbeat, and deregisters it.
 func Example() {
 	control := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { fmt.Println(r.URL.Path) }))
 	defer control.Close()
--- a/internal/standin/application/heartbeat.go
+++ b/internal/standin/application/heartbeat.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// controlTimeout bounds a call to one control address.
+// controlTimeout is the timeout of a call to one control address.
 const controlTimeout = time.Second
 
-// heartbeat is the body of a keepalive call, as the users' protocol has it.
+// heartbeat is the body of a keepalive call, in the format of the users' protocol.
 type heartbeat struct {
 	Address       string `json:"address"`
 	CallSequence  uint64 `json:"callSequence"`
@@ -23,13 +23,13 @@
 	Zone          string `json:"zone"`
 }
 
-// The states that a heartbeat carries.
+// States reported in heartbeats.
 const (
 	stateInService = "in_service"
 	stateDraining  = "draining"
 )
 
-// sendHeartbeats sends one at once and then one each interval, until the endpoint ends.
+// sendHeartbeats sends a heartbeat immediately and then one every HeartbeatInterval, until the endpoint stops.
 func (e *Endpoint) sendHeartbeats() {
 	ticker := time.NewTicker(e.options.HeartbeatInterval)
 	defer ticker.Stop()
@@ -48,7 +48,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to the first control address that takes it, and reports whether one did.
+// sendHeartbeat sends one heartbeat to the first control address that accepts it, and reports whether one did.
 func (e *Endpoint) sendHeartbeat(ctx context.Context) bool {
 	e.mu.Lock()
 	e.sequence++
@@ -64,7 +64,7 @@
 	return err == nil && e.postControl(ctx, "keepalive", body)
 }
 
-// postControl tries the control addresses in their order, and reports whether one answered with success.
+// postControl posts body to the control addresses in order until one responds with a 2xx status, and reports whether one did.
 func (e *Endpoint) postControl(ctx context.Context, call string, body []byte) bool {
 	client := http.Client{Timeout: controlTimeout}
 	for _, address := range e.options.Control {
@@ -85,10 +85,10 @@
 	return false
 }
 
-// Acknowledged returns a channel that gets a value when a heartbeat has been acknowledged.
+// Acknowledged returns a channel that receives a value when a heartbeat has been acknowledged. It holds at most one unread value.
 func (e *Endpoint) Acknowledged() <-chan struct{} { return e.acknowledged }
 
-// Drain announces that the endpoint is about to leave; it reports whether that was acknowledged.
+// Drain reports the state draining in a heartbeat now and in all later ones. It returns whether the first was acknowledged.
 func (e *Endpoint) Drain() bool {
 	e.mu.Lock()
 	e.draining = true
@@ -96,7 +96,7 @@
 	return e.sendHeartbeat(e.context)
 }
 
-// Deregister takes the endpoint out of service in order and ends it; it reports whether the deregistration was acknowledged.
+// Deregister deregisters the endpoint and stops it. It returns whether the deregistration was acknowledged.
 func (e *Endpoint) Deregister() bool {
 	acknowledged := e.postControl(e.context, "deregister", nil)
 	e.Crash()
--- a/internal/standin/authority/example_test.go
+++ b/internal/standin/authority/example_test.go
@@ -7,18 +7,18 @@
 	"quincegap/internal/standin/authority"
 )
 
-// A certificate of the authority is trusted by its pool, for its name alone.
+// Verifies a certificate of the authority against its pool: it is valid for its own name only.
 func Example() {
-	a, err := authority.New()
+	issuer, err := authority.New()
 	if err != nil {
 		panic(err)
 	}
-	pair, err := a.Pair("box.example.org")
+	pair, err := issuer.Pair("box.example.org")
 	if err != nil {
 		panic(err)
 	}
 	for _, name := range []string{"box.example.org", "other.example.org"} {
-		_, err := pair.Leaf.Verify(x509.VerifyOptions{Roots: a.Pool(), DNSName: name})
+		_, err := pair.Leaf.Verify(x509.VerifyOptions{Roots: issuer.Pool(), DNSName: name})
 		fmt.Println(name, err == nil)
 	}
 	// Output:
--- a/internal/standin/disk/disk.go
+++ b/internal/standin/disk/disk.go
@@ -6,44 +6,44 @@
 	"sync"
 )
 
-// ErrPowerLost is the error of all calls after a loss of power.
-var ErrPowerLost = errors.New("the power is gone")
+// ErrPowerLost is returned by the operation during which the disk loses power, and by later operations on the disk and its files.
+var ErrPowerLost = errors.New("disk has lost power")
 
-// Disk is a directory on a disk. Its methods may be called by several goroutines.
+// Disk is a simulated directory on a disk. Its methods are safe for concurrent use.
 type Disk struct {
-	mu         sync.Mutex        // guards what follows
-	names      map[string]*inode // as a process sees them
-	durable    map[string]*inode
-	changes    []nameChange // since the last sync of the directory
-	locked     bool
-	powerLost  bool
-	operations int // calls that change something, so far
-	history    []historyEntry
-	units      int // bytes written and changes of names, so far
-	faults     faults
+	mu             sync.Mutex        // guards all other fields and the inodes
+	names          map[string]*inode // files by name, as processes see them
+	durableNames   map[string]*inode // files by name, as of the last sync of the directory
+	pendingChanges []nameChange      // changes of names since the last sync of the directory
+	locked         bool              // whether a process holds the lock of the directory
+	powerLost      bool
+	operations     int            // number of modifying calls so far
+	history        []historyEntry // all changes in their order, for CutAt
+	units          int            // number of bytes written plus changes of names so far
+	faults         faults
 }
 
-// inode is the content of a file, whatever its names are.
+// inode is the content of a file, independent of the file's name.
 type inode struct {
-	data    []byte // as a process sees it
-	durable []byte
-	pending []write // since the last sync
-	lost    []write // of a sync that failed: never written, though the process still reads them
+	data    []byte  // content as processes see it
+	durable []byte  // content as of the last successful sync
+	pending []write // writes since the last sync
+	lost    []write // writes that a failed sync discarded: processes still read them, but they never become durable
 }
 
-// write is bytes that were added to a file.
+// write is a sequence of bytes appended to a file.
 type write struct {
 	offset int
 	data   []byte
 }
 
-// nameChange is a change of names: from is removed, to is added.
+// nameChange is a creation, renaming or removal of a file: it removes the name from and adds the name to.
 type nameChange struct {
-	from, to string // "" for none
+	from, to string // empty if no name is removed or added
 	file     *inode
 }
 
-// applyTo applies the change to a directory.
+// applyTo applies the change to the names of a directory.
 func (n *nameChange) applyTo(names map[string]*inode) {
 	if n.from != "" {
 		delete(names, n.from)
@@ -53,7 +53,7 @@
 	}
 }
 
-// historyEntry is a change of names, or bytes that were written at the end of the file.
+// historyEntry is either a change of names or, if isWrite is set, data appended to the file.
 type historyEntry struct {
 	nameChange
 	isWrite bool
@@ -62,17 +62,17 @@
 
 // New returns an empty disk without faults.
 func New() *Disk {
-	return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}, faults: faults{capacity: -1}}
+	return &Disk{names: map[string]*inode{}, durableNames: map[string]*inode{}, faults: faults{capacity: -1}}
 }
 
-// Operations returns how many calls have changed something.
+// Operations returns the number of modifying calls so far, including syncs.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations
 }
 
-// Units returns how much has happened: bytes written, and changes of names.
+// Units returns the number of bytes written plus the number of changes of names so far.
 func (d *Disk) Units() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +90,8 @@
 	return sizes
 }
 
-// beginOperation counts a call that changes something; losesPower reports whether the power is lost in the middle of it. d.mu is held.
+// beginOperation counts a modifying call. It fails if the disk has lost power or Fail is active; losesPower reports whether the disk
+// loses power during this call. The caller holds d.mu.
 func (d *Disk) beginOperation() (losesPower bool, err error) {
 	if d.powerLost {
 		return false, ErrPowerLost
@@ -106,17 +107,17 @@
 	return false, nil
 }
 
-// applyNameChange makes a change of names, which is pending until the next sync of the directory. d.mu is held.
+// applyNameChange applies a change of names, which is not durable until the next sync of the directory. The caller holds d.mu.
 func (d *Disk) applyNameChange(c nameChange) {
 	c.applyTo(d.names)
-	d.changes = append(d.changes, c)
+	d.pendingChanges = append(d.pendingChanges, c)
 	d.history = append(d.history, historyEntry{nameChange: c})
 	d.units++
 }
 
-// putDurable adds a file that is durable with its name.
+// putDurable adds a file whose name and content are durable.
 func (d *Disk) putDurable(name string, data []byte) {
 	n := &inode{data: data, durable: slices.Clone(data)}
 	d.names[name] = n
-	d.durable[name] = n
+	d.durableNames[name] = n
 }
--- a/internal/standin/disk/example_test.go
+++ b/internal/standin/disk/example_test.go
@@ -8,25 +8,25 @@
 	"quincegap/internal/standin/disk"
 )
 
-// A store on a disk that loses its power: what was acknowledged before is there.
+// Opens a store on a disk that loses power: writes acknowledged before are still readable.
 func ExampleDisk_LosePowerAt() {
-	d := disk.New()
-	s, err := store.Open(d, store.Options{})
+	faultyDisk := disk.New()
+	opened, err := store.Open(faultyDisk, store.Options{})
 	if err != nil {
 		panic(err)
 	}
-	fmt.Println(s.Put([]byte("first"), []byte("1"), 0))
-	d.LosePowerAt(1, 0)
-	err = s.Put([]byte("second"), []byte("2"), 0)
+	fmt.Println(opened.Put([]byte("first"), []byte("1"), 0))
+	faultyDisk.LosePowerAt(1, 0)
+	err = opened.Put([]byte("second"), []byte("2"), 0)
 	fmt.Println(errors.Is(err, disk.ErrPowerLost))
-	_ = s.Close() // fails with the power
+	_ = opened.Close() // fails because the disk has lost power
 
-	s, err = store.Open(d.AfterCrash(), store.Options{})
+	opened, err = store.Open(faultyDisk.AfterCrash(), store.Options{})
 	if err != nil {
 		panic(err)
 	}
-	value, _, ok, err := s.Get([]byte("first"))
-	fmt.Println(string(value), ok, err, s.Close())
+	value, _, ok, err := opened.Get([]byte("first"))
+	fmt.Println(string(value), ok, err, opened.Close())
 	// Output:
 	// <nil>
 	// true
--- a/internal/standin/disk/faults.go
+++ b/internal/standin/disk/faults.go
@@ -2,18 +2,19 @@
 
 import "sync"
 
-// faults are the faults of a disk.
+// faults holds the faults to inject into operations on a disk.
 type faults struct {
-	powerLossAt  int    // number of the operation in which the power is lost; 0 for never
-	tearSeed     uint64 // draws how much is left of the write in which the power is lost
-	capacity     int    // bytes that may still be written; negative for any number
-	failingSyncs int    // how many of the next syncs fail
-	err          error  // of all operations; nil for none
-	shortReads   bool
-	blockedSyncs chan struct{} // syncs wait until it is closed; nil for none
+	powerLossAt  int           // number of the operation during which power is lost; 0 for never
+	tearSeed     uint64        // seed that determines how much of the write interrupted by the power loss reaches the file
+	capacity     int           // number of bytes that may still be written; negative for no limit
+	failingSyncs int           // number of upcoming syncs of files that fail
+	err          error         // error returned by all modifying operations; nil for none
+	shortReads   bool          // whether reads return at most half of what was requested
+	blockedSyncs chan struct{} // channel on whose close syncs of files wait; nil if syncs are not blocked
 }
 
-// LosePowerAt makes the disk lose its power in the middle of the nth operation from now on. seed draws how much is left of a write.
+// LosePowerAt makes the disk lose power during the nth operation from now on. If that is a write, seed determines how many of its bytes
+// reach the file.
 func (d *Disk) LosePowerAt(n int, seed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -21,28 +22,28 @@
 	d.faults.tearSeed = seed
 }
 
-// SetCapacity bounds the bytes that may still be written; a negative number lifts the bound.
+// SetCapacity limits the number of bytes that may still be written; a negative number removes the limit.
 func (d *Disk) SetCapacity(bytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.capacity = bytes
 }
 
-// FailSyncs makes the next n syncs of files fail, and lose what they should have made durable, as Linux does.
+// FailSyncs makes the next n syncs of files fail and discard the writes that they should have made durable, as Linux does.
 func (d *Disk) FailSyncs(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.failingSyncs = n
 }
 
-// Fail makes all operations fail with an error, until it is called with nil.
+// Fail makes all modifying operations fail with err, until it is called with nil.
 func (d *Disk) Fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.err = err
 }
 
-// BlockSyncs makes syncs of files wait until release is called, like a disk that is slow.
+// BlockSyncs makes syncs of files wait until release is called, to simulate a slow disk.
 func (d *Disk) BlockSyncs() (release func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,14 +59,14 @@
 	})
 }
 
-// SetShortReads makes each read return at most half of what it is asked for.
+// SetShortReads sets whether reads return at most half of the requested bytes.
 func (d *Disk) SetShortReads(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.shortReads = on
 }
 
-// FlipBit inverts a bit of a file for good, counted from the lowest bit of its first byte.
+// FlipBit permanently inverts a bit of a file. Bits are numbered from the lowest bit of the first byte.
 func (d *Disk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/disk/file.go
+++ b/internal/standin/disk/file.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// handle is an open file.
+// handle is an open file. It implements store.File and store.Reader.
 type handle struct {
 	disk  *Disk
 	inode *inode
@@ -38,7 +38,7 @@
 	return written, err
 }
 
-// append adds bytes to the file, which are pending until the next sync.
+// append adds bytes to the end of the file. They are not durable until the next sync. The caller holds the disk's mutex.
 func (h *handle) append(b []byte) {
 	data := slices.Clone(b)
 	h.inode.pending = append(h.inode.pending, write{offset: len(h.inode.data), data: data})
@@ -49,7 +49,7 @@
 
 // Sync implements store.File.
 func (h *handle) Sync() error {
-	h.waitForSyncs()
+	h.waitWhileBlocked()
 	disk := h.disk
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 	if disk.faults.failingSyncs > 0 {
 		disk.faults.failingSyncs--
-		// The pending writes count as written from now on, and never are.
+		// Later syncs treat the pending writes as written, but they never become durable.
 		h.inode.lost = append(h.inode.lost, h.inode.pending...)
 		h.inode.pending = nil
 		return syscall.EIO
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// waitForSyncs waits while syncs are blocked.
-func (h *handle) waitForSyncs() {
+// waitWhileBlocked waits while BlockSyncs blocks syncs.
+func (h *handle) waitWhileBlocked() {
 	h.disk.mu.Lock()
 	blocked := h.disk.faults.blockedSyncs
 	h.disk.mu.Unlock()
@@ -117,5 +117,5 @@
 	return int64(len(h.inode.data)), nil
 }
 
-// Close implements io.Closer; there is nothing to release.
+// Close implements io.Closer. It does nothing, because the handle holds no resources.
 func (h *handle) Close() error { return nil }
--- a/internal/standin/disk/fs.go
+++ b/internal/standin/disk/fs.go
@@ -100,14 +100,15 @@
 	if losesPower {
 		return ErrPowerLost
 	}
-	d.durable = maps.Clone(d.names)
-	d.changes = nil
+	d.durableNames = maps.Clone(d.names)
+	d.pendingChanges = nil
 	return nil
 }
 
-// lockHandle is the lock of a disk; closing it unlocks the disk.
+// lockHandle is the acquired lock of a disk; Close releases it.
 type lockHandle struct{ disk *Disk }
 
+// Close releases the lock. It never fails.
 func (l lockHandle) Close() error {
 	l.disk.mu.Lock()
 	defer l.disk.mu.Unlock()
--- a/internal/standin/disk/later.go
+++ b/internal/standin/disk/later.go
@@ -6,59 +6,59 @@
 	"slices"
 )
 
-// AfterPowerLoss returns the disk as it is found when the power is back. Of what was not synced it has what is drawn: each write complete,
-// in part or not at all, each change of a name or not. The old disk loses its power: its open files fail with ErrPowerLost.
+// AfterPowerLoss returns the disk as it is after power returns. Of the unsynced changes it contains a random selection: each write in
+// full, in part or not at all, and each change of a name or not. The old disk loses power: its open files fail with ErrPowerLost.
 func (d *Disk) AfterPowerLoss(rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.powerLost = true
-	names := maps.Clone(d.durable)
-	for _, c := range d.changes {
+	names := maps.Clone(d.durableNames)
+	for _, c := range d.pendingChanges {
 		if rng.IntN(2) == 1 {
 			c.applyTo(names)
 		}
 	}
-	left := New()
+	recovered := New()
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		left.putDurable(name, names[name].afterPowerLoss(rng))
+		recovered.putDurable(name, names[name].afterPowerLoss(rng))
 	}
-	return left
+	return recovered
 }
 
-// afterPowerLoss returns the durable content with a random part of the pending writes.
+// afterPowerLoss returns the durable content with a random selection of the pending writes applied.
 func (i *inode) afterPowerLoss(rng *rand.Rand) []byte {
 	data := slices.Clone(i.durable)
 	for _, w := range i.pending {
-		kept := len(w.data)
+		survivingBytes := len(w.data)
 		switch rng.IntN(3) {
 		case 0:
 			continue
 		case 1:
-			kept = rng.IntN(kept + 1)
+			survivingBytes = rng.IntN(survivingBytes + 1)
 		}
-		if growth := w.offset + kept - len(data); growth > 0 {
+		if growth := w.offset + survivingBytes - len(data); growth > 0 {
 			data = append(data, make([]byte, growth)...)
 		}
-		copy(data[w.offset:], w.data[:kept])
+		copy(data[w.offset:], w.data[:survivingBytes])
 	}
 	return data
 }
 
-// AfterCrash returns the disk as the next process finds it after a crash of this one: nothing is lost. All calls of the old disk fail with
-// ErrPowerLost from now on.
+// AfterCrash returns the disk as the next process finds it after a crash of this process: nothing is lost. Operations on the old disk fail
+// with ErrPowerLost from now on.
 func (d *Disk) AfterCrash() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.powerLost = true
-	left := New()
+	recovered := New()
 	for name, n := range d.names {
-		left.putDurable(name, slices.Clone(n.data))
+		recovered.putDurable(name, slices.Clone(n.data))
 	}
-	return left
+	return recovered
 }
 
-// CutAt returns the disk as it was after a number of units (see Units): with all bytes and changes of names up to there, and none after.
-// The old disk goes on.
+// CutAt returns the disk as it was after the given number of units (see Units), with all bytes and changes of names up to then and none
+// after. The old disk remains usable.
 func (d *Disk) CutAt(units int) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,9 +77,9 @@
 		content[entry.file] = append(content[entry.file], entry.data[:n]...)
 		units -= n
 	}
-	left := New()
+	recovered := New()
 	for name, n := range names {
-		left.putDurable(name, slices.Clone(content[n]))
+		recovered.putDurable(name, slices.Clone(content[n]))
 	}
-	return left
+	return recovered
 }
--- a/internal/standin/h3/example_test.go
+++ b/internal/standin/h3/example_test.go
@@ -13,13 +13,13 @@
 	"quincegap/internal/standin/h3"
 )
 
-// A client that trusts the authority asks over HTTP/3.
+// Sends a request over HTTP/3 from a client that trusts the authority.
 func Example() {
-	a, err := authority.New()
+	issuer, err := authority.New()
 	if err != nil {
 		panic(err)
 	}
-	certificate, err := a.Pair("box.example.org")
+	certificate, err := issuer.Pair("box.example.org")
 	if err != nil {
 		panic(err)
 	}
@@ -30,7 +30,7 @@
 		panic(err)
 	}
 	defer endpoint.Close()
-	transport := &http3.Transport{TLSClientConfig: &tls.Config{RootCAs: a.Pool(), ServerName: "box.example.org"}}
+	transport := &http3.Transport{TLSClientConfig: &tls.Config{RootCAs: issuer.Pool(), ServerName: "box.example.org"}}
 	defer func() { _ = transport.Close() }()
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "https://"+endpoint.Address(), nil)
 	if err != nil {
--- a/internal/standin/h3/h3.go
+++ b/internal/standin/h3/h3.go
@@ -1,5 +1,5 @@
-// Package h3 is a stand-in for an endpoint that speaks HTTP/3 on loopback, with faults on demand: its handler may reset a stream
-// or close a connection, and the endpoint as a whole may send GOAWAY, be killed, be muted or come back at the same address.
+// Package h3 simulates an endpoint that serves HTTP/3 on loopback, with faults on demand: its handler can reset a stream or close a
+// connection, and the endpoint can send GOAWAY, be killed, be muted or restart at the same address.
 package h3
 
 import (
@@ -16,46 +16,46 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// Endpoint is an HTTP/3 server on a UDP socket of its own.
+// Endpoint is an HTTP/3 server on a dedicated UDP socket.
 type Endpoint struct {
 	socket    *net.UDPConn
 	transport *quic.Transport
 	listener  *quic.EarlyListener
 	server    *http3.Server
-	served    chan struct{} // closed when nothing is accepted any more
+	served    chan struct{} // closed when the server has stopped accepting connections
 
 	mu          sync.Mutex
-	connections int
+	connections int // number of connections opened so far
 }
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key for the connection of a request.
 type connectionKey struct{}
 
-// Options are the options of an endpoint.
+// Options configures an endpoint.
 type Options struct {
-	ResetSecret [32]byte     // for stateless resets and session tickets, the same after a restart; zero for none
-	EarlyData   bool         // accept early data (0-RTT)
-	MaxStreams  int64        // concurrent requests on one connection; 0 for 100
-	Muted       *atomic.Bool // while it is true nothing is received and nothing is sent; nil for never
+	ResetSecret [32]byte     // key of stateless resets and session tickets, which must be the same after a restart; zero for no configured key
+	EarlyData   bool         // whether early data (0-RTT) is accepted
+	MaxStreams  int64        // maximum number of concurrent requests on one connection; 0 for 100
+	Muted       *atomic.Bool // while true, the endpoint receives and sends no packets; nil if it is never muted
 }
 
-// mutedConn is a socket that can be muted, like that of a machine that has lost its network.
+// mutedConn is a socket that can be muted, to simulate a machine that has lost its network.
 type mutedConn struct {
 	net.PacketConn
 	muted *atomic.Bool
 }
 
-// SetReadBuffer is asked for by the library, which does with less if it must.
+// SetReadBuffer sets the size of the receive buffer. quic-go calls it, and accepts a smaller buffer if it fails.
 func (m mutedConn) SetReadBuffer(bytes int) error {
 	return m.PacketConn.(*net.UDPConn).SetReadBuffer(bytes)
 }
 
-// SetWriteBuffer is asked for by the library, which does with less if it must.
+// SetWriteBuffer sets the size of the send buffer. quic-go calls it, and accepts a smaller buffer if it fails.
 func (m mutedConn) SetWriteBuffer(bytes int) error {
 	return m.PacketConn.(*net.UDPConn).SetWriteBuffer(bytes)
 }
 
-// ReadFrom drops what comes while the socket is muted.
+// ReadFrom reads a packet. It discards packets that arrive while the socket is muted.
 func (m mutedConn) ReadFrom(b []byte) (n int, from net.Addr, err error) {
 	for {
 		if n, from, err = m.PacketConn.ReadFrom(b); err != nil || !m.muted.Load() {
@@ -64,7 +64,7 @@
 	}
 }
 
-// WriteTo drops what is sent while the socket is muted.
+// WriteTo sends a packet. It discards the packet while the socket is muted.
 func (m mutedConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	if m.muted.Load() {
 		return len(b), nil
@@ -72,31 +72,32 @@
 	return m.PacketConn.WriteTo(b, to)
 }
 
-// Start serves at an address, a free loopback port if it is empty.
+// Start starts an endpoint on address (host:port), or on a free loopback port if address is empty. It fails if the address is invalid or
+// the endpoint cannot listen.
 func Start(address string, certificate *tls.Certificate, options Options, handler http.HandlerFunc) (*Endpoint, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, fmt.Errorf("HTTP/3 endpoint: %w", err)
+		return nil, fmt.Errorf("HTTP/3 endpoint: resolve address: %w", err)
 	}
 	e := &Endpoint{served: make(chan struct{})}
 	if e.socket, err = net.ListenUDP("udp", udpAddress); err != nil {
-		return nil, fmt.Errorf("HTTP/3 endpoint: %w", err)
+		return nil, fmt.Errorf("HTTP/3 endpoint: open socket: %w", err)
 	}
 	if err := e.listen(certificate, &options); err != nil {
-		return nil, fmt.Errorf("HTTP/3 endpoint: %w", errors.Join(err, e.socket.Close()))
+		return nil, fmt.Errorf("HTTP/3 endpoint: listen: %w", errors.Join(err, e.socket.Close()))
 	}
 	e.server = &http3.Server{Handler: handler, ConnContext: e.withConnection}
 	go func() {
 		defer close(e.served)
-		_ = e.server.ServeListener(e.listener) // ends with an error whenever the listener is closed
+		_ = e.server.ServeListener(e.listener) // always returns an error, because only closing the listener ends it
 	}()
 	return e, nil
 }
 
-// listen sets up the transport and the listener on the socket.
+// listen creates the transport and the listener on the socket.
 func (e *Endpoint) listen(certificate *tls.Certificate, options *Options) error {
 	e.transport = &quic.Transport{Conn: e.socket}
 	if options.Muted != nil {
@@ -122,38 +123,39 @@
 	return context.WithValue(ctx, connectionKey{}, connection)
 }
 
-// Address returns the host:port where it serves.
+// Address returns the host:port that the endpoint listens on.
 func (e *Endpoint) Address() string { return e.socket.LocalAddr().String() }
 
-// Connections returns how many connections have been opened so far.
+// Connections returns the number of connections opened so far.
 func (e *Endpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.connections
 }
 
-// Shutdown sends GOAWAY, answers the requests that it has, and ends with the context at the latest.
+// Shutdown accepts no new connections, sends GOAWAY, waits for pending requests until the context is done, and stops the endpoint.
 func (e *Endpoint) Shutdown(ctx context.Context) error {
-	closing := e.listener.Close() // no new connections
-	shutdown := e.server.Shutdown(ctx)
-	return errors.Join(closing, shutdown, e.end())
+	listenerErr := e.listener.Close() // refuses new connections
+	serverErr := e.server.Shutdown(ctx)
+	return errors.Join(listenerErr, serverErr, e.closeAll())
 }
 
-// Kill ends the endpoint without a packet to anybody, as SIGKILL does.
+// Kill stops the endpoint without sending any packet, as if its process received SIGKILL.
 func (e *Endpoint) Kill() {
-	_ = e.socket.Close() // peers get no packet of a closed socket,
-	_ = e.end()          // and so this fails
+	_ = e.socket.Close() // closed first, so that no packet can be sent to peers
+	_ = e.closeAll()     // fails because the socket is closed
 }
 
-// Close ends the endpoint and its connections.
+// Close stops the endpoint and closes its connections.
 func (e *Endpoint) Close() {
-	_ = e.end() // nobody is left who could do something about it
+	_ = e.closeAll() // an error is harmless: the endpoint is no longer used
 }
 
-// end closes all that is open, and waits for the server. The error is that of the server's close.
-func (e *Endpoint) end() error {
+// closeAll closes the server, listener, transport and socket, and waits until the server accepts no more connections. It
+// returns the error of closing the server.
+func (e *Endpoint) closeAll() error {
 	err := e.server.Close()
-	// Each of the others is closed already where the one before has closed it.
+	// Errors are ignored: closing one of these can already have closed the next.
 	_ = e.listener.Close()
 	_ = e.transport.Close()
 	_ = e.socket.Close()
@@ -161,8 +163,8 @@
 	return err
 }
 
-// ResetStream resets the stream of a request, nothing of whose answer has been written, with a code (RFC 9114,
-// section 8.1). Later on a handler may panic with http.ErrAbortHandler, for H3_INTERNAL_ERROR.
+// ResetStream resets the stream of a request with an error code (RFC 9114, section 8.1). Call it before any part of the response is
+// written; after that, a handler can panic with http.ErrAbortHandler, which resets the stream with H3_INTERNAL_ERROR.
 func ResetStream(w http.ResponseWriter, code http3.ErrCode) {
 	stream, err := w.(http3.HTTPStreamer).HTTPStream()
 	if err != nil {
@@ -172,12 +174,12 @@
 	stream.CancelWrite(quic.StreamErrorCode(code))
 }
 
-// CloseConnection closes the connection of a request.
+// CloseConnection closes the connection of a request with an error code.
 func CloseConnection(r *http.Request, code http3.ErrCode) {
-	_ = connectionOf(r).CloseWithError(quic.ApplicationErrorCode(code), "as the script says") // always nil, by its documentation
+	_ = connectionOf(r).CloseWithError(quic.ApplicationErrorCode(code), "as the script says") // documented to always return nil
 }
 
-// IsEarly reports whether a request came before its handshake was complete.
+// IsEarly reports whether the TLS handshake of a request's connection is still incomplete, so that the request is early data (0-RTT).
 func IsEarly(r *http.Request) bool {
 	select {
 	case <-connectionOf(r).HandshakeComplete():
--- a/internal/standin/relay/doc.go
+++ b/internal/standin/relay/doc.go
@@ -1,9 +1,9 @@
-// Package relay is a network between processes on loopback that injects the faults of networks into what they send one another:
-// it partitions, in one direction or both, loses, duplicates and delays (and so reorders), by pair of members. Each member listens
-// at an IP address of 127.0.0.0/8 of its own, by which it is known as a sender too, and announces the address of its relay to the
-// others.
+// Package relay provides a network between processes on loopback that injects network faults into their traffic. It partitions
+// members in one or both directions, and drops, duplicates and delays (and thereby reorders) data. Partitions apply to pairs of
+// members, all other faults to the whole network. Each member listens on its own IP address in 127.0.0.0/8, which also identifies
+// it as a sender, and announces the address of its relay to the others.
 //
 //	member a ──► relay of b ──► member b      (UDP datagrams, TCP streams)
 //
-// A stream waits while its members are partitioned, as TCP would; datagrams are lost.
+// During a partition streams block, as TCP would; datagrams are dropped.
 package relay
--- a/internal/standin/relay/example_test.go
+++ b/internal/standin/relay/example_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/standin/relay"
 )
 
-// A stream to a member through its relay.
+// Opens a stream to a member through its relay.
 func Example() {
 	ctx := context.Background()
 	member, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
--- a/internal/standin/relay/forward.go
+++ b/internal/standin/relay/forward.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxDatagram = 64 << 10 // bytes
-	chunkSize   = 16 << 10 // bytes of a stream that are forwarded at once, at most
+	maxDatagram = 64 << 10 // maximum length of a datagram, in bytes
+	chunkSize   = 16 << 10 // maximum number of bytes of a stream that are forwarded at once
 	dialTimeout = time.Second
 )
 
-// forwardDatagrams forwards the datagrams that come to a member's relay, until the network is closed.
+// forwardDatagrams forwards the datagrams that arrive at a member's relay, until the network is closed.
 func (n *Network) forwardDatagrams(name string, conn *net.UDPConn, member *net.UDPAddr) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -23,27 +23,27 @@
 			if n.isClosed() {
 				return
 			}
-			continue // refused by a member that is not there
+			continue // the member is not running and its port refused a datagram
 		}
 		n.forwardDatagram(buffer[:size], from, name, conn, member)
 	}
 }
 
-// forwardDatagram forwards one datagram with the fault between its members.
+// forwardDatagram forwards one datagram with the fault between sender and receiver applied to it.
 func (n *Network) forwardDatagram(datagram []byte, from *net.UDPAddr, name string, conn *net.UDPConn, member *net.UDPAddr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	fault := n.faultBetween(direction{from: n.members[from.IP.String()], to: name})
-	times := 1
+	copies := 1
 	if fault.Partitioned || n.random.Float64() < fault.LossShare {
-		times = 0
+		copies = 0
 	} else if n.random.Float64() < fault.DuplicateShare {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		copied := bytes.Clone(datagram)
 		send := func() {
-			_, _ = conn.WriteToUDP(copied, member) // one that can't be sent is lost, as on any network
+			_, _ = conn.WriteToUDP(copied, member) // a datagram that cannot be sent is lost, as on any network
 		}
 		delay := time.Duration(n.random.Float64() * float64(fault.MaxDelay))
 		if delay == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// acceptStreams forwards the connections that come to a member's relay, until the network is closed.
+// acceptStreams accepts and forwards connections to a member's relay, until the network is closed.
 func (n *Network) acceptStreams(name string, listener net.Listener, member string) {
 	for {
 		conn, err := listener.Accept()
@@ -65,7 +65,7 @@
 	}
 }
 
-// forwardStream connects a stream to its member, and forwards both directions until they end.
+// forwardStream connects a stream to its member, and forwards data in both directions until both have ended.
 func (n *Network) forwardStream(name string, conn net.Conn, member string) {
 	defer closeStream(conn)
 	upstream, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", member)
@@ -77,24 +77,24 @@
 	if !ok {
 		return
 	}
-	answered := make(chan struct{})
+	repliesDone := make(chan struct{})
 	go func() {
-		defer close(answered)
+		defer close(repliesDone)
 		n.forwardChunks(conn, upstream, direction{from: name, to: from})
 		closeStream(conn)
 	}()
 	n.forwardChunks(upstream, conn, direction{from: from, to: name})
 	if tcp, ok := upstream.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // fails where the member has closed it
+		_ = tcp.CloseWrite() // fails if the member has closed the connection
 	}
-	<-answered
+	<-repliesDone
 }
 
 // closeStream closes one end of a stream, which may be closed already.
 func closeStream(conn net.Conn) { _ = conn.Close() }
 
-// addStream registers both ends of a stream to be closed with the network, and returns who opened it; false if the network is
-// closed already.
+// addStream registers both ends of a stream to be closed with the network, and returns the name of the member that opened it. It returns
+// false if the network is closed already.
 func (n *Network) addStream(conn, upstream net.Conn) (from string, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,13 +105,13 @@
 	return n.members[conn.RemoteAddr().(*net.TCPAddr).IP.String()], true
 }
 
-// forwardChunks copies a stream in one direction.
+// forwardChunks copies a stream in one direction with the fault between its members applied, until a read or write fails.
 func (n *Network) forwardChunks(to io.Writer, from io.Reader, members direction) {
 	buffer := make([]byte, chunkSize)
 	for {
 		size, err := from.Read(buffer)
 		if size > 0 {
-			time.Sleep(n.awaitPassage(members))
+			time.Sleep(n.waitForPartitionEnd(members))
 			if _, err := to.Write(buffer[:size]); err != nil {
 				return
 			}
@@ -122,9 +122,9 @@
 	}
 }
 
-// awaitPassage waits until there is no partition between two members, as a sender of TCP does that sends its segments again, and
-// draws by how much their next chunk is delayed.
-func (n *Network) awaitPassage(members direction) time.Duration {
+// waitForPartitionEnd waits until there is no partition between two members, like a TCP sender that retransmits its segments. It returns
+// a random delay for the next chunk.
+func (n *Network) waitForPartitionEnd(members direction) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	fault := n.faultBetween(members)
--- a/internal/standin/udp/example_test.go
+++ b/internal/standin/udp/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/standin/udp"
 )
 
-// A relay that sends each datagram twice.
+// Relays a datagram with a fault that duplicates all datagrams.
 func Example() {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
