--- a/internal/rehearsal/experiment/experiment.go
+++ b/internal/rehearsal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios many times in virtual time, with several seeds and at several loads, and sums up their figures. It
-// does no I/O; the result does not depend on how many runs are played at once.
+// Package experiment runs scenarios many times in virtual time, with several seeds and at several loads, and summarizes their figures.
+// It does no I/O, and the result does not depend on the number of concurrent runs.
 package experiment
 
 import (
@@ -19,61 +19,61 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Design is the runs of an experiment: each scenario at each load with each seed.
+// Design specifies the runs of an experiment: each scenario at each load with each seed.
 type Design struct {
 	Scenarios []*scenario.Scenario
-	Loads     []float64 // multiples of each scenario's rate
-	Seeds     int       // how many; the first is 1
-	Workers   int       // runs at once; below 1 for one
+	Loads     []float64 // load factors: multiples of each scenario's request rate
+	Seeds     int       // number of seeds, which are numbered from 1
+	Workers   int       // number of concurrent runs; values below 1 count as 1
 }
 
-// MaxRuns bounds the runs of one experiment.
+// MaxRuns is the maximum number of runs in one experiment.
 const MaxRuns = 100_000
 
-// Run is one run of a scenario.
+// Run is one run of a scenario with its figures. Figures without a comment are defined in audit.Verdict.
 type Run struct {
-	Scenario        int // index into Design.Scenarios
-	Load            float64
+	Scenario        int     // index into Design.Scenarios
+	Load            float64 // load factor, one of Design.Loads
 	Seed            uint64
 	Requests        int
-	Service         float64 // see audit.Verdict, as for the figures without a comment
+	Service         float64 // as defined in audit.Verdict
 	WorstService    float64
-	Rejected        float64 // share of the requests
-	Failed          float64 // share of the requests
+	Rejected        float64 // share of requests rejected, from 0 to 1
+	Failed          float64 // share of requests failed, from 0 to 1
 	AttemptsPerCall float64
 	WastedShare     float64
 	P50, P99        time.Duration
 	Breaches        int
 }
 
-// Point sums up the runs of one scenario at one load.
+// Point summarizes the runs of one scenario at one load.
 type Point struct {
-	Scenario        int // index into Design.Scenarios
-	Load            float64
+	Scenario        int     // index into Design.Scenarios
+	Load            float64 // load factor, one of Design.Loads
 	Runs            int
 	Service         Figure
 	WorstService    Figure
-	Rejected        Figure // shares of the requests
-	Failed          Figure // shares of the requests
+	Rejected        Figure // share of requests rejected, from 0 to 1
+	Failed          Figure // share of requests failed, from 0 to 1
 	AttemptsPerCall Figure
-	P99             Figure // seconds
-	Breaches        int    // of all runs
+	P99             Figure // 99th percentile of the latency, in seconds
+	Breaches        int    // total of all runs
 }
 
-// Figure is a mean over seeds.
+// Figure summarizes the values of one figure over the seeds: mean, standard deviation, minimum and maximum.
 type Figure struct {
 	Mean, SD, Min, Max float64
 	HalfInterval       float64 // half of the 95% confidence interval of the mean (Student's t); 0 for one run
 }
 
-// Validate returns why a design can't be played; nil if it can.
+// Validate returns an error that tells why a design cannot be played, or nil if it can.
 func (d *Design) Validate() error {
 	runs := len(d.Scenarios) * len(d.Loads) * d.Seeds
 	switch {
 	case runs < 1:
 		return errors.New("no morning, load or seed: nothing to play")
 	case runs > MaxRuns:
-		return fmt.Errorf("%d runs, %d at most", runs, MaxRuns)
+		return fmt.Errorf("experiment has %d runs, %d at most", runs, MaxRuns)
 	}
 	for _, scenario := range d.Scenarios {
 		for _, load := range d.Loads {
@@ -85,10 +85,10 @@
 	return nil
 }
 
-// validateLoad returns why a scenario can't be played at a load; nil if it can.
+// validateLoad returns an error if a load is not above 0 and finite, or gives too many requests for the scenario.
 func validateLoad(played *scenario.Scenario, load float64) error {
 	if !(load > 0) || math.IsInf(load, 0) {
-		return fmt.Errorf("load %v: above 0 is wanted", load)
+		return fmt.Errorf("load %v is not above 0 and finite", load)
 	}
 	if requests := played.Callers.Rate * load * played.Length.Seconds(); requests > scenario.MaxRequests {
 		return fmt.Errorf("%s at load %v: about %.0f requests, %d at most", played.Name, load, requests, scenario.MaxRequests)
@@ -96,26 +96,27 @@
 	return nil
 }
 
-// Play plays a design, and returns its runs in order of scenarios, loads and seeds. progress, if not nil, is called after each run with
-// how many have ended, one call at a time. Play ends early with the context, or with the first run that can't be played.
+// Play plays a design and returns its runs in order of scenario, load and seed. If progress is not nil, it is called after each run with
+// the number of completed runs; the calls do not overlap. Play fails if the design is invalid. It also stops early and fails if the
+// context ends or a run cannot be played.
 func (d *Design) Play(ctx context.Context, progress func(done, of int)) ([]Run, error) {
 	if err := d.Validate(); err != nil {
 		return nil, err
 	}
-	q := &runQueue{runs: d.runs(), progress: progress}
+	queue := &runQueue{runs: d.runs(), progress: progress}
 	var workers sync.WaitGroup
-	for range max(1, min(d.Workers, len(q.runs))) {
+	for range max(1, min(d.Workers, len(queue.runs))) {
 		workers.Go(func() {
-			for run := q.take(ctx); run != nil; run = q.take(ctx) {
-				q.finish(d.describe(run, d.playRun(run)))
+			for run := queue.take(ctx); run != nil; run = queue.take(ctx) {
+				queue.finish(d.wrapError(run, d.playRun(run)))
 			}
 		})
 	}
 	workers.Wait()
-	return q.runs, cmp.Or(q.failed, ctx.Err())
+	return queue.runs, cmp.Or(queue.err, ctx.Err())
 }
 
-// runs returns the runs that are to be played.
+// runs returns the design's runs, without their figures.
 func (d *Design) runs() (runs []Run) {
 	for scenario := range d.Scenarios {
 		for _, load := range d.Loads {
@@ -127,29 +128,29 @@
 	return runs
 }
 
-// describe adds the run to its error, if it has one.
-func (d *Design) describe(run *Run, err error) error {
+// wrapError adds the scenario, load and seed of a run to its error. It returns nil if err is nil.
+func (d *Design) wrapError(run *Run, err error) error {
 	if err == nil {
 		return nil
 	}
 	return fmt.Errorf("%s, load %v, seed %d: %w", d.Scenarios[run.Scenario].Name, run.Load, run.Seed, err)
 }
 
-// runQueue gives runs to workers.
+// runQueue hands out runs to workers and collects their results.
 type runQueue struct {
 	mu       sync.Mutex
 	runs     []Run
-	next     int // the first run that no worker has
-	done     int
-	failed   error // the first error of a run
+	next     int   // index of the first run that no worker has taken
+	done     int   // number of completed runs, including failed ones
+	err      error // first error of a run
 	progress func(done, of int)
 }
 
-// take returns the next run to be played; nil if there is none, a run has failed or the context has ended.
+// take returns the next run to play, or nil if none is left, a run has failed or the context has ended.
 func (q *runQueue) take(ctx context.Context) *Run {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.failed != nil || ctx.Err() != nil || q.next == len(q.runs) {
+	if q.err != nil || ctx.Err() != nil || q.next == len(q.runs) {
 		return nil
 	}
 	run := &q.runs[q.next]
@@ -157,61 +158,61 @@
 	return run
 }
 
-// finish records the end of a run.
+// finish counts a completed run, keeps the first error and reports the progress.
 func (q *runQueue) finish(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.done++
-	if err != nil && q.failed == nil {
-		q.failed = err
+	if err != nil && q.err == nil {
+		q.err = err
 	}
 	if q.progress != nil {
 		q.progress(q.done, len(q.runs))
 	}
 }
 
-// playRun plays one run, and sets its figures.
+// playRun plays one run in virtual time and sets its figures. It fails if the run cannot be played.
 func (d *Design) playRun(run *Run) error {
 	result, err := dryrun.Run(d.Scenarios[run.Scenario].AtLoad(run.Load).Plan(run.Seed))
 	if err != nil {
 		return err
 	}
-	v := result.Verdict
-	share := func(n int) float64 { return float64(n) / float64(max(1, v.Requests)) }
-	run.Requests = v.Requests
-	run.Service = v.Service
-	run.WorstService = v.WorstService
-	run.AttemptsPerCall = v.AttemptsPerCall
-	run.WastedShare = v.WastedShare
-	run.Rejected = share(v.Rejected)
-	run.Failed = share(v.Failed)
-	run.P50 = v.P50
-	run.P99 = v.P99
-	run.Breaches = len(v.Breaches)
+	verdict := result.Verdict
+	share := func(n int) float64 { return float64(n) / float64(max(1, verdict.Requests)) }
+	run.Requests = verdict.Requests
+	run.Service = verdict.Service
+	run.WorstService = verdict.WorstService
+	run.AttemptsPerCall = verdict.AttemptsPerCall
+	run.WastedShare = verdict.WastedShare
+	run.Rejected = share(verdict.Rejected)
+	run.Failed = share(verdict.Failed)
+	run.P50 = verdict.P50
+	run.P99 = verdict.P99
+	run.Breaches = len(verdict.Breaches)
 	return nil
 }
 
-// Summarize sums runs up by scenario and load, in their order.
+// Summarize returns one point for each series of consecutive runs with the same scenario and load, in the order of the runs.
 func Summarize(runs []Run) (points []Point) {
 	for from := 0; from < len(runs); {
 		to := from
 		for to < len(runs) && runs[to].Scenario == runs[from].Scenario && runs[to].Load == runs[from].Load {
 			to++
 		}
-		points = append(points, pointOf(runs[from:to]))
+		points = append(points, summarizePoint(runs[from:to]))
 		from = to
 	}
 	return points
 }
 
-// pointOf sums up the runs of one scenario at one load.
-func pointOf(runs []Run) Point {
+// summarizePoint summarizes the runs of one scenario at one load.
+func summarizePoint(runs []Run) Point {
 	figure := func(value func(r Run) float64) Figure {
 		values := make([]float64, len(runs))
 		for i, r := range runs {
 			values[i] = value(r)
 		}
-		return figureOf(values)
+		return summarizeValues(values)
 	}
 	point := Point{
 		Scenario: runs[0].Scenario, Load: runs[0].Load, Runs: len(runs),
@@ -228,8 +229,8 @@
 	return point
 }
 
-// figureOf returns the mean of values, one or more, with its interval.
-func figureOf(values []float64) Figure {
+// summarizeValues returns the figure of one or more values. One value has no standard deviation and no interval.
+func summarizeValues(values []float64) Figure {
 	f := Figure{Min: slices.Min(values), Max: slices.Max(values)}
 	if len(values) == 1 {
 		f.Mean = values[0]
--- a/internal/rehearsal/experiment/experiment_test.go
+++ b/internal/rehearsal/experiment/experiment_test.go
@@ -65,11 +65,11 @@
 
 // The interval is that of Student's t: for 1, 2, 3, 4 the mean is 2.5, and t(3, 0.975) is 3.1824.
 func TestInterval(t *testing.T) {
-	f := figureOf([]float64{1, 2, 3, 4})
+	f := summarizeValues([]float64{1, 2, 3, 4})
 	if want := 3.182446 * math.Sqrt(5.0/3) / 2; f.Mean != 2.5 || math.Abs(f.HalfInterval-want) > 1e-4 || f.Min != 1 || f.Max != 4 {
 		t.Errorf("%+v, want %v", f, want)
 	}
-	if f = figureOf([]float64{7}); f.Mean != 7 || f.HalfInterval != 0 || f.SD != 0 {
+	if f = summarizeValues([]float64{7}); f.Mean != 7 || f.HalfInterval != 0 || f.SD != 0 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/rehearsal/rehearse/attempt.go
+++ b/internal/rehearsal/rehearse/attempt.go
@@ -11,38 +11,38 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// responder is what an attempt came on: a connection of HTTP/1.1, or a stream of HTTP/3. Its methods are called with
-// server.mu held, and do not wait.
+// responder sends the response to an attempt on the HTTP/1.1 connection or HTTP/3 stream that carried it. The caller holds
+// server.mu, so the methods must not block.
 type responder interface {
 	answer(status int, rejected bool, load, body string)
-	garble()          // sends an answer that cannot be used
-	reset()           // ends without an answer
-	release(*attempt) // the attempt has ended
+	garble()          // sends a malformed response
+	reset()           // ends the connection or stream without a response
+	release(*attempt) // tells the connection or stream that the attempt has ended
 }
 
-// attempt is an attempt that a server has received.
+// attempt is one attempt at a request, as received by a server.
 type attempt struct {
-	id             uint64 // numbers attempts, and is the job's id in the model
+	id             uint64 // number of the attempt, unique in the rehearsal; also its job id in the server model
 	responder      responder
-	incarnation    int    // of the server when its connection began
-	request        string // X-Txn
-	key            string // Idempotency-Key
-	class          int    // -1 if unknown
-	origin         int    // the arrival, -1 if unknown
-	expires        time.Duration
-	workAfterCalls time.Duration // work that comes after the calls to the next tier
-	afterCalls     bool          // it does that work
-	work           time.Duration // that the server has done for it
-	muted          bool          // it gets no answer: its machine is silent, or loses it
-	ended          chan struct{} // closed when it has ended
+	incarnation    int           // the server's incarnation when the connection was opened
+	request        string        // value of the X-Txn header
+	key            string        // value of the Idempotency-Key header
+	class          int           // index of the request's class; -1 if unknown
+	origin         int           // index of the arrival that caused the request; -1 if unknown
+	expires        time.Duration // deadline on the rehearsal's clock
+	workAfterCalls time.Duration // work to do after the calls to the next tier
+	afterCalls     bool          // whether the calls to the next tier have completed
+	work           time.Duration // work that the server has done for the attempt
+	muted          bool          // whether the attempt gets no response: its machine is silent, or the attempt was lost
+	ended          chan struct{} // closed when the attempt has ended
 }
 
-// newAttempt returns an attempt whose request has been read to its end.
-func (s *server) newAttempt(on responder, incarnation int, header http.Header) *attempt {
+// newAttempt returns the attempt for a request that has been read completely.
+func (s *server) newAttempt(responder responder, incarnation int, header http.Header) *attempt {
 	request := header.Get("X-Txn")
 	attempt := &attempt{
 		id:          s.rehearsal.attempts.Add(1),
-		responder:   on,
+		responder:   responder,
 		incarnation: incarnation,
 		request:     request,
 		key:         header.Get("Idempotency-Key"),
@@ -56,8 +56,8 @@
 	return attempt
 }
 
-// beginAttempt records an attempt, and offers it to the model unless a fault happens to it. It returns false if the connection is to
-// end. s.mu is held.
+// beginAttempt records an attempt, and offers it to the model unless a fault is injected. It returns false if the connection must be
+// closed. The caller holds s.mu.
 func (s *server) beginAttempt(attempt *attempt, firstByteAt time.Duration) bool {
 	now := s.rehearsal.now()
 	s.rehearsal.counters.attempts.Add(1)
@@ -90,19 +90,19 @@
 	return true
 }
 
-// drawFault reports whether a fault happens to an attempt.
+// drawFault reports whether to inject the named fault into an attempt, drawn at random with the fault's configured probability.
 func (s *server) drawFault(name string) bool {
 	return s.faults[name] > 0 && s.random.Float64() < s.faults[name]
 }
 
-// offer offers an attempt to the model. s.mu is held.
+// offer submits an attempt to the model, which accepts it, rejects it or collapses. The caller holds s.mu.
 func (s *server) offer(attempt *attempt, now time.Duration) {
 	before, after := s.rehearsal.plan.WorkOf(attempt.request, s.spec.Tier, s.rehearsal.countAttempt(attempt.request))
 	attempt.workAfterCalls = after
 	s.advance()
 	switch s.model.Offer(now, attempt.id, before, attempt.expires) {
 	case emulator.Accepted:
-		s.calls[attempt.id] = attempt
+		s.accepted[attempt.id] = attempt
 		s.rehearsal.recordExecution(s, attempt.key, s.rehearsal.plan.Classes[attempt.class])
 		s.resetTimer()
 	case emulator.Rejected:
@@ -112,7 +112,8 @@
 	}
 }
 
-// callNextTier makes an attempt's calls to the next tier, one after another, and then resumes its work.
+// callNextTier makes an attempt's calls to the next tier one after another, then resumes the attempt in the model. If a call fails, so
+// does the attempt.
 func (s *server) callNextTier(attempt *attempt) {
 	for i := range s.tier().CallsPerRequest {
 		if !s.callOnce(attempt, i) {
@@ -122,8 +123,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calls[attempt.id] != attempt {
-		return // canceled meanwhile, or the server has ended
+	if s.accepted[attempt.id] != attempt {
+		return // the attempt was canceled, or the server was stopped, during the calls
 	}
 	s.advance()
 	attempt.afterCalls = true
@@ -131,7 +132,7 @@
 	s.resetTimer()
 }
 
-// callOnce makes one of an attempt's calls through the server's own sidecar, and reports whether it was served.
+// callOnce makes one of an attempt's calls through the server's sidecar, and reports whether the call was served.
 func (s *server) callOnce(attempt *attempt, number int) bool {
 	call := callerRequest{
 		request:  fmt.Sprintf("%s.%d-%d", attempt.request, attempt.id, number),
@@ -145,23 +146,23 @@
 	return call.timeLeft > 0 && s.rehearsal.callThrough(s.index, call, attempt.ended)
 }
 
-// failAttempt answers an attempt one of whose calls was not served.
+// failAttempt fails an attempt because one of its calls was not served.
 func (s *server) failAttempt(attempt *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calls[attempt.id] != attempt {
+	if s.accepted[attempt.id] != attempt {
 		return
 	}
-	more := s.model.Release(s.rehearsal.now(), attempt.id)
+	completed := s.model.Release(s.rehearsal.now(), attempt.id)
 	s.answer(attempt, audit.Failed)
-	s.complete(more)
+	s.complete(completed)
 	s.resetTimer()
 }
 
-// answer ends an attempt with an answer. s.mu is held.
+// answer ends an attempt and sends its response, if it gets one. The caller holds s.mu.
 func (s *server) answer(attempt *attempt, result audit.AttemptResult) {
 	if attempt.muted {
-		delete(s.calls, attempt.id)
+		delete(s.accepted, attempt.id)
 		return
 	}
 	if result == audit.Served && s.random.Float64() < s.faults["garble"] {
@@ -180,7 +181,7 @@
 	}
 }
 
-// finish records the end of an attempt, unless it has ended already. s.mu is held.
+// finish records the end of an attempt, unless it has already ended. The caller holds s.mu.
 func (s *server) finish(attempt *attempt, result audit.AttemptResult) {
 	select {
 	case <-attempt.ended:
@@ -192,25 +193,25 @@
 		At: s.rehearsal.now(), Kind: audit.AttemptEnded, Request: attempt.request, AttemptID: attempt.id, Result: result, Work: attempt.work,
 		Server: s.index, Sidecar: -1, Origin: attempt.origin,
 	})
-	delete(s.calls, attempt.id)
+	delete(s.accepted, attempt.id)
 	attempt.responder.release(attempt)
 }
 
-// cancel ends an attempt that its sidecar has given up. s.mu is held.
+// cancel ends an attempt that its sidecar has abandoned. The caller holds s.mu.
 func (s *server) cancel(attempt *attempt) {
-	if s.model == nil || s.calls[attempt.id] != attempt {
+	if s.model == nil || s.accepted[attempt.id] != attempt {
 		s.finish(attempt, audit.Canceled)
 		return
 	}
 	s.advance()
-	if s.calls[attempt.id] != attempt { // it has ended just now
+	if s.accepted[attempt.id] != attempt { // advancing the model has ended the attempt
 		s.resetTimer()
 		return
 	}
 	done := s.model.WorkDone(attempt.id)
 	stopped, expired := s.model.Cancel(s.rehearsal.now(), attempt.id)
 	if !stopped {
-		done = 0 // the server goes on for nobody: all of the work will be done
+		done = 0 // the server continues the abandoned attempt: count all of its work
 		attempt.work += attempt.workAfterCalls
 	}
 	attempt.work += done
@@ -219,7 +220,8 @@
 	s.resetTimer()
 }
 
-// parseRemaining parses X-Remaining: milliseconds with m behind them, or microseconds with u.
+// parseRemaining parses the X-Remaining header: a number of milliseconds with the suffix m, or of microseconds with the suffix u. It
+// fails if the rest is not a number.
 func parseRemaining(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(text, "m")
@@ -227,11 +229,12 @@
 		digits, _ = strings.CutSuffix(text, "u")
 		unit = time.Microsecond
 	}
-	f, err := strconv.ParseFloat(digits, 64)
-	return time.Duration(f * float64(unit)), err
+	amount, err := strconv.ParseFloat(digits, 64)
+	return time.Duration(amount * float64(unit)), err
 }
 
-// arrivalOf returns the arrival from the id of a request that one of the callers or servers has made; -1 if it is another's.
+// arrivalOf returns the index of the arrival that caused a request, taken from the request's id. It returns -1 if the id was not made
+// by a caller or server of the rehearsal.
 func arrivalOf(request string) int {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(request, "r"), "t")
 	n, err := strconv.Atoi(digits)
--- a/internal/rehearsal/rehearse/caller.go
+++ b/internal/rehearsal/rehearse/caller.go
@@ -8,30 +8,31 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// callerRequest is one request to a sidecar.
+// callerRequest is one request that a caller or a server sends to a sidecar.
 type callerRequest struct {
-	request       string // X-Txn
-	class         int
-	key           string // Idempotency-Key
-	timeLeft      time.Duration
-	origin        int // the arrival that it is for
-	callerAttempt int // from 1; 0 for the call of a server
+	request       string        // value of the X-Txn header
+	class         int           // index of the request's class
+	key           string        // value of the Idempotency-Key header
+	timeLeft      time.Duration // time until the request's deadline
+	origin        int           // index of the arrival that caused the request
+	callerAttempt int           // number of the caller's attempt, from 1; 0 for a call by a server
 }
 
-// callerAnswer is the answer to a request.
+// callerAnswer is the response to a callerRequest.
 type callerAnswer struct {
-	status     int // 0 if there was none
-	retryAfter time.Duration
-	authentic  bool // a server made it for this request
+	status     int           // HTTP status; 0 if there was no response
+	retryAfter time.Duration // delay from the Retry-After header; 0 if absent
+	authentic  bool          // whether a server produced the response for this request
 }
 
-// route is where a request goes: a connection that is idle, or a new one to the sidecar that pick returns, nil if there is none.
+// route selects the connection for a request: an idle one from the pool, or a new one to the sidecar that pick returns. pick returns nil
+// if no sidecar is available.
 type route struct {
 	idle *connectionPool
 	pick func() *sidecar
 }
 
-// connect opens a connection; nil if there is no sidecar, or it cannot be reached.
+// connect opens a new connection. It returns nil if no sidecar is available or the sidecar cannot be reached.
 func (r *route) connect() *callerConnection {
 	s := r.pick()
 	if s == nil {
@@ -44,61 +45,62 @@
 	return c
 }
 
-// sendRequest sends a request, and waits for the answer until the request's time is up or gone is closed. It is sent once more, on a
-// new connection, if a connection that was used before ends without an answer: the sidecar closed it between requests.
-func (r *rehearsal) sendRequest(request callerRequest, to route, gone <-chan struct{}) callerAnswer {
+// sendRequest sends a request and waits for the response until the request times out or canceled is closed. If a reused connection ends
+// without a response, the request is sent once more on a new connection, because the sidecar may have closed the idle connection.
+func (r *rehearsal) sendRequest(request callerRequest, route route, canceled <-chan struct{}) callerAnswer {
 	deadline := time.NewTimer(request.timeLeft + 2*r.plan.Rules.Slack)
 	defer deadline.Stop()
 	began := r.now()
-	conn := to.idle.take()
-	for used := conn != nil; ; used = false {
+	conn := route.idle.take()
+	for reused := conn != nil; ; reused = false {
 		if conn == nil {
-			if conn = to.connect(); conn == nil {
+			if conn = route.connect(); conn == nil {
 				return callerAnswer{}
 			}
 		}
 		left := request.timeLeft - (r.now() - began)
 		if left <= 0 {
-			to.idle.put(conn)
+			route.idle.put(conn)
 			return callerAnswer{}
 		}
 		conn.send(&request, left)
 		select {
 		case answer := <-conn.answers:
-			to.idle.put(conn)
+			route.idle.put(conn)
 			return answer
 		case <-deadline.C:
 			conn.giveUp(&request)
 			return callerAnswer{}
-		case <-gone:
+		case <-canceled:
 			conn.giveUp(&request)
 			return callerAnswer{}
 		case <-conn.closed:
 		}
 		select {
-		case answer := <-conn.answers: // the last on its connection
+		case answer := <-conn.answers: // the sidecar closed the connection after this response
 			return answer
 		default:
 		}
 		r.record(conn.event(audit.ConnectionClosed, &request))
-		if !used {
+		if !reused {
 			return callerAnswer{}
 		}
 		conn = nil
 	}
 }
 
-// callThrough makes the call of a server through its own sidecar, and reports whether it was served.
-func (r *rehearsal) callThrough(server int, request callerRequest, gone <-chan struct{}) bool {
+// callThrough sends a server's request through the sidecar of that server, and reports whether the request was served. It returns false
+// early if canceled is closed.
+func (r *rehearsal) callThrough(server int, request callerRequest, canceled <-chan struct{}) bool {
 	s := r.sidecarOf[server]
 	if s == nil {
 		return false
 	}
-	answer := r.sendRequest(request, route{idle: &s.idle, pick: func() *sidecar { return s }}, gone)
+	answer := r.sendRequest(request, route{idle: &s.idle, pick: func() *sidecar { return s }}, canceled)
 	return answer.status == http.StatusOK && answer.authentic
 }
 
-// playArrival plays one arrival: the caller's attempts, with backoffs between them, until one is served or the caller gives up.
+// playArrival plays the n-th arrival: the caller's attempts, with backoffs between them, until one is served or the caller gives up.
 func (r *rehearsal) playArrival(n int) {
 	caller := r.plan.Caller(n, r.now())
 	class := r.plan.Arrivals[n].Class
@@ -128,7 +130,8 @@
 	r.counters.count(lastStatus)
 }
 
-// routeOf returns the route of a caller from outside: to the first sidecar if the caller prefers it and it serves, else by rotation.
+// routeOf returns the route of an external caller: to the first sidecar if the caller prefers it and the rotation includes it, otherwise
+// to the sidecar whose turn it is in the rotation.
 func (r *rehearsal) routeOf(prefersFirst bool) route {
 	first := r.sidecars[0]
 	if prefersFirst && r.rotation.ifServing(first) != nil {
@@ -137,7 +140,7 @@
 	return route{idle: &r.rotation.idle, pick: r.rotation.pick}
 }
 
-// count counts the end of an arrival by the status of its last answer.
+// count counts a completed arrival by the status of its last response.
 func (c *counters) count(status int) {
 	switch {
 	case status == http.StatusOK:
--- a/internal/rehearsal/rehearse/callerconnection.go
+++ b/internal/rehearsal/rehearse/callerconnection.go
@@ -18,24 +18,24 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// callerConnection is a caller's connection to a sidecar. One goroutine reads it, and knows which answer is expected on it.
+// callerConnection is a connection from a caller to a sidecar, with at most one request in flight. One goroutine reads the responses.
 type callerConnection struct {
 	net.Conn
 	sidecar *sidecar
-	answers chan callerAnswer // holds one: the answer to the request that is in flight
+	answers chan callerAnswer // response to the request in flight; buffer size 1
 	closed  chan struct{}     // closed when the connection has ended
 
 	mu      sync.Mutex
-	pending *callerRequest // that is in flight on it, nil if none is
+	pending *callerRequest // request in flight; nil if there is none
 }
 
 const (
-	dialTimeout     = time.Second
-	maxAnswerBytes  = 1 << 20
-	unsolicitedText = 40 // bytes that are shown of what nobody asked for
+	dialTimeout         = time.Second
+	maxAnswerBytes      = 1 << 20
+	maxUnsolicitedShown = 40 // number of unsolicited bytes shown in the event
 )
 
-// connect opens a connection of callers to the sidecar.
+// connect opens a caller connection to the sidecar.
 func (s *sidecar) connect() (*callerConnection, error) {
 	conn, err := s.rehearsal.dial(s.address, dialTimeout)
 	if err != nil {
@@ -46,7 +46,8 @@
 	return c, nil
 }
 
-// read reads answers until the connection ends. What comes while no request is in flight is recorded: nobody asked for it.
+// read reads responses until the connection ends. It records bytes that arrive while no request is in flight as unsolicited, and
+// closes the connection.
 func (c *callerConnection) read() {
 	defer close(c.closed)
 	defer closeConn(c)
@@ -76,9 +77,10 @@
 	}
 }
 
-// readAnswer reads and records the answer to a request; last reports whether the connection ends after it.
+// readAnswer reads and records the response to a request; last reports whether the sidecar closes the connection after it. It fails if
+// the response is malformed or incomplete.
 func (c *callerConnection) readAnswer(reader *bufio.Reader, request *callerRequest) (answer callerAnswer, last bool, err error) {
-	response, err := http.ReadResponse(reader, nil) //nolint:bodyclose // the connection is read to its end, and closed
+	response, err := http.ReadResponse(reader, nil) //nolint:bodyclose // closing the connection is enough
 	if err != nil {
 		return callerAnswer{}, false, err
 	}
@@ -99,17 +101,17 @@
 	return answer, response.Close, nil
 }
 
-// recordUnsolicited records that bytes came while no request was in flight.
+// recordUnsolicited records that bytes arrived while no request was in flight.
 func (c *callerConnection) recordUnsolicited(reader *bufio.Reader) {
-	some, _ := reader.Peek(min(reader.Buffered(), unsolicitedText))
+	unsolicited, _ := reader.Peek(min(reader.Buffered(), maxUnsolicitedShown))
 	rehearsal := c.sidecar.rehearsal
 	rehearsal.record(audit.Event{
 		At: rehearsal.now(), Kind: audit.UnsolicitedBytes, Sidecar: c.sidecar.index, Server: -1, Origin: -1,
-		Text: strconv.Quote(string(some)),
+		Text: strconv.Quote(string(unsolicited)),
 	})
 }
 
-// send writes a request, with the time that is left for it.
+// send writes a request, with the time left until its deadline.
 func (c *callerConnection) send(request *callerRequest, left time.Duration) {
 	c.mu.Lock()
 	c.pending = request
@@ -118,16 +120,16 @@
 	sent.Duration = left
 	rehearsal := c.sidecar.rehearsal
 	rehearsal.record(sent)
-	_, _ = c.Write(encodeRequest(rehearsal.plan.Classes[request.class], request, left)) // a failed write ends the connection
+	_, _ = c.Write(encodeRequest(rehearsal.plan.Classes[request.class], request, left)) // if it fails, read sees the connection end
 }
 
-// giveUp closes the connection of a request that timed out, or that nobody waits for any more.
+// giveUp records that the caller abandoned a request, because it timed out or was canceled, and closes the connection.
 func (c *callerConnection) giveUp(request *callerRequest) {
 	c.sidecar.rehearsal.record(c.event(audit.CallerTimedOut, request))
 	closeConn(c)
 }
 
-// event returns what happens to a request on the connection now.
+// event returns an event of a request on the connection, with the current time.
 func (c *callerConnection) event(kind audit.Kind, request *callerRequest) audit.Event {
 	return audit.Event{
 		At: c.sidecar.rehearsal.now(), Kind: kind, Request: request.request, Sidecar: c.sidecar.index, Server: -1, Origin: request.origin,
@@ -135,7 +137,7 @@
 	}
 }
 
-// encodeRequest returns a request of HTTP/1.1 with the time that is left for it.
+// encodeRequest returns a request as HTTP/1.1 text, with the time left until its deadline in X-Remaining.
 func encodeRequest(class *scenario.Class, request *callerRequest, left time.Duration) []byte {
 	method, body := http.MethodPost, "trip=dialysis\n"
 	if class.Idempotency == balancer.Idempotent {
@@ -154,14 +156,14 @@
 	return []byte(b.String())
 }
 
-// connectionPool holds connections on which no request is in flight. Callers from outside share one pool over all sidecars of the
-// first tier: they go on using their connections for as long as these stay open, whatever the rotation does with new ones.
+// connectionPool holds idle connections. External callers share one pool for all sidecars of the first tier: open connections stay in
+// use even after the rotation has removed their sidecar.
 type connectionPool struct {
 	mu   sync.Mutex
 	idle []*callerConnection
 }
 
-// take takes an idle connection out, drawn at random so that all sidecars are used alike; nil if there is none.
+// take removes and returns a random idle connection, so that the load is even over the sidecars. It returns nil if there is none.
 func (p *connectionPool) take() *callerConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// put returns a connection on which no request is in flight.
+// put adds an idle connection to the pool.
 func (p *connectionPool) put(c *callerConnection) {
 	p.mu.Lock()
 	p.idle = append(p.idle, c)
--- a/internal/rehearsal/rehearse/connection.go
+++ b/internal/rehearsal/rehearse/connection.go
@@ -12,23 +12,23 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// connection is a connection of HTTP/1.1 from a sidecar to a server.
+// connection is an HTTP/1.1 connection from a sidecar to a server.
 type connection struct {
 	net.Conn
 	server      *server
-	incarnation int      // of the server when it was accepted
-	current     *attempt // that is in flight on it, nil if none is; server.mu guards it
+	incarnation int      // the server's incarnation when it accepted the connection
+	current     *attempt // attempt in flight, nil if there is none; guarded by server.mu
 }
 
 const (
 	maxBodyBytes = 64 << 10
-	// answerTimeout is how long writing an answer may take.
+	// answerTimeout bounds the time to write a response.
 	answerTimeout = time.Second
-	// healthCheckWork is the work of a health check.
+	// healthCheckWork is the server work that one health check costs.
 	healthCheckWork = 30 * time.Microsecond
 )
 
-// accept serves the connections of a listener until it is closed, or its deadline is over.
+// accept accepts and serves connections until the listener is closed or its deadline has passed.
 func (s *server) accept(listener *net.TCPListener, incarnation int) {
 	for {
 		conn, err := listener.Accept()
@@ -56,7 +56,7 @@
 	}
 }
 
-// serve reads requests until the connection ends. An attempt in flight is canceled then.
+// serve reads and handles requests until the connection ends, and then cancels the attempt in flight.
 func (c *connection) serve() {
 	server := c.server
 	defer closeConn(c)
@@ -94,41 +94,42 @@
 	}
 }
 
-// handle answers a health check, or begins an attempt. It returns false if the connection is to end. server.mu is held.
+// handle answers a health check or begins an attempt. It returns false if the connection must be closed. The caller holds server.mu.
 func (c *connection) handle(firstByteAt time.Duration, request *http.Request) bool {
 	server := c.server
 	if request.URL.Path == "/health" && request.Header.Get("X-Txn") == "" {
 		if !server.silent {
 			server.addOverhead(healthCheckWork)
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // the sidecar may have gone
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // the sidecar may have closed the connection
 		}
 		return true
 	}
 	if c.current != nil {
-		return false // two at once on one connection: no sidecar does that
+		return false // no sidecar pipelines requests on one connection
 	}
 	attempt := server.newAttempt(c, c.incarnation, request.Header)
 	c.current = attempt
 	return server.beginAttempt(attempt, firstByteAt)
 }
 
-// recordTruncated records an attempt whose request was not sent to its end: it never ran.
+// recordTruncated records an attempt that never ran, because its request was incomplete or its body too large.
 func (c *connection) recordTruncated(firstByteAt time.Duration, request *http.Request) {
 	server := c.server
 	id := server.rehearsal.attempts.Add(1)
-	e := audit.Event{
+	event := audit.Event{
 		At: server.rehearsal.now(), FirstByteAt: firstByteAt, Kind: audit.AttemptReceived, Request: request.Header.Get("X-Txn"), AttemptID: id,
 		Server: server.index, Sidecar: -1, Origin: -1,
 	}
-	if e.Request == "" {
+	if event.Request == "" {
 		return
 	}
-	server.rehearsal.record(e)
-	e.Kind, e.Result = audit.AttemptEnded, audit.Truncated
-	server.rehearsal.record(e)
+	server.rehearsal.record(event)
+	event.Kind, event.Result = audit.AttemptEnded, audit.Truncated
+	server.rehearsal.record(event)
 }
 
-// answer writes an answer; load is the value of X-Pressure, empty for none. A sidecar that has gone misses it.
+// answer writes a response; load is the value of the X-Pressure header, empty for no header. Write errors are ignored, because the
+// sidecar may have closed the connection.
 func (c *connection) answer(status int, rejected bool, load, body string) {
 	extra := ""
 	if load != "" {
@@ -137,13 +138,13 @@
 	if rejected {
 		extra += "X-Turned-Away: 1\r\n"
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(answerTimeout)) // on a connection that is closed, writing fails as well
+	_ = c.SetWriteDeadline(time.Now().Add(answerTimeout)) // if it fails, the connection is closed and the write fails too
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), extra, body)
 }
 
-// garble writes a head that cannot be parsed, and nothing behind it.
+// garble writes a response head that cannot be parsed, and no body.
 func (c *connection) garble() {
-	_, _ = io.WriteString(c, "HTTP/1.1 2oo \x00\x01 fine\r\nContent-Length: -7\r\n\r\n") // the sidecar may have gone
+	_, _ = io.WriteString(c, "HTTP/1.1 2oo \x00\x01 fine\r\nContent-Length: -7\r\n\r\n") // the sidecar may have closed the connection
 }
 
 func (c *connection) reset() { reset(c.Conn) }
@@ -154,13 +155,13 @@
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails where the connection is closed already
+		_ = tcp.SetLinger(0) // fails if the connection is already closed
 	}
 	closeConn(c)
 }
 
-// closeConn closes a connection that may be closed already: nothing is waiting to be written on it.
+// closeConn closes a connection. The error is ignored: the connection may be closed already, and no written data is pending.
 func closeConn(c net.Conn) { _ = c.Close() }
--- a/internal/rehearsal/rehearse/consul.go
+++ b/internal/rehearsal/rehearse/consul.go
@@ -12,27 +12,28 @@
 	"quincegap/internal/standin/consul"
 )
 
-// consulAgent is a stand-in Consul agent on the machine of one sidecar. The updates that an answer has are recorded as notified when it
-// has been written.
+// consulAgent is a stand-in Consul agent on the machine of one sidecar. Once a response has been written, the updates that it contains
+// are recorded as notified to the sidecar.
 type consulAgent struct {
 	discovery *tierDiscovery
 	sidecar   int
 	server    *consul.Server
 	http      http.Server
-	served    chan struct{} // closed when nothing is accepted any more
+	served    chan struct{} // closed when the agent no longer accepts connections
 
 	mu      sync.Mutex
-	pending []pendingUpdate // updates that no answer has had yet, in the order of their indexes
+	pending []pendingUpdate // updates not yet contained in any response, in order of their indexes
 }
 
-// pendingUpdate is an update, and the index from which on answers have it.
+// pendingUpdate is a state change of a server, which responses with at least its Consul index contain.
 type pendingUpdate struct {
 	index  uint64
 	server int
 	state  string
 }
 
-// startConsulAgent starts the Consul agent of a sidecar, with the servers that its tier has now.
+// startConsulAgent starts the Consul agent of a sidecar with the current servers of its tier. It fails if the stand-in cannot start or
+// the agent's address is not available.
 func startConsulAgent(tier *tierDiscovery, sidecar int) (*consulAgent, error) {
 	agent := &consulAgent{served: make(chan struct{}), discovery: tier, sidecar: sidecar}
 	var all []consul.Instance
@@ -55,19 +56,20 @@
 	agent.http.Handler = agent
 	go func() {
 		defer close(agent.served)
-		_ = agent.http.Serve(listener) // ends with http.ErrServerClosed, for nothing else closes the listener
+		_ = agent.http.Serve(listener) // returns http.ErrServerClosed: only Close closes the listener
 	}()
 	return agent, nil
 }
 
-// close ends the agent.
+// close stops the agent.
 func (c *consulAgent) close() {
-	_ = c.http.Close() // of the listener and its connections, which have no data that could be lost
+	_ = c.http.Close() // closing the listener and connections loses no data
 	<-c.served
 	c.server.Close()
 }
 
-// instance returns a server as Consul has it: passing, critical while it drains, and not there at all once it has gone.
+// instance returns a server as a Consul service instance: passing if it is ready, otherwise critical. The caller omits servers that are
+// gone.
 func (c *consulAgent) instance(server int, entry listEntry) consul.Instance {
 	rehearsal := c.discovery.rehearsal
 	spec := &rehearsal.plan.Servers[server]
@@ -87,7 +89,7 @@
 	return instance.WithAddress(rehearsal.serverAddress(spec.Slot))
 }
 
-// update changes what Consul has of a server.
+// update replaces a server's instance in Consul, or deletes it if the server is gone.
 func (c *consulAgent) update(server int, entry listEntry) {
 	uid := c.discovery.rehearsal.plan.Servers[server].UID
 	c.mu.Lock()
@@ -102,10 +104,11 @@
 	c.pending = append(c.pending, pendingUpdate{index, server, entry.state})
 }
 
-// setSilent makes Consul answer nothing, or answer again.
+// setSilent sets whether Consul leaves requests unanswered.
 func (c *consulAgent) setSilent(on bool) { c.server.SetFault(consul.Fault{Hang: on}) }
 
-// ServeHTTP answers as the stand-in does. A complete answer has all updates up to its index.
+// ServeHTTP serves a request with the stand-in, and records the updates that the response notified the sidecar of: all up to the
+// response's index. An incomplete response notifies of none.
 func (c *consulAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.server.ServeHTTP(w, r)
 	if http.NewResponseController(w).Flush() != nil || r.Context().Err() != nil {
--- a/internal/rehearsal/rehearse/discovery.go
+++ b/internal/rehearsal/rehearse/discovery.go
@@ -8,37 +8,37 @@
 	"quincegap/internal/standin/booking"
 )
 
-// tierDiscovery is the list of the servers of one tier, as discovery has it. Agents send it to sidecars.
+// tierDiscovery is the server list of one tier in service discovery. Agents send it to sidecars.
 type tierDiscovery struct {
 	rehearsal *rehearsal
 	tier      int
 
 	mu           sync.Mutex
-	revision     uint64            // of the last update
-	entries      map[int]listEntry // by server
-	order        []int             // the servers as they were added
-	silent       bool              // agents send nothing
-	repeats      bool              // agents send each update twice, with the one before in between
-	consulAgents []*consulAgent    // that have the list too, where Consul does
+	revision     uint64            // revision of the last update
+	entries      map[int]listEntry // entries by server index
+	order        []int             // server indexes in the order in which they were added
+	silent       bool              // whether agents send nothing
+	repeats      bool              // whether agents send each update twice, with the previous one in between
+	consulAgents []*consulAgent    // Consul agents that receive all updates, if the scenario uses Consul
 	changed      chan struct{}     // closed at the next update
 }
 
-// listEntry is what discovery has of one server.
+// listEntry is the entry of one server.
 type listEntry struct {
 	state         string
-	boot          time.Duration // 0 for long ago
-	revision      uint64        // of its last update
-	weightDeficit float64       // 1 less its weight, so that 0 is the usual weight
+	boot          time.Duration // boot time on the rehearsal's clock; 0 for long before the start
+	revision      uint64        // revision of the entry's last update
+	weightDeficit float64       // 1 minus the server's weight, so that the zero value is the default weight
 }
 
-// listMessage is the whole list, or what has changed of it, on the platform's wire.
+// listMessage is the complete list, or the changed entries, in the platform's wire format.
 type listMessage struct {
 	Rev     uint64           `json:"rev"`
 	All     bool             `json:"all"`
 	Targets []booking.Target `json:"targets"`
 }
 
-// newTierDiscovery returns the list at the start.
+// newTierDiscovery returns a tier's list at the start of the rehearsal.
 func newTierDiscovery(r *rehearsal, tier int) *tierDiscovery {
 	t := &tierDiscovery{rehearsal: r, tier: tier, revision: 1, entries: map[int]listEntry{}, changed: make(chan struct{})}
 	for server := range r.plan.Servers {
@@ -50,7 +50,7 @@
 	return t
 }
 
-// update sets the state of a server.
+// update sets the state and boot time of a server, and adds the server if it is not listed.
 func (t *tierDiscovery) update(server int, state string, boot time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,7 +67,7 @@
 	t.wakeWatches()
 }
 
-// setWeight sets the weight of a server that is on the list.
+// setWeight sets the weight of a listed server; it ignores other servers.
 func (t *tierDiscovery) setWeight(server int, weight float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,21 +99,21 @@
 	t.wakeWatches()
 }
 
-// addConsulAgent adds an agent that is to have all updates from now on.
+// addConsulAgent adds a Consul agent that receives all further updates.
 func (t *tierDiscovery) addConsulAgent(agent *consulAgent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.consulAgents = append(t.consulAgents, agent)
 }
 
-// wakeWatches wakes all watches. t.mu is held.
+// wakeWatches wakes all watches. The caller holds t.mu.
 func (t *tierDiscovery) wakeWatches() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// changesSince returns what has changed since a revision, or the whole list for 0, and the states by server that the message notifies
-// of: servers that have gone are among these, and not on the whole list. t.mu is held.
+// changesSince returns the entries that changed after a revision, or the complete list for revision 0, and the states by server that the
+// message announces. The states include servers that are gone; the complete list does not. The caller holds t.mu.
 func (t *tierDiscovery) changesSince(revision uint64) (list listMessage, states map[int]string) {
 	list = listMessage{Rev: t.revision, All: revision == 0, Targets: []booking.Target{}}
 	states = map[int]string{}
@@ -131,7 +131,8 @@
 	return list, states
 }
 
-// target returns a server as the platform sends it, with the boot time as far as the scenario has one.
+// target returns a server in the platform's format. The scenario decides whether the boot time is included, and whether it is ahead of
+// the actual one.
 func (t *tierDiscovery) target(server int, entry listEntry) booking.Target {
 	r := t.rehearsal
 	spec := &r.plan.Servers[server]
--- a/internal/rehearsal/rehearse/discoveryagent.go
+++ b/internal/rehearsal/rehearse/discoveryagent.go
@@ -10,40 +10,41 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// watchInterval is how often a watch sends an empty line if nothing has changed.
+// watchInterval is the interval at which a watch sends an empty line while nothing changes.
 const watchInterval = 2 * time.Second
 
-// discoveryAgent serves the list of a tier to one sidecar.
+// discoveryAgent serves the server list of a tier to one sidecar.
 type discoveryAgent struct {
 	discovery *tierDiscovery
-	sidecar   int
-	delay     time.Duration // from an update to its notification
+	sidecar   int           // index of the sidecar
+	delay     time.Duration // delay from an update to its notification
 	server    http.Server
-	served    chan struct{} // closed when nothing is accepted any more
+	served    chan struct{} // closed when the agent no longer accepts connections
 }
 
-// close ends the agent and all watches.
+// close stops the agent and all watches.
 func (d *discoveryAgent) close() {
-	_ = d.server.Close() // of the listener and its connections, which have no data that could be lost
+	_ = d.server.Close() // closing the listener and connections loses no data
 	<-d.served
 }
 
-// startDiscoveryAgent starts the agent of a sidecar, at the address that the sidecar is given.
+// startDiscoveryAgent starts the agent of a sidecar at the discovery address in the sidecar's settings. It fails if the address is not
+// available.
 func startDiscoveryAgent(tier *tierDiscovery, sidecar int, delay time.Duration) (*discoveryAgent, error) {
 	listener, err := tier.rehearsal.listen(tier.rehearsal.discoveryAddress(sidecar))
 	if err != nil {
 		return nil, err
 	}
-	a := &discoveryAgent{served: make(chan struct{}), discovery: tier, sidecar: sidecar, delay: delay}
-	a.server.Handler = a
+	agent := &discoveryAgent{served: make(chan struct{}), discovery: tier, sidecar: sidecar, delay: delay}
+	agent.server.Handler = agent
 	go func() {
-		defer close(a.served)
-		_ = a.server.Serve(listener) // ends with http.ErrServerClosed, for nothing else closes the listener
+		defer close(agent.served)
+		_ = agent.server.Serve(listener) // returns http.ErrServerClosed: only Close closes the listener
 	}()
-	return a, nil
+	return agent, nil
 }
 
-// ServeHTTP answers GET /v1/endpoints, with follow=1 as a watch. While discovery is silent it sends nothing.
+// ServeHTTP serves GET /v1/endpoints, as a watch if the query has follow. It sends nothing while discovery is silent.
 func (d *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
@@ -63,7 +64,7 @@
 		}
 		select {
 		case <-changed:
-			select { // what changes meanwhile is sent with it, after a shorter delay
+			select { // changes during the delay are sent with this one, and so earlier than their own delay
 			case <-time.After(d.delay):
 			case <-r.Context().Done():
 				return
@@ -78,49 +79,50 @@
 	}
 }
 
-// discoveryWatch is one answer of an agent, which goes on as long as its caller follows.
+// discoveryWatch is one response of an agent: a single list, or a stream of changes while the client follows.
 type discoveryWatch struct {
 	agent   *discoveryAgent
 	writer  io.Writer
 	encoder *json.Encoder
 	control *http.ResponseController
-	since   uint64      // the newest revision that was sent
-	looped  bool        // it has looked at the list before
-	sent    bool        // a list was sent
-	before  listMessage // the list that was sent last
+	since   uint64      // newest revision sent, or the one requested at first
+	polled  bool        // whether the list was examined before
+	sent    bool        // whether a list was sent
+	last    listMessage // the last list sent
 }
 
-// sendChanges sends what has changed, the whole list at first, unless discovery is silent. changed is closed at the next update.
+// sendChanges sends the changes since the last revision sent, or the complete list if there is none, unless discovery is silent. The
+// channel changed is closed at the next update.
 func (d *discoveryWatch) sendChanges() (silent bool, changed <-chan struct{}, err error) {
 	tier := d.agent.discovery
 	tier.mu.Lock()
 	silent, changed = tier.silent, tier.changed
 	repeats := tier.repeats
 	if d.since > tier.revision {
-		d.since = 0 // of another discovery
+		d.since = 0 // a revision of another discovery instance
 	}
 	list, states := tier.changesSince(d.since)
 	tier.mu.Unlock()
-	if silent || d.looped && len(states) == 0 {
-		d.looped = true
+	if silent || d.polled && len(states) == 0 {
+		d.polled = true
 		return silent, changed, nil
 	}
-	if err := d.send(list, repeats && d.looped); err != nil {
+	if err := d.send(list, repeats && d.polled); err != nil {
 		return silent, changed, err
 	}
-	d.looped = true
+	d.polled = true
 	d.sent = true
-	d.before = list
+	d.last = list
 	d.since = list.Rev
 	d.agent.recordNotifications(states)
 	return silent, changed, nil
 }
 
-// send writes a list; with repeat the list before it and the same list again.
+// send writes a list; with repeat, the previous list and the same list again follow.
 func (d *discoveryWatch) send(list listMessage, repeat bool) error {
 	lists := []listMessage{list}
 	if repeat {
-		lists = append(lists, d.before, list)
+		lists = append(lists, d.last, list)
 	}
 	for _, l := range lists {
 		if err := d.encoder.Encode(l); err != nil {
@@ -130,7 +132,7 @@
 	return d.control.Flush()
 }
 
-// sendUnchanged writes an empty line.
+// sendUnchanged writes an empty line, which tells the client that nothing has changed.
 func (d *discoveryWatch) sendUnchanged() error {
 	if _, err := io.WriteString(d.writer, "\n"); err != nil {
 		return err
@@ -138,7 +140,8 @@
 	return d.control.Flush()
 }
 
-// recordNotifications records what the sidecar was notified of; where Consul has the list, what the platform sends does not count.
+// recordNotifications records the states that the sidecar was notified of. It records nothing if the scenario uses Consul, because
+// sidecars then get the list from Consul and not from the platform.
 func (d *discoveryAgent) recordNotifications(states map[int]string) {
 	r := d.discovery.rehearsal
 	if r.plan.Discovery.Consul {
--- a/internal/rehearsal/rehearse/faultycaller.go
+++ b/internal/rehearsal/rehearse/faultycaller.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// faultyCallerTimeout is how long a sidecar has to answer a faulty caller, or to close its connection.
+	// faultyCallerTimeout bounds the time in which a sidecar must answer a faulty caller or close the connection.
 	faultyCallerTimeout = 8 * time.Second
-	// faultyCallerRetry is how long a faulty caller waits if it can reach no sidecar.
+	// faultyCallerRetry is the delay before a faulty caller retries when it can reach no sidecar.
 	faultyCallerRetry = 50 * time.Millisecond
-	// The pause between two requests of a faulty caller, in milliseconds.
+	// The pause between two requests of a faulty caller, in milliseconds: the minimum, and the random amount added below the range.
 	minFaultyPause, faultyPauseRange = 10, 40
 
 	faultyRequestCount = 10
 )
 
-// faultyRequests are what faulty callers send: what cannot be parsed, half a request, or nothing.
+// faultyRequests are the inputs that faulty callers send: malformed or incomplete requests, or nothing.
 var faultyRequests = [faultyRequestCount]string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00",
@@ -37,7 +37,7 @@
 	"GET /trips HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X-Long: "+strings.Repeat("a", 1000)+"\r\n", 40) + "\r\n",
 }
 
-// runFaultyCaller plays the i-th faulty caller for as long as that many are wanted.
+// runFaultyCaller plays the i-th faulty caller, until the rehearsal ends or the wanted number of faulty callers is no longer above i.
 func (r *rehearsal) runFaultyCaller(i int) {
 	random := rand.New(emulator.RandomSource(r.plan.Seed, fmt.Sprint("rude ", i)))
 	for r.ctx.Err() == nil && int64(i) < r.faultyCallers.Load() {
@@ -60,10 +60,10 @@
 	}
 }
 
-// exchangeFaulty sends a faulty request, and reports whether the sidecar answered or closed the connection in time.
+// exchangeFaulty sends a faulty request, and reports whether the sidecar answered or closed the connection within faultyCallerTimeout.
 func exchangeFaulty(c net.Conn, request string) bool {
-	_, _ = io.WriteString(c, request)                          // a sidecar that has closed has done what it should
-	_ = c.SetReadDeadline(time.Now().Add(faultyCallerTimeout)) // likewise
+	_, _ = io.WriteString(c, request)                          // fails if the sidecar has closed the connection, which is correct
+	_ = c.SetReadDeadline(time.Now().Add(faultyCallerTimeout)) // fails for the same reason
 	n, err := io.Copy(io.Discard, io.LimitReader(c, maxAnswerBytes))
 	timeout := net.Error(nil)
 	return n > 0 || !errors.As(err, &timeout) || !timeout.Timeout()
--- a/internal/rehearsal/rehearse/http3.go
+++ b/internal/rehearsal/rehearse/http3.go
@@ -18,18 +18,18 @@
 	"quincegap/internal/standin/h3"
 )
 
-// serverCertificateName is in the certificates of servers that speak HTTP/3.
+// serverCertificateName is the host name in the certificate of HTTP/3 servers.
 const serverCertificateName = "boxes.rehearsal.example.org"
 
-// previousEndTimeout is how long a start waits for the UDP socket of an earlier incarnation.
+// previousEndTimeout bounds how long a start waits for the previous incarnation to release the UDP socket.
 const previousEndTimeout = 2 * time.Second
 
-// stream is the stream of an attempt that came over HTTP/3. Its handler waits for the response.
+// stream is the HTTP/3 stream of an attempt. Its handler waits for the response function.
 type stream struct {
-	response chan func(http.ResponseWriter) // holds one
+	response chan func(http.ResponseWriter) // writes the response; buffer size 1
 }
 
-// respond has the handler respond, unless it has a response already.
+// respond makes the handler run f, unless another response is already pending.
 func (s *stream) respond(f func(http.ResponseWriter)) {
 	select {
 	case s.response <- f:
@@ -49,16 +49,16 @@
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		w.WriteHeader(status)
-		_, _ = io.WriteString(w, body) // the sidecar may have gone
+		_, _ = io.WriteString(w, body) // the sidecar may have closed the stream
 	})
 }
 
-// garble promises a longer body than it writes.
+// garble sends a Content-Length greater than the body, then aborts the stream.
 func (s *stream) garble() {
 	s.respond(func(w http.ResponseWriter) {
 		w.Header().Set("Content-Length", "500")
-		_, _ = io.WriteString(w, "served")        // the stream is aborted in any case,
-		_ = http.NewResponseController(w).Flush() // once this is out
+		_, _ = io.WriteString(w, "served")        // errors are ignored: the stream is aborted below,
+		_ = http.NewResponseController(w).Flush() // after the partial body was sent
 		panic(http.ErrAbortHandler)
 	})
 }
@@ -67,7 +67,7 @@
 	s.respond(func(w http.ResponseWriter) { h3.ResetStream(w, qh3.ErrCodeInternalError) })
 }
 
-// startHTTP3 serves HTTP/3 beside HTTP/1.1, where the server's tier does.
+// startHTTP3 starts the HTTP/3 endpoint, if the server's tier uses HTTP/3 in addition to HTTP/1.1.
 func (s *server) startHTTP3(incarnation int) error {
 	if !s.tier().HTTP3 {
 		return nil
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// stopHTTP3 ends the endpoint of HTTP/3 without notifying its peers. s.mu is held.
+// stopHTTP3 stops the HTTP/3 endpoint without notifying its peers. The caller holds s.mu.
 func (s *server) stopHTTP3() {
 	for stream, attempt := range s.streams {
 		s.finish(attempt, audit.Dropped)
@@ -97,7 +97,7 @@
 		return
 	}
 	s.http3Endpoint = nil
-	s.muted.Store(true) // no packet of its end gets out
+	s.muted.Store(true) // suppress the packets that would close the connections
 	ended := make(chan struct{})
 	go func() {
 		endpoint.Kill()
@@ -106,7 +106,7 @@
 	s.previousEnded = ended
 }
 
-// awaitPreviousEnd waits until an earlier incarnation of the server has released its UDP socket.
+// awaitPreviousEnd waits until the previous incarnation of the server has released its UDP socket, for at most previousEndTimeout.
 func (s *server) awaitPreviousEnd(ctx context.Context) {
 	s.mu.Lock()
 	ended := s.previousEnded
@@ -121,29 +121,29 @@
 	}
 }
 
-// serveStream serves one request over HTTP/3.
+// serveStream serves one HTTP/3 request, and cancels its attempt if the sidecar cancels the request.
 func (s *server) serveStream(w http.ResponseWriter, r *http.Request, incarnation int) {
 	firstByteAt := s.rehearsal.now()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || len(body) > maxBodyBytes {
 		return
 	}
-	on := &stream{response: make(chan func(http.ResponseWriter), 1)}
+	stream := &stream{response: make(chan func(http.ResponseWriter), 1)}
 	s.rehearsal.counters.http3.Add(1)
 	s.mu.Lock()
-	attempt := s.newAttempt(on, incarnation, r.Header)
+	attempt := s.newAttempt(stream, incarnation, r.Header)
 	if s.incarnation == incarnation {
-		s.streams[on] = attempt
+		s.streams[stream] = attempt
 	}
 	s.beginAttempt(attempt, firstByteAt)
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.streams, on)
+		delete(s.streams, stream)
 		s.mu.Unlock()
 	}()
 	select {
-	case respond := <-on.response:
+	case respond := <-stream.response:
 		respond(w)
 	case <-r.Context().Done():
 		s.mu.Lock()
@@ -152,21 +152,21 @@
 	}
 }
 
-// createCertificate creates the certificate of all servers, writes that of its authority to a file for sidecars, and returns the file's
-// path.
+// createCertificate creates the certificate of all servers, writes the certificate of its authority to a file for the sidecars, and
+// returns the path of that file.
 func (r *rehearsal) createCertificate(dir string) (string, error) {
-	a, err := authority.New()
+	issuer, err := authority.New()
 	if err != nil {
 		return "", err
 	}
-	if r.certificate, err = a.Pair(serverCertificateName); err != nil {
+	if r.certificate, err = issuer.Pair(serverCertificateName); err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "boxes-ca.pem")
-	return path, os.WriteFile(path, a.PEM(), 0o600)
+	return path, os.WriteFile(path, issuer.PEM(), 0o600)
 }
 
-// usesHTTP3 reports whether a tier speaks HTTP/3.
+// usesHTTP3 reports whether any tier uses HTTP/3.
 func (r *rehearsal) usesHTTP3() bool {
 	return slices.ContainsFunc(r.plan.Tiers, func(t *scenario.Tier) bool { return t.HTTP3 })
 }
--- a/internal/rehearsal/rehearse/lateness.go
+++ b/internal/rehearsal/rehearse/lateness.go
@@ -7,14 +7,14 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// The emulator watches itself: a tick that comes late shows that this process did not get the processor, and what servers and callers
-// did then says nothing of the sidecars.
+// The emulator monitors its own scheduling: a late tick shows that this process did not get the processor. The behavior of servers and
+// callers at that time then says nothing about the sidecars.
 const (
 	watchTick     = 5 * time.Millisecond
 	lateThreshold = 20 * time.Millisecond
 )
 
-// watchLateness records ticks that come late, until the context ends.
+// watchLateness records late ticks until the context ends.
 func (r *rehearsal) watchLateness(ctx context.Context) {
 	for due := time.Now().Add(watchTick); ; due = due.Add(watchTick) {
 		select {
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordLateness records that the emulator was late, if it was by enough to matter, and reports whether it was.
+// recordLateness records a delay of the emulator if it exceeds lateThreshold, and reports whether it does.
 func (r *rehearsal) recordLateness(late time.Duration) bool {
 	if late <= lateThreshold {
 		return false
--- a/internal/rehearsal/rehearse/links.go
+++ b/internal/rehearsal/rehearse/links.go
@@ -12,7 +12,7 @@
 	"quincegap/internal/standin/relay"
 )
 
-// startLinks puts a relay before each sidecar of the first tier.
+// startLinks starts a relay in front of each sidecar of the first tier, and closes all of them if one cannot start.
 func (r *rehearsal) startLinks() error {
 	r.links = relay.New(r.plan.Seed)
 	for i, s := range r.firstTierSidecars() {
@@ -24,26 +24,27 @@
 	return nil
 }
 
-// firstTierSidecars returns the sidecars that callers from outside use.
+// firstTierSidecars returns the sidecars that external callers use.
 func (r *rehearsal) firstTierSidecars() []*sidecar { return r.sidecars[:r.plan.Sidecars.Count] }
 
-// applyLinkFault plays a step of the links: an amount above 0 begins a fault, one below 0 ends it.
+// applyLinkFault applies a step of kind LinkFault: an amount above 0 begins a fault, one below 0 ends it. The sign is not part of the
+// amount.
 func (r *rehearsal) applyLinkFault(step *scenario.Step) {
 	amount, on := max(step.Amount, -step.Amount), step.Amount > 0
-	var some, others []string
+	var affected, others []string
 	for i, s := range r.firstTierSidecars() {
 		if i >= step.Sidecar && i < step.Sidecar+int(amount) {
-			some = append(some, s.name)
+			affected = append(affected, s.name)
 		} else {
 			others = append(others, s.name)
 		}
 	}
 	switch step.Name {
 	case "cut":
-		r.links.Partition(some, others, on)
-		r.links.Partition(others, some, on)
+		r.links.Partition(affected, others, on)
+		r.links.Partition(others, affected, on)
 	case "mute":
-		r.links.Partition(some, others, on)
+		r.links.Partition(affected, others, on)
 	default:
 		if !on {
 			amount = 0
@@ -61,18 +62,19 @@
 	}
 }
 
-// convergenceTimeout is how long the sidecars that serve have to agree on one view once no fault is left.
+// convergenceTimeout bounds how long the serving sidecars may take to agree on one view after all link faults have ended.
 const convergenceTimeout = 90 * time.Second
 
-// convergenceInterval is how often their views are compared.
+// convergenceInterval is the interval at which waitForConvergence compares the views.
 const convergenceInterval = 100 * time.Millisecond
 
-// waitForOneView waits until all sidecars that serve have one view, settled, and returns "", or the views that they have.
-func (r *rehearsal) waitForOneView(ctx context.Context, program *program) string {
+// waitForConvergence ends all link faults and waits until all serving sidecars have the same settled view. It returns an empty string
+// then, or the differing views after convergenceTimeout or when the context ends.
+func (r *rehearsal) waitForConvergence(ctx context.Context, program *program) string {
 	r.links.Heal()
 	for end := time.Now().Add(convergenceTimeout); ; {
-		one, views := r.compareViews(ctx, program)
-		if one {
+		agreed, views := r.compareViews(ctx, program)
+		if agreed {
 			return ""
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
@@ -85,8 +87,8 @@
 	}
 }
 
-// compareViews reports whether all sidecars that serve have one view, settled, and returns their views as text.
-func (r *rehearsal) compareViews(ctx context.Context, program *program) (one bool, text string) {
+// compareViews reports whether all serving sidecars have the same settled view, and returns their views as text.
+func (r *rehearsal) compareViews(ctx context.Context, program *program) (agreed bool, text string) {
 	serving := 0
 	for _, s := range r.firstTierSidecars() {
 		if s.serving() {
@@ -94,16 +96,16 @@
 		}
 	}
 	var views strings.Builder
-	one = true
+	agreed = true
 	for _, s := range r.firstTierSidecars() {
 		if !s.serving() {
 			continue
 		}
 		answer, err := admin.AskPeers(ctx, "unix:"+s.adminSocket(program.dir), false)
 		own := answer.Own
-		one = one && err == nil && own.Confidence == peers.Settled.String() && own.Instances == serving && own.OwnsName
+		agreed = agreed && err == nil && own.Confidence == peers.Settled.String() && own.Instances == serving && own.OwnsName
 		fmt.Fprintf(&views, "%s: %s, number %d of %d, %d of %d in reach, %v\n",
 			s.name, own.Confidence, own.Ordinal, own.Instances, own.Reachable, own.GroupSize, err)
 	}
-	return one, views.String()
+	return agreed, views.String()
 }
--- a/internal/rehearsal/rehearse/model.go
+++ b/internal/rehearsal/rehearse/model.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// resetTimer sets the timer to when the model changes next by itself. s.mu is held.
+// resetTimer sets the timer to the model's next scheduled change. The caller holds s.mu.
 func (s *server) resetTimer() {
 	if s.model == nil {
 		return
@@ -19,7 +19,7 @@
 	}
 }
 
-// handleTimer advances the model, and records by how much the timer was late if that matters.
+// handleTimer advances the model, and records the timer's delay if it exceeds lateThreshold.
 func (s *server) handleTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,15 +37,15 @@
 	s.resetTimer()
 }
 
-// advance brings the model up to now, and goes on with the attempts whose work has ended. s.mu is held.
+// advance advances the model to the current time, and processes the attempts whose work has completed. The caller holds s.mu.
 func (s *server) advance() {
 	s.complete(s.model.Advance(s.rehearsal.now()))
 }
 
-// complete goes on with the attempts whose work has ended. s.mu is held.
-func (s *server) complete(done []emulator.Completion) {
-	for _, completion := range done {
-		attempt := s.calls[completion.ID]
+// complete processes attempts whose work has completed or that have expired. The caller holds s.mu.
+func (s *server) complete(completions []emulator.Completion) {
+	for _, completion := range completions {
+		attempt := s.accepted[completion.ID]
 		switch {
 		case attempt == nil:
 			if s.model != nil {
@@ -59,21 +59,21 @@
 	}
 }
 
-// completeWork makes the calls of an attempt to the next tier, or answers it if it has none to make.
+// completeWork starts an attempt's calls to the next tier, or serves the attempt if none remain. The caller holds s.mu.
 func (s *server) completeWork(attempt *attempt) {
 	attempt.work += s.model.WorkDone(attempt.id)
 	if s.tier().Calls != "" && !attempt.afterCalls {
 		s.rehearsal.calls.Go(func() { s.callNextTier(attempt) })
 		return
 	}
-	more := s.model.Release(s.rehearsal.now(), attempt.id)
+	completions := s.model.Release(s.rehearsal.now(), attempt.id)
 	s.answer(attempt, audit.Served)
 	if s.model != nil {
-		s.complete(more)
+		s.complete(completions)
 	}
 }
 
-// addOverhead gives the model work that belongs to no attempt. s.mu is held.
+// addOverhead adds work to the model that belongs to no attempt. The caller holds s.mu.
 func (s *server) addOverhead(work time.Duration) {
 	if s.model == nil || work <= 0 {
 		return
@@ -85,8 +85,8 @@
 	s.resetTimer()
 }
 
-// slow makes the model pause, or changes its speed.
-func (s *server) slow(step *scenario.Step) {
+// changeSpeed pauses the model or changes its speed, as the step says.
+func (s *server) changeSpeed(step *scenario.Step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.model == nil {
@@ -101,7 +101,8 @@
 	s.resetTimer()
 }
 
-// collapse stops a server that was overloaded while it was cold, and has it restarted if its tier does that. s.mu is held.
+// collapse stops a server that was overloaded while cold, and schedules its restart if its tier has a restart delay. The caller holds
+// s.mu.
 func (s *server) collapse() {
 	s.record(audit.ServerCollapsed)
 	s.stopLocked()
@@ -111,8 +112,8 @@
 	}
 }
 
-// restartAfterCollapse starts a collapsed server again, unless it was started or stopped since. Discovery is notified of it as of any
-// start.
+// restartAfterCollapse restarts a collapsed server, unless it was started or stopped in the meantime. Discovery is notified after the
+// usual delay for a start.
 func (s *server) restartAfterCollapse(incarnation int) {
 	if !s.isIncarnation(incarnation) || s.rehearsal.ctx.Err() != nil || s.start(true) != nil {
 		return
@@ -125,20 +126,20 @@
 	})
 }
 
-// isIncarnation reports whether the server was neither started nor stopped since it had this incarnation.
+// isIncarnation reports whether the server still has this incarnation: it was neither started nor stopped in the meantime.
 func (s *server) isIncarnation(incarnation int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.incarnation == incarnation
 }
 
-// loadReport returns the value of X-Pressure; empty if the server reports no load. s.mu is held.
+// loadReport returns the value of the X-Pressure header; empty if the server reports no load. The caller holds s.mu.
 func (s *server) loadReport() string {
 	if s.model == nil || s.spec.Spec.ReportEvery == 0 {
 		return ""
 	}
-	if r, ok := s.model.LoadReport(); ok {
-		return fmt.Sprintf("inflight=%d,queue=%d,util=%.3f", r.InFlight, r.Queued, r.Utilization)
+	if report, ok := s.model.LoadReport(); ok {
+		return fmt.Sprintf("inflight=%d,queue=%d,util=%.3f", report.InFlight, report.Queued, report.Utilization)
 	}
 	return ""
 }
--- a/internal/rehearsal/rehearse/network.go
+++ b/internal/rehearsal/rehearse/network.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// port is the port of all addresses of a rehearsal.
+// port is the TCP and UDP port of all addresses in a rehearsal.
 const port = 5000
 
-// firstNetwork and lastNetwork bound the A of 127.A.0.0/16 that a rehearsal may take.
+// firstNetwork and lastNetwork bound the second byte of the networks 127.A.0.0/16 that a rehearsal may claim.
 const firstNetwork, lastNetwork = 64, 120
 
-// The third byte of an address tells what it is of; lower ones are of servers.
+// The third byte of an address, called its row, tells the role of the host; rows below sidecarRow belong to servers.
 const (
 	sidecarRow   = 200
 	discoveryRow = 201
 	consulRow    = 202
-	peersRow     = 203 // where a sidecar listens for others
-	relayRow     = 204 // where others reach it, through its relay
+	peersRow     = 203 // addresses at which sidecars listen for their peers
+	relayRow     = 204 // addresses of the relays through which peers reach them
 
 	hostsPerRow    = 250
 	firstHost      = 1
 	maxServerSlots = sidecarRow * hostsPerRow
 )
 
-// claimNetwork takes a network that no other rehearsal on this machine has.
+// claimNetwork claims the first network that no other rehearsal on this machine uses, by listening on one of its addresses. It fails if
+// all are in use.
 func (r *rehearsal) claimNetwork() error {
-	for a := firstNetwork; a <= lastNetwork; a++ {
-		guard, err := r.listen(fmt.Sprintf("127.%d.255.254:%d", a, port))
+	for network := firstNetwork; network <= lastNetwork; network++ {
+		claim, err := r.listen(fmt.Sprintf("127.%d.255.254:%d", network, port))
 		if err == nil {
-			r.network, r.guard = a, guard
+			r.network, r.networkClaim = network, claim
 			return nil
 		}
 	}
-	return fmt.Errorf("no network from 127.%d to 127.%d is free on loopback", firstNetwork, lastNetwork)
+	return fmt.Errorf("claim loopback network: all from 127.%d to 127.%d are in use", firstNetwork, lastNetwork)
 }
 
-// address returns the address of the i-th host of a row.
+// address returns the address of the i-th host in a row, with the port.
 func (r *rehearsal) address(row, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", r.network, row, i+firstHost, port)
 }
@@ -56,12 +57,12 @@
 
 func (r *rehearsal) relayAddress(i int) string { return r.address(relayRow, i) }
 
-// listen listens on TCP.
+// listen opens a TCP listener.
 func (r *rehearsal) listen(address string) (net.Listener, error) {
 	return new(net.ListenConfig).Listen(r.ctx, "tcp", address)
 }
 
-// dial connects on TCP.
+// dial opens a TCP connection.
 func (r *rehearsal) dial(address string, timeout time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: timeout}).DialContext(r.ctx, "tcp", address)
 }
--- a/internal/rehearsal/rehearse/play.go
+++ b/internal/rehearsal/rehearse/play.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// settleTime is from when all sidecars serve to when callers come. What is recorded before lies below 0 on the clock.
-const settleTime = 300 * time.Millisecond
+// callerStartDelay is the time from when all sidecars serve until the first caller may arrive. Events before that have negative times.
+const callerStartDelay = 300 * time.Millisecond
 
-// play plays the steps and the arrivals in real time, and waits until every caller has ended.
+// play plays the steps and the arrivals in real time, and returns when all callers and steps have ended. It stops starting them when
+// the context ends.
 func (r *rehearsal) play(ctx context.Context, program *program, progress func(Progress)) {
-	r.clockOffset.Store(int64(time.Since(r.createdAt) + settleTime))
-	watching, stop := context.WithCancel(ctx)
+	r.clockOffset.Store(int64(time.Since(r.createdAt) + callerStartDelay))
+	watchContext, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
 	defer func() {
 		stop()
-		watchers.Wait() // progress is not called once Run has returned
+		watchers.Wait() // progress must not be called after Run has returned
 	}()
-	watchers.Go(func() { r.watchLateness(watching) })
+	watchers.Go(func() { r.watchLateness(watchContext) })
 	if progress != nil {
-		watchers.Go(func() { r.reportProgress(watching, progress) })
+		watchers.Go(func() { r.reportProgress(watchContext, progress) })
 	}
 	var callers, steps sync.WaitGroup
 	steps.Go(func() { r.playSteps(ctx, program, &steps) })
@@ -35,19 +36,19 @@
 	steps.Wait()
 }
 
-// playSteps plays the steps when they are due. What takes longer goes on among steps.
+// playSteps plays each step at its time. Steps that take longer continue in goroutines of the wait group.
 func (r *rehearsal) playSteps(ctx context.Context, program *program, steps *sync.WaitGroup) {
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
 		if step.At > r.plan.Length || !r.waitUntil(ctx, step.At) {
 			return
 		}
-		r.recordLateness(r.now() - step.At) // late, a server that should be down by now takes calls
+		r.recordLateness(r.now() - step.At) // a late step leaves a server up that should be down
 		r.playStep(ctx, program, step, steps)
 	}
 }
 
-// waitUntil waits until a time on the rehearsal's clock; false if the context ends before.
+// waitUntil waits until a time on the rehearsal's clock. It returns false if the context has ended.
 func (r *rehearsal) waitUntil(ctx context.Context, at time.Duration) bool {
 	if wait := at - r.now(); wait > 0 {
 		select {
@@ -59,7 +60,7 @@
 	return ctx.Err() == nil
 }
 
-// reportProgress reports progress once a second, until the context ends.
+// reportProgress calls progress once a second until the context ends.
 func (r *rehearsal) reportProgress(ctx context.Context, progress func(Progress)) {
 	c := &r.counters
 	for second := 1; r.waitUntil(ctx, time.Duration(second)*time.Second); second++ {
--- a/internal/rehearsal/rehearse/program.go
+++ b/internal/rehearsal/rehearse/program.go
@@ -11,17 +11,17 @@
 	"syscall"
 )
 
-// program is the sidecar's program, and where its files and logs go.
+// program is the sidecar's program, with the folder for its files and logs.
 type program struct {
 	path string
 	dir  string
-	env  []string // beside this process's own
-	// starter runs functions on one thread that lives as long as the program is used: a child is killed when the thread that started
-	// it ends, and so no sidecar outlives this process, however it ends.
+	env  []string // environment variables added to those of this process
+	// starter runs functions on one thread that lives as long as the program is used. Pdeathsig kills a child when the thread that
+	// started it ends, so no sidecar outlives this process, however it ends.
 	starter chan func()
 }
 
-// newProgram returns a program with its starter, which ends when its channel is closed.
+// newProgram returns a program and starts its thread, which ends when starter is closed.
 func newProgram(path, dir string) *program {
 	p := &program{path: path, dir: dir, starter: make(chan func())}
 	go func() {
@@ -33,8 +33,8 @@
 	return p
 }
 
-// command returns the process of a sidecar, which is not started. It ends by itself or by signals, not with a context: its end is
-// part of what is rehearsed.
+// command returns the command of a sidecar process, not started. The process exits by itself or by a signal and not with a context,
+// because its exit is part of the rehearsal.
 func (p *program) command(config string, args []string, output io.Writer) *exec.Cmd {
 	cmd := exec.CommandContext(context.Background(), p.path, args...)
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config, "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
@@ -45,19 +45,19 @@
 	return cmd
 }
 
-// start starts a process on the thread of the starter.
+// start starts a process on the starter thread.
 func (p *program) start(cmd *exec.Cmd) error {
 	started := make(chan error, 1)
 	p.starter <- func() { started <- cmd.Start() }
 	return <-started
 }
 
-// copyLog copies what the process writes to its log, and keeps the last line.
+// copyLog copies the process's output to its log file, and stores the last line that is not empty.
 func (s *sidecar) copyLog(output io.Reader, logs io.WriteCloser) {
-	defer func() { _ = logs.Close() }() // the log is for people; what is judged doesn't depend on it
+	defer func() { _ = logs.Close() }() // errors are ignored: the verdict does not depend on the log
 	for lines := bufio.NewReader(output); ; {
 		line, err := lines.ReadString('\n')
-		_, _ = io.WriteString(logs, line) // likewise
+		_, _ = io.WriteString(logs, line) // ignored for the same reason
 		if line = strings.TrimSpace(line); line != "" {
 			s.mu.Lock()
 			s.lastLine = line
@@ -69,7 +69,7 @@
 	}
 }
 
-// lastLogLine returns the last line that the process has written.
+// lastLogLine returns the last line that the process wrote and that is not empty.
 func (s *sidecar) lastLogLine() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rehearsal/rehearse/rehearsal.go
+++ b/internal/rehearsal/rehearse/rehearsal.go
@@ -15,72 +15,72 @@
 	"quincegap/internal/standin/relay"
 )
 
-// rehearsal is one rehearsal while it runs. Its clock stands at 0 when callers begin to come.
+// rehearsal is the state of a running rehearsal. Its clock is 0 when the first caller may arrive.
 type rehearsal struct {
-	plan        *scenario.Plan
-	log         audit.Log
-	createdAt   time.Time
-	clockOffset atomic.Int64 // from createdAt to when the clock stands at 0, in nanoseconds
-	ctx         context.Context
-	network     int          // the A of 127.A.0.0/16
-	guard       net.Listener // holds the network against other rehearsals
+	plan         *scenario.Plan
+	log          audit.Log
+	createdAt    time.Time
+	clockOffset  atomic.Int64 // time from createdAt until the clock is 0, in nanoseconds
+	ctx          context.Context
+	network      int          // second byte of the claimed network 127.A.0.0/16
+	networkClaim net.Listener // keeps other rehearsals from claiming the network
 
-	links       *relay.Network   // between sidecars that find one another; nil where they do not
-	certificate *tls.Certificate // of servers that speak HTTP/3; nil where none does
-	authority   string           // the file with the certificate of its authority
+	links       *relay.Network   // links between sidecars that discover each other; nil if they do not
+	certificate *tls.Certificate // certificate of the HTTP/3 servers; nil if there are none
+	authority   string           // path of the file with the certificate of its authority
 
-	attempts        atomic.Uint64 // the id of the last attempt at a server
+	attempts        atomic.Uint64 // id of the latest attempt at a server
 	mu              sync.Mutex
-	attemptsSeen    map[string]int                 // attempts by X-Txn
-	memories        map[[2]int]*emulator.KeyMemory // by tier and cell
-	effects         map[string]int                 // by tier and key
-	repeatedEffects int                            // effects of a key beyond its first
+	attemptsSeen    map[string]int                 // number of attempts by request id (X-Txn)
+	keyMemories     map[[2]int]*emulator.KeyMemory // idempotency keys seen, by tier and cell
+	effects         map[string]int                 // number of effects by tier and idempotency key
+	repeatedEffects int                            // effects of an idempotency key after its first
 
 	servers       []*server
-	discovery     []*tierDiscovery // by tier
+	discovery     []*tierDiscovery // server lists by tier
 	rotation      rotation
-	sidecars      []*sidecar                       // those of the first tier, then one for each server that calls
-	sidecarOf     map[int]*sidecar                 // by server
-	faultyCallers atomic.Int64                     // how many faulty callers are wanted
-	unanswered    [faultyRequestCount]atomic.Int64 // faulty requests that were neither answered nor closed in time
-	calls         sync.WaitGroup                   // calls of servers to the next tier, and faulty callers
+	sidecars      []*sidecar                       // sidecars of the first tier, then one for each server that makes calls
+	sidecarOf     map[int]*sidecar                 // sidecars of the servers that make calls, by server index
+	faultyCallers atomic.Int64                     // wanted number of faulty callers
+	unanswered    [faultyRequestCount]atomic.Int64 // counts by input: faulty requests neither answered nor closed in time
+	calls         sync.WaitGroup                   // goroutines of faulty callers and of calls to the next tier
 	counters      counters
 }
 
-// counters are for the lines of progress.
+// counters are the counts for Progress and Result.
 type counters struct{ http3, requests, served, rejected, failed, attempts atomic.Int64 }
 
-// beforeStart is the offset of the clock for as long as it is not known when callers come.
-const beforeStart = time.Hour
+// initialClockOffset is the offset of the clock until the time of the first caller is known. It keeps the clock below 0.
+const initialClockOffset = time.Hour
 
-// newRehearsal returns a rehearsal whose clock has not begun.
+// newRehearsal returns a rehearsal whose clock has the initial offset.
 func newRehearsal(ctx context.Context, plan *scenario.Plan) *rehearsal {
 	r := &rehearsal{
 		plan:         plan,
 		createdAt:    time.Now(),
 		ctx:          ctx,
 		attemptsSeen: map[string]int{},
-		memories:     map[[2]int]*emulator.KeyMemory{},
+		keyMemories:  map[[2]int]*emulator.KeyMemory{},
 		effects:      map[string]int{},
 		sidecarOf:    map[int]*sidecar{},
 	}
-	r.clockOffset.Store(int64(beforeStart))
+	r.clockOffset.Store(int64(initialClockOffset))
 	return r
 }
 
-// now returns the time on the rehearsal's clock; below 0 before callers come.
+// now returns the time on the rehearsal's clock, which is negative before callers may arrive.
 func (r *rehearsal) now() time.Duration {
 	return time.Since(r.createdAt) - time.Duration(r.clockOffset.Load())
 }
 
-// wall returns the wall-clock time of a time on the rehearsal's clock.
+// wall converts a time on the rehearsal's clock to wall-clock time.
 func (r *rehearsal) wall(at time.Duration) time.Time {
 	return r.createdAt.Add(time.Duration(r.clockOffset.Load()) + at)
 }
 
 func (r *rehearsal) record(e audit.Event) { r.log.Add(e) }
 
-// countAttempt numbers the attempts of one request, from 1.
+// countAttempt counts an attempt of a request and returns its number, from 1.
 func (r *rehearsal) countAttempt(request string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,8 @@
 	return r.attemptsSeen[request]
 }
 
-// recordExecution records that a request with an idempotency key runs at a server.
+// recordExecution records that a request with an idempotency key runs at a server, and counts its effect unless the key was seen in the
+// server's cell within the class's window.
 func (r *rehearsal) recordExecution(server *server, key string, class *scenario.Class) {
 	if key == "" || class == nil {
 		return
@@ -96,10 +97,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	group := [2]int{server.spec.Tier, server.spec.Cell}
-	memory := r.memories[group]
+	memory := r.keyMemories[group]
 	if memory == nil {
 		memory = &emulator.KeyMemory{Window: class.Window}
-		r.memories[group] = memory
+		r.keyMemories[group] = memory
 	}
 	if memory.Execute(r.now(), key) {
 		name := fmt.Sprint(server.spec.Tier, " ", key)
@@ -110,7 +111,7 @@
 	}
 }
 
-// class returns the index of a class and the class; -1 and nil if there is none of that name.
+// class returns the index of the named class and the class itself, or -1 and nil if there is no such class.
 func (r *rehearsal) class(name string) (int, *scenario.Class) {
 	for i, c := range r.plan.Classes {
 		if c.Name == name {
--- a/internal/rehearsal/rehearse/rotation.go
+++ b/internal/rehearsal/rehearse/rotation.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// rotation distributes callers over the sidecars of the first tier. It notices only after a while that one has died.
+// rotation distributes external callers over the sidecars of the first tier in turn. It removes a failed sidecar only after a delay.
 type rotation struct {
-	idle    connectionPool // of callers from outside
+	idle    connectionPool // idle connections of external callers
 	mu      sync.Mutex
 	serving []*sidecar
 	next    int
 }
 
 const (
-	// failureNotice is how long the rotation goes on sending to a sidecar that was killed or stands still.
+	// failureNotice is the delay until the rotation removes a sidecar that was killed or suspended.
 	failureNotice = 2 * time.Second
-	// drainNotice is how long new connections come to a sidecar that was asked to end.
+	// drainNotice is the delay until the rotation removes a sidecar that was told to terminate.
 	drainNotice = 300 * time.Millisecond
 )
 
-// add adds a sidecar, as the last one.
+// add adds a sidecar at the end, or moves it there if it is already included.
 func (r *rotation) add(s *sidecar) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,7 +37,7 @@
 	r.removeLocked(s)
 }
 
-// removeEnded removes a sidecar, unless it has been started again since.
+// removeEnded removes a sidecar, unless a new process has replaced the given one.
 func (r *rotation) removeEnded(s *sidecar, process *os.Process) {
 	s.mu.Lock()
 	same := s.process != nil && s.process.Process == process
@@ -52,7 +52,7 @@
 	r.serving = slices.DeleteFunc(slices.Clone(r.serving), func(s *sidecar) bool { return s == removed })
 }
 
-// pick returns the next sidecar; nil if none serves.
+// pick returns the next sidecar in turn, or nil if the rotation is empty.
 func (r *rotation) pick() *sidecar {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,7 @@
 	return r.serving[r.next%len(r.serving)]
 }
 
-// ifServing returns a sidecar if it is in the rotation, else nil.
+// ifServing returns the sidecar if the rotation includes it, otherwise nil.
 func (r *rotation) ifServing(s *sidecar) *sidecar {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rehearsal/rehearse/run.go
+++ b/internal/rehearsal/rehearse/run.go
@@ -13,51 +13,52 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// maxSidecars bounds how many sidecars are played on sockets, each of which is a process.
+// maxSidecars bounds the number of sidecars in a rehearsal on sockets, because each one is a process.
 const maxSidecars = 64
 
-// Options are how a rehearsal is run.
+// Options configure a rehearsal.
 type Options struct {
 	Program  string              // path of the sidecar's program
-	Env      []string            // its environment beside this process's own
-	Dir      string              // folder of its configurations and logs; it must exist
-	Progress func(Progress)      // is called once a second; nil for none
-	Events   func([]audit.Event) // gets all events at the end; nil for none
+	Env      []string            // environment variables added to those of this process
+	Dir      string              // folder for the sidecars' configuration files and logs; it must exist
+	Progress func(Progress)      // function called once a second; may be nil
+	Events   func([]audit.Event) // function called at the end with all events; may be nil
 }
 
-// Progress is how far a rehearsal has come. Its counts are of all that has happened so far.
+// Progress is the progress of a rehearsal. Its counts are totals since the start.
 type Progress struct {
-	At                                 time.Duration // on the rehearsal's clock, in whole seconds
-	Requests, Served, Rejected, Failed int64         // requests of callers from outside
-	Attempts                           int64         // at servers of all tiers
+	At                                 time.Duration // time on the rehearsal's clock, in whole seconds
+	Requests, Served, Rejected, Failed int64         // counts of requests by external callers
+	Attempts                           int64         // number of attempts at the servers of all tiers
 }
 
 // Result is the result of a rehearsal.
 type Result struct {
 	Plan                    *scenario.Plan
 	Verdict                 *audit.Verdict
-	CPU                     time.Duration // of all sidecars together
-	Memory                  int64         // of the largest sidecar, in bytes
-	UnansweredFaultyCallers int64         // faulty requests that were neither answered nor closed in time
-	UnansweredInputs        []string      // which these were
-	HTTP3                   int64         // attempts that came over HTTP/3
-	Processes               []int         // ids of all sidecar processes; all have ended
-	DivergentViews          string        // of sidecars that find one another; empty if they had one settled view at the end
-	RepeatedEffects         int           // effects of a key beyond its first, the callers' own retries included
+	CPU                     time.Duration // total CPU time of all sidecars
+	Memory                  int64         // peak memory of the largest sidecar, in bytes
+	UnansweredFaultyCallers int64         // number of faulty requests neither answered nor closed in time
+	UnansweredInputs        []string      // descriptions of these requests: count and input
+	HTTP3                   int64         // number of attempts over HTTP/3
+	Processes               []int         // ids of all sidecar processes, which have all ended
+	DivergentViews          string        // the sidecars' views of their peers if they differ at the end, otherwise empty
+	RepeatedEffects         int           // effects of an idempotency key after its first, including those of the callers' retries
 }
 
-// CheckSockets returns why a plan can be played in virtual time only; nil if it can be played on sockets too.
+// CheckSockets returns an error that tells why a plan can be played only in virtual time, or nil if it can also be played on sockets.
 func CheckSockets(plan *scenario.Plan) error {
 	if n := len(plan.SidecarSpecs()); n > maxSidecars {
 		return fmt.Errorf("%d sidecars are more than the %d that are played on sockets", n, maxSidecars)
 	}
 	if plan.Servers[len(plan.Servers)-1].Slot >= maxServerSlots {
-		return fmt.Errorf("more addresses of boxes than the %d that there are on sockets", maxServerSlots)
+		return fmt.Errorf("boxes of the plan need more than the %d addresses available on sockets", maxServerSlots)
 	}
 	return nil
 }
 
-// Run plays a plan. It returns an error if the plan could not be played; what a sidecar did wrong is in the verdict.
+// Run plays a plan on sockets. It fails if the plan cannot be played or the context ends; faults of the sidecars are reported in the
+// verdict and are no error.
 func Run(ctx context.Context, plan *scenario.Plan, options Options) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -68,7 +69,7 @@
 	if err := rehearsal.claimNetwork(); err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, rehearsal.guard.Close()) }()
+	defer func() { err = errors.Join(err, rehearsal.networkClaim.Close()) }()
 	program, err := findProgram(&options)
 	if err != nil {
 		return nil, err
@@ -81,7 +82,7 @@
 	if rehearsal.links != nil {
 		defer rehearsal.links.Close()
 	}
-	defer rehearsal.endAll() // also if not all could be started: no process is left
+	defer rehearsal.stopSidecars() // also after a failed start, so that no process is left
 	if err := rehearsal.startAll(ctx, program); err != nil {
 		return nil, err
 	}
@@ -89,33 +90,33 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	rehearsal.findHanging(ctx)
+	rehearsal.recordHangingSidecars(ctx)
 	result = &Result{Plan: plan}
 	if rehearsal.links != nil {
-		result.DivergentViews = rehearsal.waitForOneView(ctx, program)
+		result.DivergentViews = rehearsal.waitForConvergence(ctx, program)
 	}
 	cancel()
-	rehearsal.endAll()
+	rehearsal.stopSidecars()
 	rehearsal.calls.Wait()
 	rehearsal.judge(result, options.Events)
 	return result, nil
 }
 
-// findProgram returns the sidecar to start; the error says how to build it.
+// findProgram returns the sidecar's program. It fails if the file does not exist; the error says how to build it.
 func findProgram(options *Options) (*program, error) {
 	path, err := filepath.Abs(options.Program)
 	if err != nil {
 		return nil, err
 	}
 	if _, err := os.Stat(path); err != nil {
-		return nil, fmt.Errorf("the sidecar's program: %w (make builds it)", err)
+		return nil, fmt.Errorf("find sidecar program: %w (run make to build it)", err)
 	}
 	p := newProgram(path, options.Dir)
 	p.env = options.Env
 	return p, nil
 }
 
-// create creates the servers, their discovery and the sidecars, and starts none of them.
+// create creates the servers, their discovery and the sidecars without starting them. It starts the relays between sidecars, if any.
 func (r *rehearsal) create(ctx context.Context, dir string) (err error) {
 	r.createSidecars()
 	for tier := range r.plan.Tiers {
@@ -135,14 +136,14 @@
 	return ctx.Err()
 }
 
-// stopServers ends all servers.
+// stopServers stops all servers.
 func (r *rehearsal) stopServers() {
 	for _, server := range r.servers {
 		server.stop()
 	}
 }
 
-// judge judges the events, and adds up what the sidecars used. All have ended.
+// judge passes the events to the audit and fills in the result. All sidecars must have ended.
 func (r *rehearsal) judge(result *Result, eventsTo func([]audit.Event)) {
 	events, lost := r.log.Events()
 	if eventsTo != nil {
@@ -168,8 +169,8 @@
 	}
 }
 
-// findHanging records sidecars that run and do not answer.
-func (r *rehearsal) findHanging(ctx context.Context) {
+// recordHangingSidecars records the sidecars whose process runs but does not answer GET /ready.
+func (r *rehearsal) recordHangingSidecars(ctx context.Context) {
 	for _, s := range r.sidecars {
 		if s.serving() && !s.isReady(ctx) {
 			select {
@@ -181,9 +182,9 @@
 	}
 }
 
-// endAll ends all sidecars and their discovery.
-func (r *rehearsal) endAll() {
-	// A sidecar that was asked to end waits for callers that are connected.
+// stopSidecars stops all sidecars, then their discovery.
+func (r *rehearsal) stopSidecars() {
+	// A terminating sidecar waits for connected callers, so their connections are closed first.
 	r.rotation.idle.close()
 	for _, s := range r.sidecars {
 		s.idle.close()
--- a/internal/rehearsal/rehearse/server.go
+++ b/internal/rehearsal/rehearse/server.go
@@ -14,29 +14,30 @@
 	"quincegap/internal/standin/h3"
 )
 
-// server is an emulated server on a socket: connections and streams carry attempts to its model, which decides when each is answered.
+// server is an emulated server on a socket. It passes the attempts from its connections and streams to its model, which decides when each
+// is answered.
 type server struct {
 	rehearsal *rehearsal
 	index     int
 	spec      *scenario.Server
 
 	mu          sync.Mutex
-	model       *emulator.Server // nil while it is down or silent
+	model       *emulator.Server // model of the server's capacity; nil while it is down or silent
 	listener    *net.TCPListener
 	connections map[*connection]bool
-	calls       map[uint64]*attempt // attempts that the model has, by id
-	timer       *time.Timer         // runs handleTimer when the model changes by itself
-	incarnation int                 // counts starts and stops: what belongs to an earlier one is void
-	silent      bool                // its machine does not respond
-	accepting   chan struct{}       // closed when accept has returned
+	accepted    map[uint64]*attempt // attempts that the model has accepted, by id
+	timer       *time.Timer         // runs handleTimer at the model's next scheduled change
+	incarnation int                 // number of starts and stops; state of earlier incarnations is invalid
+	silent      bool                // whether the server's machine does not respond
+	accepting   chan struct{}       // closed when the accept goroutine has ended
 	backlogFill []net.Conn          // connections that fill the backlog of a silent machine
-	faults      map[string]float64  // by the name in the script: the share of attempts that it happens to
-	random      *rand.Rand          // draws which attempts the faults happen to
+	faults      map[string]float64  // share of attempts affected by each fault, by its name in the script
+	random      *rand.Rand          // source for drawing the attempts that faults affect
 
-	http3Endpoint *h3.Endpoint         // nil where its tier speaks HTTP/1.1 alone
-	streams       map[*stream]*attempt // the open streams of http3Endpoint
-	previousEnded chan struct{}        // closed when an earlier incarnation has released its UDP socket
-	muted         atomic.Bool          // its UDP socket neither receives nor sends
+	http3Endpoint *h3.Endpoint         // HTTP/3 endpoint; nil if the server is down or its tier uses only HTTP/1.1
+	streams       map[*stream]*attempt // attempts of the open streams of http3Endpoint
+	previousEnded chan struct{}        // closed when the previous incarnation has released its UDP socket; nil if none used it
+	muted         atomic.Bool          // whether the UDP socket drops everything it would receive or send
 }
 
 // newServer returns a server that is down.
@@ -47,7 +48,7 @@
 		spec:        &r.plan.Servers[index],
 		connections: map[*connection]bool{},
 		streams:     map[*stream]*attempt{},
-		calls:       map[uint64]*attempt{},
+		accepted:    map[uint64]*attempt{},
 		faults:      map[string]float64{},
 		random:      rand.New(emulator.RandomSource(r.plan.Seed, fmt.Sprint("faults ", index))),
 	}
@@ -56,7 +57,8 @@
 	return s
 }
 
-// start starts the server. One that is cold is warming up from now on; otherwise it has been up for long.
+// start starts the server: warming up if cold, otherwise as if it had been up for long. It fails if the server's address is not
+// available.
 func (s *server) start(cold bool) error {
 	s.awaitPreviousEnd(s.rehearsal.ctx)
 	address, err := net.ResolveTCPAddr("tcp", s.rehearsal.serverAddress(s.spec.Slot))
@@ -86,20 +88,20 @@
 	return s.startHTTP3(incarnation)
 }
 
-// stop ends the server: it closes the listener and resets the connections. Attempts in flight are dropped.
+// stop stops the server: it closes the listener, resets the connections and drops attempts in flight.
 func (s *server) stop() {
 	s.mu.Lock()
 	s.stopLocked()
 	s.mu.Unlock()
 }
 
-// stopLocked is stop with s.mu held.
+// stopLocked is stop for a caller that holds s.mu.
 func (s *server) stopLocked() {
 	s.incarnation++
 	s.model = nil
 	s.timer.Stop()
 	if s.listener != nil {
-		_ = s.listener.Close() // open, or closed with nothing to lose
+		_ = s.listener.Close() // fails only if already closed
 		s.listener = nil
 	}
 	for _, c := range s.backlogFill {
@@ -114,17 +116,17 @@
 		delete(s.connections, c)
 	}
 	s.stopHTTP3()
-	clear(s.calls)
+	clear(s.accepted)
 }
 
-// setFault sets the share of attempts that a fault happens to.
+// setFault sets the share of attempts, from 0 to 1, that the named fault affects.
 func (s *server) setFault(name string, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[name] = share
 }
 
-// record records an event of the server now.
+// record records an event of the server at the current time.
 func (s *server) record(kind audit.Kind) {
 	s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: kind, Server: s.index, Sidecar: -1, Origin: -1})
 }
--- a/internal/rehearsal/rehearse/server_test.go
+++ b/internal/rehearsal/rehearse/server_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := rehearsal.guard.Close(); err != nil {
+		if err := rehearsal.networkClaim.Close(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -132,7 +132,7 @@
 	conn.ask(t, "r2t1")
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		server.mu.Lock()
-		if len(server.calls) > 0 {
+		if len(server.accepted) > 0 {
 			time.Sleep(150 * time.Millisecond) // the server cannot work meanwhile, as if the emulator had no processor
 			server.mu.Unlock()
 			break
--- a/internal/rehearsal/rehearse/sidecar.go
+++ b/internal/rehearsal/rehearse/sidecar.go
@@ -16,41 +16,41 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// sidecar is a process of the program that is rehearsed, with its files and its discovery.
+// sidecar is one instance of the program under test, with its processes, files and discovery.
 type sidecar struct {
 	rehearsal         *rehearsal
 	index             int
 	name              string
 	address           string
-	tier              int            // that it sends to
-	notificationDelay time.Duration  // by how much later than others it is notified of servers
-	number            int            // among those of its tier
-	count             int            // how many these are
-	settingsPath      string         // the file with the platform's settings
-	idle              connectionPool // of the server whose calls go through it
+	tier              int            // index of the tier that it sends requests to
+	notificationDelay time.Duration  // additional delay before it is notified of server changes
+	number            int            // position among the sidecars of its tier
+	count             int            // number of sidecars of its tier
+	settingsPath      string         // path of the file with the platform's settings
+	idle              connectionPool // idle connections of the server whose calls it forwards
 	discovery         *discoveryAgent
-	consulAgent       *consulAgent // nil where the platform notifies it of servers
+	consulAgent       *consulAgent // Consul agent; nil if the platform notifies the sidecar of servers
 
 	mu       sync.Mutex
-	process  *exec.Cmd
-	ended    chan struct{} // closed when the process has ended
-	stopping bool          // it was asked to end, or stands still, so that its end is no crash
-	stopped  bool          // it stands still after SIGSTOP
+	process  *exec.Cmd     // latest process; nil before the first start
+	ended    chan struct{} // closed when the latest process has ended
+	stopping bool          // whether it was told to terminate or is suspended, so that its exit is not a crash
+	stopped  bool          // whether it is suspended by SIGSTOP
 	starts   int
 	pids     []int
-	cpu      time.Duration // of processes that have ended
-	memory   int64         // of the largest process, in bytes
-	lastLine string        // of the log
+	cpu      time.Duration // total CPU time of the processes that have ended
+	memory   int64         // peak memory of the largest ended process, in bytes
+	lastLine string        // last line of the log that is not empty
 }
 
 const (
-	// readyTimeout is how long a sidecar has until it serves.
+	// readyTimeout bounds the time from the start of a sidecar until it serves.
 	readyTimeout = 10 * time.Second
-	// readyInterval is how often it is asked whether it serves.
+	// readyInterval is the interval between two readiness checks.
 	readyInterval = 10 * time.Millisecond
 )
 
-// createSidecars creates the sidecars of the plan.
+// createSidecars creates the sidecars of the plan without starting them.
 func (r *rehearsal) createSidecars() {
 	for i, spec := range r.plan.SidecarSpecs() {
 		s := &sidecar{
@@ -64,7 +64,8 @@
 	}
 }
 
-// start starts the process, and returns when it serves.
+// start writes the sidecar's files, starts a process, and returns when it serves. It fails if the process cannot start, or exits or is
+// not ready within readyTimeout.
 func (s *sidecar) start(ctx context.Context, program *program) error {
 	s.mu.Lock()
 	s.starts++
@@ -82,7 +83,7 @@
 		return err
 	}
 	output, input := io.Pipe()
-	cmd := program.command(s.settingsPath, args, input) //nolint:contextcheck // it ends by signals, not with a context
+	cmd := program.command(s.settingsPath, args, input) //nolint:contextcheck // the process ends by signals, not with a context
 	if err := program.start(cmd); err != nil {
 		return errors.Join(fmt.Errorf("%s cannot be started: %w", program.path, err), input.Close(), logs.Close())
 	}
@@ -99,11 +100,11 @@
 	return s.waitReady(ctx, ended)
 }
 
-// await waits for the end of the process, and records it if nobody has asked for it.
+// await waits until the process exits, records its resource use, and records a crash if the exit was unexpected.
 func (s *sidecar) await(cmd *exec.Cmd, output io.Closer, ended chan<- struct{}) {
 	defer close(ended)
 	err := cmd.Wait()
-	_ = output.Close() // of a pipe in memory, which never fails
+	_ = output.Close() // closing an in-memory pipe never fails
 	s.mu.Lock()
 	expected, last := s.stopping, s.lastLine
 	if use, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
@@ -117,7 +118,7 @@
 	}
 }
 
-// exitText returns how a process ended, in words.
+// exitText describes how a process exited, given the error of Wait.
 func exitText(err error) string {
 	if err == nil {
 		return "exit code 0"
@@ -125,7 +126,7 @@
 	return err.Error()
 }
 
-// waitReady waits until the sidecar serves.
+// waitReady waits until the sidecar serves. It fails if the process exits or is not ready within readyTimeout.
 func (s *sidecar) waitReady(ctx context.Context, ended <-chan struct{}) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -144,10 +145,10 @@
 	}
 }
 
-// readinessClient asks sidecars whether they are ready.
+// readinessClient is the HTTP client for readiness checks; it opens a new connection for each.
 var readinessClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 
-// isReady reports whether GET /ready is answered 200.
+// isReady reports whether the sidecar answers GET /ready with status 200.
 func (s *sidecar) isReady(ctx context.Context) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.address+"/ready", nil)
 	if err != nil {
@@ -160,19 +161,19 @@
 	return response.Body.Close() == nil && response.StatusCode == http.StatusOK
 }
 
-// serving reports whether there is a process that was neither asked to end nor stopped.
+// serving reports whether a process was started that was neither told to terminate nor suspended since.
 func (s *sidecar) serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process != nil && !s.stopping && !s.stopped
 }
 
-// record records an event of the sidecar now.
+// record records an event of the sidecar at the current time.
 func (s *sidecar) record(kind audit.Kind) {
 	s.rehearsal.record(audit.Event{At: s.rehearsal.now(), Kind: kind, Sidecar: s.index, Server: -1, Origin: -1})
 }
 
-// recordDeath records that the sidecar ended by itself, or hangs.
+// recordDeath records that the sidecar exited unexpectedly or hangs; text says how.
 func (s *sidecar) recordDeath(text string) {
 	s.rehearsal.record(audit.Event{
 		At: s.rehearsal.now(), Kind: audit.SidecarDied, Sidecar: s.index, Server: -1, Origin: -1, Text: text,
--- a/internal/rehearsal/rehearse/sidecarfiles.go
+++ b/internal/rehearsal/rehearse/sidecarfiles.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// The tables of a sidecar's configuration file: for tiers that speak HTTP/3, for sidecars that follow Consul alone, and for sidecars
-// that find one another.
+// Templates of the tables in a sidecar's configuration file: for tiers that use HTTP/3, for sidecars that follow only Consul, and for
+// sidecars that discover each other.
 const (
 	http3File = `[http3-endpoints]
 http3_to_endpoints = "prefer"
@@ -47,10 +47,10 @@
 `
 )
 
-// maxJoinAddresses is how many others a sidecar is given to join.
+// maxJoinAddresses bounds the peer addresses that a sidecar is configured to join.
 const maxJoinAddresses = 3
 
-// writeSettings writes the file with the platform's settings; from the second start on it has the list that is known.
+// writeSettings writes the file with the platform's settings. From the second start on, the file includes the current server list.
 func (s *sidecar) writeSettings(dir string, starts int) error {
 	plan := s.rehearsal.plan
 	seed := uint64(s.index)<<32 ^ plan.Seed
@@ -74,7 +74,7 @@
 	return os.WriteFile(s.settingsPath, text, 0o600)
 }
 
-// writeConfigFile writes the product's file where the scenario needs one, and returns the arguments that name it.
+// writeConfigFile writes the product's configuration file if the scenario needs one, and returns the command-line arguments that name it.
 func (s *sidecar) writeConfigFile(dir string) (args []string, err error) {
 	text, tier := "", s.rehearsal.plan.Tiers[s.tier]
 	if tier.HTTP3 {
@@ -93,7 +93,7 @@
 	return []string{"-config", path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// peersTables returns the tables by which the sidecar finds others: it listens behind its relay, and joins the first ones.
+// peersTables returns the tables for peer discovery: the sidecar listens behind its relay and joins the first maxJoinAddresses sidecars.
 func (s *sidecar) peersTables(dir string) string {
 	var join []string
 	for i := range min(maxJoinAddresses, s.rehearsal.plan.Sidecars.Count) {
--- a/internal/rehearsal/rehearse/signals.go
+++ b/internal/rehearsal/rehearse/signals.go
@@ -9,10 +9,11 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// terminationMargin is how much longer than the platform lets it a sidecar has to end.
+// terminationMargin is the time beyond the platform's kill delay after which a terminating sidecar counts as hanging.
 const terminationMargin = 2 * time.Second
 
-// signal sends a signal to the process, if there is one. SIGTERM is followed by SIGKILL after the platform's delay.
+// signal sends the named signal to the process, if there is one. A signal that ends or suspends the process also schedules the sidecar's
+// removal from the rotation, and SIGTERM is followed by SIGKILL after the platform's kill delay.
 func (s *sidecar) signal(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,10 +49,10 @@
 	}
 }
 
-// sendSignal sends a signal to a process, which may have ended already: its end is waited for elsewhere.
+// sendSignal sends a signal to a process. Errors are ignored: the process may have ended already, and its exit is awaited elsewhere.
 func sendSignal(process *os.Process, signal syscall.Signal) { _ = process.Signal(signal) }
 
-// killWithServer kills the sidecar of a server that is started again; it may have stood still since the server became silent.
+// killWithServer kills the sidecar of a server that is being restarted. The sidecar may be suspended since the server became silent.
 func (s *sidecar) killWithServer() {
 	s.signal("SIGKILL")
 	s.mu.Lock()
@@ -59,14 +60,15 @@
 	s.mu.Unlock()
 }
 
-// restart starts a sidecar that has ended again, or continues one that stands still. One that has not ended yet is waited for.
+// restart starts a new process, or resumes the current one if it is suspended. It first waits for the exit of a process that is
+// terminating, and does nothing if the sidecar serves already.
 func (s *sidecar) restart(ctx context.Context, program *program) error {
 	s.mu.Lock()
 	process, ended, stopped, stopping := s.process, s.ended, s.stopped, s.stopping
 	s.mu.Unlock()
 	if process != nil && !stopping {
 		select {
-		case <-ended: // it has died by itself, which is recorded
+		case <-ended: // the process crashed, which is recorded already
 		default:
 			return nil // it serves already
 		}
@@ -88,8 +90,8 @@
 	return s.start(ctx, program)
 }
 
-// terminate ends the process for good. One that goes on after SIGTERM for longer than the platform lets it is killed, and recorded as
-// one that hangs.
+// terminate ends the process permanently and waits for its exit. A process that runs on after SIGTERM for longer than the platform's
+// kill delay and terminationMargin is recorded as hanging and killed.
 func (s *sidecar) terminate() {
 	s.mu.Lock()
 	process, ended, stopping, stopped := s.process, s.ended, s.stopping, s.stopped
@@ -112,7 +114,7 @@
 	case <-ended:
 	case <-time.After(s.rehearsal.plan.Rules.KillDelay + terminationMargin):
 		s.recordDeath("did not end after SIGTERM, and was killed")
-		_ = syscall.Kill(-process.Process.Pid, syscall.SIGKILL) // with all that it has started; it may end just now
+		_ = syscall.Kill(-process.Process.Pid, syscall.SIGKILL) // the whole process group; it may have ended already
 		<-ended
 	}
 }
--- a/internal/rehearsal/rehearse/start.go
+++ b/internal/rehearsal/rehearse/start.go
@@ -7,18 +7,18 @@
 	"sync"
 )
 
-// startAll starts what is there from the beginning: servers, discovery, then the sidecars.
+// startAll starts everything that the plan has at the beginning: servers, then discovery, then sidecars, which join the rotation.
 func (r *rehearsal) startAll(ctx context.Context, program *program) error {
 	for i, server := range r.servers {
 		if r.plan.Servers[i].StartsAt > 0 {
 			continue
 		}
 		if err := server.start(false); err != nil {
-			return fmt.Errorf("%s: %w", r.plan.Name(i), err)
+			return fmt.Errorf("start %s: %w", r.plan.Name(i), err)
 		}
 	}
 	for _, s := range r.sidecars {
-		if err := r.startDiscovery(s); err != nil { //nolint:contextcheck // its agents end with close, which waits for them
+		if err := r.startDiscovery(s); err != nil { //nolint:contextcheck // the agents end with close, which waits for them
 			return err
 		}
 	}
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// startDiscovery starts the discovery of one sidecar: the platform's, and Consul's where the scenario has it.
+// startDiscovery starts the discovery of one sidecar: the platform's agent, and a Consul agent if the scenario uses Consul.
 func (r *rehearsal) startDiscovery(s *sidecar) (err error) {
 	tier := r.discovery[s.tier]
 	if s.discovery, err = startDiscoveryAgent(tier, s.index, s.notificationDelay); err != nil {
@@ -47,13 +47,14 @@
 	return nil
 }
 
-// startSidecars starts all sidecars at once, but for those whose server starts later, and waits until they serve.
+// startSidecars starts all sidecars concurrently, except those whose server starts later, and waits until they serve. It returns the
+// errors of all that fail.
 func (r *rehearsal) startSidecars(ctx context.Context, program *program) error {
 	var starting sync.WaitGroup
 	errs := make([]error, len(r.sidecars))
 	for i, s := range r.sidecars {
 		if server := r.serverOf(s); server >= 0 && r.plan.Servers[server].StartsAt > 0 {
-			continue // it starts with its server
+			continue // the sidecar starts with its server
 		}
 		starting.Go(func() { errs[i] = s.start(ctx, program) })
 	}
@@ -61,7 +62,7 @@
 	return errors.Join(errs...)
 }
 
-// serverOf returns the server whose calls go through a sidecar, or -1.
+// serverOf returns the index of the server whose calls go through a sidecar, or -1 if there is none.
 func (r *rehearsal) serverOf(s *sidecar) int {
 	for server, other := range r.sidecarOf {
 		if other == s {
--- a/internal/rehearsal/rehearse/steps.go
+++ b/internal/rehearsal/rehearse/steps.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// playStep plays one step of the plan. What takes longer goes on in a goroutine of steps.
+// playStep plays one step of the plan. Actions that take longer continue in goroutines of the wait group steps.
 func (r *rehearsal) playStep(ctx context.Context, program *program, step *scenario.Step, steps *sync.WaitGroup) {
 	switch step.Kind {
 	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart,
@@ -48,7 +48,7 @@
 	}
 }
 
-// recordFailure records that a step could not be played, unless there is no error or the rehearsal is over.
+// recordFailure records the error of a step that could not be played. It does nothing if err is nil or the rehearsal is over.
 func (r *rehearsal) recordFailure(ctx context.Context, step *scenario.Step, err error) {
 	if err == nil || ctx.Err() != nil {
 		return
@@ -58,7 +58,7 @@
 	})
 }
 
-// playServerStep plays a step that happens to a server, and to its sidecar with it.
+// playServerStep plays a step of a server, and applies it to the server's sidecar where it affects the whole machine.
 func (r *rehearsal) playServerStep(ctx context.Context, program *program, step *scenario.Step, steps *sync.WaitGroup) {
 	server, sidecar := r.servers[step.Server], r.sidecarOf[step.Server]
 	switch step.Kind {
@@ -83,7 +83,7 @@
 			steps.Go(func() { r.recordFailure(ctx, step, sidecar.restart(ctx, program)) })
 		}
 	case scenario.ServerPause, scenario.ServerSlowdown:
-		server.slow(step)
+		server.changeSpeed(step)
 	default:
 		server.setFault(step.Name, step.Amount)
 	}
--- a/internal/rehearsal/report/chart.go
+++ b/internal/rehearsal/report/chart.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The colours of the charts: those of Okabe and Ito, which colour-blind people can distinguish.
+// Chart colours from the Okabe-Ito palette, which colour-blind readers can distinguish.
 var (
 	blue        = color.RGBA{0, 114, 178, 255}
 	green       = color.RGBA{0, 158, 115, 255}
@@ -23,22 +23,22 @@
 	windowShade = color.RGBA{0, 0, 0, 24}
 )
 
-// The size of a chart.
+// Size of a chart on the page.
 const (
 	chartWidth  = 25 * vg.Centimeter
 	chartHeight = 6.5 * vg.Centimeter
 )
 
-// chart is a chart with its heading.
+// chart is a rendered chart with its heading. The page's template reads its fields by name.
 type chart struct {
 	Name string
 	SVG  template.HTML
 }
 
-// svgPrefix matches the XML declaration of an SVG file, which a page must not have.
+// svgPrefix matches everything up to the svg element, such as the XML declaration, which must not occur inside an HTML page.
 var svgPrefix = regexp.MustCompile(`(?s)^.*?(<svg)`)
 
-// renderSVG draws a chart as an element of a page.
+// renderSVG draws a chart and returns it as an svg element for a page.
 func renderSVG(graph *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(chartWidth, chartHeight)
 	graph.Draw(draw.New(canvas))
--- a/internal/rehearsal/report/doc.go
+++ b/internal/rehearsal/report/doc.go
@@ -1,3 +1,3 @@
-// Package report shows verdicts to people: as text for one screen, and as one page of HTML without other files; experiments as a table and
-// as a page. It does no I/O except on the writers that it is given.
+// Package report formats the results of rehearsals for readers: runs as text for one screen or as a single self-contained HTML page, and
+// experiments as a text table or HTML page. Its only I/O is writing to the writers that it is given.
 package report
--- a/internal/rehearsal/report/experiment.go
+++ b/internal/rehearsal/report/experiment.go
@@ -18,12 +18,12 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// scenarioName returns the name of a scenario's file without its ending.
+// scenarioName returns the base name of a scenario's file without the extension.
 func scenarioName(s *scenario.Scenario) string {
 	return strings.TrimSuffix(path.Base(s.Name), ".morning")
 }
 
-// columns are the figures of a point, by name.
+// columns are the columns of the report: a heading, and the figure that it shows of a point.
 var columns = []struct {
 	name   string
 	figure func(p experiment.Point) experiment.Figure
@@ -36,7 +36,8 @@
 	{"p99, s", func(p experiment.Point) experiment.Figure { return p.P99 }},
 }
 
-// WriteTable writes the points of an experiment as a table of text, each figure as its mean and half of the 95% interval.
+// WriteTable writes the points of an experiment as a text table. Each figure is shown as its mean and half of the 95% confidence
+// interval. It fails only if w does.
 func WriteTable(w io.Writer, scenarios []*scenario.Scenario, points []experiment.Point) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %6s %5s", "morning", "load", "runs")
@@ -56,16 +57,16 @@
 	return err
 }
 
-// errorBars are means with their intervals.
+// errorBars are mean values with their confidence intervals, in the form that plotter.NewYErrorBars expects.
 type errorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// palette has the colours of scenarios. If there are more scenarios, their lines are dashed.
+// palette holds the line colours of the scenarios. Further scenarios reuse the colours with dashed lines.
 var palette = []color.RGBA{blue, green, orange, red, purple, grey}
 
-// serviceCurve draws the service over the load, a line for each scenario.
+// serviceCurve draws the service as a function of the load, with one line per scenario.
 func serviceCurve(scenarios []*scenario.Scenario, points []experiment.Point) (template.HTML, error) {
 	graph := plot.New()
 	graph.X.Label.Text, graph.Y.Label.Text = "load, multiples of the script's rate", "service, mean and 95% interval"
@@ -83,7 +84,7 @@
 	return renderSVG(graph)
 }
 
-// loadTicks returns the loads of an experiment, which are the same for all scenarios.
+// loadTicks returns an axis tick for each load of an experiment. All scenarios have the same loads, so it reads those of the first.
 func loadTicks(points []experiment.Point) (ticks []plot.Tick) {
 	for _, p := range points {
 		if p.Scenario == points[0].Scenario {
@@ -93,7 +94,7 @@
 	return ticks
 }
 
-// addServiceLine adds the line of one scenario, with its intervals.
+// addServiceLine adds the line of one scenario, with its confidence intervals.
 func addServiceLine(graph *plot.Plot, index int, scenario *scenario.Scenario, points []experiment.Point) error {
 	var bars errorBars
 	for _, p := range points {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// experimentRow is a point on the page.
+// experimentRow is one point as a table row of the page. The template reads its fields by name.
 type experimentRow struct {
 	Name, Load string
 	Runs       int
@@ -131,7 +132,8 @@
 	Breaches   int
 }
 
-// WriteExperimentPage writes an experiment as one page of HTML.
+// WriteExperimentPage writes an experiment as one HTML page, with a service curve if there is more than one load. It fails if the curve
+// cannot be drawn or w fails.
 func WriteExperimentPage(w io.Writer, made time.Time, scenarios []*scenario.Scenario, points []experiment.Point) error {
 	var rows []experimentRow
 	loads := map[float64]bool{}
--- a/internal/rehearsal/report/heatmap.go
+++ b/internal/rehearsal/report/heatmap.go
@@ -12,39 +12,39 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// maxHeatMapRows bounds the rows of a chart: servers beyond it are not on it.
+// maxHeatMapRows bounds the rows of a heat map; further servers are omitted.
 const maxHeatMapRows = 120
 
-// stepColors are the colours of the steps that are marked on the chart of their server.
+// stepColors maps the kinds of steps that a server chart marks to their colours.
 var stepColors = map[scenario.StepKind]color.RGBA{
 	scenario.ServerCrash: red, scenario.ServerSilence: red, scenario.ServerStart: green,
 	scenario.ServerPause: orange, scenario.ServerSlowdown: orange, scenario.ServerFault: orange,
 }
 
-// heatMap is the attempts that each server of a tier got in each second. Its methods are those of plotter.GridXYZ.
+// heatMap is the number of attempts at each server of a tier in each second. It implements plotter.GridXYZ.
 type heatMap struct {
-	servers []int   // by row
-	loads   [][]int // by server and second
+	servers []int   // server indexes by row
+	loads   [][]int // attempts by server index and second
 }
 
-// Dims returns how many columns and rows there are.
+// Dims returns the numbers of columns (seconds) and rows (servers).
 func (h heatMap) Dims() (c, r int) { return len(h.loads[h.servers[0]]), len(h.servers) }
 
-// Z returns the attempts of a server in a second.
+// Z returns the number of attempts at the server of row r in second c.
 func (h heatMap) Z(c, r int) float64 {
 	return float64(h.loads[h.servers[r]][c])
 }
 
-// X returns the middle of a second.
+// X returns the horizontal position of column c: the middle of the second.
 func (h heatMap) X(c int) float64 { return float64(c) + 0.5 }
 
-// Y returns the middle of a row.
+// Y returns the vertical position of row r.
 func (h heatMap) Y(r int) float64 { return float64(r) + 1 }
 
-// bluePalette is a palette from white to blue.
+// bluePalette is a palette from white to blue. It implements palette.Palette of gonum/plot.
 type bluePalette struct{}
 
-// Colors returns the palette from low to high.
+// Colors returns the colours in order from low to high values.
 func (bluePalette) Colors() []color.Color {
 	const n = 24
 	all := make([]color.Color, n)
@@ -55,7 +55,8 @@
 	return all
 }
 
-// serverChart draws the attempts at each server of a tier, and its steps; empty if there are too few servers or seconds, or no attempts.
+// serverChart draws a heat map of the attempts at each server of a tier, and marks the servers' steps. It returns an empty text if there
+// are fewer than two servers or seconds, or no attempts.
 func (r *Run) serverChart(tier int) (template.HTML, error) {
 	heat := heatMap{loads: r.Verdict.AttemptsByServer}
 	for i, server := range r.Plan.Servers {
@@ -70,7 +71,7 @@
 		}
 	}
 	if columns, _ := heat.Dims(); columns < 2 || len(heat.servers) < 2 || highest == 0 {
-		return "", nil // a map needs two rows and columns, and something on it
+		return "", nil // a heat map needs at least two rows, two columns and one attempt
 	}
 	graph := plot.New()
 	graph.X.Label.Text, graph.Y.Label.Text = "seconds", "box"
@@ -84,7 +85,7 @@
 	return renderSVG(graph)
 }
 
-// markSteps adds a dot for each step of a server of a heat map, on the server's row.
+// markSteps adds a dot for each step of kinds in stepColors to the row of the step's server.
 func (r *Run) markSteps(graph *plot.Plot, servers []int) error {
 	rows := map[int]int{}
 	for row, server := range servers {
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// view is a run on the page.
-type view struct {
+// runView is a run with its rendered parts. The page's template reads its fields by name.
+type runView struct {
 	*Run
 	Outcome  Outcome
 	Reasons  []string
@@ -18,29 +18,29 @@
 	Breaches []string
 }
 
-// WritePage writes one page of HTML on one or more runs of a scenario.
+// WritePage writes one HTML page about one or more runs of a scenario. It fails if a chart cannot be drawn or w fails.
 func WritePage(w io.Writer, made time.Time, runs ...*Run) error {
-	var views []view
+	var views []runView
 	for _, run := range runs {
-		v := view{Run: run, Rows: run.rows()}
-		v.Outcome, v.Reasons = run.Outcome()
+		view := runView{Run: run, Rows: run.rows()}
+		view.Outcome, view.Reasons = run.Outcome()
 		for _, breach := range run.Verdict.Breaches {
-			v.Breaches = append(v.Breaches, run.describeBreach(breach))
+			view.Breaches = append(view.Breaches, run.describeBreach(breach))
 		}
 		var err error
-		if v.Charts, err = run.charts(); err != nil {
+		if view.Charts, err = run.charts(); err != nil {
 			return err
 		}
-		views = append(views, v)
+		views = append(views, view)
 	}
 	return page.Execute(w, struct {
 		Title string
 		Made  string
-		Runs  []view
+		Runs  []runView
 	}{runs[0].Plan.DisplayName(), made.UTC().Format("2006-01-02 15:04 UTC"), views})
 }
 
-// charts returns the charts of the page.
+// charts returns the charts of a run: responses to callers, attempts, and a heat map for each tier that has one.
 func (r *Run) charts() ([]chart, error) {
 	calls, err := r.secondsChart("requests a second", callerSeries)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return charts, nil
 }
 
-// seconds returns a time in seconds; "never" if it is beyond any rehearsal.
+// seconds formats a time in seconds with three decimals, or as "never" if it is longer than any rehearsal (24 hours).
 func seconds(d time.Duration) string {
 	if d > 24*time.Hour {
 		return "never"
--- a/internal/rehearsal/report/run.go
+++ b/internal/rehearsal/report/run.go
@@ -8,29 +8,29 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Run is one run of a scenario, as reports show it.
+// Run is one run of a scenario, with everything that reports show of it.
 type Run struct {
-	Program string // name of the sidecar's program
+	Program string // name of the sidecar's program; may be empty
 	Plan    *scenario.Plan
 	Verdict *audit.Verdict
-	Virtual bool          // it was in virtual time, with the decision module only
-	CPU     time.Duration // of all sidecars
-	Memory  int64         // bytes of the largest sidecar
-	Notes   []string
+	Virtual bool          // whether the run was in virtual time, with only the decision module
+	CPU     time.Duration // total CPU time of all sidecars
+	Memory  int64         // peak memory of the largest sidecar, in bytes
+	Notes   []string      // further remarks on the run
 }
 
-// Outcome is the judgement of a run.
+// Outcome is the overall result of a run.
 type Outcome int
 
-// The outcomes, the best first.
+// Outcomes in order from best to worst.
 const (
-	OutcomeKept   Outcome = iota
-	OutcomeMissed         // an expectation of the script was not met
-	OutcomeBroken         // a rule was broken, or a sidecar crashed
-	OutcomeVoid           // the emulator was too slow: the run says nothing of the sidecar
+	OutcomeKept   Outcome = iota // all rules were kept and all expectations were met
+	OutcomeMissed                // an expectation of the script was not met
+	OutcomeBroken                // a rule was broken, or a sidecar crashed
+	OutcomeVoid                  // the emulator was too slow, so the run says nothing about the sidecar
 )
 
-// String returns the outcome as the screen has it.
+// String returns the outcome in capitals, as WriteScreen shows it.
 func (o Outcome) String() string {
 	return [...]string{"KEPT", "MISSED", "BROKEN", "VOID"}[o]
 }
@@ -67,16 +67,16 @@
 	return outcome, reasons
 }
 
-// row is a figure as text, with its name.
+// row is a named figure, formatted as text.
 type row struct{ name, value string }
 
-// Name returns the name, for the template of the page.
+// Name returns the name for the page's template.
 func (r row) Name() string { return r.name }
 
-// Value returns the value, for the template of the page.
+// Value returns the value for the page's template.
 func (r row) Value() string { return r.value }
 
-// rows returns the figures of the run.
+// rows returns the figures of the run, with those of CPU, memory and lateness only for a run on sockets.
 func (r *Run) rows() []row {
 	verdict := r.Verdict
 	share := func(n int) string {
@@ -103,7 +103,7 @@
 	return rows
 }
 
-// describeBreach returns the time, the rule, the request and the server of a breach in words.
+// describeBreach describes a breach: its time, rule, request and server (where known) and message.
 func (r *Run) describeBreach(b audit.Breach) string {
 	text := fmt.Sprintf("%.3f s: %s: ", b.At.Seconds(), b.Rule)
 	if b.Request != "" {
--- a/internal/rehearsal/report/screen.go
+++ b/internal/rehearsal/report/screen.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// maxShownBreaches bounds the breaches on the screen.
+// maxShownBreaches bounds the breaches that WriteScreen shows for each run.
 const maxShownBreaches = 5
 
-// WriteScreen writes the verdict on one screen. Several runs, of several programs, stand side by side; either all of them are in
-// virtual time, or none is.
+// WriteScreen writes a summary of the runs as text that fits on one screen, with the runs of several programs side by side. Either all
+// runs or none must be in virtual time. It fails only if w does.
 func WriteScreen(w io.Writer, runs ...*Run) error {
 	var text strings.Builder
 	first := runs[0]
@@ -36,7 +36,7 @@
 	return err
 }
 
-// writeOutcome writes the outcome with its reasons, the first breaches and the notes.
+// writeOutcome writes the outcome with its reasons, the first breaches and the notes; named adds the program's name.
 func (r *Run) writeOutcome(text *strings.Builder, named bool) {
 	outcome, reasons := r.Outcome()
 	text.WriteString(outcome.String())
--- a/internal/rehearsal/report/seconds.go
+++ b/internal/rehearsal/report/seconds.go
@@ -11,15 +11,15 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// series is one line of a chart, by second.
+// series is one line of a chart, with a value for each second.
 type series struct {
 	name  string
 	color color.RGBA
-	dash  bool
-	at    func(s audit.Second) float64
+	dash  bool // whether the line is dashed
+	value func(s audit.Second) float64
 }
 
-// callerSeries are the lines of the answers that callers got.
+// callerSeries are the lines for offered requests and for their results.
 var callerSeries = []series{
 	{"offered", grey, true, func(s audit.Second) float64 { return float64(s.Offered) }},
 	{"served in time", green, false, func(s audit.Second) float64 { return float64(s.Served) }},
@@ -28,12 +28,12 @@
 	{"failed", red, false, func(s audit.Second) float64 { return float64(s.Failed) }},
 }
 
-// attemptSeries is the line of the attempts at servers.
+// attemptSeries is the line for attempts at servers.
 var attemptSeries = []series{
 	{"attempts at boxes of all tiers", blue, false, func(s audit.Second) float64 { return float64(s.Attempts) }},
 }
 
-// secondsChart draws lines by second, over the windows of the script's events.
+// secondsChart draws lines with one value per second, and shades the windows of the script's events behind them.
 func (r *Run) secondsChart(unit string, lines []series) (template.HTML, error) {
 	graph := plot.New()
 	graph.X.Label.Text, graph.Y.Label.Text = "seconds", unit
@@ -54,7 +54,7 @@
 		drawn = append(drawn, line)
 		graph.Legend.Add(s.name, line)
 	}
-	graph.Y.Max = max(1, top*1.45) // the legend stands above the lines
+	graph.Y.Max = max(1, top*1.45) // leaves room for the legend above the lines
 	if err := r.shadeWindows(graph); err != nil {
 		return "", err
 	}
@@ -62,12 +62,12 @@
 	return renderSVG(graph)
 }
 
-// line returns the line of a series, and its highest value.
+// line returns the line of a series and its highest value.
 func (s *series) line(seconds []audit.Second) (line *plotter.Line, highest float64, err error) {
 	points := make(plotter.XYs, len(seconds))
 	for i, second := range seconds {
 		points[i].X = float64(i) + 0.5
-		points[i].Y = s.at(second)
+		points[i].Y = s.value(second)
 		highest = max(highest, points[i].Y)
 	}
 	if line, err = plotter.NewLine(points); err != nil {
@@ -81,20 +81,20 @@
 	return line, highest, nil
 }
 
-// shadeWindows shades the windows of the script's events; windows that overlap get one shade.
+// shadeWindows shades the windows of the script's events. Overlapping windows are merged, so that their shades do not add up.
 func (r *Run) shadeWindows(graph *plot.Plot) error {
 	var merged [][2]float64
-	for _, w := range r.Plan.Windows { // in the order of their beginnings
-		from := w.From.Seconds()
-		to := min(max(w.To.Seconds(), from+0.1), graph.X.Max)
+	for _, window := range r.Plan.Windows { // sorted by start time
+		from := window.From.Seconds()
+		to := min(max(window.To.Seconds(), from+0.1), graph.X.Max)
 		if n := len(merged); n > 0 && from <= merged[n-1][1] {
 			merged[n-1][1] = max(merged[n-1][1], to)
 		} else if from < to {
 			merged = append(merged, [2]float64{from, to})
 		}
 	}
-	for _, m := range merged {
-		from, to := m[0], m[1]
+	for _, window := range merged {
+		from, to := window[0], window[1]
 		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: graph.Y.Max}, {X: from, Y: graph.Y.Max}})
 		if err != nil {
 			return err
