--- a/internal/rehearsal/experiment/example_test.go
+++ b/internal/rehearsal/experiment/example_test.go
@@ -9,7 +9,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// One scenario at half of its load and at ten times of it.
+// Play one scenario at half its load and at ten times its load, with two seeds each.
 func Example() {
 	var found finding.List
 	played := scenario.Read("example", []byte("length 3s\ntier one boxes 2 cores 1 slots 1 work 50ms\nclass ask\ncallers rate 10/s\n"), &found)
--- a/internal/rehearsal/rehearse/dial_test.go
+++ b/internal/rehearsal/rehearse/dial_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// serverConn is a connection of a test to a server.
+// serverConn is a connection from a test to a server.
 type serverConn struct{ *net.TCPConn }
 
-// dialFor connects to an address within a limit.
-func dialFor(address string, limit time.Duration) (net.Conn, error) {
-	return (&net.Dialer{Timeout: limit}).DialContext(context.Background(), "tcp", address)
+// dialWithin connects to an address. It fails if that takes longer than the timeout.
+func dialWithin(address string, timeout time.Duration) (net.Conn, error) {
+	return (&net.Dialer{Timeout: timeout}).DialContext(context.Background(), "tcp", address)
 }
 
-// dialServer connects to a server; the connection is closed at the end of the test.
+// dialServer connects to a server, and closes the connection at the end of the test.
 func dialServer(t *testing.T, address string) serverConn {
 	t.Helper()
-	c, err := dialFor(address, time.Second)
+	c, err := dialWithin(address, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	return serverConn{c.(*net.TCPConn)}
 }
 
-// ask sends a request with an id.
+// ask sends a request with the given id.
 func (s serverConn) ask(t *testing.T, request string) {
 	t.Helper()
 	const head = "GET /trips HTTP/1.1\r\nHost: a\r\nX-Txn: %s\r\nX-Lane: ask\r\nX-Remaining: 1000m\r\nIdempotency-Key: k\r\n\r\n"
@@ -37,19 +37,19 @@
 	}
 }
 
-// read returns what comes next, "nothing" if nothing does within the limit, or the text of the error.
+// read returns the next bytes received, "nothing" if none arrive within the limit, or the text of the error.
 func (s serverConn) read(t *testing.T, limit time.Duration) string {
 	t.Helper()
-	b := make([]byte, 4096)
+	buffer := make([]byte, 4096)
 	if err := s.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		return err.Error()
 	}
-	n, err := s.Read(b)
+	n, err := s.Read(buffer)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 		return "nothing"
 	}
 	if err != nil {
 		return err.Error()
 	}
-	return string(b[:n])
+	return string(buffer[:n])
 }
--- a/internal/rehearsal/rehearse/example_test.go
+++ b/internal/rehearsal/rehearse/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// A scenario that can be played in virtual time alone.
+// CheckSockets rejects a scenario that can be played only in virtual time.
 func ExampleCheckSockets() {
 	var found finding.List
 	scenario := scenario.Read("many", []byte("tier one boxes 3\nclass ask\ncallers rate 1/s\nsidecars count 100\n"), &found)
--- a/internal/rehearsal/rehearse/faults_test.go
+++ b/internal/rehearsal/rehearse/faults_test.go
@@ -8,30 +8,31 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// proxyCase is a proxy that breaks a rule in some way.
+// proxyCase is a test case with a proxy that breaks a rule in one way.
 type proxyCase struct {
 	fault, script string
 	rule          audit.Rule
-	want          string // in a breach; empty if there is to be none
+	want          string // text expected in a breach's message; empty if no breach is expected
 }
 
-// maxPlays bounds how often a scenario is played until the emulator was on time.
+// maxPlays bounds how often a scenario is played while the emulator is too late for a verdict.
 const maxPlays = 5
 
-// play plays the scenario, and plays it again while the emulator was too late to tell. The verdict of the last play stands.
+// play plays the scenario, and repeats it while the emulator was too late for a verdict. It returns the verdict of the last play.
 func (c *proxyCase) play(t *testing.T, script string) *audit.Verdict {
 	t.Helper()
 	for play := 1; ; play++ {
-		r, _ := rehearse(t, c.fault, script)
-		if play == maxPlays || !c.undecided(r.Verdict) {
-			return r.Verdict
+		result, _ := rehearse(t, c.fault, script)
+		if play == maxPlays || !c.undecided(result.Verdict) {
+			return result.Verdict
 		}
-		t.Logf("played again: %d breaches do not count, %s", r.Verdict.Excused, r.Verdict.VoidReason)
+		t.Logf("repeating the scenario because the emulator was late: %d breaches excused, void reason %q",
+			result.Verdict.Excused, result.Verdict.VoidReason)
 	}
 }
 
-// undecided reports whether nothing can be said, because the emulator was late. One late second does not void a scenario of two
-// seconds, but excuses what is broken in that second and the next: all of it, as a rule.
+// undecided reports whether the verdict is inconclusive because the emulator was late. One late second does not void a scenario of two
+// seconds, but excuses the breaches in that second and the next, which are usually all of them.
 func (c *proxyCase) undecided(verdict *audit.Verdict) bool {
 	if verdict.VoidReason != "" {
 		return true
@@ -39,12 +40,13 @@
 	return c.want != "" && verdict.Excused > 0 && len(verdict.Breaches) == 0
 }
 
-// check fails the test unless the rule is found to be broken, and no other.
+// check fails the test unless the audit found breaches of the expected rule and of no other, or none if none are expected.
 func (c *proxyCase) check(t *testing.T, verdict *audit.Verdict) {
 	t.Helper()
 	if c.want == "" {
 		if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 || verdict.Service < 0.99 {
-			t.Errorf("service %v, %v, %v", verdict.Service, verdict.Breaches, verdict.Crashes)
+			t.Errorf("honest proxy: service %v, breaches %v, crashes %v, want service of at least 0.99 and no others",
+				verdict.Service, verdict.Breaches, verdict.Crashes)
 		}
 		return
 	}
@@ -52,20 +54,21 @@
 		return b.Rule == c.rule && strings.Contains(b.Message, c.want)
 	})
 	if !ok || verdict.BreachesByRule[c.rule] == 0 {
-		t.Errorf("not caught: %v", verdict.Breaches[:min(5, len(verdict.Breaches))])
+		t.Errorf("breaches %v, want one of %q that contains %q", verdict.Breaches[:min(5, len(verdict.Breaches))], c.rule, c.want)
 	}
 	for rule, n := range verdict.BreachesByRule {
-		// The second answer and what comes after an answer are seen by the next rule too, or not.
+		// With the fault "after", the attempt sent after the answer may also break another rule.
 		if audit.Rule(rule) != c.rule && n > 0 && c.fault != "after" {
-			t.Errorf("%s: %d times as well: %v", audit.Rule(rule), n, verdict.Breaches[:min(5, len(verdict.Breaches))])
+			t.Errorf("%d breaches of %q, want only breaches of %q: %v",
+				n, audit.Rule(rule), c.rule, verdict.Breaches[:min(5, len(verdict.Breaches))])
 		}
 	}
 }
 
-// Each way to break a rule is caught on sockets, by its rule and in its words; an honest proxy is not blamed.
+// On sockets, the audit finds each fault as a breach of the expected rule with the expected message, and none with an honest proxy.
 func TestFaultyProxies(t *testing.T) {
 	const fewSlots = "at 10ms: all boxes refuse 100% of calls for 5s\n"
-	for _, c := range []proxyCase{
+	for _, test := range []proxyCase{
 		{"honest", keyed, 0, ""},
 		{"silent", safe, audit.FinalAnswer, "no answer in"},
 		{"late", safe, audit.FinalAnswer, "after the request's time"},
@@ -83,21 +86,21 @@
 		{"drains", safe + "at 400ms: 2 boxes drain for 1500ms\n", audit.DrainRespected, "that it is Terminating"},
 		{"cold", safe + "at 300ms: 1 new boxes\n", audit.SlowStartRespected, "fell over"},
 	} {
-		t.Run(c.fault, func(t *testing.T) {
+		t.Run(test.fault, func(t *testing.T) {
 			t.Parallel()
 			script := small
-			if c.fault == "cold" {
+			if test.fault == "cold" {
 				script = strings.Replace(small, "cores 8 slots 40 queue 40 work 10ms",
 					"cores 1 slots 40 queue 40 work 40ms cold 0.1 warm 30s", 1)
 			}
-			if c.fault == "twice" || c.fault == "withdraws" {
+			if test.fault == "twice" || test.fault == "withdraws" {
 				script = strings.Replace(small, "work 10ms", "work 150ms", 1)
 			}
-			v := c.play(t, script+c.script)
-			if v.VoidReason != "" {
-				t.Skip(v.VoidReason) // this machine is too busy to tell
+			verdict := test.play(t, script+test.script)
+			if verdict.VoidReason != "" {
+				t.Skip(verdict.VoidReason) // this machine is too busy for a verdict
 			}
-			c.check(t, v)
+			test.check(t, verdict)
 		})
 	}
 }
--- a/internal/rehearsal/rehearse/faultyproxy_test.go
+++ b/internal/rehearsal/rehearse/faultyproxy_test.go
@@ -24,9 +24,11 @@
 	"quincegap/internal/standin/booking"
 )
 
-// sidecarVariable selects which sidecar the test binary is in a rehearsal that it has started: the product, or a proxy with a fault.
+// sidecarVariable is the environment variable that makes the test binary run as a sidecar: the product for the value "true", otherwise a
+// proxy with the named fault.
 const sidecarVariable = "REHEARSE_TEST_SIDECAR"
 
+// TestMain runs the tests, or a sidecar if the binary was started as one by a rehearsal.
 func TestMain(m *testing.M) {
 	switch sidecar := os.Getenv(sidecarVariable); {
 	case sidecar == "" || os.Getenv("BALANCER_CONFIG") == "":
@@ -41,7 +43,7 @@
 	}
 }
 
-// runProduct is cmd/quincegap's main.
+// runProduct runs the product as the main function of cmd/quincegap does.
 func runProduct() {
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
@@ -59,7 +61,7 @@
 	}
 }
 
-// faultyProxy is a proxy that sends each request to one server at random, and breaks one rule in one way: its fault.
+// faultyProxy is a proxy that sends each request to a random server, and breaks one rule in the way that its fault names.
 type faultyProxy struct {
 	fault  string
 	client http.Client
@@ -70,6 +72,7 @@
 	order   []string
 }
 
+// run serves requests until the process ends. With the fault "deaf" it ignores SIGTERM.
 func (f *faultyProxy) run() error {
 	var config struct{ Listen, Discovery string }
 	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
@@ -81,9 +84,9 @@
 	}
 	f.targets = map[string]booking.Target{}
 	f.client.Transport = &http.Transport{DisableKeepAlives: true}
-	first := make(chan bool)
-	go f.follow(config.Discovery, first)
-	<-first
+	listed := make(chan bool)
+	go f.follow(config.Discovery, listed)
+	<-listed
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", config.Listen)
 	if err != nil {
 		return err
@@ -99,43 +102,43 @@
 	return http.Serve(listener, f)
 }
 
-// follow keeps the list of servers up to date; first is closed once there is one. With the fault "drains" it ignores states other
-// than Ready.
-func (f *faultyProxy) follow(address string, first chan bool) {
+// follow keeps the server list up to date, and closes listed when the first list has arrived. With the fault "drains" it ignores states
+// other than Ready.
+func (f *faultyProxy) follow(address string, listed chan bool) {
 	url := "http://" + address + "/v1/endpoints?follow=1&since=0"
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
 	if err != nil {
 		log.Fatal(err)
 	}
-	res, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		log.Fatal(err)
 	}
-	defer func() { _ = res.Body.Close() }() // with the process, at the latest
-	lines := bufio.NewScanner(res.Body)
+	defer func() { _ = response.Body.Close() }() // the end of the process closes it otherwise
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		var m listMessage
-		if json.Unmarshal(lines.Bytes(), &m) != nil {
+		var list listMessage
+		if json.Unmarshal(lines.Bytes(), &list) != nil {
 			continue
 		}
 		f.mu.Lock()
-		for _, t := range m.Targets {
-			if _, ok := f.targets[t.UID]; !ok {
-				f.order = append(f.order, t.UID)
+		for _, target := range list.Targets {
+			if _, ok := f.targets[target.UID]; !ok {
+				f.order = append(f.order, target.UID)
 			}
-			if f.fault != "drains" || t.State == "Ready" {
-				f.targets[t.UID] = t
+			if f.fault != "drains" || target.State == "Ready" {
+				f.targets[target.UID] = target
 			}
 		}
 		f.mu.Unlock()
-		if first != nil {
-			close(first)
-			first = nil
+		if listed != nil {
+			close(listed)
+			listed = nil
 		}
 	}
 }
 
-// ready returns the servers that may be sent to.
+// ready returns the servers that may receive requests.
 func (f *faultyProxy) ready() (all []booking.Target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,31 +150,33 @@
 	return all
 }
 
-// attempt sends a request to a server, and returns the status and body of its answer; status 0 if there was none.
+// attempt sends a request to a server, and returns the status and body of the response: status 0 if there was none, and 429 without a
+// body if the server rejected the attempt.
 func (f *faultyProxy) attempt(ctx context.Context, r *http.Request, to booking.Target) (int, []byte) {
-	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+to.Address+r.RequestURI, nil)
+	forwarded, err := http.NewRequestWithContext(ctx, r.Method, "http://"+to.Address+r.RequestURI, nil)
 	if err != nil {
 		return 0, nil
 	}
 	if r.Method == http.MethodPost {
-		q.Body, q.ContentLength = io.NopCloser(strings.NewReader("trip=dialysis\n")), int64(len("trip=dialysis\n"))
+		forwarded.Body, forwarded.ContentLength = io.NopCloser(strings.NewReader("trip=dialysis\n")), int64(len("trip=dialysis\n"))
 	}
-	q.Header = r.Header.Clone()
-	res, err := f.client.Do(q)
+	forwarded.Header = r.Header.Clone()
+	response, err := f.client.Do(forwarded)
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = res.Body.Close() }() // it has been read to its end
-	body, err := io.ReadAll(res.Body)
+	defer func() { _ = response.Body.Close() }() // the body has been read completely
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
 	}
-	if res.Header.Get("X-Turned-Away") != "" {
+	if response.Header.Get("X-Turned-Away") != "" {
 		return 429, nil
 	}
-	return res.StatusCode, body
+	return response.StatusCode, body
 }
 
+// ServeHTTP answers readiness checks, and handles other requests with the proxy's fault.
 func (f *faultyProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ready" {
 		if f.fault == "hang" && f.asked.Load() > 0 {
@@ -184,28 +189,29 @@
 	e := f.newExchange(w, r, number)
 	serve := proxyFaults[f.fault]
 	if serve == nil {
-		serve = (*exchange).honest // also deaf, whose fault is in run, and drains, whose fault is in follow
+		serve = (*exchange).honest // also for the fault "deaf", which is in run, and "drains", which is in follow
 	}
 	serve(e)
 }
 
-// exchange is one request to the proxy, with the servers that it may go to.
+// exchange is one request to the proxy, with the servers that it may be sent to.
 type exchange struct {
 	proxy          *faultyProxy
 	response       http.ResponseWriter
 	request        *http.Request
 	number         int64
 	ready          []booking.Target
-	to, other, far booking.Target // a server drawn at random, the one after it, and one of another cell
-	left           time.Duration  // that the caller waits; 0 if it does not say
+	to, other, far booking.Target // a random server, the next one in the list, and one of another cell (to if there is none)
+	left           time.Duration  // time until the request's deadline; 0 if not given
 }
 
+// newExchange returns the exchange of a request, with randomly drawn servers.
 func (f *faultyProxy) newExchange(w http.ResponseWriter, r *http.Request, number int64) *exchange {
 	ready := f.ready()
-	at := rand.IntN(len(ready))
+	index := rand.IntN(len(ready))
 	e := &exchange{
 		proxy: f, response: w, request: r, number: number, ready: ready,
-		to: ready[at], other: ready[(at+1)%len(ready)],
+		to: ready[index], other: ready[(index+1)%len(ready)],
 	}
 	e.far = e.to
 	for _, t := range ready {
@@ -219,19 +225,19 @@
 	return e
 }
 
-// send sends the request to a server, whether or not the caller is still there.
+// send sends the request to a server, even if the caller has disconnected.
 func (e *exchange) send(to booking.Target) (int, []byte) {
 	return e.proxy.attempt(context.WithoutCancel(e.request.Context()), e.request, to)
 }
 
-// answer answers the caller.
+// answer sends a response to the caller.
 func (e *exchange) answer(status int, body []byte) {
 	e.response.Header().Set("Content-Length", fmt.Sprint(len(body)))
 	e.response.WriteHeader(status)
-	_, _ = e.response.Write(body) // the caller may have gone
+	_, _ = e.response.Write(body) // the caller may have disconnected
 }
 
-// hijack takes over the connection of the caller.
+// hijack takes over the caller's connection.
 func (e *exchange) hijack() net.Conn {
 	c, _, err := e.response.(http.Hijacker).Hijack()
 	if err != nil {
@@ -240,7 +246,7 @@
 	return c
 }
 
-// proxyFaults are what a proxy does instead of sending a request once and answering it, by the name of the fault.
+// proxyFaults maps the name of a fault to the handler that replaces honest.
 var proxyFaults = map[string]func(e *exchange){
 	"silent": func(e *exchange) { <-e.request.Context().Done() },
 	"hang":   func(*exchange) { select {} },
@@ -254,7 +260,7 @@
 		closeConn(e.hijack())
 	},
 	"invents": func(e *exchange) { e.answer(http.StatusOK, []byte("your trip is booked\n")) },
-	"stale": func(e *exchange) { // the answer to another request
+	"stale": func(e *exchange) { // returns the response to another request
 		_, body := e.send(e.to)
 		e.answer(http.StatusOK, []byte(strings.Replace(string(body), "served r", "served r1", 1)))
 	},
@@ -266,7 +272,7 @@
 		go e.send(e.other)
 		e.answer(e.send(e.to))
 	},
-	"again": func(e *exchange) { // an answer is thrown away
+	"again": func(e *exchange) { // discards the first response and sends the request again
 		e.send(e.to)
 		time.Sleep(5 * time.Millisecond)
 		e.answer(e.send(e.to))
@@ -293,20 +299,20 @@
 	},
 }
 
-// doubles answers twice.
+// doubles sends the response twice.
 func (e *exchange) doubles() {
 	_, body := e.send(e.to)
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	c := e.hijack()
-	_, _ = io.WriteString(c, answer+answer) // the caller may have gone
+	_, _ = io.WriteString(c, answer+answer) // the caller may have disconnected
 	time.Sleep(100 * time.Millisecond)
 	closeConn(c)
 }
 
-// withdraws cancels its attempt, and sends again at once.
+// withdraws cancels its attempt after 5 ms, and immediately sends the request to another server.
 func (e *exchange) withdraws() {
-	short, cancel := context.WithTimeout(context.WithoutCancel(e.request.Context()), 5*time.Millisecond)
-	status, _ := e.proxy.attempt(short, e.request, e.to)
+	attemptContext, cancel := context.WithTimeout(context.WithoutCancel(e.request.Context()), 5*time.Millisecond)
+	status, _ := e.proxy.attempt(attemptContext, e.request, e.to)
 	cancel()
 	if status == 0 {
 		e.answer(e.send(e.other))
@@ -315,7 +321,7 @@
 	}
 }
 
-// toNewest sends all to the server that has started last.
+// toNewest sends every request to the server that started last.
 func (e *exchange) toNewest() {
 	newest := e.ready[0]
 	for _, t := range e.ready {
@@ -327,7 +333,7 @@
 	e.answer(max(status, http.StatusTooManyRequests), body)
 }
 
-// crash aborts the tenth request, and ends the process at the twentieth.
+// crash aborts the tenth request, and exits the process at the twentieth.
 func (e *exchange) crash() {
 	if e.number == 10 {
 		panic(http.ErrAbortHandler)
@@ -339,7 +345,7 @@
 	e.answer(e.send(e.to))
 }
 
-// honest sends once, and answers what came.
+// honest sends the request once and returns the server's response, or status 502 if there is none.
 func (e *exchange) honest() {
 	status, body := e.send(e.to)
 	if status == 0 {
--- a/internal/rehearsal/rehearse/golden_test.go
+++ b/internal/rehearsal/rehearse/golden_test.go
@@ -15,6 +15,7 @@
 	"quincegap/internal/standin/relay"
 )
 
+// goldenScript is a scenario that uses HTTP/3, Consul, peers and all kinds of request classes.
 const goldenScript = `length 10s
 tier front boxes 3 cells 2 calls keeper protocol http3
 tier keeper boxes 4 cells 2
@@ -27,7 +28,7 @@
 at 1s: 1 new boxes of keeper
 `
 
-// The files of sidecars, and what callers and discovery send them, keep their form.
+// The configuration files of sidecars, and the messages that callers and discovery send them, match the golden file.
 func TestGoldenMessages(t *testing.T) {
 	var found finding.List
 	script := scenario.Read("golden", []byte(goldenScript), &found)
@@ -52,7 +53,7 @@
 	golden.Text(t, "messages.txt", dump.Bytes())
 }
 
-// writeFiles writes the configuration files of the first sidecars.
+// writeFiles writes the configuration files of the first four sidecars to dump.
 func writeFiles(t *testing.T, dump *bytes.Buffer, rehearsal *rehearsal) {
 	t.Helper()
 	dir := t.TempDir()
@@ -71,7 +72,7 @@
 	}
 }
 
-// writeDiscovery writes the lists of discovery, and Consul's form of them, after some updates.
+// writeDiscovery writes the discovery lists and Consul instances after some updates to dump.
 func writeDiscovery(t *testing.T, dump *bytes.Buffer, rehearsal *rehearsal) {
 	t.Helper()
 	discovery := newTierDiscovery(rehearsal, 1)
@@ -87,9 +88,9 @@
 		}
 		fmt.Fprintf(dump, "since %d: %s %v\n", since, content, states)
 	}
-	a := &consulAgent{discovery: discovery}
+	agent := &consulAgent{discovery: discovery}
 	for _, server := range discovery.order {
-		content, err := json.Marshal(a.instance(server, discovery.entries[server]))
+		content, err := json.Marshal(agent.instance(server, discovery.entries[server]))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rehearsal/rehearse/rehearse_test.go
+++ b/internal/rehearsal/rehearse/rehearse_test.go
@@ -15,8 +15,8 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// small is a scenario for tests: two cells of two servers, which are never busy. The slack is large, so that a slow machine is not
-// taken for a slow sidecar; the faulty proxies here break a rule by more.
+// small is a scenario with two cells of two servers, which are never busy. Its slack is large, so that a slow test machine does not look
+// like a slow sidecar; the faulty proxies exceed the limits by more than the slack.
 const small = `length 2s
 seed 3
 tier slot-keeper boxes 4 cells 2 cores 8 slots 40 queue 40 work 10ms shape fixed handshake 0ms conns 0
@@ -26,13 +26,15 @@
 rules slack 60ms attempts 3 tip_by 3 tip_window 1s
 `
 
+// Request classes that are safe to repeat, safe with a key in one cell, and unsafe to repeat.
 const (
 	safe   = "class ask effect safe aim 1s deadline 2s\n"
 	keyed  = "class ask effect keyed scope cell window 10s aim 1s deadline 2s\n"
 	unsafe = "class ask effect unsafe aim 1s deadline 2s\n"
 )
 
-// rehearse plays a script with this test binary as the sidecar that is named, and returns the events too. No process may be left.
+// rehearse plays a script with this test binary as the named sidecar, and returns the result and the events. It fails the test if a
+// process still runs afterwards.
 func rehearse(t *testing.T, sidecar, script string) (*Result, []audit.Event) {
 	t.Helper()
 	var found finding.List
@@ -56,13 +58,13 @@
 	}
 	for _, pid := range result.Processes {
 		if syscall.Kill(pid, 0) == nil {
-			t.Errorf("process %d is left", pid)
+			t.Errorf("sidecar process %d still exists after Run, want all ended", pid)
 		}
 	}
 	return result, events
 }
 
-// A sidecar that crashes, hangs, or does not end when it is asked to is found and cleaned up.
+// A sidecar that crashes, hangs or ignores SIGTERM is reported, and its process is ended.
 func TestCrashesAreFound(t *testing.T) {
 	for fault, want := range map[string]string{
 		"crash": "n1 ended by itself (exit status 7); its last line: cannot go on",
@@ -71,10 +73,10 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r, _ := rehearse(t, fault, small+safe+"rules kill 500ms\n")
-			crashes := r.Verdict.Crashes
+			result, _ := rehearse(t, fault, small+safe+"rules kill 500ms\n")
+			crashes := result.Verdict.Crashes
 			if !slices.ContainsFunc(crashes, func(crash string) bool { return strings.Contains(crash, want) }) {
-				t.Errorf("%q, want %q", crashes, want)
+				t.Errorf("crashes %q, want one that contains %q", crashes, want)
 			}
 		})
 	}
@@ -83,15 +85,15 @@
 		parsed := scenario.Read("m", []byte(small+safe), &found)
 		_, err := Run(context.Background(), parsed.Plan(0), Options{Program: "/bin/false", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "ended before it served") {
-			t.Error(err)
+			t.Errorf("Run with a program that exits at once: error %v, want one that contains %q", err, "ended before it served")
 		}
 		if _, err = Run(context.Background(), parsed.Plan(0), Options{Program: "no-such-program", Dir: t.TempDir()}); err == nil {
-			t.Error("a program that is not there")
+			t.Error("Run with a missing program: no error, want one")
 		}
 	})
 }
 
-// productCases are scripts by name, with the least service that the product gives.
+// productCases are scripts by name, with the minimum service that the product must reach.
 var productCases = map[string]struct {
 	script     string
 	minService float64
@@ -130,31 +132,32 @@
 	"pauses": {keyed + "at 300ms: all boxes pause for 1500ms\n", 0.2},
 }
 
-// The product keeps the rules through short scenarios, and serves. The rules' limits are longer here than in service by what a noisy
-// machine needs, and the least service is low.
+// The product keeps all rules in short scenarios and reaches the minimum service. The slack of the rules is larger than in production and
+// the minimum service is low, to tolerate a noisy test machine.
 func TestTrueSidecar(t *testing.T) {
-	for name, c := range productCases {
+	for name, test := range productCases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			result, _ := rehearse(t, "true", strings.Replace(small, "slack 60ms", "slack 250ms", 1)+c.script)
+			result, _ := rehearse(t, "true", strings.Replace(small, "slack 60ms", "slack 250ms", 1)+test.script)
 			verdict := result.Verdict
 			if verdict.VoidReason != "" {
 				t.Skip(verdict.VoidReason)
 			}
-			if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 || verdict.Service < c.minService {
-				t.Errorf("service %v, breaches %v, crashes %v", verdict.Service, verdict.Breaches, verdict.Crashes)
+			if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 || verdict.Service < test.minService {
+				t.Errorf("service %v, breaches %v, crashes %v, want service of at least %v and no others",
+					verdict.Service, verdict.Breaches, verdict.Crashes, test.minService)
 			}
-			if over := strings.Contains(name, "HTTP/3"); over != (result.HTTP3 > int64(verdict.ServerAttempts)/2) {
-				t.Errorf("%d of %d attempts came over HTTP/3", result.HTTP3, verdict.ServerAttempts)
+			if wantHTTP3 := strings.Contains(name, "HTTP/3"); wantHTTP3 != (result.HTTP3 > int64(verdict.ServerAttempts)/2) {
+				t.Errorf("%d of %d attempts came over HTTP/3, want more than half: %v", result.HTTP3, verdict.ServerAttempts, wantHTTP3)
 			}
 			if result.UnansweredFaultyCallers > 0 {
-				t.Errorf("rude callers hang: %v", result.UnansweredInputs)
+				t.Errorf("faulty requests neither answered nor closed in time: %v, want none", result.UnansweredInputs)
 			}
 		})
 	}
 }
 
-// Nothing that a rehearsal has started goes on after it, faulty callers included.
+// No goroutine that a rehearsal started continues after it, including those of faulty callers.
 func TestNothingGoesOn(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	rehearse(t, "true", small+keyed+`tier slot-keeper protocol http3
@@ -166,7 +169,7 @@
 	goleak.VerifyNone(t, before)
 }
 
-// Two tiers: each server of the first calls the second through a sidecar of its own, and the trace of a request has both.
+// With two tiers, each server of the first calls the second through a dedicated sidecar, and the trace of a request shows both tiers.
 func TestTwoTiers(t *testing.T) {
 	result, events := rehearse(t, "true", `length 2s
 tier booking-front boxes 2 cells 2 cores 4 slots 40 queue 9 work 10ms calls slot-keeper times 2 conns 0
@@ -183,7 +186,8 @@
 	}
 	if len(verdict.Breaches) > 0 || verdict.Service < 0.9 || verdict.AttemptsPerCall < 0.9 || verdict.AttemptsPerCall > 1.3 ||
 		verdict.ServerAttempts < 2*verdict.Requests {
-		t.Errorf("%+v", verdict)
+		t.Errorf("verdict %+v, want no breaches, service of at least 0.9, 0.9 to 1.3 attempts per call, and 2 or more per request",
+			verdict)
 	}
 	tiers := map[int]int{}
 	for _, e := range events {
@@ -192,18 +196,19 @@
 		}
 	}
 	if tiers[0] < verdict.InTime || tiers[1] < 2*verdict.InTime {
-		t.Errorf("attempts by tier: %v, %d requests", tiers, verdict.InTime)
+		t.Errorf("attempts by tier are %v for %d requests served in time, want 1 or more per request in tier 0 and 2 or more in tier 1",
+			tiers, verdict.InTime)
 	}
 	if len(verdict.Traces) == 0 || !slices.ContainsFunc(verdict.Traces[0].Lines, func(l audit.TraceLine) bool {
 		return strings.Contains(l.Text, "box") && strings.Contains(l.Text, "slot-keeper")
 	}) {
-		t.Errorf("%+v", verdict.Traces)
+		t.Errorf("traces %+v, want a first one with a line on a box of slot-keeper", verdict.Traces)
 	}
 }
 
-// Twelve processes and the 24 servers that they call end at once and come back together, the servers cold. No server collapses under
-// the sum of what they send, and no other rule is broken. Without a bound on attempts that never run, all 24 collapse on sockets. All
-// goes at half the pace of a real fleet, so that two busy cores keep up.
+// Twelve sidecars and the 24 servers that they call end at the same time and restart together, the servers cold. No server may collapse
+// under the combined load, and no other rule may be broken. Without a bound on attempts that never run, all 24 collapse on sockets. The
+// scenario runs at half the pace of a real fleet, so that two busy cores can keep up.
 func TestFleetRestartsTogether(t *testing.T) {
 	result, events := rehearse(t, "true", `length 16s
 seed 2
@@ -219,18 +224,18 @@
 at 3s: all sidecars get SIGKILL and are back after 2s
 `)
 	verdict := result.Verdict
-	sums := audit.Totals(result.Plan.AuditRules(), events)
-	t.Logf("service %.3f, %+v, %d sidecars", verdict.Service, *sums, len(result.Processes))
+	totals := audit.Totals(result.Plan.AuditRules(), events)
+	t.Logf("service %.3f, totals %+v, %d sidecar processes", verdict.Service, *totals, len(result.Processes))
 	if verdict.VoidReason != "" {
 		t.Skip(verdict.VoidReason)
 	}
 	if len(verdict.Breaches) > 0 || len(verdict.Crashes) > 0 {
-		t.Errorf("%v, %v", verdict.Breaches[:min(5, len(verdict.Breaches))], verdict.Crashes)
+		t.Errorf("breaches %v, crashes %v, want none", verdict.Breaches[:min(5, len(verdict.Breaches))], verdict.Crashes)
 	}
-	if sums.Collapses > 0 || sums.ColdLoad == 0 {
-		t.Errorf("%d boxes fell; %.2f of what a cold box bears", sums.Collapses, sums.ColdLoad)
+	if totals.Collapses > 0 || totals.ColdLoad == 0 {
+		t.Errorf("%d servers collapsed at cold load %.2f, want none and a load above 0", totals.Collapses, totals.ColdLoad)
 	}
 	if verdict.Service < 0.3 {
-		t.Errorf("service %v", verdict.Service)
+		t.Errorf("service %v, want at least 0.3", verdict.Service)
 	}
 }
--- a/internal/rehearsal/rehearse/server_test.go
+++ b/internal/rehearsal/rehearse/server_test.go
@@ -13,7 +13,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// startOneServer starts the first server of a script, with the clock at 0, and nothing else of the rehearsal.
+// startOneServer starts only the first server of a script, with the rehearsal's clock at 0.
 func startOneServer(t *testing.T, script string) (*rehearsal, *server) {
 	t.Helper()
 	var found finding.List
@@ -40,38 +40,38 @@
 	return rehearsal, s
 }
 
-// A machine that is silent resets nothing: open connections stay open, and new ones do not come up, until it is back. Its address then
-// belongs to another incarnation of the server.
+// A silent machine does not reset connections: open ones stay open and new ones are not established until the server restarts. After
+// that, its address belongs to a new incarnation, which resets old connections.
 func TestSilence(t *testing.T) {
 	rehearsal, server := startOneServer(t, small+safe)
 	address := rehearsal.serverAddress(0)
 	open := dialServer(t, address)
 	open.ask(t, "r1t1")
 	if got := open.read(t, time.Second); !strings.Contains(got, "served r1t1 ") {
-		t.Fatalf("%q", got)
+		t.Fatalf("response before the silence is %q, want one that contains %q", got, "served r1t1 ")
 	}
 	server.silence()
 	open.ask(t, "r2t1")
 	if got := open.read(t, 200*time.Millisecond); got != "nothing" {
-		t.Errorf("a silent machine says %q", got)
+		t.Errorf("received %q from a silent machine, want nothing", got)
 	}
-	if c, err := dialFor(address, 200*time.Millisecond); err == nil {
+	if c, err := dialWithin(address, 200*time.Millisecond); err == nil {
 		closeConn(c)
-		t.Error("a connection to a silent machine comes up")
+		t.Error("new connection to a silent machine was established, want a timeout")
 	} else if !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a connection to a silent machine is refused: %v", err)
+		t.Errorf("new connection to a silent machine failed with %v, want a timeout", err)
 	}
 	server.stop()
 	if err := server.start(true); err != nil {
 		t.Fatal(err)
 	}
 	if got := open.read(t, time.Second); !strings.Contains(got, "reset") {
-		t.Errorf("an old connection: %q", got)
+		t.Errorf("read %q on an old connection after the restart, want a reset", got)
 	}
-	again := dialServer(t, address)
-	again.ask(t, "r3t1")
-	if got := again.read(t, time.Second); !strings.Contains(got, "served r3t1 ") {
-		t.Errorf("%q", got)
+	reopened := dialServer(t, address)
+	reopened.ask(t, "r3t1")
+	if got := reopened.read(t, time.Second); !strings.Contains(got, "served r3t1 ") {
+		t.Errorf("response after the restart is %q, want one that contains %q", got, "served r3t1 ")
 	}
 	events, _ := rehearsal.log.Events()
 	received := slices.ContainsFunc(events, func(e audit.Event) bool {
@@ -81,11 +81,11 @@
 		return e.Kind == audit.AttemptEnded && e.Request == "r2t1" && e.Result != audit.Dropped
 	})
 	if !received || answered {
-		t.Errorf("what a silent machine was sent: seen %v, answered %v", received, answered)
+		t.Errorf("request to a silent machine: received %v, answered %v, want true and false", received, answered)
 	}
 }
 
-// A server closes what is half sent, rejects connections beyond its limit, and reports its load.
+// A server records an incomplete request as truncated, resets connections above its limit, and reports its load.
 func TestServerOnItsSocket(t *testing.T) {
 	rehearsal, _ := startOneServer(t, strings.Replace(small, "conns 0", "conns 2 report 20ms", 1)+keyed)
 	one, two := dialServer(t, rehearsal.serverAddress(0)), dialServer(t, rehearsal.serverAddress(0))
@@ -95,16 +95,16 @@
 	one.read(t, time.Second)
 	three := dialServer(t, rehearsal.serverAddress(0))
 	if got := three.read(t, time.Second); !strings.Contains(got, "reset") && !strings.Contains(got, "EOF") {
-		t.Errorf("a connection too many: %q", got)
+		t.Errorf("read %q on a connection above the limit, want a reset or EOF", got)
 	}
 	time.Sleep(50 * time.Millisecond)
 	two.ask(t, "r9t1")
 	if got := two.read(t, time.Second); !strings.Contains(got, "X-Pressure: inflight=") {
-		t.Errorf("no load report: %q", got)
+		t.Errorf("response is %q, want one with a load report in X-Pressure", got)
 	}
-	// Half a request, and the end: it never ran.
-	half := "POST /trips HTTP/1.1\r\nHost: a\r\nX-Txn: r5t1\r\nX-Lane: ask\r\nContent-Length: 99\r\n\r\nhalf"
-	if _, err := io.WriteString(one, half); err != nil {
+	// An incomplete request followed by the end of the connection never runs.
+	incomplete := "POST /trips HTTP/1.1\r\nHost: a\r\nX-Txn: r5t1\r\nX-Lane: ask\r\nContent-Length: 99\r\n\r\nhalf"
+	if _, err := io.WriteString(one, incomplete); err != nil {
 		t.Fatal(err)
 	}
 	if err := one.CloseWrite(); err != nil {
@@ -115,15 +115,15 @@
 	if !slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.AttemptEnded && e.Request == "r5t1" && e.Result == audit.Truncated
 	}) {
-		t.Error("half a request is not noted as cut off")
+		t.Error("incomplete request r5t1 has no event with result Truncated, want one")
 	}
-	// A keyed repeat in its cell has no second effect.
+	// A request repeated with the same key in the same cell has no second effect.
 	if rehearsal.repeatedEffects != 0 || len(rehearsal.effects) != 1 {
-		t.Errorf("%d effects, %d beyond the first", len(rehearsal.effects), rehearsal.repeatedEffects)
+		t.Errorf("%d keys with effects, %d repeated effects, want 1 and 0", len(rehearsal.effects), rehearsal.repeatedEffects)
 	}
 }
 
-// An emulator that is late records it.
+// The emulator records that it is late.
 func TestLateEmulatorIsSeen(t *testing.T) {
 	rehearsal, server := startOneServer(t, small+safe)
 	conn := dialServer(t, rehearsal.serverAddress(0))
@@ -133,7 +133,7 @@
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		server.mu.Lock()
 		if len(server.accepted) > 0 {
-			time.Sleep(150 * time.Millisecond) // the server cannot work meanwhile, as if the emulator had no processor
+			time.Sleep(150 * time.Millisecond) // blocks the server, as if the emulator had no processor time
 			server.mu.Unlock()
 			break
 		}
@@ -144,6 +144,6 @@
 	if !slices.ContainsFunc(events, func(e audit.Event) bool {
 		return e.Kind == audit.EmulatorLate && e.Duration > 100*time.Millisecond
 	}) {
-		t.Error("not seen")
+		t.Error("no EmulatorLate event above 100ms after the server was blocked for 150ms, want one")
 	}
 }
--- a/internal/rehearsal/rehearse/signals.go
+++ b/internal/rehearsal/rehearse/signals.go
@@ -70,7 +70,7 @@
 		select {
 		case <-ended: // the process crashed, which is recorded already
 		default:
-			return nil // it serves already
+			return nil // the sidecar already serves
 		}
 	}
 	if stopped {
--- a/internal/rehearsal/report/example_test.go
+++ b/internal/rehearsal/report/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// One point of an experiment, for a screen.
+// WriteTable shows one point of an experiment as a text table.
 func ExampleWriteTable() {
 	scenarios := []*scenario.Scenario{{Name: "rehearsals/calm.morning"}}
 	points := []experiment.Point{{Load: 1, Runs: 3, Service: experiment.Figure{Mean: 0.99, HalfInterval: 0.01, Min: 0.98}}}
--- a/internal/rehearsal/report/golden_test.go
+++ b/internal/rehearsal/report/golden_test.go
@@ -14,7 +14,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// The screen and the page of a fixed run stay the same; the page's golden file has a digest of each chart.
+// The summary and the page of a fixed run match their golden files. The page's golden file has digests in place of the charts.
 func TestGoldenReports(t *testing.T) {
 	first, second := play(t, "expect service above 0.99\n"), play(t, "")
 	second.Program = "other"
@@ -36,7 +36,7 @@
 	golden.Text(t, "page.html", digestCharts(page.Bytes()))
 }
 
-// The page and the table of an experiment stay the same.
+// The page and the table of a fixed experiment match their golden files.
 func TestGoldenExperimentPage(t *testing.T) {
 	scenarios := []*scenario.Scenario{play(t, "").Plan.Scenario}
 	points := []experiment.Point{
@@ -54,9 +54,10 @@
 	golden.Text(t, "experiment.txt", table.Bytes())
 }
 
+// chartPattern matches the charts of a page.
 var chartPattern = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
-// digestCharts replaces each chart of a page by its digest.
+// digestCharts replaces each chart of a page by its SHA-256 digest.
 func digestCharts(page []byte) []byte {
 	return chartPattern.ReplaceAllFunc(page, func(chart []byte) []byte {
 		return fmt.Appendf(nil, "<svg digest=%x/>", sha256.Sum256(chart))
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -17,8 +17,8 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// play plays a short scenario with further lines in virtual time.
-func play(t *testing.T, more string) *Run {
+// play plays a short scenario, extended by the given lines, in virtual time.
+func play(t *testing.T, extraLines string) *Run {
 	t.Helper()
 	var found finding.List
 	short := scenario.Read("short.morning", []byte(`title "Boxes <b>go</b> & come"
@@ -29,7 +29,7 @@
 callers rate 30/s
 at 2s: 1 boxes go silent for 2s
 at 3s: 60% of boxes of keeper pause for 300ms
-`+more), &found)
+`+extraLines), &found)
 	if short == nil {
 		t.Fatal(found.Err())
 	}
@@ -40,30 +40,30 @@
 	return &Run{Program: "quincegap", Plan: short.Plan(0), Verdict: result.Verdict}
 }
 
-// The outcome of a run is the worst that applies, and a void run has no other reasons.
+// The outcome of a run is the worst that applies, and a void run has only the reason why it is void.
 func TestOutcome(t *testing.T) {
 	run := play(t, "expect service above 0.2\n")
 	if outcome, reasons := run.Outcome(); outcome != OutcomeKept || len(reasons) > 0 {
-		t.Fatal(outcome, reasons)
+		t.Fatalf("expectation met: outcome %v with reasons %q, want KEPT without reasons", outcome, reasons)
 	}
 	run = play(t, "expect service above 0.2\nexpect attempts below 0.5\n")
 	outcome, reasons := run.Outcome()
 	if outcome != OutcomeMissed || len(reasons) != 1 || !strings.Contains(reasons[0], "line 10: attempts is 1.") ||
 		!strings.Contains(reasons[0], "expected below 0.5") {
-		t.Fatal(outcome, reasons)
+		t.Fatalf("expectation not met: outcome %v with reasons %q, want MISSED with the reason of line 10", outcome, reasons)
 	}
 	run.Verdict.Crashes = []string{"1.000 s: n1 ended by itself"}
 	run.Verdict.BreachesByRule[audit.DrainRespected] = 2
 	if outcome, reasons := run.Outcome(); outcome != OutcomeBroken || len(reasons) != 3 {
-		t.Fatal(outcome, reasons)
+		t.Fatalf("crash and breaches: outcome %v with reasons %q, want BROKEN with 3 reasons", outcome, reasons)
 	}
 	run.Verdict.VoidReason = "too slow"
 	if outcome, reasons := run.Outcome(); outcome != OutcomeVoid || len(reasons) != 1 {
-		t.Fatal(outcome, reasons)
+		t.Fatalf("void run: outcome %v with reasons %q, want VOID with 1 reason", outcome, reasons)
 	}
 }
 
-// The screen names the second, the request and the server of a breach, and shows two programs side by side.
+// WriteScreen shows the time, the request and the server of a breach, and two programs side by side.
 func TestScreen(t *testing.T) {
 	first, second := play(t, ""), play(t, "")
 	second.Program, second.Notes = "other", []string{"a note"}
@@ -83,55 +83,55 @@
 		"1.234 s: no effect twice: r0t1: box 1 of keeper: sent again", "and 2 more", "3 breaches do not count", "a note",
 	} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("no %q in\n%s", want, b.String())
+			t.Errorf("screen does not contain %q:\n%s", want, b.String())
 		}
 	}
 	if n := strings.Count(b.String(), "\n"); n > 45 {
-		t.Errorf("%d lines are more than a screen", n)
+		t.Errorf("screen has %d lines, want at most 45", n)
 	}
 }
 
-// checkWellFormed parses a page as XML, which is stricter than browsers are.
+// checkWellFormed fails the test unless the page parses as XML, which is stricter than browsers.
 func checkWellFormed(t *testing.T, page string) {
 	t.Helper()
-	d := xml.NewDecoder(strings.NewReader(strings.Replace(page, "<!doctype html>", "", 1)))
-	d.Strict, d.AutoClose, d.Entity = true, xml.HTMLAutoClose, xml.HTMLEntity
+	decoder := xml.NewDecoder(strings.NewReader(strings.Replace(page, "<!doctype html>", "", 1)))
+	decoder.Strict, decoder.AutoClose, decoder.Entity = true, xml.HTMLAutoClose, xml.HTMLEntity
 	for {
-		if _, err := d.Token(); errors.Is(err, io.EOF) {
+		if _, err := decoder.Token(); errors.Is(err, io.EOF) {
 			return
 		} else if err != nil {
-			t.Fatal(err)
+			t.Fatalf("page is not well-formed XML: %v", err)
 		}
 	}
 }
 
-// The page is one file that loads no other, with charts, events and traces; texts of the script are escaped.
+// The page is self-contained, shows charts, events and traces, and escapes the script's texts.
 func TestPage(t *testing.T) {
-	var b bytes.Buffer
-	if err := WritePage(&b, time.Unix(0, 0), play(t, ""), play(t, "")); err != nil {
+	var output bytes.Buffer
+	if err := WritePage(&output, time.Unix(0, 0), play(t, ""), play(t, "")); err != nil {
 		t.Fatal(err)
 	}
-	page := b.String()
+	page := output.String()
 	checkWellFormed(t, page)
 	if n := strings.Count(page, "<svg"); n != 8 {
-		t.Errorf("%d charts, want 8: callers, attempts and two tiers of two plays", n)
+		t.Errorf("page has %d charts, want 8: callers, attempts and two tiers, for each of two runs", n)
 	}
 	for _, want := range []string{
 		"Boxes &lt;b&gt;go&lt;/b&gt; &amp; come", "front ", ": silent", "keeper ", "stand still", "attempt 1 comes to",
 		"1970-01-01 00:00 UTC",
 	} {
 		if !strings.Contains(page, want) {
-			t.Errorf("no %q", want)
+			t.Errorf("page does not contain %q", want)
 		}
 	}
 	for _, bad := range []string{"<script", "http://", "https://", "src="} {
 		if strings.Contains(strings.NewReplacer("http://www.w3.org/", "", "https://www.w3.org/", "").Replace(page), bad) {
-			t.Errorf("%q in the page", bad)
+			t.Errorf("page contains %q, want none: it must not load other files", bad)
 		}
 	}
 }
 
-// A scenario of one second and one server has a page too.
+// WritePage also handles a scenario of one second with one server, which is too small for a heat map.
 func TestPageOfSmallScenario(t *testing.T) {
 	var found finding.List
 	small := scenario.Read("m", []byte("length 1s\ntier a boxes 1\nclass ask\ncallers rate 2/s\n"), &found)
@@ -146,7 +146,7 @@
 	checkWellFormed(t, b.String())
 }
 
-// The page of an experiment has a curve if there is more than one load, and marks breaches.
+// The page of an experiment has a curve only if there is more than one load, and marks breaches.
 func TestExperimentPage(t *testing.T) {
 	scenarios := []*scenario.Scenario{play(t, "").Plan.Scenario}
 	points := []experiment.Point{
@@ -160,14 +160,14 @@
 	checkWellFormed(t, page.String())
 	if strings.Count(page.String(), "<svg") != 1 || !strings.Contains(page.String(), `class="bad">1`) ||
 		!strings.Contains(page.String(), "0.9900 ± 0.0100") {
-		t.Error(page.String())
+		t.Errorf("page lacks the single curve, the marked breach or the service figure:\n%s", page.String())
 	}
 	if err := WriteTable(&table, scenarios, points); err != nil || strings.Count(table.String(), "\n") != 3 ||
 		!strings.Contains(table.String(), "short") {
-		t.Error(err, table.String())
+		t.Errorf("table: error %v, want none, 3 lines and the scenario name:\n%s", err, table.String())
 	}
 	page.Reset()
 	if err := WriteExperimentPage(&page, time.Now(), scenarios, points[:1]); err != nil || strings.Contains(page.String(), "<svg") {
-		t.Error("a curve of one point", err)
+		t.Errorf("page of one point: error %v, curve drawn %v, want neither", err, strings.Contains(page.String(), "<svg"))
 	}
 }
