--- a/internal/rehearsal/rehearse/network.go
+++ b/internal/rehearsal/rehearse/network.go
@@ -26,7 +26,7 @@
 )
 
 // claimNetwork claims the first network that no other rehearsal on this machine uses, by listening on one of its addresses. It fails if
-// all are in use.
+// none is available.
 func (r *rehearsal) claimNetwork() error {
 	for network := firstNetwork; network <= lastNetwork; network++ {
 		claim, err := r.listen(fmt.Sprintf("127.%d.255.254:%d", network, port))
@@ -35,7 +35,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("claim loopback network: all from 127.%d to 127.%d are in use", firstNetwork, lastNetwork)
+	return fmt.Errorf("claim loopback network: none from 127.%d to 127.%d is available", firstNetwork, lastNetwork)
 }
 
 // address returns the address of the i-th host in a row, with the port.
