--- a/cmd/quincegap/config_file_test.go
+++ b/cmd/quincegap/config_file_test.go
@@ -101,7 +101,7 @@
 	checkRejected := func(what string, messages ...string) {
 		t.Helper()
 		sidecar.signal(syscall.SIGHUP)
-		log := sidecar.awaitLog("the old configuration stays")
+		log := sidecar.awaitLog("the previous configuration remains in effect")
 		for _, message := range messages {
 			if !strings.Contains(log, message) {
 				t.Errorf("reload of %s: logged\n%s\nwant it to contain %q", what, log, message)
@@ -121,7 +121,7 @@
 	}
 	checkRejected("no file", "no such file")
 	sidecar.writeFile(good + "[limits]\nsockets = 999\n[callers]\nmax_body = \"2KiB\"\n")
-	checkRejected("sockets", fmt.Sprintf("%s:20:1: limits.sockets has changed, which takes effect at a start only", sidecar.file))
+	checkRejected("sockets", fmt.Sprintf("%s:20:1: limits.sockets has changed; the change requires a restart", sidecar.file))
 	sidecar.writeFile(strings.Replace(good, "[class.find-trip]\naim = \"2s\"\ndeadline = \"6s\"\neffect = \"safe\"\n", "", 1))
 	checkRejected("a class removed", "class.find-trip.aim has changed")
 
--- a/cmd/quincegap/http3_test.go
+++ b/cmd/quincegap/http3_test.go
@@ -52,7 +52,7 @@
 	// A change of a setting that takes effect only at a start is rejected.
 	sidecar.writeFile(strings.Replace(rig.settingsFile(site.Address(), "127.0.0.1:0"), `"safe"`, `"never"`, 1))
 	sidecar.signal(syscall.SIGHUP)
-	sidecar.awaitLog("reload: refused")
+	sidecar.awaitLog("reload: rejected")
 	awaitMore(t, &overHTTP3, 100)
 	stop()
 	stopHTTP1()
--- a/cmd/quincegap/memory_test.go
+++ b/cmd/quincegap/memory_test.go
@@ -121,7 +121,7 @@
 	sidecar.crash()
 	discovery.Close()
 	sidecar = launch(t, text) // returns when the sidecar is ready
-	if line := "begins with 4 endpoints as they were"; !strings.Contains(sidecar.startLog, line) {
+	if line := "memory: starting with the saved list of 4 endpoints, last confirmed"; !strings.Contains(sidecar.startLog, line) {
 		sidecar.awaitLog(line)
 	}
 	if status, err := send(sidecar.url, "book-trip", "b", "b"); err != nil || status != http.StatusOK {
@@ -148,7 +148,7 @@
 	if status, err := send(sidecar.url, "book-trip", "more", "more"); err != nil || status != http.StatusOK {
 		t.Errorf("a booking with a key when the store is full: got status %d, error %v, want status 200", status, err)
 	}
-	sidecar.awaitLog("NOT REMEMBERED")
+	sidecar.awaitLog("memory: cannot store state")
 	if status, err := send(sidecar.url, "pay-trip", "pay", ""); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("an unsafe booking when the store is full: got status %d, error %v, want status 503", status, err)
 	}
@@ -161,7 +161,7 @@
 	if status, err := send(sidecar.url, "book-trip", "again", "again"); err != nil || status != http.StatusOK {
 		t.Errorf("a booking with a key after the restart: got status %d, error %v, want status 200", status, err)
 	}
-	sidecar.awaitLog("NOT REMEMBERED")
+	sidecar.awaitLog("memory: cannot store state")
 	if status, err := send(sidecar.url, "pay-trip", "paid", ""); err != nil || status != http.StatusBadGateway ||
 		ledger.executions["paid"] != 1 {
 		t.Errorf("a repeat of the executed unsafe booking: got status %d, error %v and %d executions, want status 502 and 1 execution",
--- a/cmd/quincegap/route_test.go
+++ b/cmd/quincegap/route_test.go
@@ -55,7 +55,7 @@
 	book(http.StatusOK)
 	sidecar.reload(good+tripsOff, "reload: discovery is")
 	book(http.StatusServiceUnavailable)
-	log := sidecar.reload(good+tripsOff+"[route.books]\nmatch_classes = \"book-trip\"\n", "the old configuration stays")
+	log := sidecar.reload(good+tripsOff+"[route.books]\nmatch_classes = \"book-trip\"\n", "the previous configuration remains in effect")
 	if !strings.Contains(log, "overlaps with [route.trips]") {
 		t.Errorf("the reload with ambiguous routes logged %s\nwant it to say that the route overlaps with [route.trips]", log)
 	}
--- a/internal/mesh/control/controlplane/learner.go
+++ b/internal/mesh/control/controlplane/learner.go
@@ -50,7 +50,7 @@
 	}
 	l.voters = voters
 	if voters.Epoch > 0 {
-		l.log.WithField("epoch", voters.Epoch).WithField("voters", voters.Voters).Info("voters")
+		l.log.WithField("epoch", voters.Epoch).WithField("voters", voters.Voters).Info("learned a newer voter set")
 	}
 }
 
--- a/internal/standalone/durability_gate.go
+++ b/internal/standalone/durability_gate.go
@@ -7,7 +7,7 @@
 )
 
 // errDiskSlow is reported if a record was not durable within memory_wait.
-var errDiskSlow = errors.New("the disk takes longer than memory_wait")
+var errDiskSlow = errors.New("record not durable within memory_wait")
 
 // durabilityGate delays an attempt until its record is on the disk. A nil gate does not delay anything.
 type durabilityGate struct {
--- a/internal/standalone/load.go
+++ b/internal/standalone/load.go
@@ -45,7 +45,7 @@
 		if s.Key.Change != schema.AtStart || c.hasPlatform && slices.Contains(appfile.PlatformTables(), s.Path[0]) {
 			continue
 		}
-		rejected.Add(s.Location.File, s.Location.Pos, "%s has changed, which takes effect at a start only", s.ID())
+		rejected.Add(s.Location.File, s.Location.Pos, "%s has changed; the change requires a restart", s.ID())
 	}
 	return fresh, rejected.Err()
 }
--- a/internal/standalone/memory.go
+++ b/internal/standalone/memory.go
@@ -131,9 +131,10 @@
 	switch {
 	case errors.Is(err, store.ErrClosed): // the sidecar shuts down
 	case err != nil && !m.diskFailing.Swap(true):
-		log.Printf("memory: NOT REMEMBERED: %v; classes with without_memory = \"refuse\" are refused until the disk is well", err)
+		log.Printf("memory: cannot store state: %v; requests of classes with without_memory = \"refuse\" are rejected until a write succeeds",
+			err)
 	case err == nil && m.diskFailing.Swap(false):
-		log.Printf("memory: the disk is well again")
+		log.Printf("memory: writes to the store succeed again")
 	}
 }
 
--- a/internal/standalone/sidecar.go
+++ b/internal/standalone/sidecar.go
@@ -95,7 +95,7 @@
 		for line := range strings.Lines(err.Error()) {
 			log.Printf("reload: %s", strings.TrimSuffix(line, "\n"))
 		}
-		log.Printf("reload: refused; the old configuration stays")
+		log.Printf("reload: rejected; the previous configuration remains in effect")
 		return
 	}
 	// The loop applies the new settings in one event and the handlers read them through one pointer, so they are never partly applied.
--- a/internal/standalone/sources.go
+++ b/internal/standalone/sources.go
@@ -20,7 +20,7 @@
 func (l *loop) loadLastKnown() {
 	if l.memory != nil && len(l.config.Known.Targets) == 0 {
 		if list, age, ok := l.memory.savedList(); ok {
-			log.Printf("memory: begins with %d endpoints as they were %v ago", len(list.Endpoints), age.Round(time.Second))
+			log.Printf("memory: starting with the saved list of %d endpoints, last confirmed %v ago", len(list.Endpoints), age.Round(time.Second))
 			l.applyEndpoints(l.merger.HandlePlatformList(l.now(), list))
 			return
 		}
--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -82,7 +82,7 @@
 		return m, json.Unmarshal(text, &m)
 	}
 	if !strings.HasPrefix(source, "unix:") && !strings.Contains(source, ":") {
-		return m, errors.New("is neither unix:PATH, nor host:port, nor a file")
+		return m, errors.New("neither a regular file nor an address (unix:PATH or host:port)")
 	}
 	return admin.AskMembers(ctx, source)
 }
