--- a/internal/tool/members.go
+++ b/internal/tool/members.go
@@ -83,7 +83,7 @@
 		return members, json.Unmarshal(text, &members)
 	}
 	if !strings.HasPrefix(source, "unix:") && !strings.Contains(source, ":") {
-		return members, errors.New("is neither unix:PATH, nor host:port, nor a file")
+		return members, errors.New("neither a regular file nor an address (unix:PATH or host:port)")
 	}
 	return admin.AskMembers(ctx, source)
 }
