--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -11,19 +11,19 @@
 	"testing"
 )
 
-// module is the prefix of the import paths of the project's packages.
-const module = "quincegap/"
+// modulePrefix is the prefix of the import paths of the project's packages.
+const modulePrefix = "quincegap/"
 
-// minPackages is the least number of packages that the test has to find: fewer mean that it does not see the project.
+// minPackages is the minimum number of packages that go list has to return. A smaller number means that the test does not see the project.
 const minPackages = 10
 
-// folder is a part of the tree. Its packages may import those of lower folders and, of the folder itself, those of later ranks.
+// folder is a folder of the source tree. Its packages may import packages of lower folders and packages of lower ranks in the same folder.
 type folder struct {
 	path  string
-	ranks [][]string // packages, the highest rank first; "." is the folder itself; nil if the packages have no order
+	ranks [][]string // package names by rank, highest first ("." is the folder's own package); nil permits no imports within the folder
 }
 
-// folders is the tree as docs/architecture.md shows it, the highest first.
+// folders lists the folders in the order of docs/architecture.md, highest first.
 var folders = []folder{
 	{"cmd", nil},
 	{"internal/tool", [][]string{{"."}}},
@@ -76,8 +76,8 @@
 	{"internal/doctest", [][]string{{"."}}},
 }
 
-// pure are the folders whose packages do no I/O and get the time as an argument, except for those in impure. forbidden is what they must
-// not import.
+// pure lists the folders whose packages do no I/O and get the time as an argument. impure lists the exceptions: packages of these folders
+// that may do I/O. forbiddenImports lists the packages that pure packages must not import.
 var (
 	pure   = []string{"internal/balancer", "internal/structures", "internal/modules", "internal/config", "internal/rehearsal", "internal/mesh"}
 	impure = []string{
@@ -86,24 +86,24 @@
 		"internal/mesh/operations/settings", "internal/mesh/operations/eventlog", "internal/mesh/operations/eventfeed",
 		"internal/mesh/operations/meshctl",
 	}
-	forbidden = []string{"os", "net/http", "os/exec", "os/signal", "syscall", "log", "path/filepath"}
+	forbiddenImports = []string{"os", "net/http", "os/exec", "os/signal", "syscall", "log", "path/filepath"}
 )
 
-// outside are folders of packages that have no layer.
-var outside = []string{"docs", "journal", "internal/archtest"}
+// unlayered lists path prefixes of packages that have no layer; they are not checked.
+var unlayered = []string{"docs", "journal", "internal/archtest"}
 
-// layer is the position of a package: the index of its folder and its rank in it. Smaller ones are higher.
+// layer is the position of a package: the index of its folder in folders, and its rank in that folder. Smaller numbers are higher layers.
 type layer struct{ folder, rank int }
 
-// above reports whether a package may import one of the layer other.
+// above reports whether l is higher than other, so that a package of layer l may import a package of layer other.
 func (l layer) above(other layer) bool {
 	return l.folder < other.folder || l.folder == other.folder && l.rank < other.rank
 }
 
-// layerOf returns the layer of a package by its path in the module; false if it has none.
+// layerOf returns the layer of the package with a path relative to the module, and false if the package has no layer.
 func layerOf(path string) (layer, bool) {
 	for i, f := range folders {
-		name, ok := f.nameOf(path)
+		name, ok := f.relativePath(path)
 		if !ok {
 			continue
 		}
@@ -119,32 +119,33 @@
 	return layer{}, false
 }
 
-// nameOf returns the name of a package in the folder; false if it is not below it.
-func (f folder) nameOf(path string) (string, bool) {
+// relativePath returns the path of a package relative to the folder ("." for the folder's own package), and false if the package is not in
+// the folder.
+func (f folder) relativePath(path string) (string, bool) {
 	if path == f.path {
 		return ".", true
 	}
 	return strings.CutPrefix(path, f.path+"/")
 }
 
-// isPure reports whether a package must do no I/O.
+// isPure reports whether the package at path must not do I/O.
 func isPure(path string) bool {
 	l, _ := layerOf(path)
 	return slices.Contains(pure, folders[l.folder].path) && !slices.Contains(impure, path)
 }
 
-// listedPackage has the fields of the output of go list that the test needs.
+// listedPackage is a package in the JSON output of go list, with the fields that the tests need.
 type listedPackage struct {
 	ImportPath string
 	Imports    []string
 }
 
-// listPackages returns the packages of the module that have a layer, by their paths in the module.
+// listPackages returns the packages of the module, without those of unlayered, by their paths relative to the module.
 func listPackages(t *testing.T) map[string]listedPackage {
 	t.Helper()
-	out, err := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", module+"...").Output()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", modulePrefix+"...").Output()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("list the packages with go list:", err)
 	}
 	packages := map[string]listedPackage{}
 	decoder := json.NewDecoder(strings.NewReader(string(out)))
@@ -153,54 +154,56 @@
 		if err := decoder.Decode(&p); errors.Is(err, io.EOF) {
 			return packages
 		} else if err != nil {
-			t.Fatal(err)
+			t.Fatal("decode the output of go list:", err)
 		}
-		path := strings.TrimPrefix(p.ImportPath, module)
-		if !slices.ContainsFunc(outside, func(prefix string) bool { return strings.HasPrefix(path, prefix) }) {
+		path := strings.TrimPrefix(p.ImportPath, modulePrefix)
+		if !slices.ContainsFunc(unlayered, func(prefix string) bool { return strings.HasPrefix(path, prefix) }) {
 			packages[path] = p
 		}
 	}
 }
 
+// Each package imports only packages of lower layers, and pure packages import no package for I/O.
 func TestImportsGoOneWay(t *testing.T) {
 	packages := listPackages(t)
 	if len(packages) < minPackages {
-		t.Errorf("only %d packages were looked at", len(packages))
+		t.Errorf("go list returned %d packages, want at least %d", len(packages), minPackages)
 	}
 	for path, p := range packages {
-		own, ok := layerOf(path)
+		importer, ok := layerOf(path)
 		if !ok {
-			t.Errorf("%s has no layer: add it here and to docs/architecture.md", path)
+			t.Errorf("package %s has no layer: add it to folders in this file and to docs/architecture.md", path)
 			continue
 		}
 		for _, imported := range p.Imports {
-			checkImport(t, path, own, imported)
+			checkImport(t, path, importer, imported)
 		}
 	}
 }
 
-// checkImport checks one import of a package with a path and a layer.
-func checkImport(t *testing.T, path string, own layer, imported string) {
+// checkImport checks that the package at path, which has the layer importer, may import the package imported.
+func checkImport(t *testing.T, path string, importer layer, imported string) {
 	t.Helper()
-	if isPure(path) && slices.Contains(forbidden, imported) {
-		t.Errorf("%s imports %s, and is to do no I/O", path, imported)
+	if isPure(path) && slices.Contains(forbiddenImports, imported) {
+		t.Errorf("package %s must not do I/O, but imports %s", path, imported)
 	}
-	to, ok := strings.CutPrefix(imported, module)
+	to, ok := strings.CutPrefix(imported, modulePrefix)
 	if !ok {
 		return
 	}
-	if other, _ := layerOf(to); !own.above(other) {
-		t.Errorf("%s imports %s, which is higher up, or beside it", path, to)
+	if other, _ := layerOf(to); !importer.above(other) {
+		t.Errorf("package %s imports %s, which is not in a lower layer", path, to)
 	}
 }
 
+// Each package listed in folders exists.
 func TestListedPackagesExist(t *testing.T) {
 	packages := listPackages(t)
 	for _, f := range folders {
 		for _, name := range slices.Concat(f.ranks...) {
 			path := strings.TrimSuffix(f.path+"/"+name, "/.")
 			if _, ok := packages[path]; !ok {
-				t.Errorf("%s is listed, and does not exist", path)
+				t.Errorf("folders lists package %s, which does not exist", path)
 			}
 		}
 	}
--- a/internal/doctest/doc.go
+++ b/internal/doctest/doc.go
@@ -1,4 +1,4 @@
-// Package doctest has tests only. They compare the pages of this repository with its code: each relative link has a target, each file,
-// package and function that a page for newcomers or operators names exists, and each warning and error that a program can log is in the
-// runbook.
+// Package doctest contains only tests, which compare the documentation pages of this repository with its code: relative links have a
+// target; files, packages and functions mentioned on pages for newcomers or operators exist; the runbook has each warning and error that
+// a program can log.
 package doctest
--- a/internal/doctest/names_test.go
+++ b/internal/doctest/names_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// declared has the names that the project's Go files declare.
-type declared struct {
-	packages map[string]map[string]bool // the package-level names, by package
-	members  map[string]map[string]bool // methods and fields, by the name of the type in any package
-	inside   map[string]bool            // all package.Type.Member
+// declarations holds the names that the project's Go files declare.
+type declarations struct {
+	packages         map[string]map[string]bool // set of package-level names, by package name
+	members          map[string]map[string]bool // set of methods and fields, by type name (without package)
+	qualifiedMembers map[string]bool            // set of qualified member names, as package.Type.Member
 }
 
-// sources returns the Go files of some folders, without tests and testdata.
-func sources(t *testing.T, folders ...string) []string {
+// sourceFiles returns the paths of the Go files below folders, without tests and testdata.
+func sourceFiles(t *testing.T, folders ...string) []string {
 	t.Helper()
 	return files(t, func(path string) bool {
 		in := slices.ContainsFunc(folders, func(folder string) bool { return strings.HasPrefix(path, folder+"/") })
@@ -27,13 +27,13 @@
 	})
 }
 
-// parse parses a file.
+// parse returns the syntax tree of the Go file at path. It ends the test if the file cannot be parsed.
 func parse(t *testing.T, path string) *ast.File {
 	t.Helper()
 	return parseInto(t, token.NewFileSet(), path)
 }
 
-// parseInto parses a file and adds its positions to a set of files.
+// parseInto is like parse, and records the positions of the syntax tree in set.
 func parseInto(t *testing.T, set *token.FileSet, path string) *ast.File {
 	t.Helper()
 	file, err := parser.ParseFile(set, filepath.Join(root, filepath.FromSlash(path)), nil, parser.SkipObjectResolution)
@@ -43,19 +43,19 @@
 	return file
 }
 
-// collect returns the names that the project declares.
-func collect(t *testing.T) *declared {
+// collectDeclarations returns the names that the Go files below internal and cmd declare, tests excepted.
+func collectDeclarations(t *testing.T) *declarations {
 	t.Helper()
-	names := &declared{
-		packages: map[string]map[string]bool{},
-		members:  map[string]map[string]bool{},
-		inside:   map[string]bool{},
+	names := &declarations{
+		packages:         map[string]map[string]bool{},
+		members:          map[string]map[string]bool{},
+		qualifiedMembers: map[string]bool{},
 	}
-	for _, path := range sources(t, "internal", "cmd") {
+	for _, path := range sourceFiles(t, "internal", "cmd") {
 		file := parse(t, path)
 		name := file.Name.Name
 		if name == "main" {
-			name = filepath.Base(filepath.Dir(path)) // pages name a program by its folder
+			name = filepath.Base(filepath.Dir(path)) // pages refer to a program by its folder's name
 		}
 		for _, declaration := range file.Decls {
 			names.add(name, declaration)
@@ -64,66 +64,67 @@
 	return names
 }
 
-// add adds the names of a declaration in a package.
-func (d *declared) add(pkg string, declaration ast.Decl) {
-	switch x := declaration.(type) {
+// add adds the names that a declaration of package pkg introduces.
+func (d *declarations) add(pkg string, declaration ast.Decl) {
+	switch decl := declaration.(type) {
 	case *ast.FuncDecl:
-		if x.Recv == nil {
-			d.name(pkg, x.Name)
+		if decl.Recv == nil {
+			d.addName(pkg, decl.Name)
 			return
 		}
-		d.member(pkg, receiver(x.Recv.List[0].Type), x.Name)
+		d.addMember(pkg, receiver(decl.Recv.List[0].Type), decl.Name)
 	case *ast.GenDecl:
-		for _, spec := range x.Specs {
-			switch s := spec.(type) {
+		for _, spec := range decl.Specs {
+			switch typedSpec := spec.(type) {
 			case *ast.ValueSpec:
-				for _, name := range s.Names {
-					d.name(pkg, name)
+				for _, name := range typedSpec.Names {
+					d.addName(pkg, name)
 				}
 			case *ast.TypeSpec:
-				d.name(pkg, s.Name)
-				d.addType(pkg, s)
+				d.addName(pkg, typedSpec.Name)
+				d.addType(pkg, typedSpec)
 			}
 		}
 	}
 }
 
-// addType adds the fields of a struct or the methods of an interface.
-func (d *declared) addType(pkg string, s *ast.TypeSpec) {
-	var list *ast.FieldList
-	switch x := s.Type.(type) {
+// addType adds the fields of a struct type or the methods of an interface type. It adds nothing for other types.
+func (d *declarations) addType(pkg string, spec *ast.TypeSpec) {
+	var members *ast.FieldList
+	switch x := spec.Type.(type) {
 	case *ast.StructType:
-		list = x.Fields
+		members = x.Fields
 	case *ast.InterfaceType:
-		list = x.Methods
+		members = x.Methods
 	default:
 		return
 	}
-	for _, field := range list.List {
+	for _, field := range members.List {
 		for _, name := range field.Names {
-			d.member(pkg, s.Name.Name, name)
+			d.addMember(pkg, spec.Name.Name, name)
 		}
 	}
 }
 
-// name adds a package-level name.
-func (d *declared) name(pkg string, name *ast.Ident) {
+// addName adds a package-level name of package pkg.
+func (d *declarations) addName(pkg string, name *ast.Ident) {
 	if d.packages[pkg] == nil {
 		d.packages[pkg] = map[string]bool{}
 	}
 	d.packages[pkg][name.Name] = true
 }
 
-// member adds a method or a field of a type.
-func (d *declared) member(pkg, typeName string, name *ast.Ident) {
+// addMember adds a method or field of type typeName in package pkg.
+func (d *declarations) addMember(pkg, typeName string, name *ast.Ident) {
 	if d.members[typeName] == nil {
 		d.members[typeName] = map[string]bool{}
 	}
 	d.members[typeName][name.Name] = true
-	d.inside[pkg+"."+typeName+"."+name.Name] = true
+	d.qualifiedMembers[pkg+"."+typeName+"."+name.Name] = true
 }
 
-// receiver returns the name of the type of a method, from the type of its receiver.
+// receiver returns the type name in the type expression of a method's receiver, without pointer and type parameters. It returns "" for an
+// expression of another kind.
 func receiver(typeExpr ast.Expr) string {
 	switch x := typeExpr.(type) {
 	case *ast.StarExpr:
@@ -139,58 +140,59 @@
 }
 
 var (
-	goName = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*(?:\.[A-Za-z][A-Za-z0-9]*){1,2}$`)
-	// notGo matches names of files, which look like a member of a package.
-	notGo = regexp.MustCompile(`\.(?:go|md|toml|json|sh|yml|mod|txt|seg|morning|csv|html)$`)
+	goNamePattern = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9]*(?:\.[A-Za-z][A-Za-z0-9]*){1,2}$`)
+	// fileNamePattern matches file names, which goNamePattern matches too, since they look like a member of a package.
+	fileNamePattern = regexp.MustCompile(`\.(?:go|md|toml|json|sh|yml|mod|txt|seg|morning|csv|html)$`)
 )
 
-// has reports whether pkg.Name, Type.Member or pkg.Type.Member is declared.
-func (d *declared) has(name string) bool {
+// has reports whether name is declared. The name has the form pkg.Name, Type.Member or pkg.Type.Member.
+func (d *declarations) has(name string) bool {
 	parts := strings.Split(name, ".")
 	if len(parts) == 3 {
-		return d.inside[name]
+		return d.qualifiedMembers[name]
 	}
 	return d.packages[parts[0]][parts[1]] || d.members[parts[0]][parts[1]]
 }
 
-// foreign are the packages and types that pages name and that are not the project's.
-var foreign = []string{"http", "httputil", "unstable", "errors", "t", "MetaData", "Weights"}
+// foreignNames lists the packages and types that pages mention and that other projects declare.
+var foreignNames = []string{"http", "httputil", "unstable", "errors", "t", "MetaData", "Weights"}
 
-// namedInCode returns the Go names that a page has in code font, without those of files, tests and other projects.
+// namedInCode returns the Go names that page has in code font, without names of files and tests and without foreignNames.
 func namedInCode(page string) (names []string) {
-	for _, found := range inline.FindAllStringSubmatch(prose(page), -1) {
+	for _, found := range inlineCode.FindAllStringSubmatch(withoutCodeBlocks(page), -1) {
 		name, _, _ := strings.Cut(found[1], "(")
-		of, _, _ := strings.Cut(name, ".")
-		if goName.MatchString(name) && !notGo.MatchString(name) && !testName.MatchString(name) && !slices.Contains(foreign, of) {
+		qualifier, _, _ := strings.Cut(name, ".")
+		if goNamePattern.MatchString(name) && !fileNamePattern.MatchString(name) && !testNamePattern.MatchString(name) &&
+			!slices.Contains(foreignNames, qualifier) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Each function, method, field and type that a page for contributors names in code font is declared in the project.
+// Each function, method, field and type that a page for contributors has in code font is declared in the project.
 func TestNamedDeclarationsExist(t *testing.T) {
-	d := collect(t)
+	declared := collectDeclarations(t)
 	seen := 0
 	for _, page := range checkedPages(t) {
 		if strings.HasPrefix(page, "docs/operate/") && page != runbook {
-			continue // what looks like a Go name there is a key of the settings
+			continue // names with dots on these pages are keys of settings
 		}
-		for _, name := range namedInCode(read(t, page)) {
+		for _, name := range namedInCode(readFile(t, page)) {
 			seen++
-			if !d.has(name) {
-				t.Errorf("%s names %s, which is not declared", page, name)
+			if !declared.has(name) {
+				t.Errorf("%s mentions %s, which no Go file below internal or cmd declares", page, name)
 			}
 		}
 	}
 	if seen < 80 {
-		t.Errorf("only %d names were looked at", seen)
+		t.Errorf("found %d Go names in code font on the pages, want at least 80", seen)
 	}
 }
 
-// Each package has a row in the architecture page's table of layers, by itself or with its folder.
+// The architecture page's table of layers has a row for each package or for the folder that contains it.
 func TestArchitectureListsEachPackage(t *testing.T) {
-	page := read(t, "docs/architecture.md")
+	page := readFile(t, "docs/architecture.md")
 	seen := map[string]bool{}
 	for _, path := range files(t, func(path string) bool { return strings.HasPrefix(path, "internal/") && strings.HasSuffix(path, ".go") }) {
 		pkg := filepath.ToSlash(filepath.Dir(path))
@@ -200,36 +202,36 @@
 		seen[pkg] = true
 		parent := filepath.ToSlash(filepath.Dir(pkg))
 		if !strings.Contains(page, "| `"+pkg+"` |") && !strings.Contains(page, "| `"+parent+"/` |") {
-			t.Errorf("docs/architecture.md has no row for %s", pkg)
+			t.Errorf("docs/architecture.md has no row for package %s or its parent folder", pkg)
 		}
 	}
 }
 
-var testName = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z][A-Za-z0-9]*\b`)
+var testNamePattern = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z][A-Za-z0-9]*\b`)
 
-// Each test and benchmark that a page names exists.
+// Each test and benchmark that a page mentions exists.
 func TestNamedTestsExist(t *testing.T) {
-	declared := map[string]bool{}
+	testFuncs := map[string]bool{}
 	for _, path := range files(t, func(path string) bool {
 		return strings.HasSuffix(path, "_test.go") && !strings.HasPrefix(path, "journal/")
 	}) {
 		for _, declaration := range parse(t, path).Decls {
 			if f, ok := declaration.(*ast.FuncDecl); ok && f.Recv == nil {
-				declared[f.Name.Name] = true
+				testFuncs[f.Name.Name] = true
 			}
 		}
 	}
 	seen := 0
 	for _, page := range checkedPages(t) {
-		for _, name := range testName.FindAllString(prose(read(t, page)), -1) {
+		for _, name := range testNamePattern.FindAllString(withoutCodeBlocks(readFile(t, page)), -1) {
 			seen++
-			if !declared[name] {
-				t.Errorf("%s names %s, which is no test", page, name)
+			if !testFuncs[name] {
+				t.Errorf("%s mentions %s, but no test or benchmark has this name", page, name)
 			}
 		}
 	}
 	if seen < 100 {
-		t.Errorf("only %d names were looked at", seen)
+		t.Errorf("found %d names of tests and benchmarks on the pages, want at least 100", seen)
 	}
 }
 
@@ -238,20 +240,20 @@
 	faultRow        = regexp.MustCompile("(?m)^\\| (.+?) \\| `([^`]+)` \\| .+ \\|$")
 )
 
-// The page on tests has each fault that the script deliberately puts into the code, with its file.
+// The page on tests lists each fault that the mutation script injects into the code, together with the file that the script changes.
 func TestPageHasEachDeliberateFault(t *testing.T) {
 	const script, page = "internal/mesh/control/mutants.sh", "docs/design/testing.md"
 	onPage := map[string]string{}
-	for _, row := range faultRow.FindAllStringSubmatch(read(t, page), -1) {
+	for _, row := range faultRow.FindAllStringSubmatch(readFile(t, page), -1) {
 		onPage[row[1]] = row[2]
 	}
-	faults := deliberateFault.FindAllStringSubmatch(read(t, script), -1)
+	faults := deliberateFault.FindAllStringSubmatch(readFile(t, script), -1)
 	if len(faults) < 50 {
-		t.Errorf("only %d faults were looked at", len(faults))
+		t.Errorf("found %d faults in %s, want at least 50", len(faults), script)
 	}
 	for _, fault := range faults {
 		if onPage[fault[1]] != fault[2] {
-			t.Errorf("%s: fault %q in %s: %s has it in %q", script, fault[1], fault[2], page, onPage[fault[1]])
+			t.Errorf("%s injects fault %q into file %s, but %s lists it with file %q", script, fault[1], fault[2], page, onPage[fault[1]])
 		}
 	}
 }
--- a/internal/doctest/pages_test.go
+++ b/internal/doctest/pages_test.go
@@ -10,13 +10,14 @@
 	"testing"
 )
 
-// root is the directory of the repository, relative to this package.
+// root is the path of the repository's root directory, relative to this package's directory.
 const root = "../.."
 
-// skipped are the directories of version control and of build output.
-var skipped = []string{".git", "bin", "target", "out"}
+// skippedDirs lists the directories of version control and build output, which files does not search.
+var skippedDirs = []string{".git", "bin", "target", "out"}
 
-// files returns the paths, relative to root, of all files under root for which keep returns true.
+// files returns the paths, relative to root, of all files under root for which keep returns true. It does not search
+// skippedDirs.
 func files(t *testing.T, keep func(path string) bool) []string {
 	t.Helper()
 	var found []string
@@ -30,7 +31,7 @@
 		}
 		path = filepath.ToSlash(path)
 		if entry.IsDir() {
-			if slices.Contains(skipped, path) {
+			if slices.Contains(skippedDirs, path) {
 				return filepath.SkipDir
 			}
 			return nil
@@ -46,8 +47,8 @@
 	return found
 }
 
-// read returns the content of a file.
-func read(t *testing.T, path string) string {
+// readFile returns the content of the file at path, relative to root. It ends the test if the file cannot be read.
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(path)))
 	if err != nil {
@@ -56,23 +57,23 @@
 	return string(text)
 }
 
-// exists reports whether there is a file or directory.
+// exists reports whether there is a file or directory at path, relative to root.
 func exists(path string) bool {
 	_, err := os.Stat(filepath.Join(root, filepath.FromSlash(path)))
 	return err == nil
 }
 
 var (
-	link    = regexp.MustCompile(`\]\(([^)\s]+)\)`)
-	scheme  = regexp.MustCompile(`^[a-z]+:`)
-	heading = regexp.MustCompile(`(?m)^#+ +(.+?) *$`)
-	inline  = regexp.MustCompile("`([^`\n]+)`")
-	// anchorDropped matches the characters of a heading that its anchor does not have, as the usual renderers omit them.
+	linkPattern    = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+	schemePattern  = regexp.MustCompile(`^[a-z]+:`)
+	headingPattern = regexp.MustCompile(`(?m)^#+ +(.+?) *$`)
+	inlineCode     = regexp.MustCompile("`([^`\n]+)`")
+	// anchorDropped matches the characters of a heading that common Markdown renderers omit from its anchor.
 	anchorDropped = regexp.MustCompile(`[^\p{L}\p{N}\s_-]`)
 )
 
-// prose returns a page without its fenced code blocks.
-func prose(page string) string {
+// withoutCodeBlocks returns the text of page without its fenced code blocks.
+func withoutCodeBlocks(page string) string {
 	var kept strings.Builder
 	fenced := false
 	for line := range strings.Lines(page) {
@@ -87,58 +88,59 @@
 	return kept.String()
 }
 
-// anchors returns the anchors of a page's headings.
+// anchors returns the link anchors of the headings of page.
 func anchors(page string) []string {
 	var all []string
-	for _, found := range heading.FindAllStringSubmatch(prose(page), -1) {
+	for _, found := range headingPattern.FindAllStringSubmatch(withoutCodeBlocks(page), -1) {
 		text := anchorDropped.ReplaceAllString(strings.ToLower(found[1]), "")
 		all = append(all, strings.ReplaceAll(text, " ", "-"))
 	}
 	return all
 }
 
-// brokenLinks returns the relative links of a page that have no target.
+// brokenLinks returns the relative links of the page at path whose target file or anchor does not exist.
 func brokenLinks(t *testing.T, path string) []string {
 	t.Helper()
 	var broken []string
-	for _, found := range link.FindAllStringSubmatch(prose(read(t, path)), -1) {
+	for _, found := range linkPattern.FindAllStringSubmatch(withoutCodeBlocks(readFile(t, path)), -1) {
 		target := found[1]
-		if scheme.MatchString(target) {
+		if schemePattern.MatchString(target) {
 			continue
 		}
 		file, anchor, hasAnchor := strings.Cut(target, "#")
-		to := path
+		targetPath := path
 		if file != "" {
-			to = filepath.ToSlash(filepath.Join(filepath.Dir(path), file))
+			targetPath = filepath.ToSlash(filepath.Join(filepath.Dir(path), file))
 		}
 		switch {
-		case !exists(to):
+		case !exists(targetPath):
 			broken = append(broken, target)
-		case hasAnchor && strings.HasSuffix(to, ".md") && !slices.Contains(anchors(read(t, to)), anchor):
+		case hasAnchor && strings.HasSuffix(targetPath, ".md") && !slices.Contains(anchors(readFile(t, targetPath)), anchor):
 			broken = append(broken, target)
 		}
 	}
 	return broken
 }
 
+// Each relative link on a page has an existing target.
 func TestLinksLeadSomewhere(t *testing.T) {
 	pages := files(t, func(path string) bool { return strings.HasSuffix(path, ".md") })
 	if len(pages) < 40 {
-		t.Errorf("only %d pages were looked at", len(pages))
+		t.Errorf("found %d pages, want at least 40", len(pages))
 	}
 	for _, page := range pages {
 		for _, target := range brokenLinks(t, page) {
-			t.Errorf("%s: the link to %s leads nowhere", page, target)
+			t.Errorf("%s links to %s, which does not exist", page, target)
 		}
 	}
 }
 
-// Each page under docs/ can be reached from docs/README.md.
+// docs/README.md links each page under docs/, except for the incident reports.
 func TestIndexNamesEachPage(t *testing.T) {
-	index := read(t, "docs/README.md")
+	index := readFile(t, "docs/README.md")
 	for _, page := range files(t, func(path string) bool { return strings.HasPrefix(path, "docs/") && strings.HasSuffix(path, ".md") }) {
 		name := strings.TrimPrefix(page, "docs/")
-		if name == "README.md" || strings.HasPrefix(name, "incidents/") { // the index links the folder
+		if name == "README.md" || strings.HasPrefix(name, "incidents/") { // docs/README.md links the folder of incident reports
 			continue
 		}
 		if !strings.Contains(index, "]("+name+")") {
@@ -147,7 +149,8 @@
 	}
 }
 
-// checkedPages returns the pages whose names in code font are checked: all but those about the past.
+// checkedPages returns the paths of the pages whose names in code font are checked. Pages about the past are left out, since they have
+// names that no longer exist.
 func checkedPages(t *testing.T) []string {
 	t.Helper()
 	return files(t, func(path string) bool {
@@ -159,24 +162,24 @@
 }
 
 var (
-	goFile = regexp.MustCompile(`^(?:[\w./-]+/)?[\w-]+\.go$`)
-	folder = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|rehearsals|tools)/[\w./-]*$`)
+	goFilePattern = regexp.MustCompile(`^(?:[\w./-]+/)?[\w-]+\.go$`)
+	folderPattern = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|rehearsals|tools)/[\w./-]*$`)
 )
 
-// namedPaths returns the Go files and folders of this repository that a page names in code font.
+// namedPaths returns the paths of Go files and of folders of this repository that page has in code font.
 func namedPaths(page string) (goFiles, folders []string) {
-	for _, found := range inline.FindAllStringSubmatch(prose(page), -1) {
+	for _, found := range inlineCode.FindAllStringSubmatch(withoutCodeBlocks(page), -1) {
 		for word := range strings.FieldsSeq(found[1]) {
 			word = strings.TrimSuffix(strings.TrimRight(word, ",;:"), "/...")
 			word = strings.TrimPrefix(word, "./")
-			for strings.HasPrefix(word, "../") { // relative to a folder that the page names before
+			for strings.HasPrefix(word, "../") { // the path is relative to a folder that the page mentions earlier
 				word = strings.TrimPrefix(word, "../")
 			}
 			switch {
-			case strings.Contains(word, "NAME"): // a placeholder
-			case goFile.MatchString(word):
+			case strings.Contains(word, "NAME"): // the path has a placeholder
+			case goFilePattern.MatchString(word):
 				goFiles = append(goFiles, word)
-			case folder.MatchString(word):
+			case folderPattern.MatchString(word):
 				folders = append(folders, word)
 			}
 		}
@@ -184,11 +187,12 @@
 	return goFiles, folders
 }
 
+// Each Go file and folder that a page has in code font exists.
 func TestNamedFilesExist(t *testing.T) {
 	all := files(t, func(path string) bool { return strings.HasSuffix(path, ".go") })
 	seen := 0
 	for _, page := range checkedPages(t) {
-		text := read(t, page)
+		text := readFile(t, page)
 		if page == "docs/glossary.md" {
 			text = withoutFormerNames(text)
 		}
@@ -196,21 +200,21 @@
 		seen += len(goFiles) + len(folders)
 		for _, name := range goFiles {
 			if !slices.ContainsFunc(all, func(path string) bool { return path == name || strings.HasSuffix(path, "/"+name) }) {
-				t.Errorf("%s names %s, which is no file", page, name)
+				t.Errorf("%s mentions Go file %s, which does not exist", page, name)
 			}
 		}
 		for _, name := range folders {
 			if !exists(name) {
-				t.Errorf("%s names %s, which does not exist", page, name)
+				t.Errorf("%s mentions folder %s, which does not exist", page, name)
 			}
 		}
 	}
 	if seen < 50 {
-		t.Errorf("only %d names were looked at", seen)
+		t.Errorf("found %d paths in code font on the pages, want at least 50", seen)
 	}
 }
 
-// withoutFormerNames returns the glossary without the first column of its tables, which has names that no longer exist.
+// withoutFormerNames returns page, the glossary, without the first column of its tables, which lists names that no longer exist.
 func withoutFormerNames(page string) string {
 	var kept strings.Builder
 	for line := range strings.Lines(page) {
--- a/internal/doctest/runbook_test.go
+++ b/internal/doctest/runbook_test.go
@@ -11,37 +11,38 @@
 	"testing"
 )
 
-// runbook is the page that explains each warning and error.
+// runbook is the path of the page that explains each warning and error.
 const runbook = "docs/operate/runbook.md"
 
-// faultMethods are the methods of a logger for warnings and errors.
+// faultMethods lists the logger methods that log a warning or an error.
 var faultMethods = []string{
 	"Warn", "Warnf", "Warnln", "Warning", "Warningf", "Error", "Errorf", "Errorln", "Fatal", "Fatalf", "Fatalln", "Panic", "Panicf", "Panicln",
 }
 
-// notLoggers are packages with functions that have the names of a logger's methods.
+// notLoggers lists packages that are not loggers, but have functions with the names of logger methods.
 var notLoggers = []string{"http", "fmt", "errors", "trace", "math"}
 
-// plainMethods are the methods that write the log of the standalone sidecar, with the index of the argument that is the text. That log has
-// one level: each line has to be in the runbook.
-var plainMethods = map[string]int{"Print": 0, "Printf": 0, "Println": 0, "Log": 0, "logf": 0, "log": 0, "logOnce": 1}
+// standaloneMethods maps each method that writes to the log of the standalone sidecar to the index of its message argument. That log has
+// only one level, so each of its lines has to be in the runbook.
+var standaloneMethods = map[string]int{"Print": 0, "Printf": 0, "Println": 0, "Log": 0, "logf": 0, "log": 0, "logOnce": 1}
 
-// The folders whose code logs with levels, and those whose code logs without.
+// leveledFolders lists the folders whose code logs with levels, and standaloneFolders those whose code logs without levels.
 var (
-	levelFolders = []string{"internal/mesh", "cmd"}
-	plainFolders = []string{
+	leveledFolders    = []string{"internal/mesh", "cmd"}
+	standaloneFolders = []string{
 		"internal/standalone", "internal/network", "internal/product", "internal/files", "internal/modules/endpointsource", "internal/balancer",
 	}
 )
 
-// logLine is a call that logs.
+// logLine is a call that writes a log line.
 type logLine struct {
-	position string // path and line
-	message  string // the constant text up to the first part that is not constant; may be empty
+	position string // source position of the call, as path:line
+	message  string // leading constant part of the message, with formatting verbs; may be empty
 }
 
-// logLines returns the calls in a file that log a warning or an error; with plain also those of plainMethods.
-func logLines(t *testing.T, path string, plain bool) []logLine {
+// logLines returns the calls in the file at path that log a warning or an error. If standalone is true, it also returns the calls of
+// standaloneMethods.
+func logLines(t *testing.T, path string, standalone bool) []logLine {
 	t.Helper()
 	set := token.NewFileSet()
 	file := parseInto(t, set, path)
@@ -51,7 +52,7 @@
 		if !ok {
 			return true
 		}
-		if text := loggedText(call, plain); text != nil {
+		if text := loggedText(call, standalone); text != nil {
 			found = append(found, logLine{fmt.Sprintf("%s:%d", path, set.Position(call.Pos()).Line), constantText(text)})
 		}
 		return true
@@ -59,8 +60,9 @@
 	return found
 }
 
-// loggedText returns the argument that a call logs; nil for a call that logs nothing.
-func loggedText(call *ast.CallExpr, plain bool) ast.Expr {
+// loggedText returns the message argument of a call that logs a warning or an error. If standalone is true, it does so also for a call of
+// standaloneMethods. It returns nil for any other call.
+func loggedText(call *ast.CallExpr, standalone bool) ast.Expr {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return nil
@@ -70,7 +72,7 @@
 	}
 	index := 0
 	if !slices.Contains(faultMethods, method.Sel.Name) {
-		if index, ok = plainMethods[method.Sel.Name]; !ok || !plain {
+		if index, ok = standaloneMethods[method.Sel.Name]; !ok || !standalone {
 			return nil
 		}
 	}
@@ -80,7 +82,8 @@
 	return call.Args[index]
 }
 
-// constantText returns the literal with which an expression begins, or the format of an expression that is formatted.
+// constantText returns the string literal with which expression x begins, or the format literal if x is a call of Sprintf. It returns "" if
+// there is none.
 func constantText(x ast.Expr) string {
 	switch e := x.(type) {
 	case *ast.BasicLit:
@@ -99,34 +102,35 @@
 	return ""
 }
 
-// allLogLines returns the log lines of all programs.
+// allLogLines returns the log lines of all programs: warnings and errors of leveledFolders, and every line of standaloneFolders.
 func allLogLines(t *testing.T) (found []logLine) {
 	t.Helper()
-	for _, path := range sources(t, levelFolders...) {
+	for _, path := range sourceFiles(t, leveledFolders...) {
 		found = append(found, logLines(t, path, false)...)
 	}
-	for _, path := range sources(t, plainFolders...) {
+	for _, path := range sourceFiles(t, standaloneFolders...) {
 		found = append(found, logLines(t, path, true)...)
 	}
 	return found
 }
 
-// wordsOf returns a text of the page or of a message without escapes, quotes and line breaks, so that both can be compared.
-func wordsOf(text string) string {
+// normalized returns text without backslashes and double quotes, and with each run of white space as one space, so that messages on the
+// page can be compared with messages in the code.
+func normalized(text string) string {
 	text = strings.NewReplacer(`\`, "", `"`, "").Replace(text)
 	return strings.Join(strings.Fields(text), " ")
 }
 
-// messageOnPage matches a message in a heading or in the first cell of a row.
+// messageOnPage matches a message in a heading or in the first cell of a table row.
 var messageOnPage = regexp.MustCompile("^(?:###|\\|) `([^`]+)`")
 
-// runbookMessages returns the messages that the page explains.
+// runbookMessages returns the set of messages that the runbook explains, normalized.
 func runbookMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	messages := map[string]bool{}
-	for line := range strings.Lines(read(t, runbook)) {
+	for line := range strings.Lines(readFile(t, runbook)) {
 		if found := messageOnPage.FindStringSubmatch(line); found != nil {
-			messages[wordsOf(found[1])] = true
+			messages[normalized(found[1])] = true
 		}
 	}
 	return messages
@@ -137,46 +141,46 @@
 	onPage := runbookMessages(t)
 	seen := 0
 	for _, line := range allLogLines(t) {
-		message := wordsOf(line.message)
+		message := normalized(line.message)
 		if message == "" {
-			continue // see TestFaultsHaveAMessage
+			continue // TestFaultsHaveAMessage reports these
 		}
 		seen++
 		if !onPage[message] {
-			t.Errorf("%s logs %q, which is not in %s", line.position, line.message, runbook)
+			t.Errorf("%s logs %q, but %s does not explain this message", line.position, line.message, runbook)
 		}
 	}
 	if seen < 50 {
-		t.Errorf("only %d log lines were looked at", seen)
+		t.Errorf("found %d log lines with a constant message, want at least 50", seen)
 	}
 }
 
-// A warning or error of the mesh has a constant message, so that operators find it in the runbook. What varies is in its fields.
+// Each warning and error of the mesh has a constant message, so that operators find it in the runbook. Variable data is in its fields.
 func TestFaultsHaveAMessage(t *testing.T) {
-	for _, path := range sources(t, levelFolders...) {
+	for _, path := range sourceFiles(t, leveledFolders...) {
 		for _, line := range logLines(t, path, false) {
-			if wordsOf(line.message) == "" {
-				t.Errorf("%s logs a text that is not constant", line.position)
+			if normalized(line.message) == "" {
+				t.Errorf("%s logs a warning or error without a constant message", line.position)
 			}
 		}
 	}
 }
 
-// The runbook, which is read under pressure, has no message that no program logs.
+// The runbook has only messages that a program logs: operators read it under pressure, and obsolete entries would cost them time.
 func TestRunbookHasNoOtherFault(t *testing.T) {
 	logged := map[string]bool{}
 	for _, line := range allLogLines(t) {
-		logged[wordsOf(line.message)] = true
+		logged[normalized(line.message)] = true
 	}
 	for message := range runbookMessages(t) {
-		if !logged[message] && !slices.Contains(reasons, message) {
-			t.Errorf("%s has %q, which nothing logs", runbook, message)
+		if !logged[message] && !slices.Contains(messageParts, message) {
+			t.Errorf("%s explains message %q, which no program logs", runbook, message)
 		}
 	}
 }
 
-// reasons are the first cells of those tables of the page that explain parts of a message.
-var reasons = []string{
+// messageParts lists entries of runbook tables that explain part of a message, such as its cause, rather than a whole message.
+var messageParts = []string{
 	"settings file PATH: FIELD: wanted ...", "listen on ADDRESS", "folder PATH", "BALANCER_CONFIG", "speaks version", "a frame of",
 	"a call of over", "over N calls at once",
 }
