--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Pending requests are sent in the order of what they add to the optimized value: the value of their class, and the weight of the
-// worst-served class.
+// Pending requests are sent in the order of their contribution to the optimized value, which consists of the value of their class and,
+// for the worst-served class, of that class's weight.
 func TestValuableClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
 	sentByClass := func(worstClassWeight float64) (byClass [3]int) {
 		config := settings()
@@ -101,9 +101,9 @@
 	}
 }
 
-// The time that has elapsed for a client that retries counts towards its latency target. If the remaining time does not show it, the
-// mean of the retries that do show it is assumed. When retries were treated as new requests, they filled a tier with calls that
-// missed their target.
+// The age of a client's retry, which is the time since the client's first attempt, counts towards the latency target. If the remaining
+// time of the retry does not show its age, the mean age of the retries that do show theirs is assumed. When retries were treated as new
+// requests, they filled a tier with calls that missed their target.
 func TestRetriesThatMissTheirTargetAreRejectedFirst(t *testing.T) {
 	fixture := start(t, settings(), 2)
 	fixture.serveRequests(200, nil)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -40,8 +40,8 @@
 	pending     []*request                    // requests that wait to be sent
 	pendingTime timeShare                     // share of recent time in which at least one request was pending
 	backoffs    deadlinequeue.Queue[*request] // requests by the end of their backoff, at which they become pending again
-	// retryElapsed is the mean time, in seconds, that had elapsed for a client when its retry arrived. It is computed from the
-	// retries whose remaining time shows the elapsed time.
+	// retryElapsed is the mean age of clients' retries on arrival, in seconds. The age of a retry is the time since the client's
+	// first attempt. The mean is over the retries whose remaining time shows their age.
 	retryElapsed float64
 
 	// Limits.
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -23,7 +23,7 @@
 	targetShare             = 0.5 // share of the time from base latency to latency target for queueing; the rest is for slow answers
 	initialCallsPerEndpoint = 5.0 // limit while no latency is known: attempts per listed endpoint, divided by the instances
 	minCallsPerEndpoint     = 1.2 // lowest limit once a latency is known, in the same unit
-	concurrencySlack        = 2.0 // requests above its share that each endpoint, and the fleet, may hold
+	concurrencySlack        = 2.0 // requests that one endpoint may hold above its share, and all endpoints together above the computed limit
 	maxEndpointShare        = 1.5 // largest part of the limit that one endpoint may hold, in even shares
 
 	// The budget of attempts that may end without having run (updateRejectionThrottle) consists of what each answer earns, a
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -10,7 +10,7 @@
 
 const (
 	fetchIntervalShare   = 0.5  // mean time between fetches after broken connections, as a share of the interval in fetchRateLimited
-	maxConcurrentFetches = 16.0 // mean number of fetches by all instances in that time
+	maxConcurrentFetches = 16.0 // highest mean number of fetches by all instances together in the time between two fetches of one
 	watchSpreadShare     = 0.05 // bound of the random delay of the first subscription, as a share of ResubscribeInterval
 )
 
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -19,7 +19,7 @@
 	WorkHint        time.Duration // expected work; 0 if unknown
 	Retry           bool          // the client marked the request as a retry
 	Write           bool          // the request modifies data
-	IdleConnections int           // number of idle connections from callers to this instance, without that of this request
+	IdleConnections int           // number of idle connections from callers to this instance, not counting that of this request
 
 	Exclude        *EndpointID   // endpoint that the first attempt must not use; nil for none
 	ValueFactor    float64       // value relative to other requests of the class; 0 stands for 1
@@ -72,7 +72,7 @@
 	ID       RequestID
 	Endpoint EndpointID
 	Attempt  int  // number of the attempt among those of its request, from 0
-	Final    bool // the host finished the request, with this outcome or earlier
+	Final    bool // the host has finished the request, either by this outcome or before it
 	Elapsed  time.Duration
 	Status   Status
 	Load     *Load         // the endpoint's load report; nil for none
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -11,7 +11,7 @@
 	targetSlackMeans     = 1.8  // least time until the latency target when a request is sent, in mean latencies
 	maxPendingSeconds    = 2.0  // limit on pending requests, in seconds at the current rate of answers
 	minPendingTime       = 0.2  // least share of recent time with pending requests for which that rate is meaningful
-	retryElapsedWeight   = 0.05 // weight of one retry in the mean time that had elapsed for clients' retries
+	retryElapsedWeight   = 0.05 // weight of one retry in the mean age of clients' retries
 	firstAttemptShare    = 0.97 // share of the longest remaining time seen; a request with less time left is a retry
 	deadlineReserveTicks = 2    // number of ticks before its deadline at which a pending request gets its final answer
 )
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -51,7 +51,7 @@
 	Instances int           // number of instances in this tier
 	Ordinal   int           // index of this instance in the tier, from 0
 	Tier      int           // index of the tier that this instance calls, from 0
-	Tiers     int           // number of tiers; a request may wait in each from Tier on
+	Tiers     int           // number of tiers; a request may wait in tier Tier and in each later one
 	Quantum   time.Duration // shortest time between two rounds of events
 	// MaxSubsetSize is the largest number of endpoints that this instance calls, 0 for no limit. If all instances together call
 	// fewer endpoints than are listed, the others get no requests.
@@ -75,7 +75,7 @@
 
 	// The source of the endpoint list.
 	MustSubscribe       bool          // changes arrive only after WatchEndpoints or FetchEndpoints
-	ResubscribeInterval time.Duration // time after which an instance that has not subscribed or fetched counts as notified
+	ResubscribeInterval time.Duration // time after which the source treats an instance without a subscription or fetch as notified
 
 	// PropagatesDeadline reports whether a request to the next tier carries the remaining time of its caller, rather than the full
 	// Deadline of its class.
--- a/internal/mesh/assembly/controlplane_shutdown.go
+++ b/internal/mesh/assembly/controlplane_shutdown.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits of the consecutive steps of a control-plane process's shutdown. Each step takes at most its time-out, and at most the grace time
+// Limits of the consecutive steps of a control-plane process's shutdown. Each step takes at most its timeout, and at most the grace time
 // divided by its divisor.
 const (
 	releaseTimeout  = 300 * time.Millisecond  // time to release the singleton roles
--- a/internal/mesh/assembly/process.go
+++ b/internal/mesh/assembly/process.go
@@ -88,7 +88,7 @@
 // close ends the links, listeners and background tasks of the process. It is called after the shutdown, and also if the process can't
 // start.
 func (p *process) close() {
-	p.hub.Drain(p.hub.Now()) // does not wait for peers: a shutdown in order has already done so
+	p.hub.Drain(p.hub.Now()) // does not wait for peers: an orderly shutdown has already done so
 	for _, listener := range p.listeners {
 		p.closeListener(listener)
 	}
@@ -143,7 +143,7 @@
 }
 
 // awaitTermination waits until the process has to end. It returns nil after SIGTERM, and otherwise the error of the server that has failed.
-// In both cases the caller then shuts down the process in order.
+// In both cases the caller then starts an orderly shutdown.
 func (p *process) awaitTermination() error {
 	select {
 	case <-p.signals.Terminate:
--- a/internal/mesh/assembly/sidecar_shutdown.go
+++ b/internal/mesh/assembly/sidecar_shutdown.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// shutDown shuts down the sidecar in order. The sidecar reports that it is not ready, and serves requests until clients use other sidecars.
-// It then rejects new requests, and waits until each request that was read has its answer, including those that other sidecars have sent
-// to the local endpoint.
+// shutDown shuts down the sidecar step by step. The sidecar reports that it is not ready, and serves requests until clients use other
+// sidecars. It then rejects new requests, and waits until each request that was read has its answer, including those that other sidecars
+// have sent to the local endpoint.
 func (s *sidecar) shutDown(clients net.Listener) {
 	plan := planShutdown(s.hub.Now(), s.settings.Bounds.Grace)
 	s.local.shutDown()
--- a/internal/mesh/control/configuration/configuration_test.go
+++ b/internal/mesh/control/configuration/configuration_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Match returns the route with the longest matching prefix, as a comparison with each prefix finds it, for all paths of up to five pieces.
+// For all paths of up to five pieces, Match returns the route with the longest matching prefix. The test finds it by comparing each prefix.
 func TestMatchIsTheLongestPrefix(t *testing.T) {
 	prefixes := []string{"/", "/a/", "/a/b/", "/a/b", "/a/bb", "/b/c/d/", "//", "/a//"}
 	var text strings.Builder
--- a/internal/mesh/control/consensus/message.go
+++ b/internal/mesh/control/consensus/message.go
@@ -55,7 +55,7 @@
 	Promise                            // Prepare succeeded: the ballot is promised
 	Accepted                           // Accept succeeded: the value is accepted
 	Rejected                           // a higher ballot is promised; for Recover: the incarnation is not above the recorded one
-	StaleEpoch                         // the request's epoch is out of date: the epoch of VoterSet is decided
+	StaleEpoch                         // the request's epoch is out of date: VoterSet is decided and has a higher epoch
 	ConflictingVoters                  // the request has the same epoch as VoterSet, but other voters
 	ForeignSystem                      // the sender does not belong to System
 )
--- a/internal/mesh/control/consensus/world_test.go
+++ b/internal/mesh/control/consensus/world_test.go
@@ -20,7 +20,7 @@
 type cluster struct {
 	voters        []string // all processes, also those that are not voters of firstVoters
 	firstVoters   VoterSet
-	distinguished map[string]bool // by voter: whether a state in which it changes places with another one is a different state
+	distinguished map[string]bool // by voter: whether exchanging it with another voter gives a different state
 	records       []Record        // the records on disk, by voter
 	recordHashes  []uint64        // the hashes of records
 	recoveries    []*Recovery     // the recoveries in progress, by voter; nil for none
@@ -80,9 +80,9 @@
 	return newClusterWithStandbys(voters, voters, losses, attempts, changes...)
 }
 
-// newClusterWithStandbys returns a cluster of the processes v0, v1 and so on, whose number is all. The first ones are voters,
-// and the others are ready to become voters. The last one may lose its disk a number of times. There is a proposer for each
-// change, with its number of attempts.
+// newClusterWithStandbys returns a cluster of processes named v0, v1 and so on. all is the number of processes, of which the
+// first ones are voters and the others are ready to become voters. The last process may lose its disk as often as losses
+// says. There is a proposer for each change, with its number of attempts.
 func newClusterWithStandbys(voters, all, losses int, attempts []int, changes ...*Change) *cluster {
 	cluster := &cluster{
 		diskLosses:    losses,
--- a/internal/mesh/control/controlplane/acceptor.go
+++ b/internal/mesh/control/controlplane/acceptor.go
@@ -40,7 +40,7 @@
 	disk            recordDisk
 	record          consensus.Record
 	loaded          bool   // whether the contents of the disk are known: record equals them, or needsRecord is true
-	hadRecord       bool   // whether there was a record since the process started; if the disk is empty after that, it was lost
+	hadRecord       bool   // whether there was a record since the process started; an empty disk after that means a lost record
 	needsRecord     bool   // whether the record is lost or was never created; the acceptor must not vote then
 	blankDisk       bool   // whether the disk was completely empty; set only with needsRecord
 	diskIncarnation uint64 // disk incarnation of the recovery in progress; set only with needsRecord
--- a/internal/mesh/control/controlplane/core_test.go
+++ b/internal/mesh/control/controlplane/core_test.go
@@ -44,7 +44,7 @@
 type memoryStore struct {
 	mu      sync.Mutex
 	records map[string][]byte
-	unblock chan struct{} // channel whose close ends the wait of writes; nil if writes do not wait
+	unblock chan struct{} // channel that blocks writes until it is closed; nil if writes do not block
 	latency time.Duration // duration of a write
 	fault   error         // error that writes return; nil if they succeed
 	faulty  string        // prefix of the keys whose writes return fault
--- a/internal/mesh/control/ratelimit/allocator.go
+++ b/internal/mesh/control/ratelimit/allocator.go
@@ -12,7 +12,7 @@
 
 	shareLease    = 10 * time.Second // lease duration of a fallback share
 	forgetAfter   = 2 * shareLease   // time without a request after which the allocator removes a sidecar
-	sweepInterval = time.Second      // time between two removals of silent sidecars and deleted tenants
+	sweepInterval = time.Second      // minimum time between two calls of sweep that remove sidecars and tenants
 	maxSidecars   = 8192             // maximum number of sidecars that an allocator serves
 
 	// newAllocatorDelay is how long a new allocator reserves unreported shares even if all known sidecars have reported theirs:
--- a/internal/mesh/control/ratelimit/ratelimit_test.go
+++ b/internal/mesh/control/ratelimit/ratelimit_test.go
@@ -11,7 +11,7 @@
 )
 
 // partitionRun simulates ten sidecars and an allocator. A tenant sends many times its limit while random sidecars are partitioned for
-// some time, requests and replies are delayed or lost, and the role moves to new allocators without any state.
+// some time, requests and replies are delayed or lost, and the allocator is replaced by new ones that start without any state.
 type partitionRun struct {
 	rng              *rand.Rand
 	now              time.Duration
--- a/internal/mesh/control/ratelimit/token_cache.go
+++ b/internal/mesh/control/ratelimit/token_cache.go
@@ -26,7 +26,7 @@
 	lastSent            time.Duration            // time at which the newest request was sent
 	requestInFlight     bool                     // true while the newest request has no reply
 	highestFencingToken uint64                   // highest fencing token of the allocators whose grants were accepted
-	sidecarCount        int                      // number of known members
+	sidecarCount        int                      // number of known sidecars
 }
 
 // NewTokenCache returns an empty cache.
--- a/internal/mesh/control/storage/power_test.go
+++ b/internal/mesh/control/storage/power_test.go
@@ -21,10 +21,10 @@
 	names            map[lstorage.FileDesc]*powerFile // files by name, as the process sees them
 	synced           map[lstorage.FileDesc]*powerFile // files by name, as of the folder's last sync
 	meta             [2]lstorage.FileDesc             // active manifest, as the process sees it and as of the folder's last sync
-	callsUntilLoss   int                              // number of changing calls until the loss of power; not above 0 for no loss
+	callsUntilLoss   int                              // number of calls of change until the loss of power; 0 or less for no loss
 	afterLoss        *powerDisk                       // the disk after the loss of power; nil before it
-	failuresWhenFull int                              // number of changing calls that fail because the disk is full
-	callsUntilFull   int                              // number of changing calls before those that fail
+	failuresWhenFull int                              // number of calls of change that fail because the disk is full
+	callsUntilFull   int                              // number of calls of change before those that fail
 	random           *rand.Rand
 }
 
--- a/internal/mesh/dataplane/inbound/connection.go
+++ b/internal/mesh/dataplane/inbound/connection.go
@@ -14,14 +14,14 @@
 
 // Bounds on a connection to the endpoint.
 const (
-	// defaultIdleTime is how long a connection may stay idle if the endpoint announces no idle time-out.
+	// defaultIdleTime is how long a connection may stay idle if the endpoint announces no idle timeout.
 	defaultIdleTime = 4 * time.Second
-	// idleMargin is how long before the announced idle time-out a connection is no longer reused: a request that is sent while the endpoint
+	// idleMargin is how long before the announced idle timeout a connection is no longer reused: a request that is sent while the endpoint
 	// closes the connection would be lost.
 	idleMargin = 1500 * time.Millisecond
-	// maxAnnouncedIdle bounds the time-out in an endpoint's Keep-Alive, in seconds; a time-out that is as long or longer is ignored.
+	// maxAnnouncedIdle bounds the timeout in an endpoint's Keep-Alive, in seconds; a timeout that is as long or longer is ignored.
 	maxAnnouncedIdle = 3600
-	// maxRejections is how many requests the endpoint may reject on a connection that is still reused.
+	// maxRejections is the number of rejected requests above which a connection is no longer reused.
 	maxRejections = 8
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
@@ -89,7 +89,7 @@
 	}
 }
 
-// parseKeepAlive returns the time-out of a Keep-Alive header field, such as "timeout=5, max=100". If there are several valid time-outs it
+// parseKeepAlive returns the timeout of a Keep-Alive header field, such as "timeout=5, max=100". If there are several valid timeouts it
 // returns the last one; ok reports whether there is one.
 func parseKeepAlive(value string) (timeout time.Duration, ok bool) {
 	for _, parameter := range strings.Split(value, ",") {
--- a/internal/mesh/dataplane/inbound/inbound_test.go
+++ b/internal/mesh/dataplane/inbound/inbound_test.go
@@ -65,7 +65,7 @@
 	return proxy
 }
 
-// dialPatiently dials with a longer time-out than the proxy's, so that tests pass on a machine under load.
+// dialPatiently dials with a longer timeout than the proxy's, so that tests pass on a machine under load.
 func dialPatiently(address string, _ time.Duration) (net.Conn, error) {
 	return dialTCP(address, 20*time.Second)
 }
--- a/internal/mesh/dataplane/inbound/pool.go
+++ b/internal/mesh/dataplane/inbound/pool.go
@@ -7,7 +7,7 @@
 	"github.com/gammazero/deque"
 )
 
-// A Dialer connects to an address, and fails after a time-out.
+// A Dialer connects to an address, and fails after a timeout.
 type Dialer func(address string, timeout time.Duration) (net.Conn, error)
 
 // maxConnectFailures is the number of consecutive failures to connect after which the endpoint counts as down.
--- a/internal/mesh/dataplane/outbound/connections.go
+++ b/internal/mesh/dataplane/outbound/connections.go
@@ -13,9 +13,9 @@
 	sweepInterval = 500 * time.Millisecond
 	// shutdownSweepInterval is the time between two checks of idle connections during shutdown.
 	shutdownSweepInterval = 20 * time.Millisecond
-	// idleTimeoutMargin is the difference between the actual idle time-out and the shorter one that is advertised to clients.
+	// idleTimeoutMargin is the difference between the actual idle timeout and the shorter one that is advertised to clients.
 	idleTimeoutMargin = time.Second
-	// defaultIdleTimeout is the idle time-out until there is a configuration.
+	// defaultIdleTimeout is the idle timeout until there is a configuration.
 	defaultIdleTimeout = 15 * time.Second
 )
 
@@ -49,7 +49,7 @@
 
 // clientConnections tracks the clients' open connections, and closes those that have been idle for too long.
 type clientConnections struct {
-	idleTimeout func() time.Duration // returns the currently configured idle time-out
+	idleTimeout func() time.Duration // returns the currently configured idle timeout
 
 	mu       sync.Mutex
 	open     map[net.Conn]clientConnection
--- a/internal/mesh/dataplane/outbound/faults_test.go
+++ b/internal/mesh/dataplane/outbound/faults_test.go
@@ -102,7 +102,7 @@
 		}
 		var netError net.Error
 		if !errors.As(err, &netError) || !netError.Timeout() {
-			f.violated("request %s: reading its answer: got error %v, want none or a time-out", r.id, err)
+			f.violated("request %s: reading its answer: got error %v, want none or a timeout", r.id, err)
 		}
 		f.mu.Lock()
 		f.givenUp++
--- a/internal/mesh/dataplane/outbound/server.go
+++ b/internal/mesh/dataplane/outbound/server.go
@@ -17,7 +17,7 @@
 	maxHeaderBytes = 256 << 10
 	// headerTimeout bounds the time that a client may take to send a header.
 	headerTimeout = 5 * time.Second
-	// maxIdleTime bounds the configured idle time-out of clients' connections.
+	// maxIdleTime bounds the configured idle timeout of clients' connections.
 	maxIdleTime = 90 * time.Second
 	// expiryMargin is how long before its deadline a request expires, so that its answer reaches the client in time.
 	expiryMargin = 30 * time.Millisecond
--- a/internal/mesh/discovery/membership/config.go
+++ b/internal/mesh/discovery/membership/config.go
@@ -40,7 +40,7 @@
 	SuspicionTimeout time.Duration
 
 	// FailureTimeout is the age of a heartbeat at which its member departs. Default 10 s. It detects failures that break no connection.
-	// A shorter time-out removes slow members; a longer one leaves members that ended in the view for longer.
+	// A shorter timeout removes slow members; a longer one delays the removal of ended members from the view.
 	FailureTimeout time.Duration
 
 	// RemoteFailureTimeout replaces FailureTimeout for members of other zones if the view is large, or once a peer has had the same digests
@@ -78,9 +78,9 @@
 	// Default 256.
 	MaxTombstones int
 
-	// MonitoredPeers is the number of peers in the process's zone, and again among the eligible registry owners, that the process shuffles
-	// with in turn while the view is quiet, which keeps the connections to them open. Default 3. At least that many processes notice when
-	// a member ends.
+	// MonitoredPeers is the number of peers in the process's zone that the process monitors while the view is quiet. It monitors the same
+	// number of eligible registry owners. It shuffles with the monitored peers in turn, which keeps the connections to them open.
+	// Default 3. At least that many processes notice when a member ends.
 	MonitoredPeers int
 
 	// BootstrapThreshold is the number of other members below which each regular shuffle also goes to a seed. Default 4.
--- a/internal/mesh/discovery/membership/schedule.go
+++ b/internal/mesh/discovery/membership/schedule.go
@@ -6,7 +6,7 @@
 type schedule struct {
 	started             bool          // Tick has been called
 	lastTick            time.Duration // time of the last call of Tick
-	resumedAt           time.Duration // end of the last freeze, or the first Tick; earlier times don't count towards time-outs
+	resumedAt           time.Duration // end of the last freeze, or the first Tick; earlier times don't count towards timeouts
 	lastGossip          time.Duration // time of the last regular shuffle
 	nextGossip          time.Duration // time of the next regular shuffle
 	nextReconnect       time.Duration // time of the next attempt to reach a seed or any departed member
--- a/internal/mesh/discovery/membership/suspicion.go
+++ b/internal/mesh/discovery/membership/suspicion.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// expireMembers removes members that have been unreachable for DisconnectGrace or whose heartbeats have reached the failure time-out.
-// Members whose heartbeats have reached the suspicion time-out become suspected; others that aren't unreachable become alive.
+// expireMembers removes members that have been unreachable for DisconnectGrace or whose heartbeats have reached the failure timeout.
+// Members whose heartbeats have reached the suspicion timeout become suspected; others that aren't unreachable become alive.
 func (v *View) expireMembers(now time.Duration) {
 	for i := len(v.table.entries) - 1; i >= 0; i-- { // in reverse order, because the loop removes members
 		member := v.table.entries[i]
@@ -90,8 +90,8 @@
 	v.noteUpdate(now)
 }
 
-// departTimedOut removes a member whose heartbeat has reached the failure time-out. If the member is in this process's zone and the view
-// is large, a tombstone notifies the peers; in a small view the heartbeat reaches the time-out at all peers anyway.
+// departTimedOut removes a member whose heartbeat has reached the failure timeout. If the member is in this process's zone and the view
+// is large, a tombstone notifies the peers; in a small view the heartbeat reaches the timeout at all peers anyway.
 func (v *View) departTimedOut(now time.Duration, e *entry) {
 	v.depart(now, e)
 	if e.Zone == v.self.Zone && v.isLarge() {
@@ -127,7 +127,7 @@
 // isLarge reports whether the view has more members than two shuffles can carry.
 func (v *View) isLarge() bool { return len(v.table.entries) > 2*v.config.MaxMembersPerShuffle }
 
-// restartTimeouts restarts all time-outs, because this process may have been frozen. It doesn't affect the ages of heartbeats in shuffles.
+// restartTimeouts restarts all timeouts, because this process may have been frozen. It doesn't affect the ages of heartbeats in shuffles.
 func (v *View) restartTimeouts(now time.Duration) {
 	v.schedule.resumedAt = now
 	for _, e := range v.table.entries {
--- a/internal/mesh/discovery/registry.go
+++ b/internal/mesh/discovery/registry.go
@@ -169,8 +169,8 @@
 }
 
 // isTakenOver reports whether another endpoint has taken over the address of an entry: the other one hasn't ended and was renewed within
-// TakeoverTimeout, and the entry wasn't. The result depends only on times, because the revisions that supersede compares aren't comparable
-// between publishers.
+// TakeoverTimeout, and the entry wasn't. The result depends only on times. Revisions, which supersede uses, can be compared only between
+// records of the same publisher.
 func (r *Registry) isTakenOver(now time.Duration, entry *registryEntry) bool {
 	if now-entry.renewedAt < r.config.TakeoverTimeout {
 		return false
--- a/internal/mesh/discovery/subscription.go
+++ b/internal/mesh/discovery/subscription.go
@@ -116,7 +116,7 @@
 	return due
 }
 
-// checkTimeout makes a source unresponsive if it hasn't answered for the time-out. The next request to it is then due immediately.
+// checkTimeout makes a source unresponsive if it hasn't answered for the timeout. The next request to it is then due immediately.
 func (s *source) checkTimeout(now, timeout time.Duration) {
 	if (s.state == answered || s.state == awaitingAnswer) && now-s.answeredAt >= timeout {
 		s.transition(now, unresponsive, 0)
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -92,7 +92,7 @@
 	l.pending[call.stream] = call
 	l.enqueue(call)
 	if len(l.pending) == 1 {
-		l.liveness.lastReceivedAt = now // the time-out for the peer's next frame starts now, not at its last frame
+		l.liveness.lastReceivedAt = now // the timeout for the peer's next frame starts now, not at its last frame
 	}
 	l.wakeWriter()
 	return true
--- a/internal/mesh/transport/hub.go
+++ b/internal/mesh/transport/hub.go
@@ -237,7 +237,8 @@
 	for _, l := range links {
 		l.fail(reasonClosed)
 	}
-	// Only after the links have ended, so that the calls of a link being dialled end with reasonClosed, not with the dialler's error.
+	// The context is cancelled only after the links have ended. Otherwise the calls of a link that is being dialled would end with the
+	// dialler's error instead of reasonClosed.
 	h.cancel()
 	h.goroutines.Wait()
 }
--- a/internal/mesh/transport/liveness.go
+++ b/internal/mesh/transport/liveness.go
@@ -24,7 +24,7 @@
 	v.pingSentAt = 0
 }
 
-// resumed reports whether this process was suspended since the last check. If so, it restarts the time-outs, because frames that the peer
+// resumed reports whether this process was suspended since the last check. If so, it restarts the timeouts, because frames that the peer
 // has sent in the meantime may not have been read yet.
 func (v *liveness) resumed(now time.Duration) bool {
 	suspended := now-v.lastCheckAt > suspendThreshold
--- a/internal/modules/endpointsource/merger.go
+++ b/internal/modules/endpointsource/merger.go
@@ -46,7 +46,7 @@
 	consulAnswered   bool
 	consulAnsweredAt time.Duration // time of the latest answer
 	consulExpired    bool          // Consul has not answered for Settings.ConsulTTL (ModeOverlay)
-	fromCache        bool          // the balancer uses the last known list
+	fromCache        bool          // the list in use is the last known one, from the cache
 	published        bool          // the balancer has a list
 	readyCount       int           // number of entries with ready set
 	noneReady        bool          // readyCount was 0 at the last publication, so checks are ignored; see checksIgnored
--- a/internal/modules/peers/doc.go
+++ b/internal/modules/peers/doc.go
@@ -46,6 +46,6 @@
 // # What it does not do
 //
 // The package does not determine which members are reachable, exchanges no messages and writes nothing to disk. It is no consensus
-// protocol: two views may differ for a moment. Whether something that may exist only once is to be created or used must not be
-// decided on a view that is not Settled.
+// protocol: two views may differ for a moment. Only a Settled view may be used to decide whether to create or use something
+// that may exist only once.
 package peers
--- a/internal/modules/peers/stability.go
+++ b/internal/modules/peers/stability.go
@@ -10,7 +10,7 @@
 
 // The values of Confidence.
 const (
-	// Changing is a view that has changed within Options.SettleAfter, or that has met no other member yet. Its users go on with the last
+	// Changing is a view that has changed within Options.SettleAfter, or that has met no other member yet. Its users continue to use the last
 	// group or, before the first one, with the settings of the file.
 	Changing Confidence = iota
 	// Settled is a stable view with more than half of the reference group. The reference group is the last settled group, without members
--- a/internal/modules/peers/stability_test.go
+++ b/internal/modules/peers/stability_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// After a partition into halves neither side is settled, however long the partition lasts. Of unequal sides only the larger one is
-// settled. After the partition has healed both are. During a partition MaxInstances includes the members at the other side that may still
-// run.
+// After a partition into halves neither side is settled, however long the partition lasts. Of unequal sides only the larger one is settled.
+// After the partition has healed, both sides are settled. During a partition MaxInstances includes the members at the other side that may
+// still run.
 func TestNoTwoSidesAreSettled(t *testing.T) {
 	for _, test := range []struct {
 		name           string
--- a/internal/modules/peers/view.go
+++ b/internal/modules/peers/view.go
@@ -326,11 +326,11 @@
 // group lacks later changes.
 func (v *View) Confidence(now time.Duration) Confidence { return v.group.confidence(now) }
 
-// Reachable returns how many names of the reference group are present, and the size of the reference group, which is the last settled
-// group without members that have announced their shutdown since. Before the first settled group it returns how many names are present
-// and how many are expected. Names that were lost within Options.LossWindow still belong to the reference group: the members at the other
-// side of a partition are not detected as lost all at once, and if the reference group shrank with each loss, both sides would be
-// settled.
+// Reachable returns how many names of the reference group are present, and the size of the reference group, which is the last settled group
+// without members that have announced their shutdown since. Before the first settled group it returns how many names are present and how
+// many are expected. Names that were lost within Options.LossWindow still belong to the reference group, because the members at the other
+// side of a partition are detected as lost one after another. If the reference group shrank with each of them, the views of both sides
+// would be Settled.
 func (v *View) Reachable() (reached, size int) { return v.group.reachable() }
 
 // SettledGroup returns the sorted names of the last settled group, to be saved and passed to Resume in a later process. It returns nil if
