--- a/internal/rehearsal/audit/atmostonce.go
+++ b/internal/rehearsal/audit/atmostonce.go
@@ -1,7 +1,7 @@
 package audit
 
-// judgeAtMostOnce judges the second rule for one request: not too many attempts, none beside another unless hedging is allowed,
-// and none after one that may have run unless the repeat has no second effect.
+// judgeAtMostOnce checks the second rule for one request: at most MaxAttempts attempts, no two in flight at once unless hedging is
+// allowed, and no attempt after one that may have run, unless repeating it has no second effect.
 func (a *auditor) judgeAtMostOnce(request *request) {
 	if request.sent.Class < 0 || request.sent.Class >= len(a.Classes) {
 		return
@@ -27,7 +27,7 @@
 	}
 }
 
-// judgeInFlight judges whether an attempt was sent while an earlier one was in flight.
+// judgeInFlight adds a breach if an attempt was sent while an earlier one was still in flight and hedging is not allowed.
 func (a *auditor) judgeInFlight(request *request, next *attempt, before []*attempt) {
 	if a.Hedging {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// judgeRepeat judges an attempt after others that may have run; one breach is enough.
+// judgeRepeat adds a breach if an attempt may have a second effect, given the earlier attempts that may have run. It adds at most one.
 func (a *auditor) judgeRepeat(class *Class, request *request, next *attempt, mayHaveRun []*attempt) {
 	breach := func(format string, args ...any) {
 		a.addBreach(breachOf(AtMostOnce, next.received.At, request, next.received.Server, format, args...))
--- a/internal/rehearsal/audit/audit_test.go
+++ b/internal/rehearsal/audit/audit_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// testRules returns the rules of a small installation: servers 0 and 1 share a cell, 2 is in another; class 0 is keyed, 1 unsafe, 2
-// safe. One request of each class arrives after a second.
+// testRules returns the rules of a small installation: servers 0 and 1 share a cell and server 2 is in another; class 0 is keyed,
+// class 1 unsafe and class 2 safe. One request of each class arrives after a second.
 func testRules() Rules {
 	return Rules{
 		Length: 20 * time.Second, Slack: 50 * ms, Drain: 250 * ms, NotifyWithin: 6 * time.Second, MaxAttempts: 3,
@@ -27,10 +27,10 @@
 	}
 }
 
-// script writes events by hand. Times are in milliseconds, sidecars and servers 0 unless an event names others.
+// script is a list of events written by hand. Times are in milliseconds. Sidecar and server are 0 unless an event names another.
 type script struct {
 	events []Event
-	serial uint64 // the id of the attempt that was sent last
+	serial uint64 // ID of the last attempt that was sent
 }
 
 func begin() *script { return &script{} }
@@ -40,7 +40,7 @@
 	return s
 }
 
-// ask adds the first attempt of a caller, of the arrival that has the class's number.
+// ask adds the first attempt of a caller, for the arrival whose index is the class's, with left milliseconds to the timeout.
 func (s *script) ask(at int, id string, class, left int) *script {
 	return s.add(Event{
 		At: time.Duration(at) * ms, Kind: RequestSent, Request: id, Class: class, Origin: class, CallerAttempt: 1,
@@ -48,7 +48,7 @@
 	})
 }
 
-// askSidecar adds a request of arrival 0 to the second sidecar: a caller's attempt, or the call of a server (attempt 0).
+// askSidecar adds a request for arrival 0 to the second sidecar: a caller's attempt, or a call by a server (callerAttempt 0).
 func (s *script) askSidecar(at int, id string, class, callerAttempt int) *script {
 	return s.add(Event{
 		At: time.Duration(at) * ms, Kind: RequestSent, Request: id, Class: class, Sidecar: 1, CallerAttempt: callerAttempt,
@@ -56,7 +56,7 @@
 	})
 }
 
-// sent adds an attempt at a server.
+// sent adds an attempt that a server received.
 func (s *script) sent(at int, id string, server int) *script {
 	s.serial++
 	return s.add(Event{
@@ -65,53 +65,53 @@
 	})
 }
 
-// end ends the attempt that was sent last.
+// end adds the end of the attempt that was sent last.
 func (s *script) end(at int, result AttemptResult) *script { return s.endOf(at, s.serial, result) }
 
-// endOf ends an attempt.
+// endOf adds the end of an attempt.
 func (s *script) endOf(at int, attempt uint64, result AttemptResult) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: AttemptEnded, AttemptID: attempt, Result: result, Work: 100 * ms})
 }
 
-// answer answers a caller.
+// answer adds an answer to a caller.
 func (s *script) answer(at int, id string, status int) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: AnswerReceived, Request: id, Status: status, Authentic: status == 200})
 }
 
-// closed ends the connection of a request before its answer.
+// closed adds the end of a request's connection before its answer.
 func (s *script) closed(at int, id string) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: ConnectionClosed, Request: id})
 }
 
-// timedOut has the caller of a request go away.
+// timedOut adds the timeout of a request's caller.
 func (s *script) timedOut(at int, id string) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: CallerTimedOut, Request: id})
 }
 
-// notified notifies the sidecar of the server's state.
+// notified adds a notification of the sidecar about the server's state.
 func (s *script) notified(at int, state string) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: SidecarNotified, Text: state})
 }
 
-// late makes the emulator late.
+// late adds a lateness of the emulator.
 func (s *script) late(at, by int) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: EmulatorLate, Duration: time.Duration(by) * ms, Origin: -1})
 }
 
-// of adds an event of the sidecar.
-func (s *script) of(at int, kind Kind) *script {
+// sidecarEvent adds an event of the given kind about the sidecar.
+func (s *script) sidecarEvent(at int, kind Kind) *script {
 	return s.add(Event{At: time.Duration(at) * ms, Kind: kind, Server: -1, Origin: -1})
 }
 
-// breachCases are scripts of one request, by name.
+// breachCases are scripts that break one rule or none, by name.
 var breachCases = map[string]struct {
 	script *script
 	rule   Rule
-	want   string // in the one breach; empty if there is to be none
+	want   string // text in the only breach; empty if no breach is expected
 }{
 	"served": {script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).end(1100, Served).answer(1101, "a", 200)},
 	"no answer": {
-		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).of(1000, SidecarUp),
+		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).sidecarEvent(1000, SidecarUp),
 		rule:   FinalAnswer, want: "no answer in 3s",
 	},
 	"the caller gave up in the end": {
@@ -120,18 +120,19 @@
 	},
 	"the caller went away early": {script: begin().ask(1000, "a", 0, 3000).timedOut(2000, "a")},
 	"the sidecar was killed": {
-		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).of(2000, SidecarKilled).closed(2001, "a"),
+		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).sidecarEvent(2000, SidecarKilled).closed(2001, "a"),
 	},
 	"it was killed long before": {
-		script: begin().of(200, SidecarKilled).of(500, SidecarUp).ask(1000, "a", 0, 3000).sent(1001, "a", 0).closed(2001, "a"),
+		script: begin().sidecarEvent(200, SidecarKilled).sidecarEvent(500, SidecarUp).ask(1000, "a", 0, 3000).sent(1001, "a", 0).
+			closed(2001, "a"),
 		rule:   FinalAnswer, want: "closed without an answer",
 	},
 	"it died by itself": {
-		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).of(2000, SidecarDied).closed(2001, "a"),
+		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).sidecarEvent(2000, SidecarDied).closed(2001, "a"),
 		rule:   FinalAnswer, want: "closed without an answer",
 	},
 	"it was told to end": {
-		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).of(1500, SidecarStopping).closed(2001, "a"),
+		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).sidecarEvent(1500, SidecarStopping).closed(2001, "a"),
 		rule:   FinalAnswer, want: "closed without an answer",
 	},
 	"closed between requests": {
@@ -139,7 +140,7 @@
 			answer(1101, "a", 200),
 	},
 	"asked again of another after a kill": {
-		script: begin().ask(1000, "a", 1, 3000).sent(1001, "a", 0).of(1100, SidecarKilled).end(1100, Canceled).
+		script: begin().ask(1000, "a", 1, 3000).sent(1001, "a", 0).sidecarEvent(1100, SidecarKilled).end(1100, Canceled).
 			closed(1100, "a").
 			askSidecar(1101, "a", 1, 1).
 			sent(1102, "a", 2).end(1200, Served).answer(1201, "a", 200),
@@ -281,7 +282,7 @@
 	},
 	"the emulator was late": {
 		script: begin().late(3500, 200).ask(1000, "a", 0, 3000).
-			sent(1001, "a", 0).of(900, SidecarUp),
+			sent(1001, "a", 0).sidecarEvent(900, SidecarUp),
 	},
 	"it was late long before": {
 		script: begin().late(500, 200).ask(3000, "a", 0, 3000).
@@ -294,47 +295,48 @@
 	},
 }
 
-// Each way to break a rule is found, with its words, and what looks like it but is right is not.
+// Judge must find each way to break a rule, with a message that names it, and must accept similar runs that are allowed.
 func TestBreaches(t *testing.T) {
-	for name, c := range breachCases {
-		v := Judge(testRules(), c.script.events, 0)
-		if c.want == "" {
+	for name, test := range breachCases {
+		v := Judge(testRules(), test.script.events, 0)
+		if test.want == "" {
 			if len(v.Breaches) > 0 {
-				t.Errorf("%s: %v", name, v.Breaches)
+				t.Errorf("%s: got breaches %v, want none", name, v.Breaches)
 			}
 			continue
 		}
-		if len(v.Breaches) != 1 || v.Breaches[0].Rule != c.rule || !strings.Contains(v.Breaches[0].Message, c.want) ||
-			v.BreachesByRule[c.rule] != 1 {
-			t.Errorf("%s: %v, want one of %q with %q", name, v.Breaches, c.rule, c.want)
+		if len(v.Breaches) != 1 || v.Breaches[0].Rule != test.rule || !strings.Contains(v.Breaches[0].Message, test.want) ||
+			v.BreachesByRule[test.rule] != 1 {
+			t.Errorf("%s: got breaches %v, want one of rule %q with %q", name, v.Breaches, test.rule, test.want)
 		}
 	}
 }
 
-// An update of discovery counts as notified 6 s later, whether or not it was written; for a sidecar that came since, and for a server
-// that is ready again since, it does not.
+// An update of discovery counts as notified 6 s later, written or not, unless the sidecar started after that or has since been
+// notified that the server is ready again.
 func TestNotifiedUnwritten(t *testing.T) {
 	served := func(s *script, at int) *script {
 		return s.ask(at, "a", 0, 3000).sent(at+1, "a", 0).end(at+100, Served).answer(at+101, "a", 200)
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		script *script
 		want   int
 	}{
-		"too early":    {served(begin().of(0, SidecarUp).notified(0, "Ready"), 7200), 0},
-		"late":         {served(begin().of(0, SidecarUp).notified(0, "Ready"), 7400), 1},
-		"started then": {served(begin().of(7100, SidecarUp), 7400), 0},
-		"ready again":  {served(begin().of(0, SidecarUp).notified(0, "Ready").notified(3000, "Ready"), 7400), 0},
+		"too early":    {served(begin().sidecarEvent(0, SidecarUp).notified(0, "Ready"), 7200), 0},
+		"late":         {served(begin().sidecarEvent(0, SidecarUp).notified(0, "Ready"), 7400), 1},
+		"started then": {served(begin().sidecarEvent(7100, SidecarUp), 7400), 0},
+		"ready again":  {served(begin().sidecarEvent(0, SidecarUp).notified(0, "Ready").notified(3000, "Ready"), 7400), 0},
 	} {
 		r := testRules()
 		r.StateUpdates = []StateUpdate{{At: time.Second, Server: 0, State: "Gone"}}
-		if v := Judge(r, c.script.events, 0); v.BreachesByRule[DrainRespected] != c.want {
-			t.Errorf("%s: %v", name, v.Breaches)
+		if v := Judge(r, test.script.events, 0); v.BreachesByRule[DrainRespected] != test.want {
+			t.Errorf("%s: got %d breaches of the drain rule, want %d: %v", name, v.BreachesByRule[DrainRespected], test.want, v.Breaches)
 		}
 	}
 }
 
-// Service counts the value of what was answered within the target, from the first attempt on; a request without an answer counts as asked.
+// Service is the share of value answered within the latency target, measured from the first attempt. A request without an answer
+// counts as wanted.
 func TestService(t *testing.T) {
 	s := begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).end(1100, Failed).answer(1101, "a", 502).
 		add(Event{At: 1500 * ms, Kind: RequestSent, Request: "a2", CallerAttempt: 2, Duration: 3 * time.Second}).
@@ -344,47 +346,48 @@
 	verdict := Judge(testRules(), s.events, 0)
 	if verdict.Service != 0.5 || verdict.InTime != 1 || verdict.Late != 1 || verdict.Rejected != 1 || verdict.Failed != 0 ||
 		verdict.CallerAttempts != 4 || verdict.ServerAttempts != 3 {
-		t.Errorf("%+v", verdict)
+		t.Errorf("service and counts of one request in time, one late, one rejected: got %+v", verdict)
 	}
 	if verdict.P50 != 601*ms || verdict.P99 != 2901*ms {
-		t.Errorf("P50 %v, P99 %v", verdict.P50, verdict.P99)
+		t.Errorf("latencies: got P50 %v and P99 %v, want 601ms and 2.901s", verdict.P50, verdict.P99)
 	}
 	if want := 1.0 / 3; verdict.WastedShare < want-1e-9 || verdict.WastedShare > want+1e-9 {
-		t.Errorf("waste %v", verdict.WastedShare)
+		t.Errorf("share of wasted work: got %v, want %v", verdict.WastedShare, want)
 	}
 	if verdict.WorstService != 0.5 || verdict.WorstFrom != 0 || verdict.Seconds[1].Offered != 3 || verdict.Seconds[1].Attempts != 3 {
-		t.Errorf("worst %v from %v, second %+v", verdict.WorstService, verdict.WorstFrom, verdict.Seconds[1])
+		t.Errorf("worst service: got %v from %v with second 1 %+v, want 0.5 from 0s with 3 offered and 3 attempts",
+			verdict.WorstService, verdict.WorstFrom, verdict.Seconds[1])
 	}
 	if verdict = Judge(testRules(), nil, 0); verdict.Service != 0 || verdict.Failed != 3 {
-		t.Errorf("nobody was answered: %v, %d failed", verdict.Service, verdict.Failed)
+		t.Errorf("run without answers: got service %v and %d failed requests, want 0 and 3", verdict.Service, verdict.Failed)
 	}
 }
 
-// A run in which the emulator is late too often says nothing, and neither does one whose events were not all kept.
+// A run is void if the emulator is late too often or if the log dropped events.
 func TestVoid(t *testing.T) {
 	if v := Judge(testRules(), begin().late(3000, 300).events, 0); v.VoidReason != "" || v.MaxLateness != 300*ms {
-		t.Errorf("one late second: %q", v.VoidReason)
+		t.Errorf("one late second: got void reason %q and lateness %v, want none and 300ms", v.VoidReason, v.MaxLateness)
 	}
 	v := Judge(testRules(), begin().late(3000, 300).late(7000, 300).events, 0)
 	if !strings.Contains(v.VoidReason, "2 of 20 seconds, by up to 300ms") {
-		t.Errorf("two late seconds: %q", v.VoidReason)
+		t.Errorf("two late seconds: got void reason %q, want 2 of 20 seconds", v.VoidReason)
 	}
 	if v := Judge(testRules(), begin().late(1000, 30).late(4000, 30).events, 0); v.VoidReason != "" {
-		t.Errorf("a little late: %q", v.VoidReason)
+		t.Errorf("lateness below the threshold: got void reason %q, want none", v.VoidReason)
 	}
 	if v := Judge(testRules(), nil, 5); !strings.Contains(v.VoidReason, "5 events") {
-		t.Errorf("lost events: %q", v.VoidReason)
+		t.Errorf("5 lost events: got void reason %q, want one that names them", v.VoidReason)
 	}
 }
 
-// A breach comes with the trace of its request, calls of its servers included, in order.
+// The trace of a request with a breach lists its steps in order of time, including the calls that servers made for it.
 func TestTraces(t *testing.T) {
 	s := begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).
 		askSidecar(1010, "a.1", 0, 0).sent(1011, "a.1", 2).end(1050, Served).answer(1051, "a.1", 200).
 		endOf(1100, 1, Failed).sent(1110, "a", 2).end(1200, Served).answer(1201, "a", 200)
 	verdict := Judge(testRules(), s.events, 0)
 	if len(verdict.Traces) != 3 || verdict.Traces[0].Origin != 0 || !strings.Contains(verdict.Traces[0].Reason, "outside the group") {
-		t.Fatalf("%+v", verdict.Traces)
+		t.Fatalf("got traces %+v, want 3 with the breach of arrival 0 first", verdict.Traces)
 	}
 	var got []string
 	for _, l := range verdict.Traces[0].Lines {
@@ -396,10 +399,10 @@
 		"a: attempt 2 at box 3 served", "a: answered 200",
 	}
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s", strings.Join(got, "\n"))
+		t.Errorf("trace lines: got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 	if verdict.Traces[1].Reason != "no answer" {
-		t.Errorf("%+v", verdict.Traces[1])
+		t.Errorf("second trace: got %+v, want the reason \"no answer\"", verdict.Traces[1])
 	}
 }
 
@@ -409,6 +412,6 @@
 		l.Add(Event{})
 	}
 	if events, lost := l.Events(); len(events) != 2 || lost != 1 {
-		t.Errorf("%d events, %d lost", len(events), lost)
+		t.Errorf("3 events in a log of 2: got %d events and %d lost, want 2 and 1", len(events), lost)
 	}
 }
--- a/internal/rehearsal/audit/auditor.go
+++ b/internal/rehearsal/audit/auditor.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	maxBreaches   = 1000 // how many a verdict lists
-	maxLateShare  = 0.05 // the share of late seconds above which the run is void
+	maxBreaches   = 1000 // maximum number of breaches that a verdict lists
+	maxLateShare  = 0.05 // share of late seconds above which a run is void
 	lateThreshold = 100 * time.Millisecond
-	killTolerance = 250 * time.Millisecond // how much earlier or later than recorded a kill may have its effect
+	killTolerance = 250 * time.Millisecond // maximum time between the recorded kill of a sidecar and its effect, in either direction
 )
 
-// request is one request to one sidecar, with its attempts and answers.
+// request is one request to one sidecar, with its attempts and answers, in order of time.
 type request struct {
 	sent     Event
-	name     string // X-Txn
+	name     string // value of the X-Txn header
 	attempts []*attempt
 	answers  []Event
-	ended    *Event // ConnectionClosed or CallerTimedOut
-	unknown  bool   // an attempt came of a request that no caller has sent
+	ended    *Event // latest ConnectionClosed or CallerTimedOut event; nil if there was none
+	unknown  bool   // a server received an attempt for it, but no caller sent it
 }
 
 // attempt is one attempt at a server.
 type attempt struct {
 	received Event
-	ended    *Event // nil while it is in flight
+	ended    *Event // AttemptEnded event; nil while the attempt is in flight
 }
 
-// neverRan reports whether the attempt is known to have had no effect.
+// neverRan reports whether the attempt is known not to have run, so that it had no effect.
 func (a *attempt) neverRan() bool {
 	return a.ended != nil && (a.ended.Result == Rejected || a.ended.Result == Truncated)
 }
 
-// auditor sorts the events of a run, and judges them.
+// auditor groups the events of a run by request, attempt and sidecar, and checks them against the rules.
 type auditor struct {
 	Rules
 	verdict      *Verdict
 	requests     map[string]*request
-	order        []*request // in the order in which they came
+	order        []*request // all requests, in the order of their first event
 	attempts     map[uint64]*attempt
-	origins      [][]*request             // by arrival
-	notified     map[[2]int][]StateUpdate // by sidecar and server
-	lifecycle    map[int][]Event          // by sidecar: SidecarKilled, SidecarStopping, SidecarDied and SidecarUp
-	knownUpdates map[int][]StateUpdate    // by server, with the time from which on they count as notified
-	late         []bool                   // by second: the emulator was late
+	origins      [][]*request             // requests by index of the arrival
+	notified     map[[2]int][]StateUpdate // updates that discovery wrote, by sidecar and server
+	lifecycle    map[int][]Event          // SidecarUp, SidecarStopping, SidecarKilled and SidecarDied events, by sidecar
+	knownUpdates map[int][]StateUpdate    // updates by server; At is the time from which they count as notified
+	late         []bool                   // whether the emulator was late, by second
 }
 
-// Judge judges the events of a rehearsal, in any order. lost is how many events its log did not keep; if there are any, the run is void.
+// Judge checks the events of a rehearsal, given in any order, against its rules. lost is the number of events that its log dropped;
+// the run is void if there are any.
 func Judge(rules Rules, events []Event, lost int) *Verdict {
 	auditor := newAuditor(rules)
 	events = slices.Clone(events)
@@ -99,7 +100,7 @@
 	return auditor
 }
 
-// record assigns one event to its request, attempt or sidecar.
+// record assigns one event to its request, attempt or sidecar. Events must be recorded in order of time.
 func (a *auditor) record(event *Event) {
 	switch event.Kind {
 	case RequestSent:
@@ -142,8 +143,8 @@
 	}
 }
 
-// recordRequest records a request. One that was sent before, on a connection that was closed, is a new request: it may go to another
-// sidecar, which has not seen the attempts of the one before.
+// recordRequest records a request. A request that is sent again after its connection was closed counts as a new request, because it
+// may go to another sidecar, which does not know of the earlier attempts.
 func (a *auditor) recordRequest(event *Event) {
 	repeated := a.requests[event.Request] != nil
 	r := &request{name: event.Request, sent: *event}
@@ -157,7 +158,7 @@
 	}
 }
 
-// recordAttempt records an attempt at a server, and a breach if no caller has sent its request.
+// recordAttempt records an attempt that a server received, and adds a breach if no caller sent its request.
 func (a *auditor) recordAttempt(event *Event) {
 	r := a.requests[event.Request]
 	if r == nil {
@@ -181,7 +182,7 @@
 	}
 }
 
-// recordLateness records how late the emulator was. Before callers come that does not matter.
+// recordLateness records how late the emulator was. Lateness before the callers start has no effect on the run and is ignored.
 func (a *auditor) recordLateness(event *Event) {
 	if event.At < 0 {
 		return
@@ -194,7 +195,8 @@
 
 func (a *auditor) addBreach(b Breach) { a.verdict.Breaches = append(a.verdict.Breaches, b) }
 
-// judgeLateness voids a run in which the emulator was late too often.
+// judgeLateness marks the seconds in which the emulator was late, and voids a run that has more than one of them and more than the
+// share maxLateShare.
 func (a *auditor) judgeLateness() {
 	seconds, late := len(a.verdict.Seconds), 0
 	for second := range seconds {
@@ -210,7 +212,8 @@
 	}
 }
 
-// excuseBreaches drops the breaches of times in which the emulator was late, and counts the others by rule. The first ones are listed.
+// excuseBreaches removes the breaches at times when the emulator was late, and counts the others by rule. The verdict lists the first
+// maxBreaches of them.
 func (a *auditor) excuseBreaches() {
 	v := a.verdict
 	kept := v.Breaches[:0]
@@ -227,7 +230,7 @@
 	v.Breaches = kept
 }
 
-// emulatorLate reports whether the emulator was late at a time, or in the second before.
+// emulatorLate reports whether the emulator was late in the second of the given time or in the second before it.
 func (a *auditor) emulatorLate(at time.Duration) bool {
 	second := int(at / time.Second)
 	return a.lateIn(second) || second > 0 && a.lateIn(second-1)
@@ -237,14 +240,15 @@
 	return second >= 0 && second < len(a.late) && a.late[second]
 }
 
-// interrupted reports whether a sidecar was killed or stopped between two times. One that ends by itself is not excused.
+// interrupted reports whether a sidecar was killed or suspended between two times. A sidecar that ended by itself, or
+// was asked to stop by SIGTERM, is not excused.
 func (a *auditor) interrupted(sidecar int, from, to time.Duration) bool {
 	return slices.ContainsFunc(a.lifecycle[sidecar], func(e Event) bool {
 		return e.Kind == SidecarKilled && e.At >= from-killTolerance && e.At <= to+killTolerance
 	})
 }
 
-// wasServing reports whether a sidecar was serving at a time: one that started later was not notified of earlier updates.
+// wasServing reports whether a sidecar was serving at the given time. A sidecar that started later was not notified of earlier updates.
 func (a *auditor) wasServing(sidecar int, at time.Duration) bool {
 	serving := false
 	for _, e := range a.lifecycle[sidecar] {
--- a/internal/rehearsal/audit/drain.go
+++ b/internal/rehearsal/audit/drain.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// judgeDrain judges the third rule for one attempt: its sidecar must not have known for long that the server is going. It knows
-// what discovery has written to it, and what discovery could have written NotifyWithin ago; of the two the later one counts.
+// judgeDrain checks the third rule for one attempt: a sidecar must not send it later than Drain after it learned that the server is
+// leaving. A sidecar counts as notified of an update as soon as discovery has written it to the sidecar, and at the latest
+// NotifyWithin after the update. If both give an update, the later one counts.
 func (a *auditor) judgeDrain(request *request, attempt *attempt) {
 	first, server := attempt.received.FirstByteAt, attempt.received.Server
 	deadline := first - a.Drain - a.Slack
@@ -30,7 +31,8 @@
 		(first - since.At).Round(time.Millisecond), since.State))
 }
 
-// readyAgain reports whether the newest that was written is that the server is ready, with nothing due since.
+// readyAgain reports whether the latest update written by the given time says that the server is ready, and no later update that it
+// is leaving is due.
 func (a *auditor) readyAgain(notified []StateUpdate, at time.Duration, due StateUpdate, isDue bool) bool {
 	newest, _ := lastUpdate(notified, at)
 	if newest.State != stateReady {
@@ -39,10 +41,10 @@
 	return !isDue || !due.leaving() || due.At-a.NotifyWithin <= newest.At
 }
 
-// leaving reports whether a server is about to go, or has gone.
+// leaving reports whether the update says that the server is terminating or gone.
 func (u *StateUpdate) leaving() bool { return u.State == stateTerminating || u.State == stateGone }
 
-// lastUpdate returns the last update up to a time; false if there is none.
+// lastUpdate returns the last update at or before a time, or false if there is none. The updates are in order of time.
 func lastUpdate(updates []StateUpdate, until time.Duration) (StateUpdate, bool) {
 	for i := len(updates) - 1; i >= 0; i-- {
 		if updates[i].At <= until {
--- a/internal/rehearsal/audit/event.go
+++ b/internal/rehearsal/audit/event.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// Kind is what an event is about.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The kinds of events.
 const (
-	RequestSent        Kind = iota + 1 // the last byte of a request is written to a sidecar
-	AnswerReceived                     // the whole answer has been read
-	ConnectionClosed                   // the connection ended before a whole answer
-	CallerTimedOut                     // the caller's timeout is over, and it has closed the connection
-	UnsolicitedBytes                   // bytes came that nobody had asked for
-	AttemptReceived                    // the last byte of an attempt has been read by a server
-	AttemptEnded                       // an attempt is over, with its Result
-	SidecarNotified                    // discovery has written to a sidecar what state a server is in
-	SidecarUp                          // a sidecar serves
-	SidecarStopping                    // it was asked to end, by SIGTERM
-	SidecarKilled                      // it was killed, or made to stand still
-	SidecarDied                        // it ended by itself, or hangs
-	ServerCollapsed                    // a cold server was overloaded
+	RequestSent        Kind = iota + 1 // a caller or server has written the last byte of a request to a sidecar
+	AnswerReceived                     // the sender of a request has read the whole answer
+	ConnectionClosed                   // the sidecar closed the connection before the answer was complete
+	CallerTimedOut                     // the caller's timeout expired and it closed the connection
+	UnsolicitedBytes                   // a sidecar sent bytes that belong to no request
+	AttemptReceived                    // a server has read the last byte of an attempt
+	AttemptEnded                       // an attempt ended; Result says how
+	SidecarNotified                    // discovery wrote the state of a server to a sidecar
+	SidecarUp                          // a sidecar is ready to serve
+	SidecarStopping                    // a sidecar was asked to stop, by SIGTERM
+	SidecarKilled                      // a sidecar was killed or suspended
+	SidecarDied                        // a sidecar ended by itself or hangs
+	ServerCollapsed                    // a cold server collapsed under overload
 	EmulatorLate                       // the emulator itself was late by Duration
-	ServerStarted                      // a server started, cold
+	ServerStarted                      // a server started and is cold
 	ConnectionOpened                   // a sidecar opened a connection to a server
-	AttemptUnreachable                 // an attempt found no server there, or one that is silent
-	ListRequested                      // a sidecar asked for a list
+	AttemptUnreachable                 // an attempt was sent to a server that is down or silent
+	ListRequested                      // a sidecar requested a list of servers
 	EjectedAttempted                   // a sidecar sent an attempt to a server that it has ejected
 )
 
 // AttemptResult is how an attempt ended, as its server observed it.
 type AttemptResult uint8
 
-// The ends of an attempt.
+// The results of an attempt.
 const (
-	Served    AttemptResult = iota + 1 // with the answer of the server, 200
-	Failed                             // with an error, 500
-	Rejected                           // with X-Turned-Away: it never ran
+	Served    AttemptResult = iota + 1 // the server answered with 200
+	Failed                             // the server answered with the error 500
+	Rejected                           // the server rejected the attempt with X-Turned-Away; it never ran
 	Canceled                           // the sidecar closed the connection
 	Dropped                            // the server closed or reset the connection
-	Garbled                            // with an answer that can't be used
-	Truncated                          // the connection ended before the last byte of the request: it never ran
+	Garbled                            // the server sent a malformed answer
+	Truncated                          // the connection ended before the last byte of the request; the attempt never ran
 )
 
-// String returns the end in words, as traces have it.
+// String returns the text for the result in traces.
 func (a AttemptResult) String() string {
 	return [...]string{
 		"is still out", "served", "failed with 500", "turned away", "withdrawn by the sidecar", "dropped by the box",
@@ -55,39 +55,39 @@
 	}[a]
 }
 
-// Event is one thing that was observed. Which fields are set depends on its kind; indexes that do not apply are -1.
+// Event is one observation. Its kind determines which fields are set; indexes that do not apply are -1.
 type Event struct {
-	At            time.Duration // on the rehearsal's clock, which stands at 0 when callers begin to come
-	FirstByteAt   time.Duration // of AttemptReceived: when its first byte came
-	Duration      time.Duration // of RequestSent: how long the caller waits; of AnswerReceived: Retry-After; of EmulatorLate: by how much
-	Work          time.Duration // of AttemptEnded: what the server did for it
-	Request       string        // X-Txn
-	Text          string        // of SidecarNotified: the state; of SidecarDied and UnsolicitedBytes: what was observed
-	AttemptID     uint64        // of AttemptReceived and its AttemptEnded: a number of its own
-	Origin        int           // of RequestSent: the arrival that it is for; -1 for none
+	At            time.Duration // time since the callers started
+	FirstByteAt   time.Duration // time of the attempt's first byte (AttemptReceived)
+	Duration      time.Duration // timeout of the caller (RequestSent), Retry-After (AnswerReceived) or lateness (EmulatorLate)
+	Work          time.Duration // work that the server did for the attempt (AttemptEnded)
+	Request       string        // value of the X-Txn header
+	Text          string        // state of the server (SidecarNotified) or description of what was observed (SidecarDied, UnsolicitedBytes)
+	AttemptID     uint64        // unique number of the attempt, in its AttemptReceived and AttemptEnded events
+	Origin        int           // index of the arrival that the request belongs to (RequestSent); -1 for none
 	Server        int
 	Sidecar       int
-	Status        int // of AnswerReceived
+	Status        int // HTTP status (AnswerReceived)
 	Class         int
-	CallerAttempt int // of a caller from outside, from 1; 0 for the call of a server
+	CallerAttempt int // number of the attempt of an external caller, from 1; 0 for a call by a server
 	Kind          Kind
 	Result        AttemptResult
-	Authentic     bool // of AnswerReceived: it is what a server made for this request
+	Authentic     bool // the answer is the one that a server generated for this request (AnswerReceived)
 }
 
-// maxEvents is the bound of a Log that has no other; an event takes about 150 bytes.
+// maxEvents is the default of Log.MaxEvents; an event takes about 150 bytes.
 const maxEvents = 8 << 20
 
 // Log collects events. Its zero value is empty; its methods may be called by several goroutines.
 type Log struct {
-	MaxEvents int // how many it keeps; 0 for 8 Mi (about 1.2 GB)
+	MaxEvents int // maximum number of events in the log; 0 for 8 Mi (about 1.2 GB)
 
 	mu     sync.Mutex
 	events []Event
-	lost   int // events beyond MaxEvents
+	lost   int // number of events dropped because the log was full
 }
 
-// Add adds an event, or counts it as lost if the log is full.
+// Add adds an event. If the log is full, it drops the event and counts it as lost.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,20 +98,20 @@
 	}
 }
 
-// Events returns those that were added, in that order, and how many there was no room for.
+// Events returns the events in the order in which they were added, and the number of events that were dropped.
 func (l *Log) Events() (events []Event, lost int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.events, l.lost
 }
 
-// kindNames are the kinds as traces have them.
+// kindNames are the names of the kinds in the output of Event.String.
 var kindNames = [...]string{
 	"?", "asked", "answered", "closed", "gave-up", "stray", "sent", "ended", "told", "up", "stopping", "killed", "died", "fell", "late",
 	"began", "opened", "knocked", "listed", "tried",
 }
 
-// String returns an event on one line, for traces that are compared.
+// String returns the event as one line of text, so that runs can be compared.
 func (e Event) String() string {
 	return fmt.Sprintf("%d %s %s sidecar=%d box=%d origin=%d try=%d class=%d attempt=%d status=%d how=%d left=%d work=%d first=%d good=%t %q",
 		e.At, kindNames[e.Kind], e.Request, e.Sidecar, e.Server, e.Origin, e.CallerAttempt, e.Class, e.AttemptID,
--- a/internal/rehearsal/audit/example_test.go
+++ b/internal/rehearsal/audit/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// A caller that got no answer in time, while its sidecar was up.
+// A caller gets no answer in time although its sidecar is up, which breaks the first rule.
 func Example() {
 	var log audit.Log
 	log.Add(audit.Event{Kind: audit.RequestSent, At: time.Second, Request: "r0t1", CallerAttempt: 1, Duration: 3 * time.Second})
--- a/internal/rehearsal/audit/finalanswer.go
+++ b/internal/rehearsal/audit/finalanswer.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// judgeFinalAnswer judges the first rule for one request: one answer, in time, of a server, and no attempts after it.
+// judgeFinalAnswer checks the first rule for one request: it gets exactly one answer, in time; a successful answer comes from a
+// server; and no attempt follows the answer.
 func (a *auditor) judgeFinalAnswer(request *request) {
 	due := request.sent.At + request.sent.Duration + a.Slack
 	if len(request.answers) > 1 {
@@ -29,8 +30,8 @@
 	}
 }
 
-// judgeNoAnswer judges a request that got no answer: it is excused if its sidecar was killed, if the caller went away early by
-// itself, or if the connection was closed before an attempt.
+// judgeNoAnswer adds a breach for a request that got no answer, unless its sidecar was killed, the caller closed the connection
+// before the request was due, or the connection was closed before the first attempt.
 func (a *auditor) judgeNoAnswer(request *request, due time.Duration) {
 	switch {
 	case a.interrupted(request.sent.Sidecar, request.sent.At, due):
--- a/internal/rehearsal/audit/golden_test.go
+++ b/internal/rehearsal/audit/golden_test.go
@@ -7,9 +7,9 @@
 	"quincegap/internal/golden"
 )
 
-// A run with a breach of each kind keeps its verdict: texts, figures and traces.
+// The verdict on a run with a breach of each kind must not change: its texts, figures, traces and event lines are in a golden file.
 func TestGoldenVerdict(t *testing.T) {
-	script := begin().of(0, SidecarUp).notified(100, "Ready").notified(500, "Terminating").
+	script := begin().sidecarEvent(0, SidecarUp).notified(100, "Ready").notified(500, "Terminating").
 		add(Event{At: 510 * ms, Kind: SidecarNotified, Sidecar: 1, Server: 2, Text: "Gone"}).
 		ask(1000, "a", 0, 3000).sent(1001, "a", 0).end(1100, Failed).sent(1110, "a", 2).end(1200, Served).answer(1201, "a", 200).
 		answer(1300, "a", 200).
@@ -25,7 +25,7 @@
 		add(Event{At: 11 * time.Second, Kind: UnsolicitedBytes, Text: "HTTP/1.1 200 OK", Origin: -1, Sidecar: 1}).
 		add(Event{At: 12 * time.Second, Kind: ServerCollapsed, Server: 1, Origin: -1}).
 		add(Event{At: 13 * time.Second, Kind: SidecarDied, Server: -1, Origin: -1, Text: "ended by itself"}).
-		of(14000, SidecarKilled).
+		sidecarEvent(14000, SidecarKilled).
 		late(15000, 120).
 		add(Event{At: 15500 * ms, Kind: ServerCollapsed, Server: 2, Origin: -1}).
 		add(Event{At: 16 * time.Second, Kind: ServerStarted, Server: 2, Origin: -1}).
--- a/internal/rehearsal/audit/service.go
+++ b/internal/rehearsal/audit/service.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// worstWindow is the length of the window in which the service is worst, in seconds.
+// worstWindow is the length of the windows that WorstService compares, in seconds.
 const worstWindow = 10
 
-// judgeService adds up the value of what callers got, by second and in all.
+// judgeService counts the outcomes of all arrivals and sums the value of the answers, by second and for the whole run.
 func (a *auditor) judgeService() {
 	verdict := a.verdict
 	wanted, gained := make([]float64, len(verdict.Seconds)), make([]float64, len(verdict.Seconds))
@@ -52,12 +52,12 @@
 	}
 }
 
-// quantile returns a quantile of latencies that are sorted.
+// quantile returns the quantile p, from 0 to 1, of latencies in ascending order.
 func quantile(p float64, sortedSeconds []float64) time.Duration {
 	return time.Duration(stat.Quantile(p, stat.Empirical, sortedSeconds, nil) * 1e9)
 }
 
-// serviceShare returns the value gained over the value wanted, both by second; 1 if nothing was wanted.
+// serviceShare returns the ratio of the sum of gained to the sum of wanted, or 1 if nothing was wanted. Both are values by second.
 func serviceShare(wanted, gained []float64) float64 {
 	var wantedSum, gainedSum float64
 	for second := range wanted {
@@ -70,7 +70,7 @@
 	return gainedSum / wantedSum
 }
 
-// worstService returns the service of the window in which it is worst, and when that begins.
+// worstService returns the lowest service share of all windows of worstWindow seconds, and the start of the first window that has it.
 func worstService(wanted, gained []float64) (worst float64, from time.Duration) {
 	worst = 1
 	length := min(worstWindow, len(wanted))
@@ -83,7 +83,8 @@
 	return worst, from
 }
 
-// bestAnswer returns the best answer that an arrival got, and when; status 0 for none.
+// bestAnswer returns the time and status of the best answer to an arrival: the earliest with status 200, else the last one. The status
+// is 0 if there was no answer.
 func (a *auditor) bestAnswer(origin int) (at time.Duration, status int) {
 	at = math.MaxInt64
 	for _, r := range a.origins[origin] {
@@ -100,7 +101,7 @@
 	return at, status
 }
 
-// judgeWork adds up the work of servers, and the part of it that no caller got an answer for.
+// judgeWork sums the work of the servers, and the part of it that was wasted because no successful answer came of it.
 func (a *auditor) judgeWork() {
 	requests := 0
 	var all, wasted time.Duration
--- a/internal/rehearsal/audit/status.go
+++ b/internal/rehearsal/audit/status.go
@@ -1,6 +1,6 @@
 package audit
 
-// HTTP statuses that the rules speak of. The package does no I/O, and so does not import net/http.
+// The HTTP statuses that the rules refer to. The package does no I/O and therefore does not import net/http.
 const (
 	statusOK                 = 200
 	statusTooManyRequests    = 429
--- a/internal/rehearsal/audit/totals.go
+++ b/internal/rehearsal/audit/totals.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// FleetTotals are what all sidecars together did, where each may keep its own part of a bound and the sum break it. On sockets
-// MaxUnreachable, MaxConnectionsOpened, MaxListRequests and MaxEjectedAttempts are not seen.
+// FleetTotals are sums over all sidecars, for limits that the sum can exceed although each sidecar stays within its share. In runs on
+// sockets MaxUnreachable, MaxConnectionsOpened, MaxListRequests and MaxEjectedAttempts are not observed and stay 0.
 type FleetTotals struct {
-	// ColdLoad is the most work that was sent to a cold server within Rules.OverloadWindow, as attempts of mean work and whatever
-	// became of them, over what the rules allow it in that time. From 1 on it is up to chance whether the server collapses.
+	// ColdLoad is the highest ratio of the work that was sent to a cold server within Rules.OverloadWindow to the work that the rules
+	// allow it in that time. All attempts count, with their mean work, whatever their result. From 1 on, chance decides whether
+	// the server collapses.
 	ColdLoad          float64
-	ColdServer        int // whose that was; -1 for none
+	ColdServer        int // server that had ColdLoad; -1 for none
 	ColdAt            time.Duration
-	ColdAttempts      int // attempts in that window,
-	ColdAttemptsOfOne int // and the most of them that came from one sidecar
+	ColdAttempts      int // number of attempts in the window of ColdLoad
+	ColdAttemptsOfOne int // largest number of those attempts that one sidecar sent
 
-	// The most within a second: at one server, but for the lists.
+	// The Max fields are the highest counts within one second at one server; MaxListRequests counts over all sidecars.
 	MaxRejected          int
-	MaxUnreachable       int // attempts while it was down or silent
+	MaxUnreachable       int // attempts while the server was down or silent
 	MaxConnectionsOpened int
-	MaxListRequests      int // of all sidecars
-	MaxEjectedAttempts   int // attempts from sidecars that had ejected it
+	MaxListRequests      int // list requests of all sidecars
+	MaxEjectedAttempts   int // attempts from sidecars that had ejected the server
 	Collapses            int
 
-	// From the first return of a server or a sidecar, and from the last collapse, until as much was served in a second as was
-	// asked for; 0 if never, or if there was none.
+	// RecoveryTime is measured from the first return of a server or sidecar, CollapseRecoveryTime from the last collapse. Both end
+	// with the first second in which 95% of the requests were served. They are 0 if there was no such start or no such second.
 	RecoveryTime, CollapseRecoveryTime time.Duration
 	LastCollapse                       time.Duration
 }
 
-// Totals adds up a run. The events are those of Log, in order.
+// Totals computes the sums of a run. The events are those of Log.Events, in order.
 func Totals(rules Rules, events []Event) *FleetTotals {
 	t := newTotaller(&rules)
 	for i := range events {
@@ -49,17 +50,17 @@
 	return t.totals
 }
 
-// totaller goes through the events of a run.
+// totaller computes FleetTotals from the events of a run, one at a time.
 type totaller struct {
 	rules  *Rules
 	totals *FleetTotals
 
-	started     map[int]time.Duration // by server that started cold
-	cold        map[int][]coldAttempt // within the last window, by server
-	sender      map[string]int        // sidecar, by request
-	served      map[int64]float64     // by recoveryStep
-	firstReturn time.Duration         // of a server or a sidecar
-	killed      bool                  // a sidecar was
+	started     map[int]time.Duration // start time, by server that started cold
+	cold        map[int][]coldAttempt // attempts within the last OverloadWindow, by server
+	sender      map[string]int        // index of the sidecar, by request
+	served      map[int64]float64     // number of successful answers, by recoveryStep
+	firstReturn time.Duration         // time at which the first server or sidecar came back
+	killed      bool                  // whether a sidecar was killed
 
 	rejected, unreachable, opened, listed, ejected countsPerSecond
 }
@@ -74,7 +75,7 @@
 	}
 }
 
-// record takes one event.
+// record adds one event to the sums.
 func (t *totaller) record(event *Event) {
 	switch event.Kind {
 	case RequestSent:
@@ -119,7 +120,7 @@
 	sidecar int
 }
 
-// recordColdAttempt takes an attempt into the load of its server, if that is cold.
+// recordColdAttempt adds an attempt to the load of its server, if the server is cold.
 func (t *totaller) recordColdAttempt(event *Event) {
 	started, ok := t.started[event.Server]
 	if !ok || event.Server < 0 || event.Server >= len(t.rules.Servers) {
@@ -149,7 +150,7 @@
 	t.totals.ColdAttemptsOfOne = mostOfOneSidecar(window)
 }
 
-// mostOfOneSidecar returns how many attempts came from the sidecar that sent most of them.
+// mostOfOneSidecar returns the largest number of attempts that one sidecar sent.
 func mostOfOneSidecar(window []coldAttempt) int {
 	bySidecar := map[int]int{}
 	most := 0
@@ -160,14 +161,14 @@
 	return most
 }
 
-// recoveryStep is how finely the way back to full use is measured, and recoveredShare what has to be served by then.
+// recoveryStep is the resolution of recovery times, and recoveredShare the share of requests that must be served to count as recovered.
 const (
 	recoveryStep   = 100 * time.Millisecond
 	recoveredShare = 0.95
 )
 
-// recoveryTime returns how long after a time the first second ends in which as much is served as is wanted, but for a
-// twentieth; 0 if there is none. Both are by recoveryStep.
+// recoveryTime returns the time from the given one to the end of the first second in which at least recoveredShare of the wanted
+// requests are served, or 0 if there is no such second. wanted and served are counts by recoveryStep.
 func recoveryTime(from time.Duration, wanted, served map[int64]float64) time.Duration {
 	last := int64(0)
 	for step := range wanted {
@@ -190,7 +191,7 @@
 // countsPerSecond counts events by server and second.
 type countsPerSecond map[[2]int64]int
 
-// add counts an event, and raises the most that there was in a second.
+// add counts an event, and raises *most if the count of its server and second is higher.
 func (c countsPerSecond) add(most *int, server int, at time.Duration) {
 	key := [2]int64{int64(server), int64(at / time.Second)}
 	c[key]++
--- a/internal/rehearsal/audit/trace.go
+++ b/internal/rehearsal/audit/trace.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// maxTraces is how many of the worst requests are traced.
+// maxTraces is the maximum number of requests that are traced.
 const maxTraces = 20
 
-// The ranks of requests by how bad they went: one with a breach is worse than any that failed, and that worse than a slow one.
+// The base ranks of requests, higher for worse: a request with a breach ranks above all failed ones, and those above all slow ones.
 const (
 	breachRank = 1e9
 	failedRank = 1e6
@@ -20,12 +20,12 @@
 // badRequest is an arrival that may be traced.
 type badRequest struct {
 	origin int
-	rank   float64 // higher for worse
+	rank   float64 // rank of the request; higher is worse
 	reason string
 }
 
-// pickTraces picks the requests that went worst, and tells what happened to each: first those with a breach, then those
-// that failed, by how often they were attempted, then the slowest.
+// pickTraces adds the traces of the worst requests to the verdict: first those with a breach, by time, then those that failed, by
+// number of attempts, then the slowest.
 func (a *auditor) pickTraces() {
 	var all []badRequest
 	breached := map[int]bool{}
@@ -48,7 +48,7 @@
 	}
 }
 
-// rankUnbreached ranks an arrival by how it failed, or how long its answer took.
+// rankUnbreached ranks an arrival without a breach, by its number of attempts if it failed and by its latency if it succeeded.
 func (a *auditor) rankUnbreached(origin int) badRequest {
 	at, status := a.bestAnswer(origin)
 	if status == statusOK {
@@ -66,7 +66,7 @@
 	return badRequest{origin, failedRank + float64(attempts), reason}
 }
 
-// traceOf returns what happened to one arrival, calls of its servers included, in the order of time.
+// traceOf returns the trace of one arrival, in order of time. It includes the calls that servers made for it.
 func (a *auditor) traceOf(origin int) []TraceLine {
 	var lines []TraceLine
 	for _, r := range a.origins[origin] {
@@ -76,7 +76,7 @@
 	return lines
 }
 
-// requestLines returns what happened to one request, by attempt.
+// requestLines returns the trace lines of one request, grouped by attempt.
 func (a *auditor) requestLines(request *request) (lines []TraceLine) {
 	add := func(at time.Duration, format string, args ...any) {
 		lines = append(lines, TraceLine{At: at, Text: fmt.Sprintf(format, args...)})
