--- a/internal/rehearsal/audit/audit_test.go
+++ b/internal/rehearsal/audit/audit_test.go
@@ -125,7 +125,7 @@
 	"it was killed long before": {
 		script: begin().sidecarEvent(200, SidecarKilled).sidecarEvent(500, SidecarUp).ask(1000, "a", 0, 3000).sent(1001, "a", 0).
 			closed(2001, "a"),
-		rule:   FinalAnswer, want: "closed without an answer",
+		rule: FinalAnswer, want: "closed without an answer",
 	},
 	"it died by itself": {
 		script: begin().ask(1000, "a", 0, 3000).sent(1001, "a", 0).sidecarEvent(2000, SidecarDied).closed(2001, "a"),
--- a/internal/rehearsal/scenario/arrivals.go
+++ b/internal/rehearsal/scenario/arrivals.go
@@ -8,18 +8,19 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// The lengths of one burst, and of one wave.
+// The periods of the bursty and the wave shape: the rate is constant within a burst, and repeats after a wave.
 const (
 	burstLength = 1500 * time.Millisecond
 	wavePeriod  = 20 * time.Second
 )
 
-// drawArrivals draws when callers come: a Poisson process by thinning.
+// drawArrivals draws the arrivals of the callers, as a Poisson process whose rate varies, by thinning. It adds a finding if there are
+// more than MaxRequests.
 func (p *planner) drawArrivals(events []*event) {
 	random := rand.New(emulator.RandomSource(p.Seed, "arrivals"))
 	rate := p.newRate(random, events)
 	if rate.highest > maxRateFactor {
-		return // reported with the event
+		return // planEvent adds a finding for a load that is too high
 	}
 	var shares float64
 	for _, class := range p.Classes {
@@ -30,7 +31,7 @@
 		if at >= p.Length {
 			return
 		}
-		// Four numbers are drawn for each candidate, so that the draws of others stay the same where a rate changes.
+		// Four numbers are drawn for every candidate, accepted or not, so that a change of the rate doesn't change the draws of the others.
 		accept, pick, patience, honour := random.Float64(), random.Float64()*shares, random.Float64(), random.Float64()
 		if accept*rate.highest >= rate.factor(at) {
 			continue
@@ -46,7 +47,7 @@
 	}
 }
 
-// pickClass returns the class for a number from 0 to the sum of all shares.
+// pickClass returns the index of the class that a number from 0 to the sum of all shares falls into.
 func (p *planner) pickClass(pick float64) int {
 	class := 0
 	for class < len(p.Classes)-1 && pick >= p.Classes[class].Share {
@@ -56,18 +57,19 @@
 	return class
 }
 
-// maxRateFactor bounds how much all events together may multiply the rate.
+// maxRateFactor is the maximum factor by which all events together may multiply the rate.
 const maxRateFactor = 1e6
 
-// arrivalRate is the rate of callers as a multiple of the script's.
+// arrivalRate is the rate of callers over time, as a multiple of the rate in the script.
 type arrivalRate struct {
 	callers *Callers
-	bursts  []float64 // of a bursty shape, by burst
-	loads   []*event
-	highest float64 // bound of factor
+	bursts  []float64 // factors of the bursty shape, by burst
+	loads   []*event  // events that multiply the rate
+	highest float64   // upper bound of factor at any time
 }
 
-// newRate returns the rate of a script. It draws the bursts whatever the shape is, so that the draws after them stay the same.
+// newRate returns the rate of the script with its load events. It draws the bursts for every shape, so that the draws after them don't
+// depend on the shape.
 func (p *planner) newRate(random *rand.Rand, events []*event) *arrivalRate {
 	r := &arrivalRate{callers: &p.Callers, highest: 1 + p.Callers.Swing}
 	for at := time.Duration(0); at < p.Length; at += burstLength {
@@ -82,7 +84,7 @@
 	return r
 }
 
-// factor returns the multiple at a time.
+// factor returns the multiple of the script's rate at the given time.
 func (r *arrivalRate) factor(at time.Duration) float64 {
 	factor := 1.0
 	switch r.callers.Shape {
--- a/internal/rehearsal/scenario/describe.go
+++ b/internal/rehearsal/scenario/describe.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// WriteText writes the plan for people: what happens to whom, and when.
+// WriteText writes the plan as text: a title line, the size of each tier, and all steps with their times.
 func (p *Plan) WriteText(w io.Writer) error {
 	text := fmt.Sprintf("%s: seed %d, %v, %d requests\n", p.DisplayName(), p.Seed, p.Length, len(p.Arrivals))
 	for _, t := range p.Tiers {
@@ -19,7 +19,7 @@
 	return err
 }
 
-// Describe returns a step in words.
+// Describe returns a short text for a step.
 func (p *Plan) Describe(step Step) string {
 	switch step.Kind {
 	case ServerCrash:
@@ -52,19 +52,19 @@
 	return fmt.Sprintf("%v rude callers", step.Amount)
 }
 
-// describeLink returns a LinkFault in words; its Amount is below 0 when it ends.
+// describeLink returns a short text for a LinkFault. A negative Amount is the end of the fault.
 func (s *Step) describeLink() string {
-	by, over := s.Amount, ""
-	if by < 0 {
-		by, over = -by, "no more: "
+	amount, prefix := s.Amount, ""
+	if amount < 0 {
+		amount, prefix = -amount, "no more: "
 	}
 	switch s.Name {
 	case linkCut:
-		return fmt.Sprintf("%ssidecars %d..%d are cut off", over, s.Sidecar+1, s.Sidecar+int(by))
+		return fmt.Sprintf("%ssidecars %d..%d are cut off", prefix, s.Sidecar+1, s.Sidecar+int(amount))
 	case linkMute:
-		return fmt.Sprintf("%ssidecar %d is heard by none", over, s.Sidecar+1)
+		return fmt.Sprintf("%ssidecar %d is heard by none", prefix, s.Sidecar+1)
 	case linkLate:
-		return fmt.Sprintf("%smessages are late by %v", over, time.Duration(by*float64(time.Second)))
+		return fmt.Sprintf("%smessages are late by %v", prefix, time.Duration(amount*float64(time.Second)))
 	}
-	return fmt.Sprintf("%smessages: %v%% %s", over, by*100, s.Name)
+	return fmt.Sprintf("%smessages: %v%% %s", prefix, amount*100, s.Name)
 }
--- a/internal/rehearsal/scenario/example_test.go
+++ b/internal/rehearsal/scenario/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// A script, and the plan that it gives with its seed.
+// The plan of a script with the script's own seed.
 func Example() {
 	const script = `title "Two boxes"
 length 10s
--- a/internal/rehearsal/scenario/expectation.go
+++ b/internal/rehearsal/scenario/expectation.go
@@ -7,18 +7,18 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// Expectation is a bound that a figure of a run has to meet.
+// Expectation is a bound on a figure of a run, from a line like "expect service above 0.95".
 type Expectation struct {
 	Position finding.Pos
 	Figure   string // service, worst, refused, failed or attempts
-	Above    bool
+	Above    bool   // whether Bound is the minimum, not the maximum
 	Bound    float64
 }
 
-// figureNames are the figures that can be expected.
+// figureNames are the figures that an expectation can name.
 var figureNames = []string{"service", "worst", "refused", "failed", "attempts"}
 
-// addExpectation adds the expectation of a line like "expect service above 0.95".
+// addExpectation adds the expectation of a line like "expect service above 0.95", or a finding if the line is invalid.
 func (s *Scenario) addExpectation(line *setting, add finding.Reporter) {
 	var what, side string
 	if len(line.Values) != 3 || !line.Values[0].readName(&what) || !line.Values[1].readName(&side) || line.Values[2].High != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Evaluate returns the figure of a run, and reports whether it meets the bound.
+// Evaluate returns the value of the figure in a run's verdict, and reports whether it meets the bound.
 func (e Expectation) Evaluate(v *audit.Verdict) (got float64, met bool) {
 	share := func(n int) float64 { return float64(n) / float64(max(1, v.Requests)) }
 	switch e.Figure {
--- a/internal/rehearsal/scenario/golden_test.go
+++ b/internal/rehearsal/scenario/golden_test.go
@@ -13,11 +13,11 @@
 	"quincegap/internal/golden"
 )
 
-// Each script of the library keeps its settings, and its plan for each seed.
+// The settings of each script in the library, and its plans for three seeds, must not change.
 func TestGoldenScripts(t *testing.T) {
 	files, err := filepath.Glob("../../../rehearsals/*.morning")
 	if err != nil || len(files) == 0 {
-		t.Fatal(files, err)
+		t.Fatalf("scripts of the library: got %v and error %v, want at least one script", files, err)
 	}
 	var dump bytes.Buffer
 	for _, file := range files {
@@ -31,7 +31,7 @@
 			t.Fatal(found.Err())
 		}
 		exported := *scenario
-		exported.events, exported.positions = nil, nil // the plans show them
+		exported.events, exported.positions = nil, nil // the plans cover the events
 		fmt.Fprintf(&dump, "== %s\n%s", filepath.Base(file), golden.Values(exported))
 		settings, err := json.Marshal(scenario.Plan(0).Settings(0, 0, 2))
 		if err != nil {
@@ -51,7 +51,7 @@
 	golden.Text(t, "scripts.txt", dump.Bytes())
 }
 
-// The same seed draws the same faults.
+// The faults that RandomFaults draws from a seed must not change.
 func TestGoldenFaults(t *testing.T) {
 	var dump bytes.Buffer
 	for seed := range uint64(5) {
@@ -62,7 +62,7 @@
 	golden.Text(t, "faults.txt", dump.Bytes())
 }
 
-// Findings keep their words and positions.
+// The texts and positions of findings must not change.
 func TestGoldenFindings(t *testing.T) {
 	var dump bytes.Buffer
 	for _, script := range []string{
--- a/internal/rehearsal/scenario/grammar.go
+++ b/internal/rehearsal/scenario/grammar.go
@@ -8,7 +8,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// scriptLexer splits a line into words. A script is parsed line by line, so that a line that can't be parsed hides no finding in others.
+// scriptLexer splits a line into tokens. A script is parsed line by line, so that a syntax error in one line doesn't hide findings in
+// other lines.
 var scriptLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#.*`},
 	{Name: "Space", Pattern: `[ \t\r\n]+`},
@@ -23,27 +24,27 @@
 	{Name: "Punct", Pattern: `[:,]`},
 })
 
-// statement is a line: an event if its first word is "at", else a setting.
+// statement is a parsed line: an event if its first word is "at", else a setting.
 type statement struct {
 	event   *event   // nil for a setting
 	setting *setting // nil for an event
 }
 
-// setting is a section with a name, or with keys and their values.
+// setting is a section, followed by a name, by keys with their values, or by both.
 type setting struct {
 	Pos     lexer.Position
 	Section string   `parser:"@Word"`
 	Values  []*value `parser:"@@*"`
 }
 
-// value is one word, number or text of a setting, or a range of them.
+// value is a scalar of a setting, or a range between two of them.
 type value struct {
 	Pos  lexer.Position
 	Low  *scalar `parser:"@@"`
 	High *scalar `parser:"( '..' @@ )?"`
 }
 
-// scalar is one of the things that a value may be.
+// scalar is a single value of a setting; one of its fields is set.
 type scalar struct {
 	Duration *span    `parser:"@Duration"`
 	Size     *string  `parser:"| @Size"`
@@ -54,7 +55,7 @@
 	Text     *string  `parser:"| @String"`
 }
 
-// event is what happens at a time.
+// event is a line with a time and what happens then; one of the pointers is set.
 type event struct {
 	Pos lexer.Position
 	At  span `parser:"'at' @Duration ':'"`
@@ -68,21 +69,21 @@
 	Discovery     *discoveryEvent `parser:"| @@ )"`
 }
 
-// newServers adds servers to a tier.
+// newServers is the event that adds servers to a tier.
 type newServers struct {
 	Pos   lexer.Position
 	Count int    `parser:"@Number 'new' ('boxes' | 'box')"`
 	Tier  string `parser:"('of' @Word)?"`
 }
 
-// faultyCallers are callers that send malformed requests.
+// faultyCallers is the event that adds callers that send malformed requests, for some time.
 type faultyCallers struct {
 	Pos   lexer.Position
 	Count int  `parser:"@Number 'rude' ('callers' | 'caller')"`
 	For   span `parser:"'for' @Duration"`
 }
 
-// serverSelector selects the servers of a tier that an event is about.
+// serverSelector selects the servers of a tier that an event applies to.
 type serverSelector struct {
 	Pos   lexer.Position
 	All   bool     `parser:"( @'all' 'boxes'"`
@@ -92,7 +93,7 @@
 	Tier  string   `parser:"('of' @Word)?"`
 }
 
-// serverEvent is what happens to servers.
+// serverEvent is an event that applies to servers of one tier.
 type serverEvent struct {
 	Targets *serverSelector `parser:"@@"`
 
@@ -107,20 +108,20 @@
 	Fault   *fault   `parser:"| @@ )"`
 }
 
-// replace replaces servers by new ones, at their addresses or at others.
+// replace is the replacement of servers by new ones, at the same addresses or at new ones.
 type replace struct {
 	In   bool  `parser:"@('at' | 'on')"`
 	Same bool  `parser:"( @('their' | 'its') | 'new' ) ('addresses' | 'address')"`
 	Over *span `parser:"('over' @Duration)?"`
 }
 
-// slow divides the speed of servers.
+// slow is a slowdown of servers: it divides their speed.
 type slow struct {
 	By  float64 `parser:"@Number 'times' 'slower'"`
 	For span    `parser:"'for' @Duration"`
 }
 
-// fault is a fault that happens to a share of the calls of servers.
+// fault is a fault that affects a share of the calls of servers.
 type fault struct {
 	Pos  lexer.Position
 	What string   `parser:"@('lose' | 'loses' | 'reset' | 'resets' | 'fail' | 'fails' | 'garble' | 'garbles' | 'refuse' | 'refuses')"`
@@ -128,7 +129,7 @@
 	For  span     `parser:"'for' @Duration"`
 }
 
-// sidecarEvent is a signal to sidecars.
+// sidecarEvent is a signal to sidecars, which may be restarted afterwards.
 type sidecarEvent struct {
 	Pos    lexer.Position
 	All    bool     `parser:"( @'all' 'sidecars'"`
@@ -138,7 +139,7 @@
 	Back   *span    `parser:"('and' ('is' | 'are') 'back' 'after' @Duration)?"`
 }
 
-// linkEvent is a fault of the links between sidecars.
+// linkEvent is a network fault between sidecars.
 type linkEvent struct {
 	Pos        lexer.Position
 	Partition  *partition `parser:"( @@"`
@@ -149,13 +150,13 @@
 	For        span       `parser:"'for' @Duration"`
 }
 
-// partition is the sidecars of one side of a partition.
+// partition is a range of sidecars that are separated from the others.
 type partition struct {
 	From int `parser:"'sidecars' @Number '..'"`
 	To   int `parser:"@Number 'are' 'cut' 'off'"`
 }
 
-// loadEvent multiplies the rate of callers.
+// loadEvent is an event that multiplies the rate of callers.
 type loadEvent struct {
 	Pos   lexer.Position
 	Times float64 `parser:"'load' 'is' @Number 'times'"`
@@ -171,20 +172,20 @@
 	For     span  `parser:"'for' @Duration"`
 }
 
-// span is a time, as "9s" or "250ms".
+// span is a duration, written like "9s" or "250ms".
 type span time.Duration
 
-// Capture is called by the parser.
+// Capture parses the token. The parser calls it.
 func (s *span) Capture(values []string) error {
 	d, err := time.ParseDuration(values[0])
 	*s = span(d)
 	return err
 }
 
-// percent is a share, written as "30%", from 0 up.
+// percent is a share of 0 or more, written like "30%"; 1 is 100%.
 type percent float64
 
-// Capture is called by the parser.
+// Capture parses the token. The parser calls it.
 func (p *percent) Capture(values []string) error {
 	f, err := strconv.ParseFloat(strings.TrimSuffix(values[0], "%"), 64)
 	*p = percent(f / 100)
--- a/internal/rehearsal/scenario/links.go
+++ b/internal/rehearsal/scenario/links.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// planLink plans a fault of the links between sidecars.
+// planLink plans the start and the end of a network fault between sidecars.
 func (p *planner) planLink(event *event, link *linkEvent) {
 	if !p.Sidecars.Peers {
 		p.add(positionOf(link.Pos), "the sidecars tell one another nothing: put 'peers yes' to sidecars")
@@ -26,7 +26,7 @@
 	p.addStep(step)
 }
 
-// linkStep returns the step that begins a fault of the links, without its time; false if there is a finding.
+// linkStep returns the step that starts a network fault, without its time. It returns false if it added a finding.
 func (p *planner) linkStep(link *linkEvent) (Step, bool) {
 	switch {
 	case link.Partition != nil:
@@ -45,7 +45,7 @@
 	return Step{Kind: LinkFault, Name: linkLate, Amount: time.Duration(*link.Delayed).Seconds()}, true
 }
 
-// The names of a LinkFault.
+// The values of Step.Name in a LinkFault.
 const (
 	linkCut     = "cut"
 	linkMute    = "mute"
@@ -54,7 +54,7 @@
 	linkLate    = "late"
 )
 
-// partitionStep returns the step that partitions some sidecars from the others, of which there must be one at least.
+// partitionStep returns the step that separates a range of sidecars from the others. At least one other sidecar must remain.
 func (p *planner) partitionStep(link *linkEvent) (Step, bool) {
 	from, to, count := link.Partition.From, link.Partition.To, p.Sidecars.Count
 	size := to - from + 1
@@ -65,7 +65,7 @@
 	return Step{Kind: LinkFault, Name: linkCut, Sidecar: from - 1, Amount: float64(size)}, true
 }
 
-// shareStep returns the step of a fault that happens to a share of the messages.
+// shareStep returns the step that starts a fault which affects a share of the messages.
 func (p *planner) shareStep(link *linkEvent, name string, share float64) (Step, bool) {
 	if share > 1 {
 		p.add(positionOf(link.Pos), "%v%% of the messages is more than there are", share*100)
@@ -74,8 +74,8 @@
 	return Step{Kind: LinkFault, Name: name, Amount: share}, true
 }
 
-// RandomFaults draws lines of a script: faults of links and signals to sidecars that find one another, one after another, between two
-// times. The same seed draws the same lines.
+// RandomFaults draws script lines with network faults and signals, one after another between two times, for a scenario whose sidecars
+// discover each other. There must be at least two sidecars. The same arguments give the same lines.
 func RandomFaults(seed uint64, sidecars int, from, to time.Duration) (lines []string) {
 	rng := rand.New(rand.NewPCG(seed, 0x6661))
 	add := func(at time.Duration, format string, args ...any) {
--- a/internal/rehearsal/scenario/parse.go
+++ b/internal/rehearsal/scenario/parse.go
@@ -11,10 +11,10 @@
 	"quincegap/internal/config/finding"
 )
 
-// lookahead is how many words it takes to distinguish the events ("11% of the boxes", "11% of the sidecars").
+// lookahead is the number of tokens that the parser needs to distinguish the events ("11% of the boxes", "11% of the sidecars").
 const lookahead = 6
 
-// The parsers of the two kinds of lines.
+// The parsers for the two kinds of lines, with their common options.
 var (
 	parserOptions = []participle.Option{
 		participle.Lexer(scriptLexer), participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(lookahead),
@@ -23,7 +23,7 @@
 	settingParser = participle.MustBuild[setting](parserOptions...)
 )
 
-// eventExamples are shown for an event that can't be parsed: the first one whose word is in the line.
+// eventExamples are the examples that findings show for an event with a syntax error: the first one whose word is in the line.
 var eventExamples = []struct{ word, example string }{
 	{"silent", "at 12s: 11% of boxes go silent for 9s"},
 	{"pause", "at 12s: box 3 pauses for 800ms"},
@@ -49,7 +49,7 @@
 	{"rude", "at 12s: 40 rude callers for 10s"},
 }
 
-// describeParseError returns where a line stops being a statement, and a message with an example if it is an event.
+// describeParseError returns the column of a syntax error, and a message, which for an event includes an example.
 func describeParseError(line string, err error) (column int, message string) {
 	column, message = 1, err.Error()
 	var positioned participle.Error
@@ -76,10 +76,10 @@
 	return column, message + "; one that can be read: " + example
 }
 
-// isEvent reports whether a line that is not empty is an event.
+// isEvent reports whether a line is an event. The line must contain a word.
 func isEvent(line string) bool { return strings.Fields(line)[0] == "at" }
 
-// parseScript parses the lines of a script. Positions count characters, as in the file.
+// parseScript parses the lines of a script, and adds a finding for each syntax error. Columns of positions count characters.
 func parseScript(text string, add finding.Reporter) (all []*statement) {
 	number := 0
 	for line := range strings.Lines(text) {
@@ -92,7 +92,7 @@
 		if trimmed := strings.TrimSpace(line); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
-		// The lines before it are replaced by empty ones, so that positions are those of the file.
+		// Empty lines stand for the lines before this one, so that the parser's positions are those in the file.
 		parsed, err := parseLine(strings.Repeat("\n", number-1) + line)
 		if err != nil {
 			column, message := describeParseError(line, err)
@@ -104,7 +104,7 @@
 	return all
 }
 
-// parseLine parses one line, which has as many empty ones before it as the file has lines.
+// parseLine parses one line. The text has an empty line before it for each earlier line of the file.
 func parseLine(placed string) (*statement, error) {
 	if isEvent(placed) {
 		e, err := eventParser.ParseString("", placed)
@@ -114,5 +114,5 @@
 	return &statement{setting: s}, err
 }
 
-// positionOf returns a position of the parser as findings have it.
+// positionOf converts a position of the parser to one of a finding.
 func positionOf(p lexer.Position) finding.Pos { return finding.Pos{Line: p.Line, Col: p.Column} }
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -9,80 +9,80 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// Plan is a whole scenario, drawn ahead with a seed.
+// Plan is a scenario with everything random drawn in advance from a seed.
 type Plan struct {
 	*Scenario
 	Seed     uint64
-	Servers  []Server  // all that there ever are; those of the start first, by tier
-	Steps    []Step    // by time
-	Arrivals []Arrival // by time
-	Windows  []Window  // the events of the script, for pages
+	Servers  []Server  // all servers of the run; first those present at the start, by tier
+	Steps    []Step    // all steps, in order of time
+	Arrivals []Arrival // all arrivals, in order of time
+	Windows  []Window  // the events of the script, for reports
 }
 
 // Server is one emulated server.
 type Server struct {
 	Tier     int
-	Number   int // in its tier, from 1
+	Number   int // number in its tier, from 1
 	UID      string
 	Cell     int
-	Slot     int // its address; servers that share one have it one after the other
+	Slot     int // index of its address; servers with the same slot use it one after the other
 	Spec     emulator.Spec
-	StartsAt time.Duration // when it starts; 0 for long ago
+	StartsAt time.Duration // time at which it starts; 0 for a server that started long before the run
 }
 
-// StepKind is what a step does.
+// StepKind is the kind of a step.
 type StepKind int
 
-// What steps do. Those on servers come before the updates of discovery at the same time.
+// The kinds of steps. Server, Sidecar, Amount, Until, Name and State are the fields of Step.
 const (
-	ServerCrash       StepKind = iota // its process ends, and resets its connections
-	ServerSilence                     // its machine becomes unresponsive
-	ServerStart                       // it starts, cold
-	ServerPause                       // it stands still Until
-	ServerSlowdown                    // its speed is divided by Amount
-	ServerFault                       // Name happens to the share Amount of its calls; 0 for no more
-	DiscoveryUpdate                   // discovery gets its State
-	DiscoverySilence                  // discovery answers nothing, or answers again (Amount 0)
-	SidecarSignal                     // a sidecar of the first tier gets Name
-	SidecarRestart                    // it is started again, if it has ended
-	FaultyCallerCount                 // so many (Amount) faulty callers; 0 for none
-	DiscoveryWeight                   // discovery gets its weight, Amount
-	DiscoveryRepeat                   // discovery repeats each update, late (Amount 1), or no more (Amount 0)
-	LinkFault                         // Name happens between sidecars of the first tier, from Sidecar on; below 0 for no more
+	ServerCrash       StepKind = iota // the process of a server ends, which resets its connections
+	ServerSilence                     // the machine of a server stops responding
+	ServerStart                       // a server starts and is cold
+	ServerPause                       // a server is suspended until Until
+	ServerSlowdown                    // the speed of a server is divided by Amount
+	ServerFault                       // the fault Name affects the share Amount of a server's calls; 0 ends the fault
+	DiscoveryUpdate                   // discovery learns the State of a server
+	DiscoverySilence                  // discovery stops answering (Amount 1) or answers again (Amount 0)
+	SidecarSignal                     // a sidecar of the first tier gets the signal Name
+	SidecarRestart                    // a sidecar is started again if it has ended, or resumed
+	FaultyCallerCount                 // the number of faulty callers becomes Amount
+	DiscoveryWeight                   // discovery learns that the weight of a server is Amount
+	DiscoveryRepeat                   // discovery repeats each update late (Amount 1), or stops doing so (Amount 0)
+	LinkFault                         // the fault Name of links in the first tier starts, from Sidecar on; negative Amount: it ends
 )
 
-// Step is one thing that happens at a time.
+// Step is a single action at a given time.
 type Step struct {
 	At      time.Duration
 	Kind    StepKind
-	Server  int // index into Servers, if it is about one
-	Sidecar int // from 0, if it is about one
+	Server  int // index into Servers, for steps about a server
+	Sidecar int // index of the sidecar, from 0, for steps about a sidecar
 	Amount  float64
 	Until   time.Duration
-	// Name is, of a LinkFault, cut (Amount sidecars from the rest), mute, lost or doubled (the share Amount), or late (by Amount
-	// seconds); of a ServerFault lose, reset, fail, garble or refuse; of a SidecarSignal the signal's name.
+	// Name depends on the kind. LinkFault: cut (Amount sidecars from the rest), mute, lost or doubled (the share Amount of the
+	// messages), or late (by Amount seconds). ServerFault: lose, reset, fail, garble or refuse. SidecarSignal: the signal's name.
 	Name  string
-	State string        // of a DiscoveryUpdate: Ready, Terminating or Gone
-	Boot  time.Duration // of a DiscoveryUpdate: when the server started; 0 for long ago
-	Line  int           // of the script
-	order int           // as it was drawn
+	State string        // state of the server (DiscoveryUpdate): Ready, Terminating or Gone
+	Boot  time.Duration // start time of the server (DiscoveryUpdate); 0 if it started long before the run
+	Line  int           // line of the script that the step comes from
+	order int           // index in the order in which the steps were planned
 }
 
-// Arrival is when a caller comes with a request, and how it behaves.
+// Arrival is the arrival of a caller with a request, and how the caller behaves.
 type Arrival struct {
 	At                time.Duration
-	Class             int
-	Patience          float64 // the share of the deadline after which each attempt is given up
-	HonoursRetryAfter bool    // waits as long as Retry-After says
+	Class             int     // index of the class
+	Patience          float64 // share of the deadline that is the timeout of each attempt
+	HonoursRetryAfter bool    // whether the caller waits as long as Retry-After says
 }
 
-// Window is the time of an event, for pages.
+// Window is the duration of an event with its text, for reports.
 type Window struct {
 	From, To time.Duration
 	Text     string
 }
 
-// Plan draws the scenario with a seed; 0 takes the script's. The same seed gives the same plan.
+// Plan draws a plan of the scenario with a seed, or with the script's seed if it is 0. The same seed gives the same plan.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	if seed == 0 {
 		seed = s.Seed
@@ -90,17 +90,17 @@
 	return drawPlan(s, seed, func(finding.Pos, string, ...any) {})
 }
 
-// Name returns the name of a server for people.
+// Name returns the name of a server for texts, like "box 3 of slot-keeper".
 func (p *Plan) Name(server int) string {
 	s := &p.Servers[server]
 	return fmt.Sprintf("box %d of %s", s.Number, p.Tiers[s.Tier].Name)
 }
 
-// DisplayName returns the title, or the name of the file.
+// DisplayName returns the title of the script, or the name of its file if it has none.
 func (p *Plan) DisplayName() string { return cmp.Or(p.Title, p.Scenario.Name) }
 
-// WorkOf returns the work of one attempt of a request, before and after its calls. It depends only on the seed, the request, its tier and
-// the number of the attempt, so that two programs get the same work.
+// WorkOf returns the work of one attempt of a request, before and after its calls to the next tier. It depends only on the plan, the
+// request, its tier and the number of the attempt, so that two programs get the same work.
 func (p *Plan) WorkOf(request string, tier, attempt int) (before, after time.Duration) {
 	t := p.Tiers[tier]
 	work := t.Work.Draw(emulator.RandomSource(p.Seed, "work "+t.Name+" "+request))
@@ -116,7 +116,7 @@
 	return before, work - before
 }
 
-// NotificationDelay returns how much later than others a sidecar is notified of updates.
+// NotificationDelay returns the additional delay with which a sidecar is notified of updates; 0 for sidecars that are not late.
 func (p *Plan) NotificationDelay(s SidecarSpec) time.Duration {
 	if s.Server >= 0 || float64(s.Number) < float64(s.Count)*(1-p.Discovery.LateShare) {
 		return 0
--- a/internal/rehearsal/scenario/planner.go
+++ b/internal/rehearsal/scenario/planner.go
@@ -13,61 +13,61 @@
 )
 
 const (
-	// replaceGap is how long an address is free before the server that replaces another one has it.
+	// replaceGap is the time for which an address is unused between a server and its replacement.
 	replaceGap = time.Second
-	// drainFor is how long a server drains that is replaced by one at another address.
+	// drainFor is the time for which a server drains after a server at another address has replaced it.
 	drainFor = 5 * time.Second
 )
 
-// The bounds of events.
+// The limits for events.
 const (
-	maxWeight        = 10_000 // of a server
-	maxLoad          = 100    // times
-	maxSlowdown      = 1000   // times
+	maxWeight        = 10_000 // weight of a server
+	maxLoad          = 100    // factor of a load event
+	maxSlowdown      = 1000   // factor of a slowdown
 	maxFaultyCallers = 1000
 )
 
 // never is later than any scenario.
 const never = time.Duration(math.MaxInt64)
 
-// The states of a server, as discovery has them.
+// The states of a server in discovery.
 const (
 	stateReady       = "Ready"
 	stateTerminating = "Terminating"
 	stateGone        = "Gone"
 )
 
-// serverState is the state of a server while the plan is drawn.
+// serverState is the state of a server at the event that is being planned.
 type serverState struct {
-	goneAt     time.Duration // when it ends for good or begins to drain; -1 for never
-	goneLine   int           // the line of the script that ends it
-	busyUntil  time.Duration // no other event hits it before
-	busyLine   int           // the line of the event that hits it until then
-	startedAt  time.Duration // of its latest start
-	notifiedAt time.Duration // of the latest update of discovery
+	goneAt     time.Duration // time at which the server ends permanently or starts to drain; -1 for never
+	goneLine   int           // line of the script that ends it
+	busyUntil  time.Duration // end of the event that affects the server; no other may affect it before
+	busyLine   int           // line of the script that has that event
+	startedAt  time.Duration // time of the latest start
+	notifiedAt time.Duration // time of the latest update in discovery
 }
 
-// planner draws a plan.
+// planner draws a plan and collects the findings for impossible events.
 type planner struct {
 	*Plan
 	add               finding.Reporter
 	servers           []*serverState
-	counts            []int                 // servers by tier, those that have gone included
-	slots             int                   // addresses that were given to servers
-	random            *rand.Rand            // draws which servers and sidecars are hit
-	serverRandom      *rand.Rand            // draws the speed and the cold share of servers
-	silences          []Window              // in which discovery is silent
-	sidecarsDownUntil map[int]time.Duration // by sidecar: no other event signals it before
-	delays            []discoveryDelay      // in which discovery is behind
+	counts            []int                 // number of servers by tier, including those that have ended
+	slots             int                   // number of addresses that were assigned to servers
+	random            *rand.Rand            // source for the choice of servers and sidecars that events affect
+	serverRandom      *rand.Rand            // source for the speed and the cold share of servers
+	silences          []Window              // intervals in which discovery is silent
+	sidecarsDownUntil map[int]time.Duration // end of each sidecar's downtime, by index; no other event may signal it before
+	delays            []discoveryDelay      // intervals in which discovery is behind
 }
 
-// discoveryDelay is an interval in which discovery is behind by an amount.
+// discoveryDelay is an interval in which the updates of discovery are late by a fixed amount.
 type discoveryDelay struct {
 	from, to time.Duration
 	amount   time.Duration
 }
 
-// drawPlan draws a plan, and adds a finding for each event that is impossible.
+// drawPlan draws a plan, and adds a finding for each impossible event.
 func drawPlan(s *Scenario, seed uint64, add finding.Reporter) *Plan {
 	planner := &planner{
 		Plan: &Plan{Scenario: s, Seed: seed}, add: add, counts: make([]int, len(s.Tiers)), sidecarsDownUntil: map[int]time.Duration{},
@@ -80,7 +80,7 @@
 	}
 	events := slices.Clone(s.events)
 	slices.SortStableFunc(events, func(a, b *event) int { return cmp.Compare(a.At, b.At) })
-	// Events of discovery come first: when it has the others depends on them.
+	// The events of discovery are planned first, because they determine when discovery learns of the other events.
 	for _, e := range events {
 		if e.Discovery != nil {
 			planner.planDiscovery(e, e.Discovery)
@@ -98,10 +98,11 @@
 	return planner.Plan
 }
 
-// newAddress is the slot of a server at an address that no other has had.
+// newAddress requests a slot that no other server has used.
 const newAddress = -1
 
-// newServer draws a server that starts at a time, 0 for long ago, at the address of a slot or at a newAddress. It returns its index.
+// newServer adds a server, and returns its index. The server starts at the time from, or long before the run if that is 0. Its address
+// is that of the slot, or an unused one for newAddress.
 func (p *planner) newServer(tier, slot int, from time.Duration) int {
 	t := p.Tiers[tier]
 	if slot == newAddress {
@@ -114,9 +115,9 @@
 	cell := number / t.CellSize
 	before := slices.IndexFunc(p.Servers, func(s Server) bool { return s.Slot == slot })
 	if from > 0 && before >= 0 {
-		cell = p.Servers[before].Cell // whoever takes an address belongs to the same cell
+		cell = p.Servers[before].Cell // a server that takes over an address belongs to the same cell
 	}
-	// The last half is its number among all, so that no two share an id.
+	// The lower half is the index of the server, so that no two servers have the same ID.
 	id := uint32(hash)&0xffff0000 | uint32(len(p.Servers))&0xffff
 	speed := t.Speed.interpolate(p.serverRandom.Float64())
 	coldShare := t.ColdShare.interpolate(p.serverRandom.Float64())
@@ -126,22 +127,22 @@
 	})
 	p.servers = append(p.servers, &serverState{goneAt: -1, startedAt: from})
 	if len(p.Servers) > MaxServers+1 {
-		p.Servers = p.Servers[:MaxServers+1] // it is reported where it is asked for
+		p.Servers = p.Servers[:MaxServers+1] // the event that adds too many servers has a finding
 		p.servers = p.servers[:MaxServers+1]
 	}
 	return len(p.Servers) - 1
 }
 
-// addStep adds a step. Steps of one time keep the order in which they were added.
+// addStep adds a step. Steps at the same time keep the order in which they were added.
 func (p *planner) addStep(step Step) { p.Steps = append(p.Steps, step) }
 
-// addWindow adds the window of an event.
+// addWindow adds the window of an event, with a formatted text.
 func (p *planner) addWindow(event *event, length time.Duration, format string, args ...any) {
 	at := time.Duration(event.At)
 	p.Windows = append(p.Windows, Window{at, at + length, fmt.Sprintf(format, args...)})
 }
 
-// planDiscovery plans an event of discovery.
+// planDiscovery plans a fault of discovery.
 func (p *planner) planDiscovery(event *event, fault *discoveryEvent) {
 	from := time.Duration(event.At)
 	to := from + time.Duration(fault.For)
@@ -162,7 +163,8 @@
 	p.addWindow(event, time.Duration(fault.For), "discovery is %v behind", time.Duration(*fault.Behind))
 }
 
-// notify adds an update of discovery: later if discovery is behind, and after its silence. Updates of one server keep their order.
+// notify adds an update of a server's state in discovery. The update is late if discovery is behind, and follows the silence if
+// discovery is silent. Updates of one server keep their order.
 func (p *planner) notify(at time.Duration, server int, state string, boot time.Duration, line int) {
 	for _, delay := range p.delays {
 		if at >= delay.from && at < delay.to {
@@ -174,13 +176,13 @@
 			at = silence.To
 		}
 	}
-	known := p.servers[server]
-	at = max(at, known.notifiedAt)
-	known.notifiedAt = at
+	target := p.servers[server]
+	at = max(at, target.notifiedAt)
+	target.notifiedAt = at
 	p.addStep(Step{At: at, Kind: DiscoveryUpdate, Server: server, State: state, Boot: boot, Line: line})
 }
 
-// planEvent plans one event of the script, and draws whom it hits.
+// planEvent plans one event of the script, and draws which servers or sidecars it affects.
 func (p *planner) planEvent(event *event) {
 	at := time.Duration(event.At)
 	if at >= p.Length {
@@ -211,7 +213,7 @@
 	}
 }
 
-// planFaultyCallers plans the coming and going of faulty callers.
+// planFaultyCallers plans the start and the end of faulty callers.
 func (p *planner) planFaultyCallers(event *event, callers *faultyCallers) {
 	if callers.Count < 1 || callers.Count > maxFaultyCallers {
 		p.add(positionOf(callers.Pos), "%d rude callers: 1 to %d can be played", callers.Count, maxFaultyCallers)
--- a/internal/rehearsal/scenario/platform.go
+++ b/internal/rehearsal/scenario/platform.go
@@ -9,10 +9,10 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// notifyWithin is the time after which an update counts as notified, whether or not it was written (the platform's protocol).
+// notifyWithin is the time after which a sidecar counts as notified of an update, written or not, by the platform's protocol.
 const notifyWithin = 6 * time.Second
 
-// AuditRules returns the rules that a run of the plan is judged by; the caller adds the names of the sidecars.
+// AuditRules returns the rules by which a run of the plan is judged, without the names of the sidecars, which the caller adds.
 func (p *Plan) AuditRules() audit.Rules {
 	rules := audit.Rules{
 		Length: p.Length, Slack: p.Rules.Slack, Drain: p.Rules.Drain, NotifyWithin: notifyWithin,
@@ -39,7 +39,7 @@
 	return rules
 }
 
-// auditServer returns a server as the rules have it.
+// auditServer returns the properties of a server that the rules need.
 func (p *Plan) auditServer(index int) audit.Server {
 	s := &p.Servers[index]
 	tier := p.Tiers[s.Tier]
@@ -56,12 +56,13 @@
 // Zone is the zone of all servers.
 const Zone = "loopback"
 
-// effects are the values of a class's effect in the platform's settings.
+// effects maps the idempotency of a class to the value of effect in the platform's settings.
 var effects = map[balancer.Idempotency]string{
 	balancer.Idempotent: "read_like", balancer.IdempotentWithKey: "idempotency_key", balancer.NonIdempotent: "non_idempotent",
 }
 
-// Settings returns the platform's settings object for the number-th of so many sidecars that send to a tier.
+// Settings returns the platform's settings object for a sidecar that sends to a tier. number is its index, from 0, among the sidecars
+// that send to the tier, and of is how many there are.
 func (p *Plan) Settings(tier, number, of int) map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	t := p.Tiers[tier]
@@ -93,16 +94,16 @@
 	}
 }
 
-// SidecarSpec is one sidecar of a plan.
+// SidecarSpec describes one sidecar of a plan.
 type SidecarSpec struct {
 	Name   string
-	Tier   int // that it sends to
-	Number int // among the sidecars of its tier, from 0
-	Count  int // how many the sidecars of its tier are announced to be
-	Server int // whose calls go through it; -1 for callers from outside
+	Tier   int // index of the tier that it sends to
+	Number int // index among the sidecars of its tier, from 0
+	Count  int // number of sidecars of its tier that its settings announce
+	Server int // index of the server whose calls go through it; -1 for external callers
 }
 
-// SidecarSpecs returns all sidecars: those for callers first, then one for each server that calls.
+// SidecarSpecs returns all sidecars: first those for external callers, then one for each server of a tier that calls another.
 func (p *Plan) SidecarSpecs() (all []SidecarSpec) {
 	for i := range p.Sidecars.Count {
 		of := cmp.Or(p.Sidecars.AnnouncedCount, p.Sidecars.Count)
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -12,21 +12,21 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// The bounds of a script.
+// The limits for a script.
 const (
 	MaxBytes    = 256 << 10
 	maxLines    = 2000
 	MaxLength   = 10 * time.Minute
 	MaxServers  = 25_000
-	MaxSidecars = 256 // in virtual time; package rehearse has a lower bound
+	MaxSidecars = 256 // limit in virtual time; package rehearse has a lower one
 	MaxRequests = 300_000
 )
 
-// Scenario is a script that has been read: the servers, callers and sidecars, and the events that happen to them.
+// Scenario is a parsed script: the servers, callers and sidecars, and the events that affect them.
 type Scenario struct {
-	Name         string // of its file
+	Name         string // name of the script's file
 	Title        string
-	Length       time.Duration // of the time in which callers come
+	Length       time.Duration // time during which callers arrive
 	Seed         uint64
 	Tiers        []*Tier
 	Classes      []*Class
@@ -36,113 +36,113 @@
 	Rules        Rules
 	Expectations []Expectation
 
-	events    []*event               // in the order of the script
-	positions map[string]finding.Pos // of settings, by "section key" or "section name key"
+	events    []*event               // all events, in the order of the script
+	positions map[string]finding.Pos // positions of settings, by "section key" or "section name key"
 }
 
-// Tier is the servers of one application.
+// Tier describes the servers of one application.
 type Tier struct {
 	Name                 string
-	Servers              int // at the start
-	CellSize             int // servers of a cell
+	Servers              int // number of servers at the start
+	CellSize             int // number of servers in a cell
 	Cores                int
-	Speed                Range                     // of a core; 1 does a second of work in a second
-	Slots                int                       // requests that are worked on at a time
-	Queue                int                       // requests that wait beyond these
-	Work                 emulator.WorkDistribution // of a request
+	Speed                Range                     // speed of a core; at 1 it does a second of work per second
+	Slots                int                       // maximum number of requests in work at once
+	Queue                int                       // maximum number of requests that wait for a slot
+	Work                 emulator.WorkDistribution // distribution of the work of a request
 	Noise                float64                   // coefficient of variation of an attempt around the work of its request
-	ColdShare            Range                     // share of its capacity that a server starts with
-	WarmUp               time.Duration             // until a server has its whole capacity
-	Thrash               float64                   // see emulator.Spec
-	ThrashAt             int                       // see emulator.Spec
-	CongestionJobs       int                       // 0 for never; see emulator.Congestion, as for the next two
-	CongestionAfter      time.Duration
-	CongestionSlowdown   float64
-	Calls                string        // the tier that its servers call; empty for none
-	CallsPerRequest      int           // calls of one request, one after another
-	WorkBeforeCalls      float64       // share of the work that comes before the calls
-	CancelStopsWork      bool          // a cancel stops work in progress
-	DropsExpired         bool          // requests whose time is up are dropped from the queue
-	MaxConnections       int           // 0 for any number
-	HandshakeWork        time.Duration // of a new connection
-	ReportInterval       time.Duration // of load reports; 0 for none
-	HTTP3                bool          // beside HTTP/1.1
-	RestartAfterCollapse time.Duration // delay until a server that collapsed is started again; 0 for never
+	ColdShare            Range                     // share of the capacity that is available when a server starts
+	WarmUp               time.Duration             // time from the start of a server to its full capacity
+	Thrash               float64                   // as in emulator.Spec
+	ThrashAt             int                       // as in emulator.Spec
+	CongestionJobs       int                       // MinJobs of emulator.Congestion; 0 for no congestion
+	CongestionAfter      time.Duration             // After of emulator.Congestion
+	CongestionSlowdown   float64                   // SlowdownFactor of emulator.Congestion
+	Calls                string                    // name of the tier that its servers call; empty for none
+	CallsPerRequest      int                       // number of calls for one request, made one after another
+	WorkBeforeCalls      float64                   // share of the work that is done before the calls
+	CancelStopsWork      bool                      // whether a cancel stops work in progress
+	DropsExpired         bool                      // whether expired requests are dropped from the queue
+	MaxConnections       int                       // maximum number of connections; 0 for no limit
+	HandshakeWork        time.Duration             // work of a new connection
+	ReportInterval       time.Duration             // interval of load reports; 0 for none
+	HTTP3                bool                      // whether the servers offer HTTP/3 in addition to HTTP/1.1
+	RestartAfterCollapse time.Duration             // delay after which a collapsed server is started again; 0 for never
 }
 
-// Class is a class of request.
+// Class is a class of requests with the same properties.
 type Class struct {
 	Name          string
 	Idempotency   balancer.Idempotency
-	Scope         balancer.KeyScope // where servers remember a key
-	Window        time.Duration     // how long they remember it
+	Scope         balancer.KeyScope // group of servers that remember an idempotency key
+	Window        time.Duration     // time for which they remember a key
 	LatencyTarget time.Duration
-	Deadline      time.Duration // of all attempts of a caller together
-	Value         float64       // of an answer within the latency target
-	Share         float64       // of all requests; the shares are scaled to sum 1
+	Deadline      time.Duration // time limit for all attempts of a caller together
+	Value         float64       // value of an answer within the latency target
+	Share         float64       // share of all requests; the shares are scaled so that their sum is 1
 }
 
-// Sidecars are those of the first tier. Each server of a tier that calls another one has a sidecar of its own.
+// Sidecars describes the sidecars that send to the first tier. In addition, each server of a tier that calls another has its own sidecar.
 type Sidecars struct {
 	Count          int
-	MemoryMB       int  // limit that each is given
-	Sockets        int  // limit that each is given
-	AnnouncedCount int  // the number of sidecars that each is given; 0 for Count
-	Peers          bool // they find one another; on sockets only
+	MemoryMB       int  // memory limit of each sidecar, in MiB
+	Sockets        int  // limit of open sockets of each sidecar
+	AnnouncedCount int  // number of sidecars that the settings announce; 0 for Count
+	Peers          bool // whether the sidecars discover each other; in runs on sockets only
 }
 
-// Callers are clients from outside.
+// Callers describes the external clients.
 type Callers struct {
 	Rate              float64       // requests per second
 	Shape             string        // steady, bursty or wave
 	Swing             float64       // amplitude of a shape that is not steady, as a share of the rate
-	Retries           int           // attempts of a caller beyond its first
-	Patience          Range         // share of the deadline after which an attempt is given up
-	Backoff           time.Duration // mean before the first retry; doubled for each one after
+	Retries           int           // maximum number of attempts of a caller after its first
+	Patience          Range         // share of the deadline that is the timeout of an attempt
+	Backoff           time.Duration // mean delay before the first retry; it doubles with each further retry
 	HonoursRetryAfter float64       // share of the callers that wait as long as Retry-After says
-	FirstSidecarShare float64       // share of the callers that go to the first sidecar while it serves; the others go by rotation
+	FirstSidecarShare float64       // share of the callers that use the first sidecar while it is serving; the others go by rotation
 }
 
-// Discovery is who has the list of servers, and how late it is updated.
+// Discovery describes the source of the server list, and its delays.
 type Discovery struct {
-	Consul            bool          // Consul has the list, not the platform
-	NoticeDelay       time.Duration // until it has a server that ends or drains
-	SilentNoticeDelay time.Duration // until it has a server that became silent
-	AddDelay          time.Duration // until it has a new server
-	LateDelay         time.Duration // by how much later some sidecars of the first tier are notified
-	LateShare         float64       // share of the sidecars that are: the last ones
+	Consul            bool          // whether Consul provides the list instead of the platform
+	NoticeDelay       time.Duration // delay until it learns that a server ended or drains
+	SilentNoticeDelay time.Duration // delay until it learns that a server became silent
+	AddDelay          time.Duration // delay until it learns of a new server
+	LateDelay         time.Duration // additional delay for some sidecars of the first tier
+	LateShare         float64       // share of the sidecars that have LateDelay; these are the last ones
 	BootTime          BootTime
 }
 
-// BootTime is which start times discovery sends.
+// BootTime selects the start times of servers that discovery sends.
 type BootTime string
 
-// The start times that discovery may send.
+// The values of BootTime.
 const (
-	BootTimeTrue  BootTime = "true"  // when a server started
-	BootTimeNone  BootTime = "none"  // none, as if each had started long ago
-	BootTimeAhead BootTime = "ahead" // BootTimeSkew later, in the future: the clock is wrong
+	BootTimeTrue  BootTime = "true"  // the time at which a server started
+	BootTimeNone  BootTime = "none"  // no time, as if each server had started long ago
+	BootTimeAhead BootTime = "ahead" // a time that is BootTimeSkew too late, as from a wrong clock
 )
 
-// bootTimes are the values of the setting boot.
+// bootTimes are the allowed values of the setting boot.
 var bootTimes = []string{string(BootTimeTrue), string(BootTimeNone), string(BootTimeAhead)}
 
-// BootTimeSkew is how far the clock of BootTimeAhead is ahead.
+// BootTimeSkew is the clock error of BootTimeAhead.
 const BootTimeSkew = time.Minute
 
-// Rules are the platform's bounds.
+// Rules are the limits that the platform sets.
 type Rules struct {
-	Drain          time.Duration // how long a server may get new attempts after the sidecar was notified that it is leaving
+	Drain          time.Duration // time for which a sidecar may send new attempts to a server after it was notified that the server is leaving
 	OverloadFactor float64       // multiple of its capacity above which a cold server collapses; 0 for never
-	OverloadWindow time.Duration // in which the load is counted
-	MaxAttempts    int           // of one request
-	Hedging        bool          // two attempts of a request may be in flight at once
+	OverloadWindow time.Duration // window over which the load is counted
+	MaxAttempts    int           // maximum number of attempts of one request
+	Hedging        bool          // whether two attempts of a request may be in flight at once
 	ConnectTimeout time.Duration
-	Slack          time.Duration // by how much each limit is longer on sockets
-	KillDelay      time.Duration // from SIGTERM to SIGKILL
+	Slack          time.Duration // tolerance that is added to every time limit, for runs on sockets
+	KillDelay      time.Duration // time from SIGTERM to SIGKILL
 }
 
-// defaults returns a scenario of an empty script.
+// defaults returns a scenario with the default settings and no tiers or classes.
 func defaults() *Scenario {
 	return &Scenario{
 		Length: 30 * time.Second, Seed: 1, positions: map[string]finding.Pos{},
@@ -162,7 +162,7 @@
 	}
 }
 
-// newTier returns a tier with its defaults.
+// newTier returns a tier with the default settings.
 func newTier(name string) *Tier {
 	return &Tier{
 		Name: name, Servers: 3, CellSize: 4, Cores: 2, Speed: Range{1, 1}, Slots: 2, Queue: 4,
@@ -172,7 +172,7 @@
 	}
 }
 
-// Read reads a script, whose name stands in its findings; the scenario is nil if there are any.
+// Read parses and validates a script. It adds findings under the given name to found, and returns nil if there are any.
 func Read(name string, text []byte, found *finding.List) *Scenario {
 	before := found.Len()
 	add := found.ForFile(name)
@@ -196,7 +196,7 @@
 	if found.Len() > before {
 		return nil
 	}
-	// Drawing the plan finds impossible events. Which servers there are is the same for every seed, but not which are hit.
+	// Drawing a plan detects impossible events. The set of servers is the same for every seed; only those that events affect differ.
 	drawPlan(scenario, scenario.Seed, add)
 	if found.Len() > before {
 		return nil
@@ -204,7 +204,7 @@
 	return scenario
 }
 
-// Tier returns the tier of a name, or nil; the first for an empty one.
+// Tier returns the tier with a name, or the first tier if the name is empty. It returns nil if there is none.
 func (s *Scenario) Tier(name string) *Tier {
 	if name == "" && len(s.Tiers) > 0 {
 		return s.Tiers[0]
@@ -215,10 +215,11 @@
 	return nil
 }
 
-// tierIndex returns a tier's index.
+// tierIndex returns the index of a tier in Tiers, or -1.
 func (s *Scenario) tierIndex(t *Tier) int { return slices.Index(s.Tiers, t) }
 
-// position returns where something was set, by "section key" or "section name key"; the whole file if nowhere.
+// position returns the position of a setting, given as section and key or as section, name and key. It is the zero position, which
+// stands for the whole file, if the script doesn't set it.
 func (s *Scenario) position(path ...string) finding.Pos { return s.positions[strings.Join(path, " ")] }
 
 // tierNames returns the names of the tiers, in the order of the script.
@@ -229,14 +230,14 @@
 	return names
 }
 
-// The congestion of servers, where a tier has it, beyond what its settings say.
+// The parameters of congestion that the settings of a tier don't include.
 const (
 	recoveryUtilization   = 0.4
 	recoveryTime          = 3 * time.Second
 	maxCongestionDuration = 20 * time.Second
 )
 
-// serverSpec returns the spec of a server of a tier, with the speed and the cold share that were drawn for it.
+// serverSpec returns the spec of a server of a tier with the given speed and cold share.
 func (s *Scenario) serverSpec(t *Tier, speed, cold float64) emulator.Spec {
 	spec := emulator.Spec{
 		Cores: t.Cores, Speed: speed, Slots: t.Slots, Queue: t.Queue, Thrash: t.Thrash, ThrashAt: t.ThrashAt,
@@ -253,17 +254,17 @@
 	return spec
 }
 
-// AtLoad returns the scenario with the rate of its callers multiplied.
+// AtLoad returns a copy of the scenario with the rate of its callers multiplied by a factor.
 func (s *Scenario) AtLoad(factor float64) *Scenario {
 	other := *s
 	other.Callers.Rate *= factor
 	return &other
 }
 
-// Range is the range that a figure is drawn from, with equal chances.
+// Range is an interval from which a figure is drawn uniformly.
 type Range struct{ Low, High float64 }
 
-// String returns a range as scripts write it.
+// String returns the range in the syntax of scripts.
 func (r Range) String() string {
 	if r.Low == r.High {
 		return fmt.Sprint(r.Low)
@@ -271,8 +272,8 @@
 	return fmt.Sprintf("%v..%v", r.Low, r.High)
 }
 
-// interpolate returns the figure for a number from 0 to 1.
+// interpolate returns the figure between Low (u = 0) and High (u = 1).
 func (r Range) interpolate(u float64) float64 { return r.Low + u*(r.High-r.Low) }
 
-// isInteger reports whether a number is whole, and small enough for a float64 to tell.
+// isInteger reports whether a number is an integer and small enough for a float64 to represent it exactly.
 func isInteger(f float64) bool { return f == math.Trunc(f) && math.Abs(f) < 1e15 }
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -15,7 +15,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// playableScript is a script without findings; tests add lines to it.
+// playableScript is a valid script, to which tests add lines.
 const playableScript = `title "A test"
 length 20s
 seed 7
@@ -26,8 +26,8 @@
 callers rate 100/s retries 2 patience 0.42..0.8
 `
 
-// read reads a script, and returns its findings as text.
-func read(t *testing.T, text string) (*Scenario, string) {
+// readScript reads a script, and returns the scenario and the findings as text.
+func readScript(t *testing.T, text string) (*Scenario, string) {
 	t.Helper()
 	var found finding.List
 	scenario := Read("m", []byte(text), &found)
@@ -36,12 +36,12 @@
 		t.Fatal(err)
 	}
 	if (scenario == nil) != (found.Len() > 0) {
-		t.Fatalf("read: %v, findings: %s", scenario != nil, b.String())
+		t.Fatalf("got a scenario: %v, with findings %q; want either a scenario or findings", scenario != nil, b.String())
 	}
 	return scenario, strings.TrimSpace(b.String())
 }
 
-// brokenLines are lines that come after playableScript, and what the finding says of them; "" if the line can be played.
+// brokenLines are lines to add to playableScript, with a part of the expected finding, or "" if the line is valid.
 var brokenLines = []struct{ line, want string }{
 	{"at 5s: 11% of boxes go silant for 9s", `9:24: "silant" does not fit here`},
 	{"at 5s: 11% of boxes go silent", "the line ends too early; one that can be read: at 12s: 11% of boxes go silent for 9s"},
@@ -132,42 +132,42 @@
 	{"at 19s: 50% of boxes of slot-keeper are replaced at new addresses over 3s", ""},
 }
 
-// Each broken line has a finding that names the line, the column and what is wrong.
+// Each invalid line has a finding with its line, its column and the error; valid lines have none.
 func TestBroken(t *testing.T) {
-	for _, c := range brokenLines {
-		_, got := read(t, playableScript+c.line+"\n")
-		if c.want == "" && got != "" || !strings.Contains(got, c.want) || c.want != "" && got == "" {
-			t.Errorf("%q\n got: %s\nwant: %s", c.line, got, c.want)
+	for _, test := range brokenLines {
+		_, got := readScript(t, playableScript+test.line+"\n")
+		if test.want == "" && got != "" || !strings.Contains(got, test.want) || test.want != "" && got == "" {
+			t.Errorf("%q\n got: %s\nwant: %s", test.line, got, test.want)
 		}
 	}
-	if _, got := read(t, "length 10s\n"); !strings.Contains(got, "no tier") {
-		t.Error(got)
+	if _, got := readScript(t, "length 10s\n"); !strings.Contains(got, "no tier") {
+		t.Errorf("script without a tier: got findings %q, want one with \"no tier\"", got)
 	}
-	if _, got := read(t, "tier a\n"); !strings.Contains(got, "no class") {
-		t.Error(got)
+	if _, got := readScript(t, "tier a\n"); !strings.Contains(got, "no class") {
+		t.Errorf("script without a class: got findings %q, want one with \"no class\"", got)
 	}
-	if _, got := read(t, strings.Repeat("#", MaxBytes+1)); !strings.Contains(got, "larger than") {
-		t.Error(got)
+	if _, got := readScript(t, strings.Repeat("#", MaxBytes+1)); !strings.Contains(got, "larger than") {
+		t.Errorf("script of more than MaxBytes: got findings %q, want one with \"larger than\"", got)
 	}
-	if _, got := read(t, strings.Repeat("x y\n", maxLines+5)); !strings.Contains(got, "more than") {
-		t.Error(got)
+	if _, got := readScript(t, strings.Repeat("x y\n", maxLines+5)); !strings.Contains(got, "more than") {
+		t.Errorf("script of more than maxLines: got findings %q, want one with \"more than\"", got)
 	}
-	if _, got := read(t, strings.Replace(playableScript, "100/s", "20000/s", 1)); !strings.Contains(got, "8:14: about 400000 requests") {
-		t.Error(got)
+	if _, got := readScript(t, strings.Replace(playableScript, "100/s", "20000/s", 1)); !strings.Contains(got, "8:14: about 400000 requests") {
+		t.Errorf("script with too many requests: got findings %q, want one about 400000 requests", got)
 	}
 }
 
-// All that is wrong is found at once, and not only the first of it.
+// Read reports all errors of a script, not only the first.
 func TestAllFindings(t *testing.T) {
-	_, got := read(t, playableScript+"at 5s: box 1 dyes\nlenght 3s\nat 6s: box 2 dyes\n") //nolint:misspell // the script has it so
+	_, got := readScript(t, playableScript+"at 5s: box 1 dyes\nlenght 3s\nat 6s: box 2 dyes\n") //nolint:misspell // the script has it so
 	if n := strings.Count(got, "\n") + 1; n != 3 {
-		t.Errorf("%d findings:\n%s", n, got)
+		t.Errorf("script with 3 errors: got %d findings, want 3:\n%s", n, got)
 	}
 }
 
-// The same script and seed give the same plan, to the letter; another seed gives another one.
+// The same script and seed give exactly the same plan; another seed gives another plan.
 func TestSameSeedSamePlan(t *testing.T) {
-	scenario, _ := read(t, playableScript+`at 3s: 30% of boxes of slot-keeper go silent for 4s
+	scenario, _ := readScript(t, playableScript+`at 3s: 30% of boxes of slot-keeper go silent for 4s
 at 9s: 2 boxes drain for 3s
 at 10s: 50% of the sidecars get SIGTERM and are back after 4s
 `)
@@ -183,16 +183,16 @@
 		return b.String()
 	}
 	if first := text(0); first != text(0) || first != text(7) {
-		t.Error("the same seed gives two plans")
+		t.Error("seed 7, twice as the default and once given: got different plans, want equal ones")
 	}
 	if text(0) == text(8) {
-		t.Error("two seeds give the same plan")
+		t.Error("seeds 7 and 8: got the same plan, want different ones")
 	}
 }
 
-// The plan has the steps of each event, with the updates of discovery and when they come.
+// The plan has the steps of each event, including the updates of discovery with their delays.
 func TestSteps(t *testing.T) {
-	scenario, _ := read(t, playableScript+`discovery notice 1s silent_notice 3s add 500ms
+	scenario, _ := readScript(t, playableScript+`discovery notice 1s silent_notice 3s add 500ms
 at 2s: box 4 of slot-keeper goes silent for 5s
 at 4s: discovery is 2s behind for 2s
 at 4500ms: box 2 of slot-keeper dies
@@ -208,7 +208,7 @@
 	want := []string{
 		"2s box 4 of slot-keeper goes silent",
 		"4.5s box 2 of slot-keeper ends",
-		"7s discovery hears that box 4 of slot-keeper is Gone", // missed at 5 s, 2 s behind
+		"7s discovery hears that box 4 of slot-keeper is Gone", // noticed at 5 s, 2 s late
 		"7s box 4 of slot-keeper starts",
 		"7.5s discovery hears that box 4 of slot-keeper is Ready",
 		"7.5s discovery hears that box 2 of slot-keeper is Gone",
@@ -225,19 +225,19 @@
 	slices.Sort(got)
 	slices.Sort(want)
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("steps: got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 	replaced := slices.IndexFunc(plan.Servers, func(s Server) bool { return s.Tier == 1 && s.Number == 6 })
 	old, fresh := plan.Servers[replaced], plan.Servers[len(plan.Servers)-1]
 	if fresh.Slot != old.Slot || fresh.Cell != old.Cell || fresh.UID == old.UID || fresh.StartsAt != 17*time.Second {
-		t.Errorf("%+v replaces %+v", fresh, old)
+		t.Errorf("got server %+v as the replacement of %+v, want the same slot and cell, another UID and a start at 17s", fresh, old)
 	}
 }
 
-// Callers come as often as the script says, and more often under a load that it names.
+// Callers arrive at the rate in the script, multiplied while a load event is active.
 func TestArrivals(t *testing.T) {
 	long := strings.NewReplacer("length 20s", "length 200s", "retries", "shape wave retries").Replace(playableScript)
-	scenario, _ := read(t, long+"at 100s: load is 3 times for 100s\n")
+	scenario, _ := readScript(t, long+"at 100s: load is 3 times for 100s\n")
 	p := scenario.Plan(0)
 	before := 0
 	for i, a := range p.Arrivals {
@@ -245,55 +245,55 @@
 			before++
 		}
 		if i > 0 && a.At < p.Arrivals[i-1].At || a.Patience < 0.42 || a.Patience > 0.8 {
-			t.Fatalf("%+v", a)
+			t.Fatalf("arrival %d: got %+v, want the order of time and a patience from 0.42 to 0.8", i, a)
 		}
 	}
 	after := len(p.Arrivals) - before
 	if before < 9500 || before > 10500 || after < 29000 || after > 31000 {
-		t.Errorf("%d and %d requests, want about 10000 and 30000", before, after)
+		t.Errorf("got %d requests before and %d during a triple load, want about 10000 and 30000", before, after)
 	}
 }
 
-// No two servers share an id, and no two that are up at one time share an address.
+// No two servers have the same ID, and no two that are up at the same time have the same address.
 func TestServersAreDistinct(t *testing.T) {
-	scenario, _ := read(t, playableScript+`at 3s: all boxes of slot-keeper are replaced at their addresses over 5s
+	scenario, _ := readScript(t, playableScript+`at 3s: all boxes of slot-keeper are replaced at their addresses over 5s
 at 12s: all boxes of slot-keeper are replaced at new addresses
 `)
 	plan := scenario.Plan(0)
 	ids, startedAt := map[string]bool{}, map[int]time.Duration{}
 	for _, s := range plan.Servers {
 		if ids[s.UID] {
-			t.Errorf("%s twice", s.UID)
+			t.Errorf("UID %s: got two servers with it, want one", s.UID)
 		}
 		ids[s.UID] = true
 		if from, ok := startedAt[s.Slot]; ok && s.StartsAt <= from {
-			t.Errorf("two at address %d", s.Slot)
+			t.Errorf("slot %d: got a server that starts at %v, want a start after %v, when the one before it started", s.Slot, s.StartsAt, from)
 		}
 		startedAt[s.Slot] = s.StartsAt
 	}
 	if len(plan.Servers) != 9+20*3 {
-		t.Errorf("%d boxes", len(plan.Servers))
+		t.Errorf("got %d servers, want 9 and 3 times 20", len(plan.Servers))
 	}
 }
 
-// Every script of the library can be played.
+// Every script in the library is valid and has a plan for several seeds.
 func TestLibrary(t *testing.T) {
 	names, err := filepath.Glob("../../../rehearsals/*.morning")
 	if err != nil || len(names) < 15 {
-		t.Fatalf("%d scripts, %v", len(names), err)
+		t.Fatalf("scripts of the library: got %d and error %v, want at least 15", len(names), err)
 	}
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		scenario, got := read(t, string(text))
+		scenario, got := readScript(t, string(text))
 		if got != "" {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("%s: got findings %q, want none", name, got)
 			continue
 		}
 		if scenario.Title == "" || len(scenario.events) == 0 && !strings.Contains(name, "calm") {
-			t.Errorf("%s: no title, or nothing happens", name)
+			t.Errorf("%s: got title %q and %d events, want a title and at least one event", name, scenario.Title, len(scenario.events))
 		}
 		for seed := range uint64(5) {
 			scenario.Plan(seed + 1)
@@ -301,7 +301,7 @@
 	}
 }
 
-// Whatever is in a script, reading it ends with a plan or with findings that name a line.
+// For any text, Read returns either a scenario or findings that each have a line.
 func TestAnyText(t *testing.T) {
 	pieces := strings.Fields(playableScript + "at 5s: box boxes of go silent for 9s 11% all 3 new sidecar gets SIGKILL " +
 		"load is times discovery behind rude callers dies \" # .. : , \x01 é 99999999999999999999")
@@ -313,17 +313,17 @@
 		}
 		var found finding.List
 		if scenario := Read("m", []byte(b.String()), &found); (scenario == nil) != (found.Len() > 0) {
-			t.Fatalf("read: %v, %d findings", scenario != nil, found.Len())
+			t.Fatalf("got a scenario: %v, with %d findings; want either a scenario or findings", scenario != nil, found.Len())
 		}
 		for _, f := range found.All() {
 			if f.Line < 1 {
-				t.Fatalf("%s: no line", f)
+				t.Fatalf("finding %q: got no line, want one", f)
 			}
 		}
 	})
 }
 
-// A script without findings has a plan.
+// Drawing a plan from any script without findings must not panic.
 func FuzzRead(f *testing.F) {
 	f.Add(playableScript)
 	f.Add(playableScript + "at 5s: 11% of boxes go silent for 9s\n")
--- a/internal/rehearsal/scenario/serverevents.go
+++ b/internal/rehearsal/scenario/serverevents.go
@@ -10,10 +10,10 @@
 	"quincegap/internal/config/finding"
 )
 
-// maxNamedServers is how many servers are named in a window; of more, their number is given.
+// maxNamedServers is the maximum number of servers that the text of a window lists; for more, it gives their count.
 const maxNamedServers = 4
 
-// mergeWindows replaces the windows of an event's servers by one.
+// mergeWindows replaces the windows from the given index on, one for each server that an event affects, by a single one.
 func (p *planner) mergeWindows(from int, hit []int) {
 	if len(p.Windows) == from {
 		return
@@ -37,7 +37,7 @@
 	p.Windows = append(p.Windows[:from], one)
 }
 
-// planNewServers adds servers to a tier.
+// planNewServers plans the start of new servers in a tier.
 func (p *planner) planNewServers(event *event, added *newServers) {
 	t := p.Tier(added.Tier)
 	if t == nil {
@@ -58,7 +58,7 @@
 	p.addWindow(event, 0, "%d new of %s", added.Count, t.Name)
 }
 
-// sidecarCount returns how many sidecars there ever are, so far.
+// sidecarCount returns the number of sidecars of the plan so far, including those of servers that have ended.
 func (p *planner) sidecarCount() int {
 	count := p.Sidecars.Count
 	for i := range p.Servers {
@@ -69,9 +69,9 @@
 	return count
 }
 
-// startServer plans the start of a server, cold, and when discovery has it.
+// startServer plans the cold start of a server, and the update by which discovery learns of it.
 func (p *planner) startServer(at time.Duration, server, line int) {
-	at = max(at, time.Millisecond) // 0 is long ago
+	at = max(at, time.Millisecond) // 0 would mean a start long before the run
 	state := p.servers[server]
 	if p.Servers[server].StartsAt > 0 || state.startedAt == 0 {
 		state.startedAt = at
@@ -80,7 +80,8 @@
 	p.notify(at+p.Discovery.AddDelay, server, stateReady, at, line)
 }
 
-// selectServers draws the servers that an event hits, of those that are up and not busy with another event.
+// selectServers draws the servers that an event affects, from those that are up and not affected by another event. It returns nil if it
+// added a finding.
 func (p *planner) selectServers(event *event, selector *serverSelector) []int {
 	at := time.Duration(event.At)
 	tier := p.Tier(selector.Tier)
@@ -101,7 +102,7 @@
 			p.add(positionOf(selector.Pos), "%v%% of the boxes is more than there are", float64(*selector.Share)*100)
 			return nil
 		}
-		// The nearest whole number, but at least one.
+		// The share is rounded to the nearest whole number of servers, but at least one.
 		count = max(1, int(math.Round(float64(*selector.Share)*float64(total))))
 	}
 	if count < 1 || count > len(up) {
@@ -115,7 +116,8 @@
 	return hit
 }
 
-// serversUp returns the servers of a tier that are up and not busy with another event, and how many there are with the busy ones.
+// serversUp returns the servers of a tier that are up and not affected by another event, and the total number of servers that are up
+// or affected.
 func (p *planner) serversUp(at time.Duration, tier int) (up []int, total int) {
 	for i := range p.Servers {
 		state := p.servers[i]
@@ -130,7 +132,7 @@
 	return up, total
 }
 
-// selectOne returns the server of a number, if it can be hit.
+// selectOne returns the server with the number in the selector. It adds a finding and returns nil if no event can affect it.
 func (p *planner) selectOne(at time.Duration, tier *Tier, selector *serverSelector) []int {
 	position, number, index := positionOf(selector.Pos), *selector.One, p.tierIndex(tier)
 	found := slices.IndexFunc(p.Servers, func(s Server) bool { return s.Tier == index && s.Number == number })
@@ -152,10 +154,10 @@
 	return nil
 }
 
-// goneBy reports whether a server is gone at a time.
+// goneBy reports whether a server has ended or is draining at the given time.
 func (s *serverState) goneBy(at time.Duration) bool { return s.goneAt >= 0 && at >= s.goneAt }
 
-// planServerEvent plans what happens to one server; nth counts the servers of the event, from 0.
+// planServerEvent plans an event for one of the servers that it affects. nth is the index of the server among these.
 func (p *planner) planServerEvent(event *event, nth, server int) {
 	at := time.Duration(event.At)
 	switch action := event.Servers; {
@@ -188,26 +190,26 @@
 	}
 }
 
-// addServerStep adds a step of an event about a server.
+// addServerStep adds a step of an event for a server.
 func (p *planner) addServerStep(event *event, server int, step Step) {
 	step.Server = server
 	step.Line = event.Pos.Line
 	p.addStep(step)
 }
 
-// setBusy keeps other events off the server until a time.
+// setBusy records that the event in the given line affects the server until a time, which excludes other events.
 func (s *serverState) setBusy(until time.Duration, line int) {
 	s.busyUntil = until
 	s.busyLine = line
 }
 
-// setGone records when the server ends for good, or begins to drain.
+// setGone records the time at which the server ends permanently or starts to drain, and the line of the event.
 func (s *serverState) setGone(at time.Duration, line int) {
 	s.goneAt = at
 	s.goneLine = line
 }
 
-// planOutage plans the outage of a server; discovery has it after a delay, if the outage takes longer.
+// planOutage plans the outage of a server. Discovery learns of it after the delay notice, if the outage lasts longer.
 func (p *planner) planOutage(event *event, server int, kind StepKind, length, notice time.Duration, name string) {
 	at := time.Duration(event.At)
 	back := at + length
@@ -220,7 +222,7 @@
 	p.addWindow(event, length, "%s", name)
 }
 
-// planReplacement replaces a server by a new one, at its address or at another.
+// planReplacement plans the replacement of a server by a new one, at the same address or at a new one.
 func (p *planner) planReplacement(event *event, nth, server int) {
 	at, line := time.Duration(event.At), event.Pos.Line
 	replace, tier := event.Servers.Replace, p.Servers[server].Tier
@@ -245,7 +247,7 @@
 	p.addWindow(event, when-at+replaceGap, "replaced")
 }
 
-// planSlowdown divides the speed of a server for some time.
+// planSlowdown plans the start and the end of a slowdown of a server.
 func (p *planner) planSlowdown(event *event, server int) {
 	slowdown := event.Servers.Slow
 	if slowdown.By < 1 || slowdown.By > maxSlowdown {
@@ -259,7 +261,7 @@
 	p.addWindow(event, time.Duration(slowdown.For), "%v times slower", slowdown.By)
 }
 
-// planWeight changes the weight of a server in discovery, after the updates that it has already.
+// planWeight plans a change of a server's weight in discovery, not before the updates of the server that are already planned.
 func (p *planner) planWeight(event *event, server int) {
 	weight := *event.Servers.Weigh
 	if weight > maxWeight {
@@ -270,7 +272,7 @@
 	p.addWindow(event, 0, "weigh %v", weight)
 }
 
-// planFault plans a fault of a share of a server's calls.
+// planFault plans the start and the end of a fault that affects a share of a server's calls.
 func (p *planner) planFault(event *event, server int) {
 	injected := event.Servers.Fault
 	if *injected.Of > 1 {
@@ -285,7 +287,7 @@
 	p.addWindow(event, time.Duration(injected.For), "%s %v%% of calls", name, share*100)
 }
 
-// name returns the name of the fault, from a verb that may end in s.
+// name returns the name of the fault, which is its verb without a final s.
 func (f *fault) name() string {
 	for _, name := range []string{"lose", "reset", "fail", "garble", "refuse"} {
 		if f.What == name || f.What == name+"s" {
@@ -295,7 +297,7 @@
 	return f.What
 }
 
-// drainServer plans that a server drains and ends.
+// drainServer plans that a server drains from one time to another and then ends.
 func (p *planner) drainServer(at, end time.Duration, server, line int) {
 	state := p.servers[server]
 	state.setGone(at, line)
--- a/internal/rehearsal/scenario/settingkeys.go
+++ b/internal/rehearsal/scenario/settingkeys.go
@@ -11,13 +11,13 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// settingKey is the key of a setting of a T.
+// settingKey is a key of a setting that is stored in a T.
 type settingKey[T any] struct {
-	expected string                     // which values it takes, for findings
-	set      func(at *T, v *value) bool // sets the value; false if it is not one of these
+	expected string                     // description of the allowed values, for findings
+	set      func(at *T, v *value) bool // stores the value; returns false if it is not allowed
 }
 
-// integerKey returns a key whose value is a whole number within bounds.
+// integerKey returns a key whose value is an integer from least to most.
 func integerKey[T any](field func(*T) *int, least, most int) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a whole number from %d to %d", least, most), func(at *T, v *value) bool {
 		n := v.Low.Number
@@ -29,7 +29,7 @@
 	}}
 }
 
-// durationKey returns a key whose value is a time within bounds.
+// durationKey returns a key whose value is a duration from least to most.
 func durationKey[T any](field func(*T) *time.Duration, least, most time.Duration) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a time from %v to %v, like 250ms or 9s", least, most), func(at *T, v *value) bool {
 		d := v.Low.Duration
@@ -41,7 +41,7 @@
 	}}
 }
 
-// number returns a number or a percentage; false if it is neither.
+// number returns the value of a number or a percentage, or false if the scalar is neither.
 func (s *scalar) number() (float64, bool) {
 	switch {
 	case s.Number != nil:
@@ -52,7 +52,7 @@
 	return 0, false
 }
 
-// numberKey returns a key whose value is a number or a percentage within bounds.
+// numberKey returns a key whose value is a number or a percentage from least to most.
 func numberKey[T any](field func(*T) *float64, least, most float64) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a number from %v to %v", least, most), func(at *T, v *value) bool {
 		f, ok := v.Low.number()
@@ -64,7 +64,7 @@
 	}}
 }
 
-// rangeKey returns a key whose value is a number, or a range of numbers, within bounds.
+// rangeKey returns a key whose value is a number, or a range of numbers, from least to most.
 func rangeKey[T any](field func(*T) *Range, least, most float64) settingKey[T] {
 	return settingKey[T]{fmt.Sprintf("a number or a range like 0.6..1.5, from %v to %v", least, most), func(at *T, v *value) bool {
 		low, ok := v.Low.number()
@@ -80,7 +80,7 @@
 	}}
 }
 
-// wordKey returns a key whose value is one of some words.
+// wordKey returns a key whose value is one of the known words, or any word if none is given.
 func wordKey[T any](set func(*T, string), known ...string) settingKey[T] {
 	return settingKey[T]{"one of " + strings.Join(known, ", "), func(at *T, v *value) bool {
 		if v.High != nil || v.Low.Word == nil || len(known) > 0 && !slices.Contains(known, *v.Low.Word) {
@@ -96,7 +96,7 @@
 	return wordKey(func(at *T, w string) { *field(at) = w == "yes" }, "yes", "no")
 }
 
-// tierKeys are the keys of a tier.
+// tierKeys are the keys of the section tier.
 var tierKeys = map[string]settingKey[Tier]{
 	"boxes":      integerKey(func(t *Tier) *int { return &t.Servers }, 1, MaxServers),
 	"cells":      integerKey(func(t *Tier) *int { return &t.CellSize }, 1, MaxServers),
@@ -127,7 +127,7 @@
 	"report":     durationKey(func(t *Tier) *time.Duration { return &t.ReportInterval }, 0, 10*time.Second),
 }
 
-// classKeys are the keys of a class.
+// classKeys are the keys of the section class.
 var classKeys = map[string]settingKey[Class]{
 	"effect":   wordKey(func(c *Class, w string) { c.Idempotency = balancer.Idempotency(w) }, "safe", "keyed", "unsafe"),
 	"scope":    wordKey(func(c *Class, w string) { c.Scope = balancer.KeyScope(w) }, "cell", "zone", "all"),
@@ -196,7 +196,7 @@
 	"kill":       durationKey(func(s *Scenario) *time.Duration { return &s.Rules.KillDelay }, 0, time.Minute),
 }
 
-// topKeys are the settings without a section.
+// topKeys are the settings whose line has only the key and its value.
 var topKeys = map[string]settingKey[Scenario]{
 	"title":  {"a text in quotation marks", func(s *Scenario, v *value) bool { return v.High == nil && v.Low.readText(&s.Title) }},
 	"length": durationKey(func(s *Scenario) *time.Duration { return &s.Length }, time.Second, MaxLength),
@@ -210,7 +210,7 @@
 	}},
 }
 
-// readText reads a text in quotation marks; false if it is none.
+// readText stores a quoted text in to. It returns false if the scalar is none.
 func (s *scalar) readText(to *string) bool {
 	if s.Text == nil {
 		return false
@@ -219,7 +219,7 @@
 	return true
 }
 
-// readName reads a word; false if it is none.
+// readName stores a word in to. It returns false if the value is none.
 func (v *value) readName(to *string) bool {
 	if v.High != nil || v.Low.Word == nil {
 		return false
--- a/internal/rehearsal/scenario/settings.go
+++ b/internal/rehearsal/scenario/settings.go
@@ -9,10 +9,10 @@
 	"quincegap/internal/config/finding"
 )
 
-// sectionNames are the words that a setting may begin with.
+// sectionNames are the words that a line may start with.
 var sectionNames = []string{"title", "length", "seed", "tier", "class", "sidecars", "callers", "discovery", "rules", "expect", "at"}
 
-// applySetting applies one line of settings.
+// applySetting applies one line of settings to the scenario, and adds findings for its errors.
 func (s *Scenario) applySetting(line *setting, add finding.Reporter) {
 	at := positionOf(line.Pos)
 	switch line.Section {
@@ -46,7 +46,7 @@
 	}
 }
 
-// tierFor returns the tier of a name, and adds it if it is named for the first time.
+// tierFor returns the tier with a name, and adds it if it doesn't exist yet.
 func (s *Scenario) tierFor(name string, at finding.Pos) *Tier {
 	t := s.Tier(name)
 	if t == nil {
@@ -57,7 +57,7 @@
 	return t
 }
 
-// classFor returns the class of a name, and adds it if it is named for the first time.
+// classFor returns the class with a name, and adds it with default settings if it doesn't exist yet.
 func (s *Scenario) classFor(name string, at finding.Pos) *Class {
 	if i := slices.IndexFunc(s.Classes, func(c *Class) bool { return c.Name == name }); i >= 0 {
 		return s.Classes[i]
@@ -71,7 +71,7 @@
 	return class
 }
 
-// splitName splits the name off a line like "tier booking-front boxes 8".
+// splitName splits a line like "tier booking-front boxes 8" into the name and the values after it. It returns false if it added a finding.
 func splitName(s *setting, add finding.Reporter) (name string, rest []*value, ok bool) {
 	if len(s.Values) == 0 || !s.Values[0].readName(&name) {
 		add(positionOf(s.Pos), "%s needs a name behind it", s.Section)
@@ -84,7 +84,7 @@
 	return name, s.Values[1:], true
 }
 
-// applyPairs applies keys with their values.
+// applyPairs applies a list of keys, each followed by its value, and adds findings for errors.
 func applyPairs[T any](scenario *Scenario, to *T, path string, keys map[string]settingKey[T], values []*value, add finding.Reporter) {
 	for i := 0; i < len(values); i += 2 {
 		var name string
@@ -104,7 +104,7 @@
 	}
 }
 
-// applyOne applies one key with its value, unless it has been set before.
+// applyOne applies one key with its value. It adds a finding if the key is already set or the value is not allowed.
 func applyOne[T any](scenario *Scenario, to *T, path, name string, k settingKey[T], v *value, add finding.Reporter) {
 	at := positionOf(v.Pos)
 	if old, ok := scenario.positions[path+name]; ok {
--- a/internal/rehearsal/scenario/sidecarevents.go
+++ b/internal/rehearsal/scenario/sidecarevents.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// planSignals plans the signals of an event, and draws which sidecars get them.
+// planSignals plans the signals of an event, and draws the sidecars that get them.
 func (p *planner) planSignals(event *event, signal *sidecarEvent) {
 	sidecars, ok := p.selectSidecars(event, signal)
 	if !ok {
@@ -21,19 +21,19 @@
 		return
 	}
 	for _, sidecar := range sidecars {
-		if p.sidecarsDownUntil[sidecar] <= time.Duration(event.At) { // others are down by another line; "all" are those that are up
+		if p.sidecarsDownUntil[sidecar] <= time.Duration(event.At) { // the others are down by another line; "all" means all that are up
 			p.planSignal(event, signal, sidecar)
 		}
 	}
 }
 
-// The signals that do not end a sidecar.
+// The signals that don't end a sidecar.
 const (
 	signalReload = "SIGHUP"
 	signalStop   = "SIGSTOP"
 )
 
-// selectSidecars draws the sidecars that an event is about; false if there is a finding.
+// selectSidecars draws the sidecars that an event applies to. It returns false if it added a finding.
 func (p *planner) selectSidecars(event *event, signal *sidecarEvent) ([]int, bool) {
 	count := p.Sidecars.Count
 	if signal.One != nil {
@@ -65,7 +65,7 @@
 	return all, true
 }
 
-// planSignal plans the signal to one sidecar, and its restart if the event says so.
+// planSignal plans the signal to one sidecar, and its restart if the event has one.
 func (p *planner) planSignal(event *event, signal *sidecarEvent, sidecar int) {
 	at := time.Duration(event.At)
 	if signal.Signal != signalReload {
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/config/finding"
 )
 
-// validate adds findings for settings that contradict each other, or are missing.
+// validate adds findings for settings that are missing, contradict each other or exceed a limit in total.
 func (s *Scenario) validate(add finding.Reporter) {
 	if len(s.Tiers) == 0 {
 		add(finding.Pos{}, "no tier: a line like 'tier booking-front boxes 8' says what boxes there are")
@@ -46,7 +46,7 @@
 	}
 }
 
-// validateTier validates one tier; called are the tiers that those before it call.
+// validateTier validates one tier. called are the names of the tiers that this tier and those before it call.
 func (s *Scenario) validateTier(index int, called map[string]bool, add finding.Reporter) {
 	t := s.Tiers[index]
 	if t.Calls != "" {
@@ -63,7 +63,7 @@
 	}
 }
 
-// validateCalls validates the tier that a tier calls, which must be the next one.
+// validateCalls validates that a tier calls the next tier in the script.
 func (s *Scenario) validateCalls(index int, add finding.Reporter) {
 	t := s.Tiers[index]
 	at := s.position("tier", t.Name, "calls")
@@ -78,7 +78,7 @@
 	}
 }
 
-// validateClass validates the times of a class.
+// validateClass validates the time limits of a class against each other.
 func (s *Scenario) validateClass(class *Class, add finding.Reporter) {
 	if class.LatencyTarget > class.Deadline {
 		add(s.position("class", class.Name, "aim"), "the aim, %v, lies beyond the deadline, %v", class.LatencyTarget, class.Deadline)
