--- a/internal/rehearsal/emulator/congestion.go
+++ b/internal/rehearsal/emulator/congestion.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// updateCongestion updates since when the server is crowded or idle, and begins or ends congestion.
+// updateCongestion updates the times since which the server is crowded or idle, and starts or ends congestion.
 func (s *Server) updateCongestion() {
 	congestion := s.spec.Congestion
 	if congestion == nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// nextCongestionChange returns when congestion begins or ends next, if nothing else changes.
+// nextCongestionChange returns the time at which congestion next starts or ends if nothing else changes, or never.
 func (s *Server) nextCongestionChange() time.Duration {
 	congestion := s.spec.Congestion
 	switch {
@@ -45,5 +45,5 @@
 	return never
 }
 
-// Congestions returns how often the server was congested.
+// Congestions returns how many times the server has become congested.
 func (s *Server) Congestions() int { return s.congestions }
--- a/internal/rehearsal/emulator/distribution.go
+++ b/internal/rehearsal/emulator/distribution.go
@@ -11,10 +11,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// DistributionFamily is a family of distributions.
+// DistributionFamily is the name of a family of probability distributions.
 type DistributionFamily string
 
-// The families that work can be drawn from.
+// The families from which work can be drawn.
 const (
 	Fixed       DistributionFamily = "fixed"
 	Exponential DistributionFamily = "exponential"
@@ -27,28 +27,28 @@
 	return []string{string(Fixed), string(Exponential), string(Lognormal), string(Pareto)}
 }
 
-// WorkDistribution is a distribution of the work of jobs.
+// WorkDistribution is a probability distribution of the work of jobs.
 type WorkDistribution struct {
 	Mean  time.Duration
 	Shape DistributionFamily
-	CV    float64 // standard deviation over mean, of a Lognormal or a Pareto; above 0
+	CV    float64 // ratio of standard deviation to mean, for Lognormal and Pareto; above 0
 }
 
-// RandomSource returns the stream of random numbers of a seed and a name. It does not depend on what is drawn from others.
+// RandomSource returns the stream of random numbers for a seed and a name. Streams with different names are independent.
 func RandomSource(seed uint64, name string) rand.Source {
 	hash := fnv.New64a()
-	_, _ = hash.Write(binary.LittleEndian.AppendUint64(nil, seed)) // a hash takes any bytes
+	_, _ = hash.Write(binary.LittleEndian.AppendUint64(nil, seed)) // Write of a hash never returns an error
 	_, _ = hash.Write([]byte(name))
 	return rand.NewPCG(seed, hash.Sum64())
 }
 
-// randomVariable is a distribution that can be drawn from.
+// randomVariable is a probability distribution from which values can be drawn.
 type randomVariable interface {
 	Rand() float64
 	CDF(x float64) float64
 }
 
-// distribution returns the distribution, in seconds.
+// distribution returns the probability distribution in seconds. It returns an error for Fixed and for an unknown shape.
 func (w WorkDistribution) distribution(src rand.Source) (randomVariable, error) {
 	mean := w.Mean.Seconds()
 	switch w.Shape {
@@ -61,10 +61,10 @@
 		alpha := 1 + math.Sqrt(1+1/(w.CV*w.CV))
 		return distuv.Pareto{Xm: mean * (alpha - 1) / alpha, Alpha: alpha, Src: src}, nil
 	}
-	return nil, fmt.Errorf("%q is not a shape", w.Shape)
+	return nil, fmt.Errorf("no random distribution has the shape %q", w.Shape)
 }
 
-// Draw returns the work of one job. A distribution of an unknown family, or without a spread, is Fixed.
+// Draw draws the work of one job. A distribution of an unknown family, or with a CV or mean of 0 or less, always gives the mean.
 func (w WorkDistribution) Draw(src rand.Source) time.Duration {
 	variable, err := w.distribution(src)
 	if err != nil || w.Mean <= 0 || w.CV <= 0 && w.Shape != Exponential {
--- a/internal/rehearsal/emulator/example_test.go
+++ b/internal/rehearsal/emulator/example_test.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/rehearsal/emulator"
 )
 
-// Two jobs share one core: each takes twice as long.
+// Two jobs share one core, so each takes twice as long. The third is rejected, because there is neither a slot nor a queue.
 func Example() {
 	server := emulator.NewServer(emulator.Spec{Cores: 1, Speed: 1, Slots: 2, ColdShare: 1}, 0, false)
 	for id := range uint64(3) {
--- a/internal/rehearsal/emulator/job.go
+++ b/internal/rehearsal/emulator/job.go
@@ -9,25 +9,25 @@
 
 // The states of a job.
 const (
-	queued   jobState = iota // waits for a slot
-	working                  // has a slot, and shares the cores
-	blocked                  // has a slot, and waits for Resume or Release
-	orphaned                 // working, but cancelled
-	overhead                 // shares the cores, and needs no slot
+	queued   jobState = iota // the job waits for a slot
+	working                  // the job has a slot and shares the cores
+	blocked                  // the job has a slot and waits for Resume or Release
+	orphaned                 // the job was cancelled but still works
+	overhead                 // the work shares the cores without a slot
 )
 
-// job is work that a server has accepted.
+// job is a unit of work that a server has accepted.
 type job struct {
 	id        uint64
-	work      float64 // seconds of one core of speed 1
-	finish    float64 // what Server.attained has to reach
-	heapIndex int     // in finishHeap
-	order     uint64  // of offers
+	work      float64 // amount of work, in seconds of one core of speed 1
+	finish    float64 // value of Server.attained at which the job is done
+	heapIndex int     // index in finishHeap
+	order     uint64  // sequence number among all jobs of the server
 	state     jobState
-	expires   time.Duration // 0 for never
+	expires   time.Duration // time at which the job expires; 0 for never
 }
 
-// finishHeap is a heap of the jobs that share the cores, the one that ends first on top.
+// finishHeap is a heap of the jobs that share the cores, with the one that ends first on top.
 type finishHeap []*job
 
 func (f finishHeap) Len() int { return len(f) }
--- a/internal/rehearsal/emulator/keymemory.go
+++ b/internal/rehearsal/emulator/keymemory.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// KeyMemory is the memory for idempotency keys that the servers of one cell share: a key that comes again within the window has no
-// second effect. It holds 65,536 keys at most; beyond that the oldest are forgotten early.
+// KeyMemory is the memory of idempotency keys that the servers of one cell share: a key that is repeated within the window has no
+// second effect. It holds at most 65,536 keys; above that, the oldest are evicted before their window ends.
 type KeyMemory struct {
-	Window time.Duration // how long a key is remembered
+	Window time.Duration // time for which a key is remembered
 
-	executedAt map[string]time.Duration
-	order      []keyExecution
+	executedAt map[string]time.Duration // time of the first execution, by key
+	order      []keyExecution           // executions of the remembered keys, oldest first
 }
 
 // keyExecution is the first execution of a key.
@@ -17,10 +17,10 @@
 	at  time.Duration
 }
 
-// maxKeys bounds a KeyMemory.
+// maxKeys is the maximum number of keys in a KeyMemory.
 const maxKeys = 1 << 16
 
-// Execute records that a request with a key runs, and reports whether that has an effect, which it has unless the key is remembered.
+// Execute records that a request with a key runs, and reports whether it has an effect: it has none if the key is remembered.
 func (k *KeyMemory) Execute(now time.Duration, key string) (effect bool) {
 	if k.executedAt == nil {
 		k.executedAt = map[string]time.Duration{}
--- a/internal/rehearsal/emulator/loadreport.go
+++ b/internal/rehearsal/emulator/loadreport.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
-// LoadReport is the load of a server at the end of a period of Spec.ReportEvery.
+// LoadReport is the load of a server at the end of an interval of Spec.ReportEvery.
 type LoadReport struct {
-	InFlight    int     // jobs held
-	Queued      int     // of these, waiting for a slot
-	Utilization float64 // share of the cores that was busy since the report before
+	InFlight    int     // number of jobs in slots and in the queue
+	Queued      int     // number of jobs that wait for a slot
+	Utilization float64 // share of the cores that was busy since the previous report, from 0 to 1
 }
 
-// timedReport is a report with the time at which it was made.
+// timedReport is a load report with the time at which it was generated.
 type timedReport struct {
 	at time.Duration
 	LoadReport
 }
 
-// advanceReports advances the work to a time before which nothing changes by itself, and makes the reports that are due.
+// advanceReports advances the work to a time, and generates the reports that are due by then. No job may finish and no congestion may
+// change before that time.
 func (s *Server) advanceReports(to time.Duration) {
 	for s.spec.ReportEvery > 0 && s.nextReport <= to {
 		s.advanceWork(s.nextReport)
@@ -32,7 +33,7 @@
 	s.advanceWork(to)
 }
 
-// LoadReport returns the newest report that can be seen; false if there is none.
+// LoadReport returns the latest report that is at least Spec.ReportDelay old, or false if there is none.
 func (s *Server) LoadReport() (LoadReport, bool) {
 	for i := len(s.reports) - 1; i >= 0; i-- {
 		if s.reports[i].at+s.spec.ReportDelay <= s.now {
--- a/internal/rehearsal/emulator/overload.go
+++ b/internal/rehearsal/emulator/overload.go
@@ -4,16 +4,17 @@
 	"time"
 )
 
-// overloadTolerance multiplies the allowed load of a cold server, since arrivals are random.
+// overloadTolerance is a factor on the allowed load of a cold server, because arrivals are random.
 const overloadTolerance = 1.1
 
-// offeredWork is work that was sent to a cold server, in seconds.
+// offeredWork is an amount of work, in seconds, that was sent to a cold server.
 type offeredWork struct {
 	at   time.Duration
 	work float64
 }
 
-// overloads reports whether more work (in seconds) makes a cold server collapse. A single job never does, however large it is.
+// overloads records that more work (in seconds) is sent to the server, and reports whether it makes the server collapse. Only a cold
+// server collapses, and never because of a single job, however large.
 func (s *Server) overloads(work float64) bool {
 	if s.warmedUp || s.spec.OverloadFactor == 0 || s.now >= s.startedAt+s.spec.WarmUp {
 		s.offered = nil
@@ -32,7 +33,7 @@
 	return len(s.offered) > 1 && sum > allowed
 }
 
-// collapse ends the server with all that it holds.
+// collapse ends the server permanently and discards all of its jobs.
 func (s *Server) collapse() {
 	s.collapsed = true
 	s.jobs = map[uint64]*job{}
--- a/internal/rehearsal/emulator/server_test.go
+++ b/internal/rehearsal/emulator/server_test.go
@@ -15,8 +15,9 @@
 
 const second = time.Second
 
-// play sends jobs to a server with exponential gaps, and returns how many seconds each took.
-func play(
+// runJobs sends jobs to a server at exponential intervals. It returns the seconds that each took, the server, and the time of the last
+// arrival.
+func runJobs(
 	tb testing.TB, spec Spec, perSecond float64, work WorkDistribution, jobs int, seed uint64,
 ) (took []float64, s *Server, end time.Duration) {
 	tb.Helper()
@@ -44,19 +45,19 @@
 	for i := range jobs {
 		until(now + time.Duration(gaps.ExpFloat64()/perSecond*1e9))
 		if s.Offer(now, uint64(i), work.Draw(works), 0) != Accepted {
-			tb.Fatal("turned away")
+			tb.Fatalf("job %d at %v: was rejected, want it accepted", i, now)
 		}
 		arrived[uint64(i)] = now
 	}
 	end = now
 	until(now + time.Hour)
 	if len(took) != jobs || s.Jobs() != 0 {
-		tb.Fatalf("%d of %d jobs ended, %d held", len(took), jobs, s.Jobs())
+		tb.Fatalf("an hour after the last arrival: got %d of %d jobs ended and %d held, want all ended", len(took), jobs, s.Jobs())
 	}
 	return took, s, end
 }
 
-// erlangC is the chance that a job has to wait in M/M/c (Gross and Harris, section 2.3).
+// erlangC returns the probability that a job has to wait in an M/M/c queue with offered load a (Gross and Harris, section 2.3).
 func erlangC(c int, a float64) float64 {
 	term, sum := 1.0, 0.0
 	for k := range c {
@@ -67,42 +68,42 @@
 	return last / (sum + last)
 }
 
-// With as many slots as cores a server is M/M/c: mean time in the system as the formula has it, within 4%, and busy
-// cores as the utilization law has them, within 2%.
+// With as many slots as cores, a server is an M/M/c queue: the mean time in the system must match the formula within 4%, and the share
+// of busy cores the utilization law within 2%.
 func TestAgainstMMc(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		cores int
 		load  float64
 	}{{1, 0.5}, {2, 0.7}, {8, 0.9}} {
 		const mean = 100 * time.Millisecond
-		perSecond := c.load * float64(c.cores) / mean.Seconds()
+		perSecond := test.load * float64(test.cores) / mean.Seconds()
 		a := perSecond * mean.Seconds()
-		want := mean.Seconds() + erlangC(c.cores, a)/(float64(c.cores)/mean.Seconds()-perSecond)
-		took, s, end := play(t, Spec{Cores: c.cores, Speed: 1, Slots: c.cores, Queue: 1 << 20, ColdShare: 1}, perSecond,
+		want := mean.Seconds() + erlangC(test.cores, a)/(float64(test.cores)/mean.Seconds()-perSecond)
+		took, s, end := runJobs(t, Spec{Cores: test.cores, Speed: 1, Slots: test.cores, Queue: 1 << 20, ColdShare: 1}, perSecond,
 			WorkDistribution{mean, Exponential, 0}, 200_000, 1)
 		if got := stat.Mean(took, nil); math.Abs(got/want-1) > 0.04 {
-			t.Errorf("M/M/%d at %v: %.4f s in the system, want %.4f", c.cores, c.load, got, want)
+			t.Errorf("M/M/%d at load %v: got a mean of %.4f s in the system, want %.4f s", test.cores, test.load, got, want)
 		}
-		if util := s.BusyTime().Seconds() / end.Seconds() / float64(c.cores); math.Abs(util/c.load-1) > 0.02 {
-			t.Errorf("M/M/%d: %.3f of the cores busy, want %v", c.cores, util, c.load)
+		if util := s.BusyTime().Seconds() / end.Seconds() / float64(test.cores); math.Abs(util/test.load-1) > 0.02 {
+			t.Errorf("M/M/%d: got a share of %.3f of the cores busy, want %v", test.cores, util, test.load)
 		}
 	}
 }
 
-// With slots for all, jobs share the core: the mean time in the system of M/G/1-PS depends on the mean work alone.
+// With enough slots for all jobs, the jobs share the core: the mean time in the system of an M/G/1-PS queue depends only on the mean work.
 func TestAgainstProcessorSharing(t *testing.T) {
 	for _, w := range []WorkDistribution{{Shape: Exponential}, {Shape: Fixed}, {Shape: Lognormal, CV: 1.5}} {
 		w.Mean = 50 * time.Millisecond
 		const load = 0.6
-		took, _, _ := play(t, Spec{Cores: 1, Speed: 1, Slots: 1 << 20, ColdShare: 1}, load/w.Mean.Seconds(), w, 200_000, 2)
+		took, _, _ := runJobs(t, Spec{Cores: 1, Speed: 1, Slots: 1 << 20, ColdShare: 1}, load/w.Mean.Seconds(), w, 200_000, 2)
 		want := w.Mean.Seconds() / (1 - load)
 		if got := stat.Mean(took, nil); math.Abs(got/want-1) > 0.05 {
-			t.Errorf("%s: %.4f s in the system, want %.4f", w.Shape, got, want)
+			t.Errorf("%s: got a mean of %.4f s in the system, want %.4f s", w.Shape, got, want)
 		}
 	}
 }
 
-// Draws have the mean and the spread that they are asked for.
+// Draws must have the mean and the coefficient of variation of their distribution.
 func TestDraws(t *testing.T) {
 	const mean = 100 * time.Millisecond
 	for _, w := range []WorkDistribution{{mean, Exponential, 0}, {mean, Lognormal, 0.9}, {mean, Pareto, 0.6}} {
@@ -117,15 +118,15 @@
 			cv = 1
 		}
 		if math.Abs(mean/0.1-1) > 0.02 || math.Abs(sd/mean/cv-1) > 0.15 {
-			t.Errorf("%s: mean %.4f, cv %.3f, want 0.1 and %v", w.Shape, mean, sd/mean, cv)
+			t.Errorf("%s: got mean %.4f and CV %.3f, want 0.1 and %v", w.Shape, mean, sd/mean, cv)
 		}
 	}
 	if d := (WorkDistribution{Mean: second, Shape: Lognormal}).Draw(RandomSource(1, "")); d != second {
-		t.Errorf("without a spread: %v", d)
+		t.Errorf("draw with a CV of 0: got %v, want the mean of 1s", d)
 	}
 }
 
-// The capacity of a cold server rises evenly: the work done while it warms up is the area under that.
+// The capacity of a cold server rises linearly: the work done during the warm-up is the integral of the capacity.
 func TestWarmingUp(t *testing.T) {
 	spec := Spec{Cores: 1, Speed: 2, Slots: 1, Queue: 10, ColdShare: 0.3, WarmUp: 10 * second}
 	s := NewServer(spec, 5*second, true)
@@ -133,25 +134,25 @@
 	// 2 * (0.3*4 + 0.07*16/2) = 3.52 s of work take 4 s.
 	s.Offer(5*second, 1, 3520*time.Millisecond, 0)
 	if next, ok := s.Next(); !ok || (next-9*second).Abs() > time.Microsecond {
-		t.Errorf("ends at %v", next)
+		t.Errorf("job during the warm-up: got end at %v (known: %v), want 9s", next, ok)
 	}
 	if done := s.Advance(9*second + time.Microsecond); len(done) != 1 {
-		t.Errorf("done: %v", done)
+		t.Errorf("completions at 9s: got %v, want one", done)
 	}
 	s.Release(9*second+time.Microsecond, 1)
 	if c := s.Capacity(); math.Abs(c-2*0.58) > 1e-3 {
-		t.Errorf("capacity %v", c)
+		t.Errorf("capacity at 9s: got %v, want 1.16", c)
 	}
-	// From 14 s on into the warm time: 2*(0.93+1)/2*1 + 2*1.
+	// A job from 14 s to 16 s, across the end of the warm-up at 15 s: 2*(0.93+1)/2*1 + 2*1.
 	s.Advance(14 * second)
 	s.Offer(14*second, 2, 3930*time.Millisecond, 0)
 	if next, _ := s.Next(); (next - 16*second).Abs() > time.Microsecond {
-		t.Errorf("ends at %v", next)
+		t.Errorf("job across the end of the warm-up: got end at %v, want 16s", next)
 	}
 }
 
-// A cold server that is sent more than the multiple of its capacity collapses and stays down; a warm one does not, nor does a cold one
-// that is sent as much over a longer time.
+// A cold server that is sent more than OverloadFactor times its capacity collapses and stays down. A warm server doesn't, nor does a
+// cold one to which the same work is sent over a longer time.
 func TestOverload(t *testing.T) {
 	spec := Spec{Cores: 2, Speed: 1, Slots: 100, ColdShare: 0.5, WarmUp: 10 * second, OverloadFactor: 3, OverloadWindow: second}
 	send := func(cold bool, gap time.Duration) *Server {
@@ -165,14 +166,14 @@
 	}
 	// Cold: 2 * 0.5 * 3 * 1.1 = 3.3 s of work within a second.
 	if s := send(true, 10*time.Millisecond); !s.Collapsed() || s.Jobs() != 0 || s.Offer(2*second, 99, second, 0) != Rejected {
-		t.Error("stands")
+		t.Errorf("overloaded cold server: got collapsed %v and %d jobs, want a collapse, no jobs and a rejection", s.Collapsed(), s.Jobs())
 	}
 	if send(false, 10*time.Millisecond).Collapsed() || send(true, 60*time.Millisecond).Collapsed() {
-		t.Error("fell")
+		t.Error("warm server, or cold server with a lower load: has collapsed, want it up")
 	}
 	s := NewServer(spec, 0, true)
 	if s.Offer(0, 1, time.Hour, 0) != Accepted {
-		t.Error("one job alone tips it")
+		t.Error("single job of an hour at a cold server: was not accepted, want it accepted")
 	}
 }
 
@@ -180,25 +181,25 @@
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2, ColdShare: 1, DropsExpired: true}, 0, false)
 	for i, want := range []Admission{Accepted, Accepted, Accepted, Rejected} {
 		if got := s.Offer(0, uint64(i), second, 1500*time.Millisecond); got != want {
-			t.Errorf("%d: %v", i, got)
+			t.Errorf("admission of job %d: got %v, want %v", i, got, want)
 		}
 	}
 	done := s.Advance(second)
 	if len(done) != 1 || done[0] != (Completion{ID: 0, At: second}) {
-		t.Fatal(done)
+		t.Fatalf("completions at 1s: got %v, want job 0 only", done)
 	}
 	if s.Release(second, 0) != nil || s.QueueLength() != 1 {
-		t.Error("the next one is not in work")
+		t.Errorf("after the release of job 0: got a queue of %d, want 1 and nothing expired", s.QueueLength())
 	}
 	if done = s.Advance(2 * second); len(done) != 1 || done[0].ID != 1 {
-		t.Fatal(done)
+		t.Fatalf("completions at 2s: got %v, want job 1 only", done)
 	}
 	if done = s.Release(2*second, 1); len(done) != 1 || done[0] != (Completion{2, 2 * second, true}) || s.Jobs() != 0 {
-		t.Errorf("expired: %v, %d held", done, s.Jobs())
+		t.Errorf("release of job 1: got completions %v and %d jobs held, want job 2 expired and none held", done, s.Jobs())
 	}
 }
 
-// A cancel drops a job that waits; work in progress stops or goes on, as the spec says.
+// Cancel removes a job that waits. Work in progress stops or continues, as CancelStopsWork says.
 func TestCancel(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 5, ColdShare: 1, CancelStopsWork: stops}, 0, false)
@@ -206,23 +207,23 @@
 			s.Offer(0, uint64(i), second, 0)
 		}
 		if stopped, _ := s.Cancel(0, 1); !stopped {
-			t.Error("waiting work goes on")
+			t.Error("cancel of a waiting job: got stopped false, want true")
 		}
 		if stopped, _ := s.Cancel(500*time.Millisecond, 0); stopped != stops {
-			t.Errorf("stopped %v, want %v", stopped, stops)
+			t.Errorf("cancel of a job in work: got stopped %v, want %v", stopped, stops)
 		}
-		// The last one begins at 0.5 s, or when the work for nobody has ended.
+		// The last job starts at 0.5 s, or when the work of the cancelled job has ended.
 		want := 1500 * time.Millisecond
 		if !stops {
 			want = 2 * second
 		}
 		if done := s.Advance(10 * second); len(done) != 1 || done[0].ID != 2 || (done[0].At-want).Abs() > time.Microsecond {
-			t.Errorf("stops %v: %v", stops, done)
+			t.Errorf("CancelStopsWork %v: got completions %v, want job 2 at %v", stops, done, want)
 		}
 	}
 }
 
-// A job that waits for the next tier keeps its slot and no core.
+// A job that waits for the next tier keeps its slot but uses no core.
 func TestWaitingForTheNextTier(t *testing.T) {
 	s := NewServer(Spec{Cores: 1, Speed: 1, Slots: 2, Queue: 5, ColdShare: 1}, 0, false)
 	for i := range 3 {
@@ -230,19 +231,19 @@
 	}
 	done := s.Advance(2 * second) // two share the core
 	if len(done) != 2 || s.QueueLength() != 1 {
-		t.Fatalf("%v, %d wait", done, s.QueueLength())
+		t.Fatalf("at 2s: got completions %v and a queue of %d, want 2 and 1", done, s.QueueLength())
 	}
 	s.Advance(5 * second)
 	s.Resume(5*second, 0, second)
 	if done = s.Advance(6 * second); len(done) != 1 || done[0].ID != 0 {
-		t.Fatal(done)
+		t.Fatalf("completions at 6s: got %v, want the resumed job 0 only", done)
 	}
 	s.Release(6*second, 0)
 	if s.QueueLength() != 0 || s.Jobs() != 2 {
-		t.Errorf("%d wait, %d held", s.QueueLength(), s.Jobs())
+		t.Errorf("after the release of job 0: got a queue of %d and %d jobs, want 0 and 2", s.QueueLength(), s.Jobs())
 	}
 	if stopped, _ := s.Cancel(6*second, 1); !stopped || s.Jobs() != 1 {
-		t.Error("one that waits for others cannot be cancelled")
+		t.Errorf("cancel of a job that waits for the next tier: got stopped %v and %d jobs, want true and 1", stopped, s.Jobs())
 	}
 }
 
@@ -254,11 +255,11 @@
 	s.Advance(3 * second)
 	s.Slow(3*second, 4)
 	if done := s.Advance(10 * second); len(done) != 1 || (done[0].At-5*second).Abs() > time.Microsecond {
-		t.Error(done)
+		t.Errorf("job with a pause and a slowdown: got completions %v, want one at 5s", done)
 	}
 }
 
-// A server that is crowded for too long is congested until it has recovered.
+// A server that is crowded for too long becomes congested, and recovers when it has been idle for long enough.
 func TestCongestion(t *testing.T) {
 	spec := Spec{
 		Cores: 1, Speed: 1, Slots: 100, ColdShare: 1,
@@ -270,20 +271,20 @@
 	for i := range 5 {
 		s.Offer(0, uint64(i), second, 0)
 	}
-	// 1 s at full speed, the other 4 s of work at half.
+	// 1 s of work at full speed, and the other 4 s at half speed.
 	done := s.Advance(60 * second)
 	if len(done) != 5 || (done[0].At-9*second).Abs() > time.Microsecond || s.Congestions() != 1 {
-		t.Fatalf("%v, %d chokes", done, s.Congestions())
+		t.Fatalf("got completions %v and %d congestions, want 5 completions from 9s on and 1 congestion", done, s.Congestions())
 	}
 	if c := s.Capacity(); c != 1 {
-		t.Errorf("capacity %v after its rest", c)
+		t.Errorf("capacity after the recovery: got %v, want 1", c)
 	}
 	s = NewServer(spec, 0, false)
 	for i := range 4 {
 		s.Offer(0, uint64(i), second, 0)
 	}
 	if s.Advance(60 * second); s.Congestions() != 0 {
-		t.Error("choked below its bound")
+		t.Errorf("server with fewer than MinJobs: got %d congestions, want none", s.Congestions())
 	}
 }
 
@@ -292,13 +293,13 @@
 	for i := range 4 {
 		s.Offer(0, uint64(i), second, 0)
 	}
-	// Four held: 1 - 0.5*(4-2)/2 of its speed.
+	// With four jobs the speed is 1 - 0.5*(4-2)/2 of the full one.
 	if done := s.Advance(60 * second); len(done) != 4 || (done[0].At-8*second).Abs() > time.Microsecond {
-		t.Error(done)
+		t.Errorf("four jobs on a thrashing server: got completions %v, want 4 from 8s on", done)
 	}
 }
 
-// A report is seen after its delay, and its utilization is that of the period before it.
+// A report becomes visible after ReportDelay, and its utilization is that of the interval before it.
 func TestReports(t *testing.T) {
 	s := NewServer(Spec{
 		Cores: 2, Speed: 1, Slots: 2, Queue: 9, ColdShare: 1,
@@ -306,24 +307,24 @@
 	}, 0, false)
 	s.Advance(120 * time.Millisecond)
 	if _, ok := s.LoadReport(); ok {
-		t.Error("seen too early")
+		t.Error("report 20 ms after it was generated: got one, want none before ReportDelay")
 	}
 	for i := range 3 {
 		s.Offer(120*time.Millisecond, uint64(i), second, 0)
 	}
 	s.Advance(240 * time.Millisecond)
 	if r, ok := s.LoadReport(); !ok || r != (LoadReport{}) {
-		t.Errorf("%v %v", r, ok)
+		t.Errorf("report of the idle first interval: got %+v (visible: %v), want zero values", r, ok)
 	}
 	s.Advance(260 * time.Millisecond)
 	if r, _ := s.LoadReport(); r.InFlight != 3 || r.Queued != 1 || math.Abs(r.Utilization-0.8) > 1e-6 {
-		t.Errorf("%+v", r)
+		t.Errorf("report of the second interval: got %+v, want 3 in flight, 1 queued and a utilization of 0.8", r)
 	}
 }
 
 func TestKeyMemory(t *testing.T) {
 	memory := KeyMemory{Window: 10 * second}
-	for i, c := range []struct {
+	for i, test := range []struct {
 		at   time.Duration
 		key  string
 		want bool
@@ -335,20 +336,20 @@
 		{10*second + 1, "b", false},
 		{11 * second, "b", true},
 	} {
-		if got := memory.Execute(c.at, c.key); got != c.want {
-			t.Errorf("%d: %v", i, got)
+		if got := memory.Execute(test.at, test.key); got != test.want {
+			t.Errorf("execution %d, of key %q at %v: got effect %v, want %v", i, test.key, test.at, got, test.want)
 		}
 	}
 	for i := range 2 * maxKeys {
 		memory.Execute(12*second, fmt.Sprint(i))
 	}
 	if len(memory.executedAt) > maxKeys || len(memory.order) > maxKeys {
-		t.Errorf("%d keys", len(memory.executedAt))
+		t.Errorf("got %d keys and %d executions, want at most %d of each", len(memory.executedAt), len(memory.order), maxKeys)
 	}
 }
 
-// Whatever is done to a server: no slot is lost, no job ends twice, no job stays for ever, and advancing it more often changes
-// nothing.
+// For any sequence of calls, no slot is lost, no job ends twice, every job ends, and advancing the server more often gives the same
+// result.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -358,13 +359,14 @@
 			ended: map[uint64]time.Duration{}, held: map[uint64]bool{},
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			// Never at a whole millisecond, at which a job may end: rounding would tell on which side of it.
+			// Jobs can end at whole milliseconds, where rounding would decide which event comes first, so the time is never one.
 			c.advance(c.now + time.Duration(rapid.IntRange(0, 800).Draw(t, "ms"))*time.Millisecond + 1371)
 			c.step(uint64(i))
 			c.release(func() bool { return rapid.Bool().Draw(t, "release") })
 			s := c.server
 			if s.usedSlots() > spec.Slots || s.QueueLength() > spec.Queue || s.Jobs() != s.usedSlots()+s.QueueLength() {
-				t.Fatalf("%d in slots, %d wait", s.usedSlots(), s.QueueLength())
+				t.Fatalf("got %d jobs in slots, %d in the queue and %d in all, want at most %d and %d, and their sum",
+					s.usedSlots(), s.QueueLength(), s.Jobs(), spec.Slots, spec.Queue)
 			}
 		}
 		for range 40 {
@@ -373,17 +375,17 @@
 			clear(c.held)
 		}
 		if jobs := c.server.Jobs(); jobs != 0 {
-			t.Fatalf("%d held at the end", jobs)
+			t.Fatalf("jobs at the end: got %d, want none", jobs)
 		}
 		for _, id := range c.accepted {
 			if _, ok := c.ended[id]; !ok {
-				t.Fatalf("%d never ended", id)
+				t.Fatalf("accepted job %d: never ended, want one end", id)
 			}
 		}
 	})
 }
 
-// drawSpec draws a server in which all can happen but a collapse.
+// drawSpec draws the spec of a server with every feature except collapses.
 func drawSpec(t *rapid.T) Spec {
 	return Spec{
 		Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
@@ -396,28 +398,28 @@
 	}
 }
 
-// modelCheck does the same to two servers, of which one is advanced more often.
+// modelCheck makes the same calls to two equal servers, of which one is advanced more often.
 type modelCheck struct {
 	t             *rapid.T
 	server, often *Server
 	now           time.Duration
-	ended         map[uint64]time.Duration
-	held          map[uint64]bool // jobs that have ended and keep their slot; false if they expired
-	accepted      []uint64
+	ended         map[uint64]time.Duration // time at which each job ended or was cancelled
+	held          map[uint64]bool          // jobs that have ended, by ID; true if they still have their slot, false if they expired
+	accepted      []uint64                 // IDs of all accepted jobs
 }
 
-// settle records jobs that have ended.
-func (c *modelCheck) settle(done []Completion) {
+// recordEnds records jobs that have ended, and fails the test if one has ended before.
+func (c *modelCheck) recordEnds(done []Completion) {
 	for _, d := range done {
 		if _, ok := c.ended[d.ID]; ok {
-			c.t.Fatalf("%d ends twice", d.ID)
+			c.t.Fatalf("job %d: ended at %v and again at %v, want one end", d.ID, c.ended[d.ID], d.At)
 		}
 		c.ended[d.ID] = d.At
 		c.held[d.ID] = !d.Expired
 	}
 }
 
-// advance brings both servers up to a time, and compares which jobs have ended.
+// advance advances both servers to a time, and compares the jobs that have ended.
 func (c *modelCheck) advance(to time.Duration) {
 	var more []Completion
 	for at := c.now; at < to; at += 31 * time.Millisecond {
@@ -426,18 +428,18 @@
 	more = append(more, c.often.Advance(to)...)
 	done := c.server.Advance(to)
 	if len(done) != len(more) {
-		c.t.Fatalf("looked at once: %v, often: %v", done, more)
+		c.t.Fatalf("got completions %v when advanced once and %v when advanced often, want equal ones", done, more)
 	}
 	for i := range done {
 		if done[i].ID != more[i].ID || (done[i].At-more[i].At).Abs() > time.Microsecond {
-			c.t.Fatalf("looked at once: %v, often: %v", done, more)
+			c.t.Fatalf("got completions %v when advanced once and %v when advanced often, want equal ones", done, more)
 		}
 	}
-	c.settle(done)
+	c.recordEnds(done)
 	c.now = to
 }
 
-// step does one thing to both.
+// step makes one random call to both servers.
 func (c *modelCheck) step(id uint64) {
 	switch rapid.IntRange(0, 5).Draw(c.t, "what") {
 	case 0, 1, 2:
@@ -460,7 +462,7 @@
 	}
 }
 
-// cancel cancels one of the jobs that were accepted.
+// cancel cancels a random accepted job at both servers.
 func (c *modelCheck) cancel() {
 	if len(c.accepted) == 0 {
 		return
@@ -468,18 +470,18 @@
 	id := c.accepted[rapid.IntRange(0, len(c.accepted)-1).Draw(c.t, "which")]
 	_, expired := c.server.Cancel(c.now, id)
 	c.often.Cancel(c.now, id)
-	c.settle(expired)
+	c.recordEnds(expired)
 	if _, ok := c.ended[id]; !ok {
 		c.ended[id] = c.now
 	}
 	delete(c.held, id)
 }
 
-// release releases the slots of those jobs that have ended, and are chosen.
+// release releases the slots of those ended jobs for which choose returns true.
 func (c *modelCheck) release(choose func() bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.held)) {
 		if c.held[id] && choose() {
-			c.settle(c.server.Release(c.now, id))
+			c.recordEnds(c.server.Release(c.now, id))
 			c.often.Release(c.now, id)
 			delete(c.held, id)
 		}
--- a/internal/rehearsal/emulator/slots.go
+++ b/internal/rehearsal/emulator/slots.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Admission is the answer of a server to a job that it is offered.
+// Admission is the result of offering a job to a server.
 type Admission int
 
-// The answers of a server.
+// The results of Offer and AddOverhead.
 const (
-	Accepted  Admission = iota
-	Rejected            // slots and queue are full: nothing of the job will run
-	Collapsed           // it was too much for a cold server, which has collapsed with all that it held
+	Accepted  Admission = iota // the job has a slot or waits for one
+	Rejected                   // slots and queue are full, or the server has collapsed earlier; the job doesn't run
+	Collapsed                  // the job overloaded the cold server, which has collapsed and discarded all of its jobs
 )
 
-// Offer offers a job with its work. expires is when nobody waits for it any more; 0 for never. The caller chooses the id, which no other
-// job may have at the same time. As for all calls, the caller advances the server to the same time first, or completions are late.
+// Offer offers a job with its work. expires is the time from which nobody waits for the job, or 0 for never. The caller chooses the ID,
+// which must be unique among the jobs of the server. As with all calls, the caller must first advance the server to the same time, or
+// completions will be late.
 func (s *Server) Offer(now time.Duration, id uint64, work, expires time.Duration) Admission {
 	s.advanceReports(now)
 	if s.collapsed {
@@ -44,7 +45,7 @@
 	return Accepted
 }
 
-// AddOverhead gives the server work that is no job: a handshake or a health check.
+// AddOverhead adds work that needs no slot and has no completion, such as a handshake or a health check.
 func (s *Server) AddOverhead(now time.Duration, work time.Duration) Admission {
 	s.advanceReports(now)
 	if s.collapsed || work <= 0 {
@@ -60,7 +61,8 @@
 	return Accepted
 }
 
-// Release removes a job whose work has ended, and frees its slot. It returns the jobs that expired in the queue.
+// Release removes a job whose work has ended, and frees its slot. It returns the jobs found expired in the queue when the slot became
+// free.
 func (s *Server) Release(now time.Duration, id uint64) []Completion {
 	s.advanceReports(now)
 	job := s.jobs[id]
@@ -73,7 +75,7 @@
 	return done
 }
 
-// Resume gives more work to a job whose work has ended, and that has kept its slot.
+// Resume gives more work to a job whose work has ended and which still has its slot.
 func (s *Server) Resume(now time.Duration, id uint64, work time.Duration) {
 	s.advanceReports(now)
 	job := s.jobs[id]
@@ -85,8 +87,9 @@
 	s.updateCongestion()
 }
 
-// Cancel cancels a job. One that waits is removed. One in work is removed if the spec says that a cancel stops work; otherwise it goes on
-// for nobody, and stopped is false. Cancel also returns the jobs that expired in the queue as the slot became free.
+// Cancel cancels a job. A job that waits is removed. A job in work is removed if Spec.CancelStopsWork is set; otherwise its work
+// continues although nobody waits for the result, and stopped is false. Cancel also returns the jobs found expired in the queue when
+// the slot became free.
 func (s *Server) Cancel(now time.Duration, id uint64) (stopped bool, expired []Completion) {
 	s.advanceReports(now)
 	job := s.jobs[id]
@@ -114,24 +117,24 @@
 	return true, expired
 }
 
-// usedSlots returns how many jobs have a slot.
+// usedSlots returns the number of jobs that have a slot.
 func (s *Server) usedSlots() int { return len(s.jobs) - s.queuedJobs }
 
-// begin puts a job that has a slot on the cores.
+// begin starts the work of a job that has a slot.
 func (s *Server) begin(job *job) {
 	job.state = working
 	job.finish = s.attained + job.work
 	heap.Push(&s.running, job)
 }
 
-// remove removes a job, and gives its slot to the one that has waited longest. Jobs that expired meanwhile are added to done.
+// remove removes a job, and gives its slot to the job that has waited longest. Jobs that expired while they waited are added to done.
 func (s *Server) remove(j *job, done *[]Completion) {
 	delete(s.jobs, j.id)
 	for s.usedSlots() < s.spec.Slots && s.queuedJobs > 0 {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
 		if s.jobs[next.id] != next {
-			continue // cancelled in the queue
+			continue // the job was cancelled while it waited
 		}
 		s.queuedJobs--
 		if s.spec.DropsExpired && next.expires > 0 && s.now >= next.expires {
@@ -145,7 +148,8 @@
 	}
 }
 
-// compactQueue drops cancelled jobs from the queue, once they are the larger part of it.
+// compactQueue removes cancelled jobs from the queue once they outnumber the others. 8 more are allowed, so that short queues are not
+// copied each time.
 func (s *Server) compactQueue() {
 	if len(s.queue) <= 2*s.queuedJobs+8 {
 		return
@@ -159,7 +163,7 @@
 	s.queue = kept
 }
 
-// WorkDone returns how much is done of the work that a job was offered or resumed with last.
+// WorkDone returns how much of a job's work is done, counted since its latest Offer or Resume.
 func (s *Server) WorkDone(id uint64) time.Duration {
 	job := s.jobs[id]
 	switch {
@@ -171,8 +175,8 @@
 	return time.Duration(max(0, min(job.work, job.work-(job.finish-s.attained))) * 1e9)
 }
 
-// Jobs returns how many jobs the server holds, in slots and in the queue.
+// Jobs returns the number of jobs in slots and in the queue.
 func (s *Server) Jobs() int { return len(s.jobs) }
 
-// QueueLength returns how many jobs wait for a slot.
+// QueueLength returns the number of jobs that wait for a slot.
 func (s *Server) QueueLength() int { return s.queuedJobs }
--- a/internal/rehearsal/emulator/spec.go
+++ b/internal/rehearsal/emulator/spec.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// Spec is the specification of a server. Work is measured in the time that one core of speed 1 needs for it.
+// Spec is the specification of a server. Work is measured as the time that one core of speed 1 needs for it.
 type Spec struct {
-	Cores int     // 1 or more
-	Speed float64 // of a core; above 0
-	Slots int     // jobs in work or waiting for others at once; they share the cores. 1 or more
-	Queue int     // jobs that wait for a slot; further ones are rejected. 0 or more
+	Cores int     // number of cores; 1 or more
+	Speed float64 // speed of a core; above 0
+	Slots int     // maximum number of jobs in work or waiting for calls at once, which share the cores; 1 or more
+	Queue int     // maximum number of jobs that wait for a slot; others are rejected; 0 or more
 
-	// Thrash is the share of its speed that a server loses for each ThrashAt jobs that it holds beyond the first
-	// ThrashAt, down to a quarter of it. 0 for none.
+	// Thrash is the share of its speed that the server loses for every ThrashAt jobs that it holds above the first ThrashAt. The speed
+	// doesn't fall below a quarter. 0 for no loss.
 	Thrash   float64
 	ThrashAt int
 
-	// A server that starts has ColdShare of its capacity (above 0, to 1), which rises evenly to all of it within WarmUp.
+	// ColdShare is the share of its capacity that a server has when it starts, above 0 and at most 1. The capacity rises linearly to
+	// the full one within WarmUp.
 	ColdShare float64
 	WarmUp    time.Duration
-	// While it warms up, more than OverloadFactor times its capacity, sent to it within OverloadWindow, makes it collapse
-	// for good. 0 for never.
+	// OverloadFactor is the multiple of its current capacity that makes a server collapse permanently if more work is sent to it
+	// within OverloadWindow while it warms up. 0 for never.
 	OverloadFactor float64
 	OverloadWindow time.Duration
 
-	CancelStopsWork bool // a cancel stops work in progress, not only waiting work
-	DropsExpired    bool // a job whose time is up when it would get a slot is dropped
+	CancelStopsWork bool // whether a cancel also stops work in progress, not only waiting jobs
+	DropsExpired    bool // whether a job that has expired when it would get a slot is dropped
 
-	Congestion *Congestion // nil for never
+	Congestion *Congestion // congestion under too many jobs; nil for none
 
-	ReportEvery time.Duration // of load reports; 0 for none
-	ReportDelay time.Duration // age from which on a report can be seen
+	ReportEvery time.Duration // interval of load reports; 0 for none
+	ReportDelay time.Duration // age at which a report becomes visible
 
-	Connections   int           // how many it accepts at a time; 0 for no bound
+	Connections   int           // maximum number of open connections; 0 for no limit
 	HandshakeWork time.Duration // work of a new connection
 }
 
-// Congestion is how a server turns slow when it holds too many jobs for too long, and recovers.
+// Congestion specifies how a server becomes slow when it holds too many jobs for too long, and how it recovers.
 type Congestion struct {
-	MinJobs             int           // that it holds at least
-	After               time.Duration // for which it must hold them without a break
-	SlowdownFactor      float64       // divides its speed while it is congested
-	RecoveryUtilization float64       // share of its cores; it recovers while fewer are busy
-	RecoveryTime        time.Duration // for which that must last
-	MaxDuration         time.Duration // of the congestion, recovered or not
+	MinJobs             int           // number of jobs from which on the server counts as crowded
+	After               time.Duration // time without interruption after which a crowded server becomes congested
+	SlowdownFactor      float64       // divisor of the speed while the server is congested
+	RecoveryUtilization float64       // share of busy cores below which the server recovers
+	RecoveryTime        time.Duration // time without interruption for which it must be below RecoveryUtilization
+	MaxDuration         time.Duration // maximum duration of a congestion, after which it ends in any case
 }
 
-// Validate returns why a Spec is impossible, with the key of scripts that it comes from; nil if it is possible.
+// Validate returns an error for the first invalid field, named by its key in scripts, or nil if the Spec is valid.
 func (s *Spec) Validate() error {
 	for _, rule := range []struct {
 		violation string
--- a/internal/rehearsal/emulator/speed.go
+++ b/internal/rehearsal/emulator/speed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// minThrashShare is the least share of its speed that thrashing leaves a server.
+// minThrashShare is the minimum share of its speed that a thrashing server keeps.
 const minThrashShare = 0.25
 
 // never is later than any rehearsal.
 const never = time.Duration(math.MaxInt64)
 
-// warmShare returns the share of its capacity that the server has at a time; below 1 while it is warming up.
+// warmShare returns the share of its capacity that the server has at a time. It is below 1 during the warm-up.
 func (s *Server) warmShare(at time.Duration) float64 {
 	if s.warmedUp || at >= s.startedAt+s.spec.WarmUp {
 		return 1
@@ -19,7 +19,7 @@
 	return s.spec.ColdShare + (1-s.spec.ColdShare)*float64(at-s.startedAt)/float64(s.spec.WarmUp)
 }
 
-// jobRate returns the work that one job gets per second, before warmShare.
+// jobRate returns the work that each running job receives per second, before it is multiplied by warmShare.
 func (s *Server) jobRate() float64 {
 	jobs := len(s.running)
 	if jobs == 0 || s.now < s.pausedUntil {
@@ -35,7 +35,7 @@
 	return rate * min(1, float64(s.spec.Cores)/float64(jobs))
 }
 
-// progressUntil returns the work that a job of rate 1 gets from now until a time, in seconds: the area under warmShare.
+// progressUntil returns the work, in seconds, that a job with a rate of 1 receives from now until a time: the integral of warmShare.
 func (s *Server) progressUntil(to time.Duration) float64 {
 	from := s.now
 	full := s.startedAt + s.spec.WarmUp
@@ -48,7 +48,7 @@
 	return (full-from).Seconds()*(s.warmShare(from)+1)/2 + (to - full).Seconds()
 }
 
-// finishTime returns when a job of rate 1 will have got an amount of work (in seconds) from now on, rounded up.
+// finishTime returns the time, rounded up, at which a job with a rate of 1 will have received an amount of work (in seconds) from now on.
 func (s *Server) finishTime(amount float64) time.Duration {
 	if amount <= 0 {
 		return s.now
@@ -60,7 +60,7 @@
 	if ramp := s.progressUntil(full); amount > ramp {
 		return addSeconds(full, amount-ramp)
 	}
-	// amount = start*t + slope*t*t/2
+	// Solves amount = start*t + slope*t*t/2 for t.
 	start := s.warmShare(s.now)
 	slope := (1 - s.spec.ColdShare) / s.spec.WarmUp.Seconds()
 	if slope == 0 {
@@ -69,7 +69,7 @@
 	return addSeconds(s.now, 2*amount/(start+math.Sqrt(start*start+2*slope*amount)))
 }
 
-// addSeconds adds seconds to a time, rounded up to a nanosecond; never if they are more than a million.
+// addSeconds returns a time plus seconds, rounded up to a nanosecond, or never for more than a million seconds.
 func addSeconds(t time.Duration, seconds float64) time.Duration {
 	if seconds > 1e6 {
 		return never
@@ -77,7 +77,7 @@
 	return t + time.Duration(math.Ceil(seconds*1e9))
 }
 
-// advanceWork advances the work to a time before which nothing changes by itself.
+// advanceWork advances the work to a time. The state must not change by itself before that time.
 func (s *Server) advanceWork(to time.Duration) {
 	if to <= s.now {
 		return
