--- a/internal/rehearsal/dryrun/attempt.go
+++ b/internal/rehearsal/dryrun/attempt.go
@@ -11,25 +11,25 @@
 // attempt is one attempt of a request at a server.
 type attempt struct {
 	id             uint64
-	number         int // among the attempts of its request, from 0
+	number         int // index among the attempts of its request, from 0
 	request        *request
 	server         *server
-	incarnation    int // of the server when the attempt arrived; 0 before
-	connections    *connections
+	incarnation    int          // incarnation of the server when the attempt arrived; 0 before that
+	connections    *connections // connections that it uses one of; nil if it has none
 	sentAt         time.Duration
-	finished       bool // at the instance
-	endedAtServer  bool // at the server
-	inModel        bool // the model has it
-	afterCalls     bool // it does the work that comes after its calls
-	muted          bool // it gets no answer
-	workAfterCalls time.Duration
-	work           time.Duration // that the server has done for it
+	finished       bool          // whether it has ended at the instance
+	endedAtServer  bool          // whether it has ended at the server
+	inModel        bool          // whether the model of the server has accepted it
+	afterCalls     bool          // whether its calls have ended and it does the work after them
+	muted          bool          // whether the server will not answer it
+	workAfterCalls time.Duration // work to do after its calls
+	work           time.Duration // work that the server has done for it
 }
 
-// arrive is when an attempt reaches its server.
+// arrive handles the arrival of an attempt at its server.
 func (a *attempt) arrive() {
 	if a.finished {
-		return // cancelled on its way: it was never written
+		return // the attempt was cancelled on its way and never written
 	}
 	server, instance := a.server, a.request.instance
 	sim := instance.sim
@@ -58,7 +58,7 @@
 	}
 }
 
-// applyFault draws whether a fault of the server happens to the attempt, applies it, and reports whether one did.
+// applyFault draws whether a fault of the server affects the attempt. If one does, it applies the fault and returns true.
 func (a *attempt) applyFault() bool {
 	server := a.server
 	switch {
@@ -96,7 +96,7 @@
 	}
 }
 
-// finishAtServer records the end of an attempt at its server, unless it has ended there, or never arrived.
+// finishAtServer records the end of an attempt at its server, unless it has already ended there or never arrived.
 func (a *attempt) finishAtServer(result audit.AttemptResult) {
 	if a.endedAtServer || a.incarnation == 0 {
 		return
@@ -111,13 +111,13 @@
 	})
 }
 
-// answerStatus is the status with which an answer ends an attempt at its instance.
+// answerStatus maps the result of an attempt at its server to the status that the instance reports to its decision module.
 var answerStatus = map[audit.AttemptResult]balancer.Status{
 	audit.Served: balancer.StatusOK, audit.Failed: balancer.StatusError,
 	audit.Rejected: balancer.StatusRejected, audit.Garbled: balancer.StatusInvalidResponse,
 }
 
-// answer sends the answer of the server.
+// answer ends the attempt at the server and sends the answer to the instance. A muted attempt gets none.
 func (a *attempt) answer(result audit.AttemptResult) {
 	if a.muted {
 		return
@@ -136,7 +136,7 @@
 	})
 }
 
-// cancel cancels an attempt at its server.
+// cancel sends a cancellation of the attempt to its server.
 func (a *attempt) cancel() {
 	server := a.server
 	server.sim.scheduleAfter(toServer, func() {
@@ -151,7 +151,7 @@
 	})
 }
 
-// cancelInModel cancels an attempt in the model, unless it ends just now.
+// cancelInModel cancels the attempt in the model of the server, unless it ends at this very time.
 func (a *attempt) cancelInModel() {
 	server := a.server
 	server.advance()
@@ -161,7 +161,7 @@
 	}
 	done := server.model.WorkDone(a.id)
 	stopped, expired := server.model.Cancel(server.sim.now, a.id)
-	if !stopped { // the server goes on for nobody: all of the work will be done
+	if !stopped { // the server continues although nobody waits, so all of the work will be done
 		done = 0
 		a.work += a.workAfterCalls
 	}
@@ -171,7 +171,7 @@
 	server.scheduleAdvance()
 }
 
-// finishAtInstance ends an attempt at its instance, and reports it to the decision module.
+// finishAtInstance ends the attempt at its instance, unless it has already ended there, and reports the outcome to the decision module.
 func (a *attempt) finishAtInstance(status balancer.Status) {
 	request := a.request
 	instance := request.instance
--- a/internal/rehearsal/dryrun/callers.go
+++ b/internal/rehearsal/dryrun/callers.go
@@ -2,7 +2,7 @@
 
 import "quincegap/internal/rehearsal/scenario"
 
-// playArrival plays one arrival: the caller's attempts, with backoffs between them.
+// playArrival simulates the caller of one arrival: its attempts, and the backoffs between them.
 func (s *sim) playArrival(arrival int) {
 	caller, prefersFirst := s.plan.Caller(arrival, s.now), s.plan.PrefersFirstSidecar(arrival)
 	var attempt func()
@@ -29,8 +29,9 @@
 	attempt()
 }
 
-// pickSidecar returns the sidecar to which a caller from outside sends its request: that of an idle connection, drawn at random, whether
-// or not the sidecar is in rotation; without one, the next sidecar in rotation. It returns nil if there is none.
+// pickSidecar returns the sidecar to which an external caller sends its request: the first one if the caller prefers it and it is in
+// rotation; else that of a random idle connection, whether or not it is in rotation; else the next one in rotation. It returns nil if
+// there is none.
 func (s *sim) pickSidecar(prefersFirst bool) *instance {
 	outside := s.instances[:s.plan.Sidecars.Count]
 	if prefersFirst && outside[0].inRotation {
@@ -52,7 +53,7 @@
 	return inRotation[s.nextSidecar%len(inRotation)]
 }
 
-// drawIdle draws one of all idle connections of callers, and returns its sidecar. Without one it draws nothing, and returns nil.
+// drawIdle draws one of all idle connections of callers and returns its sidecar. If there is none, it returns nil without a draw.
 func (s *sim) drawIdle(outside []*instance) *instance {
 	idle := 0
 	for _, i := range outside {
--- a/internal/rehearsal/dryrun/connections.go
+++ b/internal/rehearsal/dryrun/connections.go
@@ -5,10 +5,10 @@
 // connections are an instance's connections to one incarnation of a server.
 type connections struct {
 	incarnation, open, busy int
-	established             bool // an answer came on one of them
+	established             bool // whether an answer has arrived on one of them
 }
 
-// connectionsTo returns the connections to the present incarnation of a server.
+// connectionsTo returns the connections to the current incarnation of a server.
 func (i *instance) connectionsTo(server *server) *connections {
 	c := i.connections[server.index]
 	if c == nil || c.incarnation != server.incarnation {
@@ -18,7 +18,7 @@
 	return c
 }
 
-// connect gives an attempt that arrives an idle connection, or a new one.
+// connect assigns an idle connection, or a new one, to an attempt that arrives at its server.
 func (a *attempt) connect() {
 	i := a.request.instance
 	c := i.connectionsTo(a.server)
@@ -30,7 +30,7 @@
 	}
 }
 
-// releaseConnection ends an attempt's use of its connection, which stays open after an answer.
+// releaseConnection ends the attempt's use of its connection. The connection stays open only if the attempt was answered.
 func (a *attempt) releaseConnection(answered bool) {
 	if a.connections == nil {
 		return
@@ -42,7 +42,7 @@
 	a.connections = nil
 }
 
-// idleConnections returns how many connections of callers to the instance have no request in flight.
+// idleConnections returns the number of callers' connections to the instance that have no request in flight.
 func (i *instance) idleConnections() int {
 	if !i.up {
 		return 0
--- a/internal/rehearsal/dryrun/discovery.go
+++ b/internal/rehearsal/dryrun/discovery.go
@@ -8,27 +8,28 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// The states of a server, as discovery has them.
+// The states of a server in discovery.
 const (
 	stateReady       = "Ready"
 	stateTerminating = "Terminating"
 	stateGone        = "Gone"
 )
 
-// discoveryState is the state that discovery has of a server from a time on.
+// discoveryState is the state of a server in discovery from a given time on.
 type discoveryState struct {
-	at     time.Duration
+	at     time.Duration // time of the update
 	weight float64
-	state  string        // Ready, Terminating or Gone; empty if discovery does not have the server
-	boot   time.Duration // when it started; 0 for long ago
+	state  string        // Ready, Terminating or Gone; empty if discovery doesn't know the server
+	boot   time.Duration // start time of the server; 0 if it started long before the run
 }
 
-// stateAt returns the state that discovery had at a time.
+// stateAt returns the state of the server in discovery at a time. Earlier states are available only if some sidecars are notified late;
+// otherwise it returns the current one.
 func (s *server) stateAt(at time.Duration) discoveryState {
 	if s.known.at <= at || s.sim.plan.Discovery.LateDelay == 0 {
 		return s.known
 	}
-	for _, earlier := range slices.Backward(s.wasKnown) {
+	for _, earlier := range slices.Backward(s.knownBefore) {
 		if earlier.at <= at {
 			return earlier
 		}
@@ -36,26 +37,26 @@
 	return discoveryState{}
 }
 
-// updateState changes the state that discovery has of the server.
+// updateState sets the state of the server in discovery from now on.
 func (s *server) updateState(next discoveryState) {
 	if s.sim.plan.Discovery.LateDelay > 0 {
-		s.wasKnown = append(s.wasKnown, s.known)
+		s.knownBefore = append(s.knownBefore, s.known)
 	}
 	next.at = s.sim.now
 	s.known = next
 }
 
-// notificationDelay returns by how much later than others the instance is notified.
+// notificationDelay returns the additional delay with which the instance is notified of updates.
 func (i *instance) notificationDelay() time.Duration {
 	return i.sim.plan.NotificationDelay(i.SidecarSpec)
 }
 
-// endpointStates are the states of discovery as the decision module has them.
+// endpointStates maps the states of discovery to those of the decision module.
 var endpointStates = map[string]balancer.EndpointState{
 	stateReady: balancer.EndpointReady, stateTerminating: balancer.EndpointDraining, stateGone: balancer.EndpointRemoved,
 }
 
-// listEntry returns a server as an entry of the module's list.
+// listEntry returns the entry for a server in the endpoint list of the decision module, and records the ID of the endpoint.
 func (i *instance) listEntry(server *server, known discoveryState) balancer.ListEntry {
 	id := balancer.EndpointID(server.index + 1)
 	i.serverByID[id] = server.index
@@ -73,7 +74,7 @@
 	return entry
 }
 
-// notify notifies the instance of one server, at once or after its delay.
+// notify notifies the instance of the state of one server, at once or after its notification delay.
 func (i *instance) notify(server *server) {
 	known := server.known
 	delay := i.notificationDelay()
@@ -83,13 +84,13 @@
 	}
 	incarnation := i.incarnation
 	i.sim.scheduleAfter(delay, func() {
-		if i.incarnation == incarnation { // a later one has a list of its own
+		if i.incarnation == incarnation { // an instance that was restarted has got its own list
 			i.applyUpdate(server, known)
 		}
 	})
 }
 
-// applyUpdate gives the decision module the state of a server.
+// applyUpdate passes the state of a server to the decision module, if the instance is up and sends to the server's tier.
 func (i *instance) applyUpdate(server *server, known discoveryState) {
 	if !i.up || server.tier() != i.Tier || known.state == "" {
 		return
--- a/internal/rehearsal/dryrun/example_test.go
+++ b/internal/rehearsal/dryrun/example_test.go
@@ -8,7 +8,7 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// A calm scenario in which every request is served in time.
+// In a scenario without faults, every request is served in time and no rule is broken.
 func Example() {
 	var found finding.List
 	scenario := scenario.Read("calm", []byte("length 5s\ntier one boxes 4 work 10ms\nclass ask\ncallers rate 20/s\n"), &found)
--- a/internal/rehearsal/dryrun/golden_test.go
+++ b/internal/rehearsal/dryrun/golden_test.go
@@ -12,10 +12,10 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// maxArrivals bounds the days that are played with a second seed.
+// maxArrivals is the maximum number of arrivals of a scenario that is also run with a second seed.
 const maxArrivals = 2000
 
-// A script and a seed keep their events and their verdict.
+// The events and the verdict of each script and seed must not change.
 func TestGoldenDays(t *testing.T) {
 	var dump bytes.Buffer
 	scripts := library(t)
--- a/internal/rehearsal/dryrun/host.go
+++ b/internal/rehearsal/dryrun/host.go
@@ -7,7 +7,7 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// Send implements balancer.Host: it sends an attempt.
+// Send implements balancer.Host: it sends an attempt of a request to a server.
 func (i *instance) Send(id balancer.RequestID, to balancer.EndpointID, timeout time.Duration) {
 	sim, request := i.sim, i.requests[id]
 	sim.attempts++
@@ -27,7 +27,7 @@
 	sim.schedule(deadline, func() { a.finishAtInstance(balancer.StatusTimeout) })
 }
 
-// Reject implements balancer.Host: it answers that nothing was done.
+// Reject implements balancer.Host: it answers a request with status 503, which promises that it had no effect.
 func (i *instance) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := i.requests[id]; r != nil {
 		r.answer(statusServiceUnavailable, retryAfter, false)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Fail implements balancer.Host: it answers that the request failed.
+// Fail implements balancer.Host: it answers a request with status 502.
 func (i *instance) Fail(id balancer.RequestID) {
 	if r := i.requests[id]; r != nil {
 		r.answer(statusBadGateway, 0, false)
@@ -43,15 +43,15 @@
 	}
 }
 
-// Cancel implements balancer.Host: it cancels an attempt.
+// Cancel implements balancer.Host: it cancels an attempt that is in flight.
 func (i *instance) Cancel(id balancer.RequestID, number int) {
 	if r := i.requests[id]; r != nil && r.pending != nil && r.pending.number == number {
 		a := r.pending
-		i.sim.scheduleAfter(0, func() { a.finishAtInstance(balancer.StatusCancelled) }) // the module must not be called back into
+		i.sim.scheduleAfter(0, func() { a.finishAtInstance(balancer.StatusCancelled) }) // not now: the module is not reentrant
 	}
 }
 
-// SetTimer implements balancer.Host.
+// SetTimer implements balancer.Host: it calls the timer handler of the decision module later, unless the instance has ended by then.
 func (i *instance) SetTimer(token uint64, after time.Duration) {
 	incarnation := i.incarnation
 	i.sim.scheduleAfter(after, func() {
@@ -62,25 +62,25 @@
 	})
 }
 
-// recordListRequest records that the instance asks for a list. Updates are pushed to it in any case.
+// recordListRequest records that the instance requests a list. It has no other effect, because updates are always pushed.
 func (i *instance) recordListRequest() {
 	i.sim.record(audit.Event{Kind: audit.ListRequested, Sidecar: i.index, Server: -1, Origin: -1})
 }
 
-// HealthCheck implements balancer.Host; there are none in virtual time.
+// HealthCheck implements balancer.Host. It does nothing, because virtual time has no health checks.
 func (i *instance) HealthCheck(balancer.EndpointID) {}
 
-// SendToPeer implements balancer.Host; instances don't find one another in virtual time.
+// SendToPeer implements balancer.Host. It does nothing, because instances don't discover each other in virtual time.
 func (i *instance) SendToPeer(int, []byte) {}
 
-// WatchEndpoints implements balancer.Host: it asks for a list.
+// WatchEndpoints implements balancer.Host: it records a request for a list.
 func (i *instance) WatchEndpoints(bool) { i.recordListRequest() }
 
-// FetchEndpoints implements balancer.Host: it asks for a list.
+// FetchEndpoints implements balancer.Host: it records a request for a list.
 func (i *instance) FetchEndpoints() { i.recordListRequest() }
 
-// CloseIdleConnections implements balancer.Host; idle connections cost nothing here.
+// CloseIdleConnections implements balancer.Host. It does nothing, because the cost of connections is not modelled.
 func (i *instance) CloseIdleConnections(balancer.EndpointID) {}
 
-// Log implements balancer.Host; lines are not kept.
+// Log implements balancer.Host. It discards the message.
 func (i *instance) Log(string) {}
--- a/internal/rehearsal/dryrun/instance.go
+++ b/internal/rehearsal/dryrun/instance.go
@@ -13,27 +13,27 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// instance is a sidecar: a decision module, and a model of the program around it.
+// instance is a sidecar: a decision module with a model of the program around it.
 type instance struct {
 	scenario.SidecarSpec
 	sim         *sim
 	index       int
-	incarnation int // grows with each start and each end
+	incarnation int // counter that is incremented at each start and each end
 	up          bool
-	inRotation  bool          // it gets new connections of callers
-	open        int           // callers' connections
-	busy        int           // of these, with a request on them
-	endsAt      time.Duration // when it ends; 0 if it was not asked to
+	inRotation  bool          // whether callers open new connections to it
+	open        int           // number of open connections of callers
+	busy        int           // number of open connections that have a request in flight
+	endsAt      time.Duration // time at which it ends after SIGTERM; 0 if it was not asked to end
 	balancer    *balancer.Balancer
 	requests    map[balancer.RequestID]*request
-	connections map[int]*connections // by server
-	serverByID  map[balancer.EndpointID]int
+	connections map[int]*connections        // connections by index of the server
+	serverByID  map[balancer.EndpointID]int // index of the server, by endpoint ID
 }
 
-// clock returns the time as the decision module has it.
+// clock returns the current time on the clock of the decision module.
 func (i *instance) clock() time.Duration { return clockStart + i.sim.now }
 
-// start starts the instance with the list of discovery.
+// start starts the instance with the current list of discovery. It returns an error if the settings or the decision module are invalid.
 func (i *instance) start() error {
 	i.incarnation++
 	i.up = true
@@ -69,12 +69,12 @@
 	return nil
 }
 
-// recordNotification records that the instance is notified of the state of a server.
+// recordNotification records that the instance was notified of the state of a server.
 func (i *instance) recordNotification(server *server, known discoveryState) {
 	i.sim.record(audit.Event{Kind: audit.SidecarNotified, Sidecar: i.index, Server: server.index, Text: known.state, Origin: -1})
 }
 
-// kill ends the instance at once, with its requests. It stays in rotation until that is noticed.
+// kill ends the instance immediately and aborts its requests. It stays in rotation until callers notice the failure.
 func (i *instance) kill() {
 	if !i.up {
 		return
@@ -91,7 +91,7 @@
 	})
 }
 
-// abortRequests ends all requests without an answer, in the order of their ids so that each run does the same.
+// abortRequests ends all requests without an answer. The order is that of their IDs, so that runs are reproducible.
 func (i *instance) abortRequests() {
 	for _, id := range sortedIDs(i.requests) {
 		r := i.requests[id]
@@ -108,7 +108,8 @@
 	i.requests = map[balancer.RequestID]*request{}
 }
 
-// shutDown asks the instance to end, as SIGTERM does: it goes on serving for as long as the longest deadline of a class, within maxDrain.
+// shutDown asks the instance to end, as SIGTERM does. It continues to serve for the longest deadline of a class, but at most maxDrain,
+// plus drainMargin.
 func (i *instance) shutDown() {
 	if !i.up {
 		return
@@ -144,7 +145,7 @@
 	})
 }
 
-// timeOutAttempts ends all attempts in flight, in the order of their requests' ids.
+// timeOutAttempts ends all attempts in flight with a timeout, in the order of the IDs of their requests.
 func (i *instance) timeOutAttempts() {
 	for _, id := range sortedIDs(i.requests) {
 		if r := i.requests[id]; r != nil && r.pending != nil {
@@ -153,7 +154,7 @@
 	}
 }
 
-// sortedIDs returns the ids of requests in order, so that each run does the same.
+// sortedIDs returns the IDs of requests in ascending order, so that runs are reproducible.
 func sortedIDs(m map[balancer.RequestID]*request) []balancer.RequestID {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/rehearsal/dryrun/request.go
+++ b/internal/rehearsal/dryrun/request.go
@@ -7,34 +7,34 @@
 	"quincegap/internal/rehearsal/audit"
 )
 
-// call is a request to an instance.
+// call is a request to an instance, as its caller sends it.
 type call struct {
 	request       string
 	class         int
 	timeLeft      time.Duration
-	origin        int // the arrival
-	callerAttempt int // 0 for the call of a server
+	origin        int // index of the arrival that it belongs to
+	callerAttempt int // number of the caller's attempt, from 1; 0 for a call by a server
 }
 
 // reply is the result of a call.
 type reply struct {
-	status     int // 0 for none
+	status     int // HTTP status; 0 if there was no answer
 	retryAfter time.Duration
 }
 
-// request is a call that an instance has received.
+// request is a call with its state at the instance.
 type request struct {
 	*call
 	instance  *instance
 	deadline  time.Duration
-	attempts  int      // so far
-	pending   *attempt // that is in flight; nil if none is
-	answered  bool
-	abandoned bool // its caller has got an answer, or has gone
-	reply     func(reply)
+	attempts  int         // number of attempts sent so far
+	pending   *attempt    // attempt that is in flight; nil for none
+	answered  bool        // whether the instance has answered it, or its caller has closed the connection
+	abandoned bool        // whether its caller has received an answer or closed the connection
+	reply     func(reply) // reports the result to the caller
 }
 
-// handle sends a call to the instance; done is called when the call has ended for its caller.
+// handle sends a call to the instance. done is called with the result when the call has ended for its caller.
 func (i *instance) handle(call *call, done func(reply)) {
 	sim := i.sim
 	if !i.up {
@@ -55,7 +55,7 @@
 		}
 		done(answer)
 	}
-	sim.scheduleAfter(toSidecar, func() { i.take(r, incarnation) })
+	sim.scheduleAfter(toSidecar, func() { i.deliver(r, incarnation) })
 	sim.scheduleAfter(call.timeLeft+2*sim.plan.Rules.Slack, func() {
 		if !r.answered && !r.abandoned && i.incarnation == incarnation {
 			r.recordEnd(audit.CallerTimedOut)
@@ -65,8 +65,9 @@
 	})
 }
 
-// take passes a request that has arrived to the decision module, unless the instance has ended since it was sent.
-func (i *instance) take(request *request, incarnation int) {
+// deliver passes a request that has arrived to the decision module. If the instance has ended since the request was sent, it ends the
+// request instead.
+func (i *instance) deliver(request *request, incarnation int) {
 	if i.incarnation != incarnation {
 		request.abandoned = true
 		request.recordEnd(audit.ConnectionClosed)
@@ -84,12 +85,12 @@
 	})
 }
 
-// recordEnd records how a request ended without an answer.
+// recordEnd records an event of the given kind for a request that ended without an answer.
 func (r *request) recordEnd(kind audit.Kind) {
 	r.instance.sim.record(audit.Event{Kind: kind, Request: r.request, Sidecar: r.instance.index, Server: -1, Origin: r.origin})
 }
 
-// abandon ends a request whose caller has gone, and reports it to the decision module.
+// abandon ends a request whose caller has closed the connection, and reports it to the decision module.
 func (r *request) abandon() {
 	i := r.instance
 	if r.abandoned || r.answered || i.requests[balancer.RequestID(r.request)] != r {
@@ -105,7 +106,7 @@
 	r.release()
 }
 
-// answer sends the final answer, unless the request has one.
+// answer sends the final answer to the caller, unless the request has already been answered.
 func (r *request) answer(status int, retryAfter time.Duration, authentic bool) {
 	if r.answered {
 		return
@@ -126,7 +127,7 @@
 	})
 }
 
-// release forgets a request that is answered and has no attempt in flight.
+// release removes a request that is answered and has no attempt in flight.
 func (r *request) release() {
 	if r.answered && r.pending == nil {
 		delete(r.instance.requests, balancer.RequestID(r.request))
--- a/internal/rehearsal/dryrun/run.go
+++ b/internal/rehearsal/dryrun/run.go
@@ -5,18 +5,18 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Result is the result of a run.
+// Result is the result of a simulated run.
 type Result struct {
 	Verdict   *audit.Verdict
 	Events    []audit.Event
-	Decisions int // calls of the decision modules
+	Decisions int // number of calls of the decision modules
 	plan      *scenario.Plan
 }
 
-// Plan returns the plan that was played.
+// Plan returns the plan that was run.
 func (r *Result) Plan() *scenario.Plan { return r.plan }
 
-// Run plays a plan. It returns an error if a sidecar cannot be started, or the run has too many events.
+// Run simulates a plan. It returns an error if a sidecar cannot be started or if the run has more than maxEvents events.
 func Run(plan *scenario.Plan) (*Result, error) {
 	sim, err := newSim(plan)
 	if err != nil {
--- a/internal/rehearsal/dryrun/server.go
+++ b/internal/rehearsal/dryrun/server.go
@@ -14,30 +14,30 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// server is one emulated server, with the state that discovery has of it.
+// server is one emulated server with its state in discovery.
 type server struct {
 	sim         *sim
 	index       int
-	sidecar     *instance        // for its own calls; nil if it makes none
-	incarnation int              // grows with each start and each end; 0 before the first start
-	model       *emulator.Server // nil while it is down or silent
-	silent      bool
-	calls       map[uint64]*attempt // attempts that have arrived and not ended, by id
-	faults      map[string]float64  // by the name in the script: the share of attempts that it happens to
-	random      *rand.Rand          // draws which attempts the faults happen to
-	scheduledAt time.Duration       // when it is advanced next
-
-	known    discoveryState
-	wasKnown []discoveryState // earlier values of known, oldest first; kept only if some sidecars are notified late
+	sidecar     *instance           // sidecar through which it makes its calls; nil if it makes none
+	incarnation int                 // counter that is incremented at each start and each end; 0 before the first start
+	model       *emulator.Server    // model of the running server; nil while it is down or silent
+	silent      bool                // whether its machine doesn't respond
+	calls       map[uint64]*attempt // attempts that have arrived and not ended, by ID
+	faults      map[string]float64  // share of attempts that a fault affects, by its name in the script
+	random      *rand.Rand          // source for the choice of the attempts that faults affect
+	scheduledAt time.Duration       // time for which the next advance of the model is scheduled
+
+	known       discoveryState   // current state in discovery
+	knownBefore []discoveryState // earlier values of known, oldest first; recorded only if some sidecars are notified late
 }
 
-// spec returns the server as the plan has it.
+// spec returns the entry of the server in the plan.
 func (s *server) spec() *scenario.Server { return &s.sim.plan.Servers[s.index] }
 
 // tier returns the index of the server's tier.
 func (s *server) tier() int { return s.spec().Tier }
 
-// start starts the server; one that is not cold has been up for long, and is in discovery.
+// start starts the server. A server that is not cold counts as having been up for a long time, and discovery has it as ready.
 func (s *server) start(cold bool) {
 	s.incarnation++
 	s.silent = false
@@ -51,7 +51,7 @@
 	}
 }
 
-// stop ends the server, and resets its connections.
+// stop ends the server and resets the connections of all attempts in flight.
 func (s *server) stop() {
 	inFlight := s.calls
 	s.incarnation++
@@ -65,7 +65,7 @@
 	}
 }
 
-// silence makes the machine of the server unresponsive, and ends its sidecar: attempts that have arrived get no answer.
+// silence makes the machine of the server unresponsive: attempts that have arrived get no answer, and its sidecar ends.
 func (s *server) silence() {
 	if s.model == nil {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// collapse ends a cold server that was overloaded, and has it restarted if its tier does that.
+// collapse ends a cold server that was overloaded, and schedules its restart if its tier has RestartAfterCollapse.
 func (s *server) collapse() {
 	s.sim.record(audit.Event{Kind: audit.ServerCollapsed, Server: s.index, Sidecar: -1, Origin: -1})
 	s.stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-// restartAfterCollapse starts a collapsed server again, unless it was started or stopped since.
+// restartAfterCollapse starts a collapsed server again, unless it has been started or stopped since the collapse.
 func (s *server) restartAfterCollapse(incarnation int) {
 	if s.incarnation != incarnation {
 		return
@@ -99,19 +99,19 @@
 	s.start(true)
 	boot := s.sim.now
 	s.sim.scheduleAfter(s.sim.plan.Discovery.AddDelay, func() {
-		if s.incarnation == incarnation+2 && s.known.state == stateReady { // stop and start count
+		if s.incarnation == incarnation+2 && s.known.state == stateReady { // the stop and the start above each added 1
 			s.updateState(discoveryState{weight: s.known.weight, state: stateReady, boot: boot})
 			s.sim.notifyAll(s)
 		}
 	})
 }
 
-// drawFault draws whether a fault happens to an attempt; it draws nothing if the server has no such fault.
+// drawFault draws whether a fault affects an attempt. If the server doesn't have the fault, it returns false without a draw.
 func (s *server) drawFault(name string) bool {
 	return s.faults[name] > 0 && s.random.Float64() < s.faults[name]
 }
 
-// scheduleAdvance schedules the next advance of the model.
+// scheduleAdvance schedules the next advance of the model, unless it is already scheduled.
 func (s *server) scheduleAdvance() {
 	if s.model == nil {
 		return
@@ -134,10 +134,10 @@
 	})
 }
 
-// advance brings the model up to now, and goes on with attempts whose work has ended.
+// advance advances the model to the current time and continues the attempts whose work has ended.
 func (s *server) advance() { s.complete(s.model.Advance(s.sim.now)) }
 
-// complete goes on with attempts whose work has ended: with their calls, or with their answers.
+// complete continues the attempts whose work has ended: it makes their calls to the next tier or sends their answers.
 func (s *server) complete(done []emulator.Completion) {
 	for _, completion := range done {
 		attempt := s.calls[completion.ID]
@@ -160,7 +160,8 @@
 	}
 }
 
-// callNextTier makes the calls of an attempt to the next tier, from a number on, one after another; then its work is resumed.
+// callNextTier makes the calls of an attempt to the next tier one after another, starting with the given number, and then resumes the
+// work of the attempt. If a call fails, so does the attempt.
 func (s *server) callNextTier(attempt *attempt, number int) {
 	sim, incarnation := s.sim, s.incarnation
 	inFlight := func() bool { return s.incarnation == incarnation && s.model != nil && s.calls[attempt.id] == attempt }
@@ -191,7 +192,7 @@
 	})
 }
 
-// fail ends an attempt with an error.
+// fail releases the slot of an attempt and answers it with an error.
 func (s *server) fail(attempt *attempt) {
 	more := s.model.Release(s.sim.now, attempt.id)
 	attempt.answer(audit.Failed)
--- a/internal/rehearsal/dryrun/sim.go
+++ b/internal/rehearsal/dryrun/sim.go
@@ -11,50 +11,51 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// The network, one way.
+// The one-way latencies of the network.
 const (
 	toSidecar = 100 * time.Microsecond
 	toServer  = 150 * time.Microsecond
 )
 
-// How a sidecar ends, and when that is noticed.
+// The times at which a sidecar ends and restarts, and at which callers notice.
 const (
-	failureNotice  = 2 * time.Second        // from its end until it gets no new connections
-	drainNotice    = 300 * time.Millisecond // from SIGTERM until it gets no new connections
-	maxDrain       = 3 * time.Second        // bound of the time that requests have after SIGTERM
-	drainMargin    = 500 * time.Millisecond // beyond the longest deadline
-	exitDelay      = 100 * time.Millisecond // from the end of the last request to the end of the process
-	restartBackoff = 200 * time.Millisecond // from the end of requests to the next start
+	failureNotice  = 2 * time.Second        // time from the end of a sidecar until callers open no new connections to it
+	drainNotice    = 300 * time.Millisecond // time from SIGTERM until callers open no new connections to it
+	maxDrain       = 3 * time.Second        // maximum time for requests after SIGTERM, without drainMargin
+	drainMargin    = 500 * time.Millisecond // additional time for requests after SIGTERM
+	exitDelay      = 100 * time.Millisecond // time from the end of the last request to the end of the process
+	restartBackoff = 200 * time.Millisecond // time from the end of the last request to the next start
 )
 
-// repeatDelay is when the second update comes, if discovery sends each twice.
+// repeatDelay is the time between the two copies of an update while discovery sends each one twice.
 const repeatDelay = 200 * time.Millisecond
 
-// clockStart is the time on the module's clock when callers begin to come: well above 0, which means long ago.
+// clockStart is the time on the decision module's clock when the callers start. It is well above 0, which stands for long ago.
 const clockStart = 24 * time.Hour
 
-// maxEvents bounds a run: several times what the largest scenario needs.
+// maxEvents is the maximum number of events in a run, several times as many as the largest scenario needs.
 const maxEvents = 200_000_000
 
-// sim is one run in virtual time.
+// sim is a simulation of one plan in virtual time.
 type sim struct {
 	plan         *scenario.Plan
 	now          time.Duration
 	queue        eventQueue
-	seq          uint64 // of events
+	seq          uint64 // sequence number of the last scheduled event
 	log          audit.Log
 	servers      []*server
 	instances    []*instance
-	nextSidecar  int            // in rotation
-	callers      *rand.Rand     // draws which connections callers use
-	attempts     uint64         // the id of the latest attempt
-	attemptsSeen map[string]int // by request, at all servers
-	decisions    int            // calls of decision modules
-	repeats      bool           // discovery sends each update twice
-	err          error          // the first that ends the run
+	nextSidecar  int            // counter of the rotation over sidecars
+	callers      *rand.Rand     // source for the choice of the connections that callers use
+	attempts     uint64         // ID of the latest attempt
+	attemptsSeen map[string]int // number of attempts that all servers have received, by request
+	decisions    int            // number of calls of the decision modules
+	repeats      bool           // whether discovery sends each update twice
+	err          error          // first error of a restart; nil if there was none
 }
 
-// newSim returns a run with the servers and sidecars of the plan; those that are there from the start are up.
+// newSim returns a simulation with the servers and sidecars of the plan. Those present from the beginning are started. It returns an
+// error if a sidecar cannot be started.
 func newSim(plan *scenario.Plan) (*sim, error) {
 	sim := &sim{plan: plan, attemptsSeen: map[string]int{}, callers: rand.New(emulator.RandomSource(plan.Seed, "connections"))}
 	for i := range plan.Servers {
@@ -82,11 +83,11 @@
 	return sim, nil
 }
 
-// run plays events until there are no more.
+// run runs events until the queue is empty. It returns an error if there are more than maxEvents or if a restart failed.
 func (s *sim) run() error {
 	for n := 0; s.queue.Len() > 0; n++ {
 		if n > maxEvents {
-			return fmt.Errorf("at %v the run has had %d events: something goes round in circles", s.now, n)
+			return fmt.Errorf("simulation stopped at %v after %d events: probably an endless loop of events", s.now, n)
 		}
 		next := heap.Pop(&s.queue).(event)
 		s.now = next.at
@@ -95,29 +96,29 @@
 	return s.err
 }
 
-// schedule schedules an event; those of one time keep the order in which they were scheduled.
+// schedule schedules an event. Events at the same time run in the order in which they were scheduled. A time in the past means now.
 func (s *sim) schedule(when time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(when, s.now), s.seq, do})
 }
 
-// scheduleAfter is schedule after a delay.
+// scheduleAfter schedules an event after a delay.
 func (s *sim) scheduleAfter(d time.Duration, do func()) { s.schedule(s.now+d, do) }
 
-// record adds an event that happens now.
+// record adds an event to the log, with the current time.
 func (s *sim) record(e audit.Event) {
 	e.At = s.now
 	s.log.Add(e)
 }
 
-// event is a function that runs at a time.
+// event is a function that runs at a given time.
 type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
-// eventQueue is a heap of events, the next one on top.
+// eventQueue is a heap of events with the next one on top.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/rehearsal/dryrun/status.go
+++ b/internal/rehearsal/dryrun/status.go
@@ -1,6 +1,6 @@
 package dryrun
 
-// HTTP statuses of simulated answers. The package does no I/O, and so does not import net/http.
+// The HTTP statuses of simulated answers. The package does no I/O and therefore does not import net/http.
 const (
 	statusOK                 = 200
 	statusBadGateway         = 502
--- a/internal/rehearsal/dryrun/steps.go
+++ b/internal/rehearsal/dryrun/steps.go
@@ -2,7 +2,7 @@
 
 import "quincegap/internal/rehearsal/scenario"
 
-// playStep plays one step of the plan.
+// playStep applies one step of the plan. Steps that virtual time doesn't model have no effect.
 func (s *sim) playStep(step scenario.Step) {
 	switch step.Kind {
 	case scenario.ServerCrash, scenario.ServerSilence, scenario.ServerStart,
@@ -27,7 +27,7 @@
 	}
 }
 
-// playServerStep plays a step that happens to a server, and to its sidecar with it.
+// playServerStep applies a step to a server and, where it is affected, to the server's sidecar.
 func (s *sim) playServerStep(server *server, step *scenario.Step) {
 	switch step.Kind {
 	case scenario.ServerCrash:
@@ -61,7 +61,7 @@
 	}
 }
 
-// playSignal sends a signal to an instance. SIGHUP changes nothing here.
+// playSignal sends a signal to an instance. SIGHUP has no effect in virtual time.
 func (s *sim) playSignal(i *instance, name string) {
 	switch name {
 	case "SIGTERM":
@@ -71,7 +71,7 @@
 	}
 }
 
-// notifyAll notifies all instances of a server; twice if discovery repeats its updates.
+// notifyAll notifies all instances of the state of a server, twice if discovery repeats its updates.
 func (s *sim) notifyAll(server *server) {
 	for _, i := range s.instances {
 		i.notify(server)
@@ -81,10 +81,10 @@
 	}
 }
 
-// restart starts an instance again once it has ended. One that serves goes on.
+// restart starts an instance again once it has ended. It has no effect on an instance that is up and was not asked to end.
 func (s *sim) restart(i *instance) {
 	if i.up {
-		if i.endsAt > 0 { // else it serves already
+		if i.endsAt > 0 { // otherwise the instance is up and stays so
 			s.schedule(i.endsAt+restartBackoff, func() { s.restart(i) })
 		}
 		return
