--- a/internal/rehearsal/fleet/days.go
+++ b/internal/rehearsal/fleet/days.go
@@ -15,17 +15,17 @@
 //go:embed days/*.morning
 var scripts embed.FS
 
-// The folder of the days, and how their files end.
+// The embedded folder of the days, and the suffix of their files.
 const (
 	daysFolder = "days"
 	daySuffix  = ".morning"
 )
 
-// Days returns the names of the hard days of large fleets.
+// Days returns the names of the days: embedded scenarios of large fleets with many faults.
 func Days() (names []string) {
 	files, err := scripts.ReadDir(daysFolder)
 	if err != nil {
-		panic(err) // they are part of the program
+		panic(err) // the folder is embedded in the program
 	}
 	for _, file := range files {
 		names = append(names, strings.TrimSuffix(file.Name(), daySuffix))
@@ -33,7 +33,7 @@
 	return names
 }
 
-// Day returns the scenario of a day; the error lists the days that there are.
+// Day returns the scenario of a day. For an unknown name, the error suggests or lists the known ones.
 func Day(name string) (*scenario.Scenario, error) {
 	file := path.Join(daysFolder, name+daySuffix)
 	text, err := scripts.ReadFile(file)
@@ -48,16 +48,17 @@
 	return day, nil
 }
 
-// Outcome is the result of a day.
+// Outcome is the result of a simulated day.
 type Outcome struct {
 	Plan            *scenario.Plan
 	Verdict         *audit.Verdict
-	UnansweredShare float64 // share of the attempts that led to no authentic answer
+	UnansweredShare float64 // share of the attempts from which no authentic answer came
 	Spread          Spread
-	Decisions       int // calls of decision modules
+	Decisions       int // number of calls of the decision modules
 }
 
-// Play plays a day in virtual time, with a seed; 0 takes the script's. The same day and seed give the same outcome.
+// Play simulates a day in virtual time, with a seed or, if that is 0, the script's. The same day and seed give the same outcome. It
+// returns an error if the run fails, as dryrun.Run does.
 func Play(day *scenario.Scenario, seed uint64) (*Outcome, error) {
 	plan := day.Plan(seed)
 	result, err := dryrun.Run(plan)
--- a/internal/rehearsal/fleet/example_test.go
+++ b/internal/rehearsal/fleet/example_test.go
@@ -6,7 +6,7 @@
 	"quincegap/internal/rehearsal/fleet"
 )
 
-// A third of 300 endpoints is lost, with 12 instances that share them out evenly: each that is left has two or more callers.
+// After the loss of a third of 300 endpoints, which 12 instances share evenly, at least 3 instances call each remaining endpoint.
 func Example() {
 	figures, err := fleet.MeasureSubsets("tiles", fleet.Churns[1], 300, 12, 1)
 	fmt.Println(figures.Change, figures.MinInstances, err)
--- a/internal/rehearsal/fleet/golden_test.go
+++ b/internal/rehearsal/fleet/golden_test.go
@@ -10,7 +10,7 @@
 	"quincegap/internal/golden"
 )
 
-// A day and a seed keep their verdict and figures.
+// The verdict and the figures of a day and a seed must not change.
 func TestGoldenDay(t *testing.T) {
 	var dump bytes.Buffer
 	for _, name := range []string{"weights"} {
@@ -30,7 +30,7 @@
 	golden.Text(t, "days.txt", dump.Bytes())
 }
 
-// A seed keeps the waves that it draws, and the figures of subsets.
+// The waves that a seed draws, and the figures of the subsetting schemes, must not change.
 func TestGoldenDraws(t *testing.T) {
 	var dump bytes.Buffer
 	for seed := range uint64(12) {
--- a/internal/rehearsal/fleet/modules.go
+++ b/internal/rehearsal/fleet/modules.go
@@ -6,13 +6,13 @@
 	"quincegap/internal/balancer"
 )
 
-// balancerModules is the subsetting of the decision module itself.
+// balancerModules is the subsetting scheme of the decision module itself. It runs one module per instance.
 type balancerModules struct {
 	all []*balancer.Balancer
-	now time.Duration // on the clock of all instances
+	now time.Duration // current time on the clock of all instances
 }
 
-// newModules returns a number of instances, without endpoints.
+// newModules returns a scheme with a number of instances and no endpoints.
 func newModules(instances int) (*balancerModules, error) {
 	m := &balancerModules{now: time.Hour}
 	for i := range instances {
@@ -28,13 +28,13 @@
 	return m, nil
 }
 
-// update gives all instances a list with the changes.
-func (m *balancerModules) update(gone, come []uint32) {
+// update passes the changes of the endpoint list to all instances.
+func (m *balancerModules) update(removed, added []uint32) {
 	var list balancer.EndpointList
-	for _, id := range gone {
+	for _, id := range removed {
 		list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), State: balancer.EndpointRemoved})
 	}
-	for _, id := range come {
+	for _, id := range added {
 		list.Entries = append(list.Entries, balancer.ListEntry{Endpoint: balancer.EndpointID(id), Weight: 1})
 	}
 	m.now += time.Second
@@ -43,7 +43,7 @@
 	}
 }
 
-// subset returns an instance's endpoints with their shares of its calls.
+// subset returns the endpoints of an instance, each with its share of the instance's calls.
 func (m *balancerModules) subset(i int) map[uint32]float64 {
 	shares, sum := map[uint32]float64{}, 0.0
 	for id, weight := range m.all[i].Subset() {
@@ -56,7 +56,7 @@
 	return shares
 }
 
-// silentHost is a host that does nothing.
+// silentHost is a balancer.Host that does nothing.
 type silentHost struct{}
 
 func (silentHost) Send(balancer.RequestID, balancer.EndpointID, time.Duration) {}
--- a/internal/rehearsal/fleet/schemes.go
+++ b/internal/rehearsal/fleet/schemes.go
@@ -10,10 +10,10 @@
 	"quincegap/internal/structures/rendezvous"
 )
 
-// subsetting distributes endpoints over instances. All endpoints have the same weight.
+// subsetting is a scheme that assigns endpoints to instances. All endpoints have the same weight.
 type subsetting interface {
-	// update changes the list.
-	update(gone, come []uint32)
+	// update removes endpoints from the list and adds others.
+	update(removed, added []uint32)
 	// subset returns the endpoints of an instance, each with the share of the instance's calls that it gets.
 	subset(instance int) map[uint32]float64
 }
@@ -21,10 +21,10 @@
 // SubsettingSchemes are the names of the schemes that can be measured.
 var SubsettingSchemes = []string{"module", "tiles", "shuffled", "arcs", "bounded"}
 
-// instancesPerEndpoint is how many instances call each endpoint, in every scheme.
+// instancesPerEndpoint is the number of instances that should call each endpoint, in every scheme.
 const instancesPerEndpoint = 3
 
-// newScheme returns a scheme by its name, without endpoints.
+// newScheme returns the scheme with a name, without endpoints, or an error if there is none.
 func newScheme(name string, instances int) (subsetting, error) {
 	switch name {
 	case "module":
@@ -38,37 +38,38 @@
 	case "bounded":
 		return &boundedRing{instances: instances}, nil
 	}
-	return nil, fmt.Errorf("no scheme %q", name)
+	return nil, fmt.Errorf("unknown subsetting scheme %q", name)
 }
 
-// sortedEndpoints are the ids of the list in their order.
+// sortedEndpoints is the endpoint list, as IDs in ascending order.
 type sortedEndpoints struct{ ids []uint32 }
 
-// update removes some ids and adds others.
-func (s *sortedEndpoints) update(gone, come []uint32) {
-	removed := map[uint32]bool{}
-	for _, id := range gone {
-		removed[id] = true
+// update removes some IDs and adds others.
+func (s *sortedEndpoints) update(removed, added []uint32) {
+	isRemoved := map[uint32]bool{}
+	for _, id := range removed {
+		isRemoved[id] = true
 	}
-	s.ids = slices.DeleteFunc(s.ids, func(id uint32) bool { return removed[id] })
-	s.ids = append(s.ids, come...)
+	s.ids = slices.DeleteFunc(s.ids, func(id uint32) bool { return isRemoved[id] })
+	s.ids = append(s.ids, added...)
 	slices.Sort(s.ids)
 }
 
-// tiling gives each instance an interval of a ring of all endpoints, by ordinal, with exact bounds.
+// tiling gives each instance an interval of the ring of all endpoints. The ordinal of the instance determines the exact bounds, which
+// may split an endpoint.
 type tiling struct {
 	sortedEndpoints
 	instances int
 }
 
-// subset returns the interval of an instance; the endpoints at its ends may get a part of a share.
+// subset returns the endpoints in the interval of an instance. Those at its ends may get only a part of a full share.
 func (t *tiling) subset(instance int) map[uint32]float64 {
 	count := float64(len(t.ids))
 	need := min(instancesPerEndpoint*count/float64(t.instances), count)
 	_, begin := math.Modf(float64(instance) * instancesPerEndpoint / float64(t.instances))
 	begin *= count
 	shares := map[uint32]float64{}
-	free := 1 - (begin - math.Floor(begin)) // the part of the next endpoint that is in the interval
+	free := 1 - (begin - math.Floor(begin)) // part of the next endpoint that is in the interval
 	for next, left := int(begin), need; left > 1e-9; next++ {
 		share := min(free, left)
 		shares[t.ids[next%len(t.ids)]] += share / need
@@ -78,14 +79,14 @@
 	return shares
 }
 
-// shuffling is deterministic subsetting: Site Reliability Engineering (O'Reilly, 2016), chapter 20. In each round the list is shuffled
-// anew, and divided among the instances of that round.
+// shuffling is deterministic subsetting, as in Site Reliability Engineering (O'Reilly, 2016), chapter 20. Each round of instances
+// shuffles the list with its own seed, and divides it among its instances.
 type shuffling struct {
 	sortedEndpoints
 	instances int
 }
 
-// subset returns the instance's part of the list as its round has it.
+// subset returns the instance's part of the list that its round has shuffled.
 func (s *shuffling) subset(i int) map[uint32]float64 {
 	size := max(1, (instancesPerEndpoint*len(s.ids)+s.instances-1)/s.instances)
 	subsets := max(1, len(s.ids)/size)
@@ -98,7 +99,7 @@
 	return shares
 }
 
-// ringArcs puts each endpoint at a point of a circle, by its hash, and gives each instance an arc, by its ordinal.
+// ringArcs places each endpoint at a point of a circle by its hash, and gives each instance an arc of the circle by its ordinal.
 type ringArcs struct {
 	sortedEndpoints
 	instances int
@@ -123,17 +124,17 @@
 	return shares
 }
 
-// boundedRing is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam: SODA 2018): each endpoint goes to the first
-// instances on a ring that have less than an eighth more than their share.
+// boundedRing is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam: SODA 2018): each endpoint is assigned to the
+// first instances on a ring whose subsets are below the capacity, which is an eighth more than the mean.
 type boundedRing struct {
 	sortedEndpoints
 	instances int
-	subsets   []map[uint32]float64 // by instance; nil until they are assigned
+	subsets   []map[uint32]float64 // subsets by instance; nil until they are assigned
 }
 
-// update changes the list, and drops the assignment.
-func (b *boundedRing) update(gone, come []uint32) {
-	b.sortedEndpoints.update(gone, come)
+// update changes the list and discards the assignment.
+func (b *boundedRing) update(removed, added []uint32) {
+	b.sortedEndpoints.update(removed, added)
 	b.subsets = nil
 }
 
@@ -149,16 +150,16 @@
 	return shares
 }
 
-// pointsPerInstance is how many points of the ring an instance has.
+// pointsPerInstance is the number of points that each instance has on the ring.
 const pointsPerInstance = 50
 
-// ringPoint is a point of the ring, by hash.
+// ringPoint is a point of an instance on the ring.
 type ringPoint struct {
-	at       uint64
+	at       uint64 // position on the ring, a hash
 	instance int
 }
 
-// assign assigns each endpoint, in the order of their hashes, to the next instances on the ring that have capacity.
+// assign assigns each endpoint, in the order of the hashes, to instances on the ring that have capacity left.
 func (b *boundedRing) assign() {
 	var ring []ringPoint
 	b.subsets = nil
@@ -179,7 +180,7 @@
 	}
 }
 
-// assignOne assigns an endpoint to the first instance, from a point of the ring on, that has capacity and does not have the endpoint.
+// assignOne assigns an endpoint to the first instance, from a point of the ring on, that has capacity left and doesn't have the endpoint.
 func (b *boundedRing) assignOne(ring []ringPoint, capacity int, id uint32, at uint64) {
 	from, _ := slices.BinarySearchFunc(ring, at, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
 	for step := range ring {
--- a/internal/rehearsal/fleet/spread.go
+++ b/internal/rehearsal/fleet/spread.go
@@ -12,22 +12,22 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// Spread is how evenly attempts were distributed over the servers of the first tier while these were comparable: up, listed, warm, without
-// a fault, and of the weight that they had at first. The servers must have the same speed.
+// Spread describes how evenly attempts were distributed over the servers of the first tier while these were comparable: up, in discovery,
+// warm, without a fault and with their initial weight. The servers must have the same speed.
 type Spread struct {
-	Servers  int           // that were comparable for at least half as long as the one that was longest
-	Mean     float64       // attempts per second at a server
-	Max, P99 float64       // over the mean
-	Exposure time.Duration // how long they were comparable, on average
-	// ChanceMax and ChanceP99 are Max and P99 if each attempt went to any of the servers with the same chance (Poisson): the median of
-	// the maximum, and the quantile.
+	Servers  int           // number of servers that were comparable for at least half of the longest time of any server
+	Mean     float64       // mean rate of attempts at a server, per second
+	Max, P99 float64       // maximum and 99% quantile of the rates, over the mean
+	Exposure time.Duration // mean time for which the servers were comparable
+	// ChanceMax and ChanceP99 are the values of Max (its median) and P99 if each attempt went to a server chosen uniformly at random
+	// (Poisson).
 	ChanceMax, ChanceP99 float64
 }
 
-// interval is a time in which a server is comparable.
+// interval is a time interval in which a server is comparable; to is not part of it.
 type interval struct{ from, to time.Duration }
 
-// comparableIntervals returns when each server is comparable, by server.
+// comparableIntervals returns the intervals in which each server is comparable, by index of the server.
 func comparableIntervals(plan *scenario.Plan) [][]interval {
 	comparison := &comparison{
 		plan: plan, intervals: make([][]interval, len(plan.Servers)), since: make([]time.Duration, len(plan.Servers)),
@@ -52,21 +52,21 @@
 	return comparison.intervals
 }
 
-// never is later than any day.
+// never is later than the end of any scenario.
 const never = time.Duration(math.MaxInt64)
 
-// minWarmUp is the least time until a server is comparable after a start, or the end of a fault.
+// minWarmUp is the minimum time from the start of a server, or the end of its fault, until it is comparable.
 const minWarmUp = 2 * time.Second
 
-// comparison follows the steps of a plan.
+// comparison tracks which servers are comparable while it applies the steps of a plan.
 type comparison struct {
 	plan      *scenario.Plan
-	intervals [][]interval    // by server
-	since     []time.Duration // from when on it is comparable; never while it is not
-	listed    []bool          // discovery has it as Ready
+	intervals [][]interval    // completed intervals, by server
+	since     []time.Duration // start of the current interval, by server; never while the server is not comparable
+	listed    []bool          // whether discovery has the server as Ready
 }
 
-// apply ends the interval of a server at a step, and sets when the next one begins.
+// apply ends the current interval of the step's server, and sets the start of the next one.
 func (c *comparison) apply(step *scenario.Step) {
 	server := step.Server
 	if step.At > c.since[server] {
@@ -83,13 +83,13 @@
 		faulty := step.Kind == scenario.ServerSlowdown && step.Amount > 1 || step.Kind == scenario.ServerFault && step.Amount > 0
 		if faulty {
 			c.since[server] = never
-		} else if c.listed[server] { // a start, or the end of a fault
+		} else if c.listed[server] { // the step is a start or the end of a fault
 			c.since[server] = c.warm(server, step.At)
 		}
 	}
 }
 
-// applyUpdate applies an update of discovery.
+// applyUpdate applies an update of a server's state in discovery.
 func (c *comparison) applyUpdate(step *scenario.Step) {
 	server := step.Server
 	c.listed[server] = step.State == "Ready"
@@ -100,12 +100,13 @@
 	}
 }
 
-// warm returns when a server is warm again that starts, or whose fault ends: one that was ejected warms up for as long.
+// warm returns the time from which a server is warm that starts, or whose fault ends, at the given time. The end of a fault counts like
+// a start, because a server that was ejected warms up for the same time.
 func (c *comparison) warm(server int, at time.Duration) time.Duration {
 	return at + max(c.plan.Tiers[c.plan.Servers[server].Tier].WarmUp, minWarmUp)
 }
 
-// spreadOf measures the spread over the servers of the first tier.
+// spreadOf returns the spread of a run over the servers of the first tier, or a zero Spread if there were no attempts.
 func spreadOf(plan *scenario.Plan, events []audit.Event) Spread {
 	times := comparableIntervals(plan)
 	counts := countAttempts(times, events)
@@ -132,7 +133,7 @@
 	return s
 }
 
-// countAttempts counts the attempts at each server while it was comparable.
+// countAttempts returns the number of attempts at each server while it was comparable.
 func countAttempts(times [][]interval, events []audit.Event) []float64 {
 	counts := make([]float64, len(times))
 	for _, e := range events {
@@ -148,7 +149,7 @@
 	return counts
 }
 
-// exposures returns for how many seconds each server of the first tier was comparable, and the most of them.
+// exposures returns the seconds for which each server of the first tier was comparable, and the maximum of these.
 func exposures(plan *scenario.Plan, times [][]interval) (exposed []float64, longest float64) {
 	exposed = make([]float64, len(times))
 	for i, intervals := range times {
@@ -163,7 +164,8 @@
 	return exposed, longest
 }
 
-// chanceSpread returns the median of the maximum of a number of Poisson variables with one mean, and their 99% quantile, over the mean.
+// chanceSpread returns the median of the maximum, and the 99% quantile, of Poisson variables with the same mean, both over that mean.
+// There is one variable per server.
 func chanceSpread(mean float64, servers int) (greatest, p99 float64) {
 	chance := distuv.Poisson{Lambda: mean}
 	for n := 1.0; p99 == 0 || greatest == 0; n++ {
--- a/internal/rehearsal/fleet/subsets.go
+++ b/internal/rehearsal/fleet/subsets.go
@@ -6,56 +6,57 @@
 	"slices"
 )
 
-// Churn is a change of the list that schemes are measured under.
+// Churn is a kind of change of the endpoint list under which schemes are measured.
 type Churn struct {
 	Name string
-	// steps returns which endpoints go and come, step by step, for a list of ids, which it may change.
+	// steps returns the endpoints that are removed and added at each step, for a list of IDs. It may modify the list.
 	steps func(ids []uint32, random *rand.Rand) []churnStep
 }
 
-// churnStep is the endpoints that go and come at one time.
-type churnStep struct{ gone, come []uint32 }
+// churnStep holds the endpoints that are removed and added at once.
+type churnStep struct{ removed, added []uint32 }
 
-// Churns are a release that replaces a share of the endpoints one at a time, the loss of a third at once, and new endpoints that come one
-// at a time.
+// Churns are the measured changes: a release that replaces 2% of the endpoints one at a time, the loss of a third at once, and 2% of new
+// endpoints that are added one at a time.
 var Churns = []Churn{
 	{"2% replaced, one at a time", func(ids []uint32, random *rand.Rand) (steps []churnStep) {
 		for range max(1, len(ids)/50) {
 			i := random.IntN(len(ids))
-			come := random.Uint32()
-			steps = append(steps, churnStep{gone: []uint32{ids[i]}, come: []uint32{come}})
-			ids[i] = come
+			added := random.Uint32()
+			steps = append(steps, churnStep{removed: []uint32{ids[i]}, added: []uint32{added}})
+			ids[i] = added
 		}
 		return steps
 	}},
 	{"a third lost at once", func(ids []uint32, random *rand.Rand) []churnStep {
 		random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
-		return []churnStep{{gone: ids[:len(ids)/3]}}
+		return []churnStep{{removed: ids[:len(ids)/3]}}
 	}},
 	{"2% more, one at a time", func(ids []uint32, random *rand.Rand) (steps []churnStep) {
 		for range max(1, len(ids)/50) {
-			steps = append(steps, churnStep{come: []uint32{random.Uint32()}})
+			steps = append(steps, churnStep{added: []uint32{random.Uint32()}})
 		}
 		return steps
 	}},
 }
 
-// SubsetFigures are the figures of a scheme under a change.
+// SubsetFigures are the figures measured for a scheme under a change.
 type SubsetFigures struct {
 	Scheme, Change string
-	// Moved is how many endpoints came into the subset of some instance, over all steps, for each endpoint that came or went. The least
-	// possible is the number of instances that call an endpoint: for each that came, and, if subsets keep their size, for each that went.
+	// Moved is the number of additions of an endpoint to the subset of an instance, over all steps, per endpoint that was added or
+	// removed. The minimum is the number of instances that call an endpoint: for each endpoint that was added and, if subsets keep their
+	// size, for each that was removed.
 	Moved float64
-	// MinInstances and MaxInstances are how many instances call an endpoint at the end.
+	// MinInstances and MaxInstances are the smallest and the largest number of instances that call an endpoint at the end.
 	MinInstances, MaxInstances int
-	// Load is the greatest load of an endpoint and LoadP99 the 99% quantile, both over the mean, if all instances send the same.
+	// Load is the maximum load of an endpoint and LoadP99 the 99% quantile, both over the mean, if all instances send equally many calls.
 	Load, LoadP99 float64
-	// Spread is the size of the largest subset over the mean.
+	// Spread is the size of the largest subset over the mean size.
 	Spread float64
 }
 
-// MeasureSubsets plays a change under a scheme with a number of endpoints and instances; the same seed gives the same figures. It returns
-// an error for an unknown scheme.
+// MeasureSubsets applies a change to a scheme with a number of endpoints and instances, and returns the figures. The same seed gives the
+// same figures. It returns an error for an unknown scheme.
 func MeasureSubsets(name string, churn Churn, endpoints, instances int, seed uint64) (SubsetFigures, error) {
 	scheme, err := newScheme(name, instances)
 	if err != nil {
@@ -70,8 +71,8 @@
 	}
 	moved, changed := 0, 0
 	for _, step := range churn.steps(slices.Clone(ids), random) {
-		scheme.update(step.gone, step.come)
-		changed += max(len(step.gone), len(step.come))
+		scheme.update(step.removed, step.added)
+		changed += max(len(step.removed), len(step.added))
 		for i := range subsets {
 			next := scheme.subset(i)
 			moved += countNew(next, subsets[i])
@@ -86,7 +87,7 @@
 	return figures, nil
 }
 
-// drawEndpoints draws ids that differ, as a list and as a set.
+// drawEndpoints draws distinct IDs, and returns them as a list and as a set.
 func drawEndpoints(random *rand.Rand, count int) (ids []uint32, present map[uint32]bool) {
 	present = map[uint32]bool{}
 	for len(ids) < count {
@@ -98,7 +99,7 @@
 	return ids, present
 }
 
-// countNew returns how many endpoints of a subset were not in the one before.
+// countNew returns the number of endpoints of a subset that were not in the previous one.
 func countNew(next, before map[uint32]float64) (count int) {
 	for id := range next {
 		if _, had := before[id]; !had {
@@ -108,17 +109,17 @@
 	return count
 }
 
-// apply applies the step to the set of endpoints that are there.
+// apply applies the step to the set of present endpoints.
 func (s *churnStep) apply(present map[uint32]bool) {
-	for _, id := range s.gone {
+	for _, id := range s.removed {
 		delete(present, id)
 	}
-	for _, id := range s.come {
+	for _, id := range s.added {
 		present[id] = true
 	}
 }
 
-// measure returns the figures of the subsets at the end.
+// measure returns the figures of the final subsets.
 func measure(subsets []map[uint32]float64, present map[uint32]bool) SubsetFigures {
 	figures := SubsetFigures{MinInstances: math.MaxInt}
 	callers, load := map[uint32]int{}, map[uint32]float64{}
--- a/internal/rehearsal/fleet/subsets_test.go
+++ b/internal/rehearsal/fleet/subsets_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Every scheme reaches every endpoint, and the module moves little with each change and keeps loads even.
+// Each scheme gives the same figures for the same seed. The decision module must call every endpoint from 2 to 5 instances, keep loads
+// even and move few assignments with each change.
 func TestSubsetsUnderChange(t *testing.T) {
 	const endpoints, instances = 1500, 40
 	for _, churn := range Churns {
@@ -13,27 +14,27 @@
 				t.Fatal(err)
 			}
 			if again, _ := MeasureSubsets(name, churn, endpoints, instances, 5); again != figures {
-				t.Errorf("%s: the same seed gives %+v and %+v", name, figures, again)
+				t.Errorf("scheme %s with the same seed twice: got %+v and %+v, want equal figures", name, figures, again)
 			}
 			byScheme[name] = figures
 			t.Logf("%+v", figures)
 		}
 		module := byScheme["module"]
 		if module.MinInstances < 2 || module.MaxInstances > 5 {
-			t.Errorf("%s: an endpoint is reached by %d instances, one by %d", churn.Name, module.MinInstances, module.MaxInstances)
+			t.Errorf("%s: got %d to %d instances per endpoint, want 2 to 5", churn.Name, module.MinInstances, module.MaxInstances)
 		}
 		if module.Load > 1.4 {
-			t.Errorf("%s: an endpoint gets %.2f times the mean", churn.Name, module.Load)
+			t.Errorf("%s: got a maximum load of %.2f times the mean, want at most 1.4", churn.Name, module.Load)
 		}
 		if module.Moved > 3.2 {
-			t.Errorf("%s: %.1f assignments move with each endpoint", churn.Name, module.Moved)
+			t.Errorf("%s: got %.1f moved assignments per changed endpoint, want at most 3.2", churn.Name, module.Moved)
 		}
 	}
 }
 
-// A scheme that does not exist is an error.
+// MeasureSubsets must return an error for an unknown scheme.
 func TestUnknownScheme(t *testing.T) {
 	if _, err := MeasureSubsets("dice", Churns[0], 10, 2, 1); err == nil {
-		t.Error("no error")
+		t.Error("unknown scheme: got no error, want one")
 	}
 }
--- a/internal/rehearsal/fleet/waves.go
+++ b/internal/rehearsal/fleet/waves.go
@@ -18,33 +18,33 @@
 	"quincegap/internal/rehearsal/scenario"
 )
 
-// RestartWave is a restart of a large part of a fleet at once: 64 servers that start with a little over a third of their capacity, and
-// sidecars before them. Sidecars, Rate and Seed are required.
+// RestartWave is a restart of a large part of a fleet at once. The fleet has 64 servers, which start with 35% to 50% of their capacity,
+// and sidecars that send to them. Sidecars, Rate and Seed are required.
 type RestartWave struct {
-	Sidecars int     // 1 or more
+	Sidecars int     // number of sidecars; 1 or more
 	Rate     float64 // requests per second, above 0
-	Seed     uint64  // above 0
+	Seed     uint64  // seed of the run; above 0
 
 	ServerShare, SidecarShare float64           // shares of the servers and of the sidecars that restart; if both are 0, all restart
-	SecondWaveAfter           time.Duration     // after the first, all servers restart once more; 0 for never
-	AnnouncedCount            int               // the number of instances that each sidecar is given; 0 for Sidecars
-	FirstSidecarShare         float64           // share of the requests that go to the first sidecar
-	NotificationDelay         time.Duration     // by how much later than others a third of the sidecars is notified
-	BootTime                  scenario.BootTime // which start times the list has; empty for BootTimeTrue
-	RestartAfterCollapse      time.Duration     // delay until a server that collapsed is started again; 0 for never
-	Cells                     int               // how many cells of four servers restart, instead of ServerShare
+	SecondWaveAfter           time.Duration     // time from the end of the first restart to a second one of all servers; 0 for none
+	AnnouncedCount            int               // number of instances that the settings of the sidecars announce; 0 for Sidecars
+	FirstSidecarShare         float64           // share of the requests that are sent to the first sidecar
+	NotificationDelay         time.Duration     // additional delay with which a third of the sidecars is notified of updates
+	BootTime                  scenario.BootTime // start times of servers that discovery sends; empty for BootTimeTrue
+	RestartAfterCollapse      time.Duration     // delay after which a collapsed server is started again; 0 for never
+	Cells                     int               // number of cells, of four servers each, that restart instead of ServerShare
 	OverloadFactor            float64           // multiple of its capacity above which a cold server collapses; 0 for 3
-	Keyed                     bool              // all requests have idempotency keys with scope cell, else a third of them
-	Length                    time.Duration     // 0 for 24 s
+	Keyed                     bool              // whether all requests have idempotency keys with scope cell; otherwise a third has
+	Length                    time.Duration     // time during which callers arrive; 0 for 24 s
 }
 
 const (
-	waveAt        = 8 * time.Second  // when the wave comes
-	waveRestart   = time.Second      // how long a restart takes
-	defaultLength = 24 * time.Second // of a wave
+	waveAt        = 8 * time.Second  // time of the restart
+	waveRestart   = time.Second      // duration of a restart
+	defaultLength = 24 * time.Second // default of RestartWave.Length
 )
 
-// Script returns the script of the wave.
+// Script returns the wave as a script for package scenario.
 func (r *RestartWave) Script() string {
 	var script strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&script, format+"\n", args...) }
@@ -71,7 +71,7 @@
 	return script.String()
 }
 
-// writeEvents writes the lines of the events.
+// writeEvents writes the event lines of the script.
 func (r *RestartWave) writeEvents(line func(format string, args ...any)) {
 	servers, sidecars := r.ServerShare, r.SidecarShare
 	if servers == 0 && sidecars == 0 && r.Cells == 0 {
@@ -97,14 +97,15 @@
 	}
 }
 
-// WaveResult is the result of a wave.
+// WaveResult is the result of a simulated wave.
 type WaveResult struct {
 	Wave    *RestartWave
 	Verdict *audit.Verdict
 	Totals  *audit.FleetTotals
 }
 
-// Play plays the wave in virtual time. The same wave gives the same result.
+// Play simulates the wave in virtual time. The same wave gives the same result. It returns an error if the wave is impossible or the run
+// fails, as dryrun.Run does.
 func (r *RestartWave) Play() (*WaveResult, error) {
 	var found finding.List
 	wave := scenario.Read("wave", []byte(r.Script()), &found)
@@ -119,7 +120,7 @@
 	return &WaveResult{r, result.Verdict, audit.Totals(plan.AuditRules(), result.Events)}, nil
 }
 
-// PlayWaves plays waves, as many at once as there are processors, and returns their results in the same order.
+// PlayWaves simulates waves, GOMAXPROCS at a time, and returns their results in the same order. The error joins those of all waves.
 func PlayWaves(waves []*RestartWave) ([]*WaveResult, error) {
 	results, errs := make([]*WaveResult, len(waves)), make([]error, len(waves))
 	var next atomic.Int64
@@ -135,19 +136,19 @@
 	return results, errors.Join(errs...)
 }
 
-// WaveSummary sums up plays of one wave with several seeds.
+// WaveSummary summarizes runs of one wave with several seeds.
 type WaveSummary struct {
-	Collapses                                         float64 // mean of the plays
-	MaxCollapses                                      int     // of any play
-	Service                                           float64 // mean of the plays
-	MinService                                        float64 // of any play
-	ColdLoad                                          float64 // the greatest of any play, as are the next five
+	Collapses                                         float64 // mean number of collapses per run
+	MaxCollapses                                      int     // maximum number of collapses in a run
+	Service                                           float64 // mean service of the runs
+	MinService                                        float64 // minimum service of a run
+	ColdLoad                                          float64 // maximum of all runs, like the next five fields
 	MaxRejected, MaxUnreachable, MaxConnectionsOpened int
 	MaxListRequests, MaxEjectedAttempts               int
-	RecoveryTime                                      time.Duration // mean of the plays; 0 if one did not recover
+	RecoveryTime                                      time.Duration // mean of the runs; 0 if one did not recover
 }
 
-// Summarize sums up the results of one or more plays.
+// Summarize summarizes the results of one or more runs.
 func Summarize(results []*WaveResult) WaveSummary {
 	summary := WaveSummary{MinService: math.Inf(1)}
 	count := float64(len(results))
@@ -173,7 +174,7 @@
 	return summary
 }
 
-// RandomWave draws a wave with any of the options that make one hard.
+// RandomWave draws a wave with random options, each of which makes it harder for the sidecars.
 func RandomWave(random *rand.Rand) *RestartWave {
 	pick := func(of ...float64) float64 { return of[random.IntN(len(of))] }
 	wave := &RestartWave{
--- a/internal/rehearsal/fleet/waves_test.go
+++ b/internal/rehearsal/fleet/waves_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Whatever restarts together, and whatever the sidecars are told of their number, no cold server collapses and no other rule is broken.
-// make soak plays 500.
+// In any wave, whatever restarts together and whatever number of sidecars is announced, no cold server collapses and no other rule is
+// broken. make soak runs 500 waves.
 func TestAnyWave(t *testing.T) {
 	waves := 40
 	if os.Getenv("SOAK") != "" {
@@ -24,26 +24,27 @@
 				t.Fatal(err)
 			}
 			for _, b := range result.Verdict.Breaches[:min(3, len(result.Verdict.Breaches))] {
-				t.Errorf("%v: %v: %s (%+v)", b.At, b.Rule, b.Message, *wave)
+				t.Errorf("got a breach at %v of rule %q: %s; want none in wave %+v", b.At, b.Rule, b.Message, *wave)
 			}
 			if v := result.Verdict; v.InTime+v.Late+v.Rejected+v.Failed != v.Requests || v.Requests == 0 {
-				t.Errorf("%d requests, not all of which are counted: %+v", v.Requests, *wave)
+				t.Errorf("got %d outcomes for %d requests, want the same number above 0 in wave %+v",
+					v.InTime+v.Late+v.Rejected+v.Failed, v.Requests, *wave)
 			}
 		})
 	}
 }
 
-// What all sidecars together send to a server does not grow with their number: each total has one bound for 4 to 200 sidecars, on the
-// most of three seeds. Service is the mean of the seeds.
+// The load that all sidecars together put on a server must not grow with their number: the bounds on the totals are the same for 4 to
+// 200 sidecars. They apply to the maximum of three seeds; the bound on the service applies to the mean.
 func TestSumsDoNotGrowWithTheSidecars(t *testing.T) {
 	for _, kind := range []struct {
 		name    string
-		servers float64 // share that restarts while the sidecars stay up; 0 for all servers and sidecars
-		service map[int]float64
+		servers float64         // share of the servers that restart while the sidecars stay up; 0 for a restart of all servers and sidecars
+		service map[int]float64 // minimum service, by number of sidecars
 	}{
 		{"all", 0, map[int]float64{4: 0.95, 12: 0.95, 40: 0.95, 120: 0.95, 200: 0.95}},
-		// The sidecars have the old list, and send attempts to servers that are down. With 120 and 200 of them each has a subset of two
-		// servers, and more of the requests that came while both were down are not served: 0.92 to 0.94 by seed.
+		// The sidecars still have the old list, and send attempts to servers that are down. With 120 and 200 sidecars, each has a subset
+		// of two servers, and more of the requests that arrive while both are down are not served: the service is 0.92 to 0.94 by seed.
 		{"boxes", 1, map[int]float64{4: 0.94, 12: 0.95, 40: 0.97, 120: 0.92, 200: 0.92}},
 	} {
 		for sidecars, service := range kind.service {
@@ -61,7 +62,7 @@
 				t.Logf("%+v", summary)
 				checkTotals(t, &summary)
 				if summary.Service < service {
-					t.Errorf("service %.4f, %v wanted", summary.Service, service)
+					t.Errorf("got service %.4f, want at least %v", summary.Service, service)
 				}
 				checkRecovery(t, results)
 			})
@@ -69,39 +70,39 @@
 	}
 }
 
-// checkRecovery fails the test if the fleet did not recover soon after a wave.
+// checkRecovery fails the test if a fleet did not recover within 5 s.
 func checkRecovery(t *testing.T, results []*WaveResult) {
 	t.Helper()
 	for _, result := range results {
 		if recovery := result.Totals.RecoveryTime; recovery == 0 || recovery > 5*time.Second {
-			t.Errorf("seed %d: in full use %v after the boxes were back", result.Wave.Seed, recovery)
+			t.Errorf("seed %d: got recovery time %v, want above 0 and at most 5s", result.Wave.Seed, recovery)
 		}
 	}
 }
 
-// checkTotals fails the test if a total over all sidecars is above its bound.
+// checkTotals fails the test if a total over all sidecars exceeds its bound.
 func checkTotals(t *testing.T, summary *WaveSummary) {
 	t.Helper()
 	for _, sum := range []struct {
 		what      string
 		got, most float64
 	}{
-		{"boxes fell", float64(summary.MaxCollapses), 0},
-		{"of what a cold box bears were sent to one", summary.ColdLoad, 0.95},
-		// 20 requests a second come for each server; one that serves 12 a second at first rejects no more than twice as many.
-		{"attempts within a second were turned away by one box", float64(summary.MaxRejected), 30},
-		{"attempts within a second came to a box that was not there", float64(summary.MaxUnreachable), 40},
-		{"attempts within a second came from those that had isolated the box", float64(summary.MaxEjectedAttempts), 30},
-		{"lists were asked for within a second", float64(summary.MaxListRequests), 40},
-		{"connections were opened to one box within a second", float64(summary.MaxConnectionsOpened), 45},
+		{"collapses", float64(summary.MaxCollapses), 0},
+		{"ratio of the load of a cold server to the allowed load", summary.ColdLoad, 0.95},
+		// 20 requests per second arrive for each server. A server that serves 12 per second at first must reject no more than twice as many.
+		{"attempts that one server rejected within a second", float64(summary.MaxRejected), 30},
+		{"attempts at one server that was down, within a second", float64(summary.MaxUnreachable), 40},
+		{"attempts at one server from sidecars that had ejected it, within a second", float64(summary.MaxEjectedAttempts), 30},
+		{"list requests within a second", float64(summary.MaxListRequests), 40},
+		{"connections opened to one server within a second", float64(summary.MaxConnectionsOpened), 45},
 	} {
 		if sum.got > sum.most {
-			t.Errorf("%.2f %s, at most %v wanted", sum.got, sum.what, sum.most)
+			t.Errorf("%s: got %.2f, want at most %v", sum.what, sum.got, sum.most)
 		}
 	}
 }
 
-// Requests with keys that must go to their cell again do not overload it when it comes back cold beside warm ones.
+// Keyed requests must be retried in their own cell. They must not overload it when it comes back cold while other cells are warm.
 func TestKeyedCallsOfAColdCell(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
 		wave := RestartWave{Sidecars: sidecars, Rate: 1600, Seed: 5, Cells: 2, Keyed: true, Length: 16 * time.Second}
@@ -111,17 +112,18 @@
 		}
 		t.Logf("%d sidecars: service %.3f, %+v", sidecars, result.Verdict.Service, *result.Totals)
 		if len(result.Verdict.Breaches) > 0 || result.Totals.ColdLoad == 0 || result.Totals.ColdLoad > 0.95 || result.Verdict.Service < 0.97 {
-			t.Errorf("%d sidecars: %v, cold %.2f, service %.3f", sidecars, result.Verdict.Breaches, result.Totals.ColdLoad, result.Verdict.Service)
+			t.Errorf("%d sidecars: got breaches %v, cold load %.2f and service %.3f, want none, above 0 to 0.95, and at least 0.97",
+				sidecars, result.Verdict.Breaches, result.Totals.ColdLoad, result.Verdict.Service)
 		}
 		if result.Totals.MaxEjectedAttempts > 30 || result.Totals.MaxUnreachable > 40 {
-			t.Errorf("%d sidecars: %d trials, %d attempts at a box that was not there",
+			t.Errorf("%d sidecars: got %d attempts at an ejected and %d at an unreachable server within a second, want at most 30 and 40",
 				sidecars, result.Totals.MaxEjectedAttempts, result.Totals.MaxUnreachable)
 		}
 	}
 }
 
-// Servers that collapsed, and are started again, are in full use soon after the last collapse. Cold servers that collapse under little more
-// than their capacity do so by chance, whoever sends.
+// After servers have collapsed and been started again, the fleet must recover soon after the last collapse. Cold servers
+// that collapse under little more than their capacity do so by chance, whatever the sidecars do.
 func TestWayBackAfterFalls(t *testing.T) {
 	for _, sidecars := range []int{4, 40, 200} {
 		wave := RestartWave{
@@ -131,13 +133,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d sidecars: %d falls until %v, in full use %v after",
+		t.Logf("%d sidecars: %d collapses until %v, recovery time %v",
 			sidecars, result.Totals.Collapses, result.Totals.LastCollapse, result.Totals.CollapseRecoveryTime)
 		if result.Totals.Collapses < 20 {
-			t.Errorf("%d sidecars: only %d falls: this shows nothing", sidecars, result.Totals.Collapses)
+			t.Errorf("%d sidecars: got %d collapses, want at least 20 for the test to be meaningful", sidecars, result.Totals.Collapses)
 		}
 		if result.Totals.CollapseRecoveryTime == 0 || result.Totals.CollapseRecoveryTime > 8*time.Second {
-			t.Errorf("%d sidecars: in full use %v after the last fall at %v", sidecars, result.Totals.CollapseRecoveryTime, result.Totals.LastCollapse)
+			t.Errorf("%d sidecars: got recovery time %v after the last collapse at %v, want above 0 and at most 8s",
+				sidecars, result.Totals.CollapseRecoveryTime, result.Totals.LastCollapse)
 		}
 	}
 }
